--- a/crates/control/src/address_index.rs
+++ b/crates/control/src/address_index.rs
@@ -2,7 +2,7 @@
 
 use std::collections::{BTreeMap, BTreeSet};
 
-/// The instances of bricks at each address.
+/// The instances of model servers at each address.
 #[derive(Clone, Debug, Default)]
 pub struct AddressIndex {
     instances: BTreeMap<String, BTreeSet<String>>,
--- a/crates/control/src/admission.rs
+++ b/crates/control/src/admission.rs
@@ -1,21 +1,22 @@
-//! At which brick a prompt is read next, and when: joint admission over all heads.
+//! At which model server a prompt is read next, and when: joint admission over all heads.
 //!
-//! While a brick reads a prompt, every stream there stands still. One prompt costs a stream a pause that nobody minds;
-//! several at once, sent by heads that do not know of each other, cost it its pace. The leader therefore lines prompts up:
-//! each is granted the brick where it would be answered first, and the moment at which that brick has read those
-//! before it. A grant is advice: a head that hears nothing in time sends as it sees fit, and a new leader begins
-//! without any line.
+//! While a model server reads a prompt, every stream there stands still. One prompt costs a stream a pause
+//! that nobody minds; several at once, sent by heads that do not know of each other, cost it its pace. The
+//! leader therefore lines prompts up: each is granted the model server where it would be answered first, and
+//! the moment at which that model server has read those before it. A grant is advice: a head that hears
+//! nothing in time sends as it sees fit, and a new leader begins without any line.
 //!
-//! No head sees how many slots of a brick are taken: the leader does, by what all told and what it granted since. A brick
-//! whose slots are taken is dear, in whatever zone it is, so that demand spreads over zones by the room that is there
-//! and never beyond it. Of the last slots some are kept for what is more urgent (`urgency`).
+//! No head sees how many slots of a model server are taken: the leader does, by what all told and what it
+//! granted since. A model server whose slots are taken is dear, in whatever zone it is, so that demand
+//! spreads over zones by the room that is there and never beyond it. Of the last slots some are kept for what
+//! is more urgent (`urgency`).
 
 use crate::directory::Millis;
 use crate::urgency::{Urgency, open_slots};
-use pathbank_protocol::message::{AdmissionGrant, AdmissionOption, AdmissionRequest, Brick};
+use pathbank_protocol::message::{AdmissionGrant, AdmissionOption, AdmissionRequest, ModelServer};
 use std::collections::{BTreeMap, HashMap, VecDeque};
 
-/// Between two prompts a brick goes on with its streams for so long, milliseconds.
+/// Between two prompts a model server goes on with its streams for so long, milliseconds.
 const BREATH_MS: f64 = 35.0;
 /// And for this part of the time that the first of them took.
 const BREATH_PART: f64 = 0.25;
@@ -24,12 +25,12 @@
 /// Lines that have been empty for so long are forgotten, milliseconds.
 const FORGET_AFTER: Millis = 10_000;
 
-/// What each request beyond a brick's slots costs the next one there, milliseconds.
+/// What each request beyond a model server's slots costs the next one there, milliseconds.
 const OVERFULL_MS: f64 = 120.0;
 /// A grant counts as a taken slot for so long, milliseconds; by then the edge's own report tells of it.
 const GRANT_COUNTS: Millis = 600;
 
-/// The slots of one brick.
+/// The slots of one model server.
 #[derive(Clone, Debug, Default)]
 struct Slots {
     capacity: f64,
@@ -59,7 +60,7 @@
     }
 }
 
-/// Until when each brick reads what was granted there, and its slots, by its incarnation.
+/// Until when each model server reads what was granted there, and its slots, by its incarnation.
 #[derive(Clone, Debug, Default)]
 pub struct AdmissionController {
     free_at: HashMap<String, f64>,
@@ -67,14 +68,15 @@
 }
 
 impl AdmissionController {
-    /// The slots of the bricks that take requests, and the requests there by what all edges told. Other bricks are forgotten.
-    pub fn note_slots(&mut self, ready: &[Brick], in_flight: &BTreeMap<String, u32>) {
+    /// The slots of the model servers that take requests, and the requests there by what all edges told.
+    /// Other model servers are forgotten.
+    pub fn note_slots(&mut self, ready: &[ModelServer], in_flight: &BTreeMap<String, u32>) {
         let mut known = std::mem::take(&mut self.slots);
-        for brick in ready {
-            let mut slots = known.remove(&brick.instance).unwrap_or_default();
-            slots.capacity = f64::from(brick.capacity);
-            slots.told = in_flight.get(&brick.instance).copied().map_or(0.0, f64::from);
-            self.slots.insert(brick.instance.clone(), slots);
+        for server in ready {
+            let mut slots = known.remove(&server.instance).unwrap_or_default();
+            slots.capacity = f64::from(server.capacity);
+            slots.told = in_flight.get(&server.instance).copied().map_or(0.0, f64::from);
+            self.slots.insert(server.instance.clone(), slots);
         }
     }
 
@@ -110,7 +112,7 @@
         Some(AdmissionGrant { request: request.request, option: place as u32, wait_ms: wait as u32 })
     }
 
-    /// How long a prompt would wait at a brick, milliseconds.
+    /// How long a prompt would wait at a model server, milliseconds.
     fn wait(&self, now: Millis, instance: &str) -> f64 {
         let free_at = self.free_at.get(instance).copied().unwrap_or(0.0);
         (free_at - now as f64).clamp(0.0, LONGEST_WAIT)
--- a/crates/control/src/autoscaling.rs
+++ b/crates/control/src/autoscaling.rs
@@ -1,42 +1,45 @@
-//! How many bricks of a service run in each zone.
+//! How many model servers of a service run in each zone.
 //!
-//! Target tracking: what bricks take to read the prompts that clients send, and the slots that answers take, over what one
-//! brick bears. More bricks are ordered at once, for they take a while to start; fewer only after the load has been low for some time. A
-//! zone that does not get what was ordered there is made up for by the others.
+//! Target tracking: what model servers take to read the prompts that clients send, and the slots that answers
+//! take, over what one model server bears. More model servers are ordered at once, for they take a while to
+//! start; fewer only after the load has been low for some time. A zone that does not get what was ordered
+//! there is made up for by the others.
 
 use crate::configuration::{Autoscaling, Backend};
 use crate::demand::DemandTable;
 use crate::directory::Millis;
-use pathbank_protocol::message::Brick;
+use pathbank_protocol::message::ModelServer;
 use std::collections::{BTreeMap, BTreeSet};
 
-/// A brick answers well while it reads prompts for this part of its time,
+/// A model server answers well while it reads prompts for this part of its time,
 const READING_PART: f64 = 0.27;
 /// and while so much of its slots is taken.
 const SLOTS_PART: f64 = 0.45;
 /// Demand counts once so much of it is known.
 const LEAST_KNOWN: f64 = 0.3;
-/// The demand of a leader that has just begun counts after this, milliseconds: edges tell it what they remember.
+/// The demand of a leader that has just begun counts after this, milliseconds: edges tell it what they
+/// remember.
 const OBSERVE_FIRST: Millis = 2_000;
-/// More bricks are ordered where at least this part more is wanted.
+/// More model servers are ordered where at least this part more is wanted.
 const WORTH_ADDING: f64 = 0.08;
-/// Fewer bricks are ordered where the load would leave this part of those that are left idle.
+/// Fewer model servers are ordered where the load would leave this part of those that are left idle.
 const SPARE_AFTER_REMOVAL: f64 = 0.15;
-/// The load has to have been low for so long before bricks are taken away, milliseconds.
+/// The load has to have been low for so long before model servers are taken away, milliseconds.
 const LOW_FOR: Millis = 8_000;
-/// A zone that lacks ordered bricks so long after they should have started does not get them, milliseconds.
+/// A zone that lacks ordered model servers so long after they should have started does not get them,
+/// milliseconds.
 const OVERDUE: Millis = 4_000;
 /// An order without a clear answer is given again after this, milliseconds.
 const ORDER_AGAIN: Millis = 1_500;
 
-/// An order to the platform: so many bricks of a service are to run in a zone.
+/// An order to the platform: so many model servers of a service are to run in a zone.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct ScaleOrder {
     /// The service.
     pub backend: String,
     /// The zone.
     pub zone: String,
-    /// Bricks that are to run there.
+    /// Model servers that are to run there.
     pub desired_count: u32,
 }
 
@@ -58,7 +61,7 @@
 /// What is known of one service.
 #[derive(Clone, Debug, Default)]
 struct ServiceState {
-    /// Where bricks of the service ever ran.
+    /// Where model servers of the service ever ran.
     zones: BTreeSet<String>,
     orders: BTreeMap<String, ZoneOrder>,
     low_since: Option<Millis>,
@@ -82,7 +85,7 @@
         &mut self,
         now: Millis,
         backends: &[Backend],
-        bricks: &[Brick],
+        servers: &[ModelServer],
         demand: &DemandTable,
     ) -> Vec<ScaleOrder> {
         let began = *self.began.get_or_insert(now);
@@ -91,9 +94,9 @@
         for backend in backends {
             let Some(bounds) = &backend.autoscaling else { continue };
             let service = self.services.entry(backend.name.clone()).or_default();
-            let present = service.note_present(backend, bricks);
+            let present = service.note_present(backend, servers);
             if is_known {
-                let wanted = bricks_wanted(now, backend, bricks, demand);
+                let wanted = servers_wanted(now, backend, servers, demand);
                 orders.append(&mut service.plan(now, backend, bounds, &present, wanted));
             }
         }
@@ -109,7 +112,7 @@
         }
     }
 
-    /// The bricks that were ordered last, by service and zone.
+    /// The model servers that were ordered last, by service and zone.
     pub fn ordered(&self) -> impl Iterator<Item = ScaleOrder> {
         self.services.iter().flat_map(|(backend, service)| {
             service.orders.iter().map(|(zone, order)| ScaleOrder {
@@ -121,37 +124,37 @@
     }
 }
 
-/// Bricks that the demand for a service fills, all zones together: by what bricks take to read its prompts, and by the
-/// slots that its answers take.
-fn bricks_wanted(now: Millis, backend: &Backend, bricks: &[Brick], demand: &DemandTable) -> f64 {
+/// Model servers that the demand for a service fills, all zones together: by what model servers take to read
+/// its prompts, and by the slots that its answers take.
+fn servers_wanted(now: Millis, backend: &Backend, servers: &[ModelServer], demand: &DemandTable) -> f64 {
     let keys = || demand.keys().filter(|key| key.backend == backend.name);
     let read_ms_per_s: f64 = keys().map(|key| demand.read_ms_per_s(now, key)).sum();
-    let held_ms_per_s: f64 = keys().map(|key| demand.held_ms_per_s(now, key)).sum();
-    let own = bricks.iter().filter(|brick| brick.backend == backend.name);
-    let capacity = own.map(|brick| brick.capacity).max().unwrap_or(1).max(1);
+    let slot_time_ms_per_s: f64 = keys().map(|key| demand.slot_time_ms_per_s(now, key)).sum();
+    let own = servers.iter().filter(|server| server.backend == backend.name);
+    let capacity = own.map(|server| server.capacity).max().unwrap_or(1).max(1);
     let reading = read_ms_per_s / 1_000.0 / READING_PART;
-    let slots = held_ms_per_s / 1_000.0 / (f64::from(capacity) * SLOTS_PART);
+    let slots = slot_time_ms_per_s / 1_000.0 / (f64::from(capacity) * SLOTS_PART);
     reading.max(slots) / demand.known_part(now).max(LEAST_KNOWN)
 }
 
 /// How a zone stands.
 struct ZoneView<'a> {
     zone: &'a str,
-    /// Bricks that take requests there.
+    /// Model servers that take requests there.
     present: u32,
-    /// Bricks that were ordered, or those present where none were.
+    /// Model servers that were ordered, or those present where none were.
     ordered: u32,
     /// It does not get what was ordered.
     is_short: bool,
 }
 
 impl ServiceState {
-    /// Counts the bricks that take requests, by zone.
-    fn note_present(&mut self, backend: &Backend, bricks: &[Brick]) -> BTreeMap<String, u32> {
+    /// Counts the model servers that take requests, by zone.
+    fn note_present(&mut self, backend: &Backend, servers: &[ModelServer]) -> BTreeMap<String, u32> {
         let mut present: BTreeMap<String, u32> = BTreeMap::new();
-        for brick in bricks.iter().filter(|brick| brick.backend == backend.name) {
-            self.zones.insert(brick.zone.clone());
-            *present.entry(brick.zone.clone()).or_default() += 1;
+        for server in servers.iter().filter(|server| server.backend == backend.name) {
+            self.zones.insert(server.zone.clone());
+            *present.entry(server.zone.clone()).or_default() += 1;
         }
         present
     }
@@ -217,7 +220,8 @@
     }
 }
 
-/// Spreads bricks evenly over the zones, within the bounds of each. What a zone does not get goes to the others.
+/// Spreads model servers evenly over the zones, within the bounds of each. What a zone does not get goes to
+/// the others.
 fn spread(wanted: f64, views: &[ZoneView<'_>], bounds: &Autoscaling) -> BTreeMap<String, u32> {
     let (least, most) = (bounds.min_instances, bounds.max_instances.max(bounds.min_instances));
     let (short, able): (Vec<_>, Vec<_>) = views.iter().partition(|view| view.is_short);
--- a/crates/control/src/configuration.rs
+++ b/crates/control/src/configuration.rs
@@ -53,7 +53,7 @@
     /// Or several, by weight.
     #[facet(default)]
     pub traffic_split: Vec<Split>,
-    /// Bricks that one try may be sent to.
+    /// Model servers that one try may be sent to.
     #[facet(default)]
     pub max_attempts: Option<u32>,
     /// Needs no key.
@@ -62,13 +62,13 @@
     /// Prompts share parts.
     #[facet(default)]
     pub session_affinity: bool,
-    /// A stream may be taken up at another brick.
+    /// A stream may be taken up at another model server.
     #[facet(default)]
     pub resumable: bool,
     /// The longest pause between events of an answer in time, milliseconds.
     #[facet(default)]
     pub gap_aim_ms: Option<f64>,
-    /// Which version of a model in training answers; left out: whichever the brick holds.
+    /// Which version of a model in training answers; left out: whichever the model server holds.
     #[facet(default)]
     pub model_version: Option<RouteVersion>,
 }
@@ -95,39 +95,39 @@
 pub struct Backend {
     /// Its name.
     pub name: String,
-    /// Where its bricks answer health checks.
+    /// Where its model servers answer health checks.
     #[facet(default)]
     pub health_path: Option<String>,
-    /// Connections that one brick accepts from all callers together.
+    /// Connections that one model server accepts from all callers together.
     #[facet(default)]
     pub max_connections: Option<u32>,
-    /// The models that its bricks may hold.
+    /// The models that its model servers may hold.
     #[facet(default)]
     pub runtime: Option<Runtime>,
-    /// How many bricks may run.
+    /// How many model servers may run.
     #[facet(default)]
     pub autoscaling: Option<Autoscaling>,
 }
 
-/// What a service's bricks can hold and do.
+/// What a service's model servers can hold and do.
 #[derive(Clone, Debug, Facet)]
 pub struct Runtime {
-    /// Requests that a brick runs at once.
+    /// Requests that a model server runs at once.
     #[facet(default)]
     pub capacity: f64,
-    /// Tokens that a brick keeps.
+    /// Tokens that a model server keeps.
     #[facet(default)]
     pub kv_capacity: f64,
     /// The models.
     #[facet(default)]
     pub models: Vec<Model>,
-    /// Room of a brick for weights and adapters, megabytes.
+    /// Room of a model server for weights and adapters, megabytes.
     #[facet(default)]
     pub weights_mb: f64,
-    /// Adapters that a brick holds at most.
+    /// Adapters that a model server holds at most.
     #[facet(default)]
     pub max_adapters: u32,
-    /// Loads that the weight store permits over all bricks.
+    /// Loads that the weight store permits over all model servers.
     #[facet(default)]
     pub loads_per_s: f64,
     /// Tokens that one event of a stream holds; 0: not told.
@@ -153,7 +153,7 @@
     pub adapter_mb: f64,
 }
 
-/// How many bricks of a service may run in each zone.
+/// How many model servers of a service may run in each zone.
 #[derive(Clone, Debug, Facet)]
 pub struct Autoscaling {
     /// At least.
@@ -185,7 +185,7 @@
 /// Who may send requests.
 #[derive(Clone, Debug, Facet)]
 pub struct Tenant {
-    /// Its name, which bricks are told.
+    /// Its name, which model servers are told.
     pub name: String,
     /// Its keys.
     #[facet(default)]
--- a/crates/control/src/configuration_holders.rs
+++ b/crates/control/src/configuration_holders.rs
@@ -1,13 +1,13 @@
-//! Which edge head has which configuration in force, and since when, as they told.
+//! Which edge has which configuration in force, and since when, as they told.
 
 use pathbank_coordination::types::{Index, Millis};
 use pathbank_protocol::message::EdgeReport;
 use std::collections::BTreeMap;
 
-/// An edge head that told nothing for so long is forgotten, milliseconds.
+/// An edge that told nothing for so long is forgotten, milliseconds.
 const FORGOTTEN_AFTER: Millis = 30_000;
 
-/// What an edge head has in force.
+/// What an edge has in force.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Holder {
     /// The log's entry that brought the configuration.
@@ -20,14 +20,14 @@
     pub told: Millis,
 }
 
-/// The edge heads by name.
+/// The edges by name.
 #[derive(Clone, Debug, Default)]
 pub struct ConfigurationHolders {
     by_edge: BTreeMap<String, Holder>,
 }
 
 impl ConfigurationHolders {
-    /// An edge head reported.
+    /// An edge reported.
     pub fn note(&mut self, now: Millis, report: &EdgeReport) {
         let in_force = report.configuration;
         let since = now.saturating_sub(in_force.for_ms);
--- a/crates/control/src/demand.rs
+++ b/crates/control/src/demand.rs
@@ -1,7 +1,7 @@
 //! What clients ask of each model, from the edges' reports.
 
 use crate::directory::Millis;
-use pathbank_protocol::message::{BrickLoad, EdgeReport, ModelDemand};
+use pathbank_protocol::message::{EdgeReport, ModelDemand, ModelServerLoad};
 use std::collections::BTreeMap;
 
 /// The memory of the running means, milliseconds.
@@ -13,7 +13,7 @@
 /// Word that requests wait for a model counts for so long.
 const WAITING_COUNTS: Millis = 1_500;
 
-/// What an edge said of its requests at bricks counts for so long.
+/// What an edge said of its requests at model servers counts for so long.
 const LOAD_COUNTS: Millis = 1_500;
 
 /// A model of a service, or one of its adapters.
@@ -34,7 +34,7 @@
     /// Requests, remembered for a short while.
     lately: f64,
     read_ms: f64,
-    held_ms: f64,
+    slot_time_ms: f64,
     at: Millis,
     waiting: f64,
     waiting_at: Millis,
@@ -47,7 +47,7 @@
     fn fade(&mut self, now: Millis) {
         let passed = now.saturating_sub(self.at) as f64;
         let faded = (-passed / SPAN).exp();
-        for mean in [&mut self.tokens, &mut self.requests, &mut self.read_ms, &mut self.held_ms] {
+        for mean in [&mut self.tokens, &mut self.requests, &mut self.read_ms, &mut self.slot_time_ms] {
             *mean *= faded;
         }
         self.lately *= (-passed / SHORT_SPAN).exp();
@@ -62,12 +62,12 @@
     }
 }
 
-/// Running means of demand by model and adapter, and what is out at each brick.
+/// Running means of demand by model and adapter, and what is out at each model server.
 #[derive(Clone, Debug, Default)]
 pub struct DemandTable {
     by_key: BTreeMap<ModelKey, Demand>,
-    /// What each edge has out at bricks, and when it said so.
-    loads: BTreeMap<String, (Millis, Vec<BrickLoad>)>,
+    /// What each edge has out at model servers, and when it said so.
+    loads: BTreeMap<String, (Millis, Vec<ModelServerLoad>)>,
     /// When the first demand was told.
     since: Option<Millis>,
     /// How far back the first words of edges reached.
@@ -100,7 +100,7 @@
             known.asked_at = now;
         }
         known.read_ms += demand.read_ms as f64;
-        known.held_ms += demand.held_ms as f64;
+        known.slot_time_ms += demand.slot_time_ms as f64;
         known.note_objective(now, demand.objective_ms);
         if demand.waiting > 0 {
             let still = now < known.waiting_at + WAITING_COUNTS;
@@ -115,8 +115,8 @@
         (-(passed as f64) / SPAN).exp()
     }
 
-    /// The part of the rates that is known, once all edges have said something: what they remembered from before the first
-    /// word counts whole, as if it had just come.
+    /// The part of the rates that is known, once all edges have said something: what they remembered from
+    /// before the first word counts whole, as if it had just come.
     pub fn known_part(&self, now: Millis) -> f64 {
         let not_remembered = (1.0 - self.remembered as f64 / SPAN).max(0.0);
         1.0 - self.unknown_part(now) * not_remembered
@@ -141,14 +141,14 @@
         self.mean(now, key, |demand| demand.requests)
     }
 
-    /// Time that bricks take a second to read prompts for a key, milliseconds.
+    /// Time that model servers take a second to read prompts for a key, milliseconds.
     pub fn read_ms_per_s(&self, now: Millis, key: &ModelKey) -> f64 {
         self.mean(now, key, |demand| demand.read_ms)
     }
 
     /// Slots that answers to a key take at a time, in milliseconds a second.
-    pub fn held_ms_per_s(&self, now: Millis, key: &ModelKey) -> f64 {
-        self.mean(now, key, |demand| demand.held_ms)
+    pub fn slot_time_ms_per_s(&self, now: Millis, key: &ModelKey) -> f64 {
+        self.mean(now, key, |demand| demand.slot_time_ms)
     }
 
     /// Whether a request for a key came within some time, milliseconds.
@@ -167,7 +167,7 @@
         figure(demand) * faded * 1_000.0 / SPAN
     }
 
-    /// Requests that no brick could take lately.
+    /// Requests that no model server could take lately.
     pub fn waiting(&self, now: Millis, key: &ModelKey) -> f64 {
         let demand = self.by_key.get(key);
         demand.filter(|demand| now < demand.waiting_at + WAITING_COUNTS).map_or(0.0, |demand| demand.waiting)
@@ -178,7 +178,7 @@
         self.by_key.keys()
     }
 
-    /// Requests out at each brick, from all edges that said so lately.
+    /// Requests out at each model server, from all edges that said so lately.
     pub fn in_flight(&self, now: Millis) -> BTreeMap<String, u32> {
         let lately = self.loads.values().filter(|(at, _)| now < at + LOAD_COUNTS);
         let mut totals: BTreeMap<String, u32> = BTreeMap::new();
@@ -188,20 +188,21 @@
         totals
     }
 
-    /// The same, to be told to edges, with the bricks that fail much and the part of requests that failed there.
-    pub fn joint_loads(&self, now: Millis, mut outliers: BTreeMap<String, f64>) -> Vec<BrickLoad> {
+    /// The same, to be told to edges, with the model servers that fail much and the part of requests that
+    /// failed there.
+    pub fn joint_loads(&self, now: Millis, mut outliers: BTreeMap<String, f64>) -> Vec<ModelServerLoad> {
         let permille = |errors: f64| (errors * 1_000.0) as u16;
         let in_flight = self.in_flight(now).into_iter();
-        let mut loads: Vec<BrickLoad> = in_flight
+        let mut loads: Vec<ModelServerLoad> = in_flight
             .map(|(instance, in_flight)| {
                 let error_permille = outliers.remove(&instance).map_or(0, permille);
-                BrickLoad { instance, in_flight, error_permille, ..BrickLoad::default() }
+                ModelServerLoad { instance, in_flight, error_permille, ..ModelServerLoad::default() }
             })
             .collect();
-        let unused = outliers.into_iter().map(|(instance, errors)| BrickLoad {
+        let unused = outliers.into_iter().map(|(instance, errors)| ModelServerLoad {
             instance,
             error_permille: permille(errors),
-            ..BrickLoad::default()
+            ..ModelServerLoad::default()
         });
         loads.extend(unused);
         loads
--- a/crates/control/src/directory.rs
+++ b/crates/control/src/directory.rs
@@ -1,27 +1,29 @@
-//! The bricks that exist, from their heartbeats, as one core knows them.
+//! The model servers that exist, from their heartbeats, as one core knows them.
 
 use crate::address_index::AddressIndex;
-use pathbank_protocol::message::{Brick, BrickNews, BrickState, LoadedModel, WithheldModel};
+use pathbank_protocol::message::{LoadedModel, ModelServer, ModelServerState, OrderStatus, WithheldModel};
 use std::collections::{BTreeMap, BTreeSet};
 
 /// Milliseconds of a steady clock that the caller supplies.
 pub type Millis = u64;
 
-/// A brick that says nothing for so many of its heartbeats, and never less than the time below, is taken for gone.
+/// A model server that says nothing for so many of its heartbeats, and never less than the time below, is
+/// taken for gone.
 const SILENT_HEARTBEATS: u64 = 5;
 const LEAST_SILENCE: Millis = 4_000;
-/// A brick that has gone is remembered for so long, so that a late heartbeat does not bring it back.
+/// A model server that has gone is remembered for so long, so that a late heartbeat does not bring it back.
 const GONE_KEPT: Millis = 60_000;
-/// What the leader said of a brick that drops something holds for so long without another word.
-const NEWS_HOLDS: Millis = 8_000;
-/// What a brick says of its models may be as old as this: word of an order's end holds against it for so long.
+/// What the leader said of a model server that drops something holds for so long without another word.
+const ORDER_STATUS_VALID_MS: Millis = 8_000;
+/// What a model server says of its models may be as old as this: word of an order's end holds against it for
+/// so long.
 const WORD_LAG: Millis = 600;
-/// An unchanged brick is told to the other cores this often.
+/// An unchanged model server is told to the other cores this often.
 const RELAY_EVERY: Millis = 2_000;
 
 #[derive(Clone, Debug)]
 struct Known {
-    brick: Brick,
+    server: ModelServer,
     heard: Millis,
     relayed: Millis,
     /// It said itself that it ended.
@@ -34,13 +36,13 @@
     withheld_until: Millis,
 }
 
-/// The models that the brick at an address has held, and so has on its own disk.
-pub type HeldBefore = BTreeMap<String, BTreeSet<String>>;
+/// The models that the model server at an address has held, and so has on its own disk.
+pub type CachedWeights = BTreeMap<String, BTreeSet<String>>;
 
-/// All bricks of which one core knows.
+/// All model servers of which one core knows.
 #[derive(Clone, Debug, Default)]
 pub struct Directory {
-    held_before: HeldBefore,
+    cached_weights: CachedWeights,
     known: BTreeMap<String, Known>,
     addresses: AddressIndex,
     heartbeat_ms: Millis,
@@ -50,7 +52,7 @@
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Heard {
     /// Other incarnations at its address, which are gone by this.
-    pub displaced: Vec<Brick>,
+    pub displaced: Vec<ModelServer>,
     /// Edges have to know.
     pub changed: bool,
     /// The other cores have to know, if this core heard it first.
@@ -58,72 +60,73 @@
 }
 
 impl Directory {
-    /// `heartbeat_ms`: how often bricks say something.
+    /// `heartbeat_ms`: how often model servers say something.
     pub fn new(heartbeat_ms: Millis) -> Directory {
         Directory { heartbeat_ms, ..Directory::default() }
     }
 
-    /// The bricks that edges should know, those that have gone among them.
-    pub fn bricks(&self) -> impl Iterator<Item = Brick> {
+    /// The model servers that edges should know, those that have gone among them.
+    pub fn servers(&self) -> impl Iterator<Item = ModelServer> {
         self.known.values().map(Known::told)
     }
 
-    /// What bricks have held, by address.
-    pub fn held_before(&self) -> &HeldBefore {
-        &self.held_before
+    /// What model servers have held, by address.
+    pub fn cached_weights(&self) -> &CachedWeights {
+        &self.cached_weights
     }
 
     fn note_held(&mut self, address: &str, models: &[LoadedModel]) {
         if models.is_empty() {
             return;
         }
-        let held = self.held_before.entry(address.to_owned()).or_default();
+        let held = self.cached_weights.entry(address.to_owned()).or_default();
         held.extend(models.iter().map(|model| model.name.clone()));
     }
 
-    /// Bricks that take requests.
-    pub fn ready(&self) -> impl Iterator<Item = Brick> {
-        self.bricks().filter(|brick| brick.state == BrickState::Ready)
+    /// Model servers that take requests.
+    pub fn ready(&self) -> impl Iterator<Item = ModelServer> {
+        self.servers().filter(|server| server.state == ModelServerState::Ready)
     }
 
-    /// One brick.
-    pub fn brick(&self, instance: &str) -> Option<Brick> {
+    /// One model server.
+    pub fn server(&self, instance: &str) -> Option<ModelServer> {
         self.known.get(instance).map(Known::told)
     }
 
-    /// The newest version of a model's weights that a brick holds; 0: none does.
+    /// The newest version of a model's weights that a model server holds; 0: none does.
     pub fn newest_version(&self, model: &str) -> u64 {
-        let held = self.known.values().flat_map(|known| &known.brick.models);
+        let held = self.known.values().flat_map(|known| &known.server.models);
         held.filter(|held| held.name == model).map(|held| held.version).max().unwrap_or(0)
     }
 
-    /// How one brick stands.
-    pub fn state(&self, instance: &str) -> Option<BrickState> {
-        self.known.get(instance).map(|known| known.brick.state)
+    /// How one model server stands.
+    pub fn state(&self, instance: &str) -> Option<ModelServerState> {
+        self.known.get(instance).map(|known| known.server.state)
     }
 
-    /// A heartbeat, heard from the brick or from another core.
-    pub fn heard(&mut self, now: Millis, brick: Brick) -> Heard {
-        self.note_held(&brick.address, &brick.models);
-        let Some(known) = self.known.get(&brick.instance) else { return self.heard_first(now, brick) };
-        if brick.sequence <= known.brick.sequence || known.deregistered {
+    /// A heartbeat, heard from the model server or from another core.
+    pub fn heard(&mut self, now: Millis, server: ModelServer) -> Heard {
+        self.note_held(&server.address, &server.models);
+        let Some(known) = self.known.get(&server.instance) else { return self.heard_first(now, server) };
+        if server.sequence <= known.server.sequence || known.deregistered {
             return Heard::default();
         }
-        self.addresses.change(&known.brick.address, &brick.address, &brick.instance);
-        let Some(known) = self.known.get_mut(&brick.instance) else { return Heard::default() };
+        self.addresses.change(&known.server.address, &server.address, &server.instance);
+        let Some(known) = self.known.get_mut(&server.instance) else { return Heard::default() };
         known.heard = now;
         let before = known.told();
-        let draining = known.brick.state == BrickState::Draining && brick.state == BrickState::Ready;
+        let draining =
+            known.server.state == ModelServerState::Draining && server.state == ModelServerState::Ready;
         let is_older = known.order_ended.is_some_and(|ended| now < ended + WORD_LAG);
-        let models = std::mem::take(&mut known.brick.models);
-        known.brick = brick;
+        let models = std::mem::take(&mut known.server.models);
+        known.server = server;
         if is_older {
-            known.brick.models = models;
+            known.server.models = models;
         }
         if draining {
-            known.brick.state = BrickState::Draining;
+            known.server.state = ModelServerState::Draining;
         }
-        known.deregistered = known.brick.state == BrickState::Gone;
+        known.deregistered = known.server.state == ModelServerState::Removed;
         let changed = !same_but_sequence(&before, &known.told());
         let relay = changed || now >= known.relayed + RELAY_EVERY;
         if relay {
@@ -133,95 +136,99 @@
     }
 
     /// The first heartbeat of an instance, which ends any other one at its address.
-    fn heard_first(&mut self, now: Millis, brick: Brick) -> Heard {
-        let displaced = match brick.state {
-            BrickState::Gone => Vec::new(),
-            BrickState::Ready | BrickState::Draining => self.displace(&brick.address),
+    fn heard_first(&mut self, now: Millis, server: ModelServer) -> Heard {
+        let displaced = match server.state {
+            ModelServerState::Removed => Vec::new(),
+            ModelServerState::Ready | ModelServerState::Draining => self.displace(&server.address),
         };
-        self.addresses.insert(&brick.address, &brick.instance);
-        self.known.insert(brick.instance.clone(), Known::new(now, brick));
+        self.addresses.insert(&server.address, &server.instance);
+        self.known.insert(server.instance.clone(), Known::new(now, server));
         Heard { displaced, changed: true, relay: true }
     }
 
     /// Whatever was at that address has ended.
-    fn displace(&mut self, address: &str) -> Vec<Brick> {
+    fn displace(&mut self, address: &str) -> Vec<ModelServer> {
         let mut displaced = Vec::new();
         for instance in self.addresses.at(address) {
             let Some(known) = self.known.get_mut(instance) else { continue };
-            if known.brick.state == BrickState::Gone {
+            if known.server.state == ModelServerState::Removed {
                 continue;
             }
-            known.brick.state = BrickState::Gone;
-            known.brick.sequence += 1;
+            known.server.state = ModelServerState::Removed;
+            known.server.sequence += 1;
             known.deregistered = true;
             displaced.push(known.told());
         }
         displaced
     }
 
-    /// A brick said that it ends.
-    pub fn deregister(&mut self, now: Millis, instance: &str) -> Option<Brick> {
+    /// A model server said that it ends.
+    pub fn deregister(&mut self, now: Millis, instance: &str) -> Option<ModelServer> {
         let known = self.known.get_mut(instance)?;
-        known.brick.state = BrickState::Gone;
-        known.brick.sequence += 1;
+        known.server.state = ModelServerState::Removed;
+        known.server.sequence += 1;
         (known.deregistered, known.heard) = (true, now);
         Some(known.told())
     }
 
-    /// A brick's own report of what it holds, newer than its heartbeats.
+    /// A model server's own report of what it holds, newer than its heartbeats.
     pub fn reported(
         &mut self,
         now: Millis,
         instance: &str,
         models: Vec<LoadedModel>,
         busy: bool,
-    ) -> Option<Brick> {
-        let address = self.known.get(instance)?.brick.address.clone();
+    ) -> Option<ModelServer> {
+        let address = self.known.get(instance)?.server.address.clone();
         self.note_held(&address, &models);
         let known = self.known.get_mut(instance)?;
-        (known.brick.models, known.brick.busy, known.order_ended) = (models, busy, Some(now));
+        (known.server.models, known.server.busy, known.order_ended) = (models, busy, Some(now));
         Some(known.told())
     }
 
-    /// An order to unload goes out: nobody is to use the model there any more. An empty adapter means the whole model.
-    pub fn withhold(&mut self, instance: &str, model: &str, adapter: &str) -> Option<Brick> {
+    /// An order to unload goes out: nobody is to use the model there any more. An empty adapter means the
+    /// whole model.
+    pub fn withhold(&mut self, instance: &str, model: &str, adapter: &str) -> Option<ModelServer> {
         let known = self.known.get_mut(instance)?;
         known.withheld.push(WithheldModel { model: model.to_owned(), adapter: adapter.to_owned() });
         known.withheld_until = Millis::MAX;
         Some(known.told())
     }
 
-    /// What the other cores should know of a brick by the leader's orders. `reported`: the brick just said what it holds.
-    pub fn news(&self, instance: &str, reported: bool) -> Option<BrickNews> {
+    /// What the other cores should know of a model server by the leader's orders. `reported`: the model
+    /// server just said what it holds.
+    pub fn news(&self, instance: &str, reported: bool) -> Option<OrderStatus> {
         let known = self.known.get(instance)?;
-        Some(BrickNews {
+        Some(OrderStatus {
             instance: instance.to_owned(),
             withheld: known.withheld.clone(),
-            models: reported.then(|| known.brick.models.clone()),
-            busy: known.brick.busy,
+            models: reported.then(|| known.server.models.clone()),
+            busy: known.server.busy,
         })
     }
 
-    /// Bricks that drop something by this leader's orders.
+    /// Model servers that drop something by this leader's orders.
     pub fn withheld(&self) -> impl Iterator<Item = &str> {
         let dropping = self.known.iter().filter(|(_, known)| !known.withheld.is_empty());
         dropping.map(|(instance, _)| instance.as_str())
     }
 
-    /// The leader told what its orders have made of a brick. Returns the brick, if that is news.
-    pub fn ordered(&mut self, now: Millis, news: BrickNews) -> Option<Brick> {
+    /// The leader told what its orders have made of a model server. Returns the model server, if that is
+    /// news.
+    pub fn ordered(&mut self, now: Millis, news: OrderStatus) -> Option<ModelServer> {
         let known = self.known.get_mut(&news.instance)?;
         let before = known.told();
-        (known.withheld, known.withheld_until) = (news.withheld, now + NEWS_HOLDS);
+        (known.withheld, known.withheld_until) = (news.withheld, now + ORDER_STATUS_VALID_MS);
         if let Some(models) = news.models {
-            (known.brick.models, known.brick.busy, known.order_ended) = (models, news.busy, Some(now));
+            (known.server.models, known.server.busy, known.order_ended) = (models, news.busy, Some(now));
         }
         let after = known.told();
         (before != after).then_some(after)
     }
 
-    /// Time has passed: bricks of which the leader said something that holds no more, as they are without it.
-    pub fn lapse(&mut self, now: Millis) -> Vec<Brick> {
+    /// Time has passed: model servers of which the leader said something that holds no more, as they are
+    /// without it.
+    pub fn lapse(&mut self, now: Millis) -> Vec<ModelServer> {
         let lapsed = |known: &&mut Known| !known.withheld.is_empty() && now >= known.withheld_until;
         let release = |known: &mut Known| {
             known.withheld.clear();
@@ -230,44 +237,46 @@
         self.known.values_mut().filter(lapsed).map(release).collect()
     }
 
-    /// The end of a brick's order is known.
-    pub fn release(&mut self, instance: &str) -> Option<Brick> {
+    /// The end of a model server's order is known.
+    pub fn release(&mut self, instance: &str) -> Option<ModelServer> {
         let known = self.known.get_mut(instance)?;
         known.withheld.clear();
         Some(known.told())
     }
 
-    /// This core was cut off: what it did not hear meanwhile says nothing of any brick.
+    /// This core was cut off: what it did not hear meanwhile says nothing of any model server.
     pub fn forgive_silence(&mut self, now: Millis) {
-        for known in self.known.values_mut().filter(|known| known.brick.state != BrickState::Gone) {
+        for known in self.known.values_mut().filter(|known| known.server.state != ModelServerState::Removed) {
             known.heard = now;
         }
     }
 
-    /// Time has passed: the bricks that are taken for gone now. Only a core that is in touch with the others may say so.
-    pub fn expire(&mut self, now: Millis) -> Vec<Brick> {
+    /// Time has passed: the model servers that are taken for gone now. Only a core that is in touch with the
+    /// others may say so.
+    pub fn expire(&mut self, now: Millis) -> Vec<ModelServer> {
         let silence = (SILENT_HEARTBEATS * self.heartbeat_ms).max(LEAST_SILENCE);
         let mut gone = Vec::new();
         for known in self.known.values_mut() {
-            let silent = now >= known.heard + silence && known.brick.state != BrickState::Gone;
+            let silent = now >= known.heard + silence && known.server.state != ModelServerState::Removed;
             if silent {
-                known.brick.state = BrickState::Gone;
+                known.server.state = ModelServerState::Removed;
                 gone.push(known.told());
             }
         }
-        let is_over = |known: &Known| known.brick.state == BrickState::Gone && now >= known.heard + GONE_KEPT;
+        let is_over =
+            |known: &Known| known.server.state == ModelServerState::Removed && now >= known.heard + GONE_KEPT;
         let forgotten: Vec<(String, Known)> = self.known.extract_if(.., |_, known| is_over(known)).collect();
         for (instance, known) in forgotten {
-            self.addresses.remove(&known.brick.address, &instance);
+            self.addresses.remove(&known.server.address, &instance);
         }
         gone
     }
 }
 
 impl Known {
-    fn new(now: Millis, brick: Brick) -> Known {
+    fn new(now: Millis, server: ModelServer) -> Known {
         Known {
-            brick,
+            server,
             heard: now,
             relayed: now,
             deregistered: false,
@@ -277,24 +286,24 @@
         }
     }
 
-    /// The brick as edges should see it.
-    fn told(&self) -> Brick {
-        let mut brick = self.brick.clone();
+    /// The model server as edges should see it.
+    fn told(&self) -> ModelServer {
+        let mut server = self.server.clone();
         for WithheldModel { model, adapter } in &self.withheld {
             match adapter.is_empty() {
-                true => brick.models.retain(|loaded| loaded.name != *model),
-                false => brick
+                true => server.models.retain(|loaded| loaded.name != *model),
+                false => server
                     .models
                     .iter_mut()
                     .filter(|loaded| loaded.name == *model)
                     .for_each(|loaded| loaded.adapters.retain(|name| name != adapter)),
             }
         }
-        brick
+        server
     }
 }
 
-fn same_but_sequence(one: &Brick, other: &Brick) -> bool {
+fn same_but_sequence(one: &ModelServer, other: &ModelServer) -> bool {
     let mut one = one.clone();
     one.sequence = other.sequence;
     one.cold_remaining_ms = other.cold_remaining_ms;
--- a/crates/control/src/document_history.rs
+++ b/crates/control/src/document_history.rs
@@ -1,5 +1,5 @@
-//! The latest documents by the entries that brought them, so that an edge head which knows one of them is told what changed
-//! since, also by a control head that has just started.
+//! The latest documents by the entries that brought them, so that an edge which knows one of them is told
+//! what changed since, also by a core that has just started.
 
 use crate::document::Document;
 use pathbank_coordination::types::Index;
@@ -7,8 +7,8 @@
 
 /// Documents that are kept at most.
 const KEPT: usize = 256;
-/// Bytes of the changes that brought them, at most. Documents share what they have in common: each costs what its change
-/// brought, some times over.
+/// Bytes of the changes that brought them, at most. Documents share what they have in common: each costs what
+/// its change brought, some times over.
 const KEPT_BYTES: usize = 1024 * 1024;
 
 #[derive(Clone, Debug)]
--- a/crates/control/src/edge_document.rs
+++ b/crates/control/src/edge_document.rs
@@ -1,4 +1,4 @@
-//! What edge heads are told of a document: the whole of what they work with, or what changed of it.
+//! What edges are told of a document: the whole of what they work with, or what changed of it.
 
 use crate::document::Document;
 use crate::item_list::{ItemList, Position, name_of};
@@ -25,7 +25,8 @@
     Value::Object(told)
 }
 
-/// What makes `after` of `before` at an edge, in the form of an update. `None`: an item has no name by which it could be told.
+/// What makes `after` of `before` at an edge, in the form of an update. `None`: an item has no name by which
+/// it could be told.
 pub fn difference(before: &Document, after: &Document) -> Option<Value> {
     let (mut upsert, mut delete) = (Map::new(), Map::new());
     let empty = ItemList::default();
@@ -50,8 +51,8 @@
     Some(json!({ "version": version, "upsert": upsert, "delete": delete }))
 }
 
-/// The items that edges have to be told of, and the names that are gone. All items of a name go together: a change by that
-/// name may have touched any of them.
+/// The items that edges have to be told of, and the names that are gone. All items of a name go together: a
+/// change by that name may have touched any of them.
 fn changed_items(section: &str, [before, after]: [&ItemList; 2]) -> (Vec<Value>, Vec<Value>) {
     let (mut changed, mut gone) = (Vec::new(), Vec::new());
     for name in touched_names(before, after) {
@@ -69,7 +70,8 @@
     (changed, gone)
 }
 
-/// Names of items that are not the same in both lists. Versions of a document share those that did not change.
+/// Names of items that are not the same in both lists. Versions of a document share those that did not
+/// change.
 fn touched_names<'a>(before: &'a ItemList, after: &'a ItemList) -> BTreeSet<&'a str> {
     let differs = |position: &Position| match (before.get(*position), after.get(*position)) {
         (Some(was), Some(is)) => !Arc::ptr_eq(was, is),
--- a/crates/control/src/edge_update.rs
+++ b/crates/control/src/edge_update.rs
@@ -1,7 +1,7 @@
-//! What an edge head is told of a configuration: a whole one, or what changed.
+//! What an edge is told of a configuration: a whole one, or what changed.
 //!
-//! Thousands of items may come at once, at a head with a tenth of a core that has streams to pass on meanwhile. So an
-//! update is cut into its items first, and these are read a few at a time.
+//! Thousands of items may come at once, at a head with a tenth of a core that has streams to pass on
+//! meanwhile. So an update is cut into its items first, and these are read a few at a time.
 
 use crate::configuration::{Backend, Limits, Rejection, Route, Tenant};
 use crate::result_code::ResultCode;
@@ -131,7 +131,8 @@
     }
 }
 
-/// Moves items from the end of the section's list, which saves moving the others. Returns how many more may be read.
+/// Moves items from the end of the section's list, which saves moving the others. Returns how many more may
+/// be read.
 fn read_section<T: for<'f> Facet<'f>>(
     raw: &mut Vec<&RawValue>,
     section: &mut SectionUpdate<T>,
--- a/crates/control/src/estimate.rs
+++ b/crates/control/src/estimate.rs
@@ -1,8 +1,10 @@
-//! Running estimates of what is seen: how fast bricks read, how long orders take, what a brick bears.
+//! Running estimates of what is seen: how fast model servers read, how long orders take, what a model server
+//! bears.
 //!
-//! An estimate begins at a start that holds before anything was seen, and stays within bounds whatever is told. It is kept
-//! as a logarithm, for what it stands for differs by factors. A sample far off moves it little; several in a row on the
-//! same side are a step, and it follows. After a silence it leans on its start again.
+//! An estimate begins at a start that holds before anything was seen, and stays within bounds whatever is
+//! told. It is kept as a logarithm, for what it stands for differs by factors. A sample far off moves it
+//! little; several in a row on the same side are a step, and it follows. After a silence it leans on its
+//! start again.
 
 use std::borrow::Borrow;
 use std::collections::BTreeMap;
@@ -89,8 +91,8 @@
     }
 }
 
-/// Estimates of the same thing by key. One that has seen little of its own leans on what all keys say, each of which counts
-/// once, however often it was seen.
+/// Estimates of the same thing by key. One that has seen little of its own leans on what all keys say, each
+/// of which counts once, however often it was seen.
 #[derive(Clone, Debug)]
 pub struct EstimateTable<K> {
     prior: Prior,
--- a/crates/control/src/order_progress.rs
+++ b/crates/control/src/order_progress.rs
@@ -1,16 +1,17 @@
-//! What became of an order, by what its brick says, and how long orders take.
+//! What became of an order, by what its model server says, and how long orders take.
 //!
-//! A brick's report tells how it stood some hundred milliseconds earlier: one that shows no order under way may be older
-//! than the order. Its `sequence` tells. An order that is given again is answered by how things stand now.
+//! A model server's report tells how it stood some hundred milliseconds earlier: one that shows no order
+//! under way may be older than the order. Its `sequence` tells. An order that is given again is answered by
+//! how things stand now.
 
 use crate::directory::Millis;
 use crate::estimate::{Estimate, Prior};
 use crate::placement::{Operation, Order};
 use pathbank_protocol::message::LoadedModel;
 
-/// What a brick holds, and how many orders it has taken.
+/// What a model server holds, and how many orders it has taken.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
-pub struct BrickContents {
+pub struct ModelServerContents {
     /// Models with their adapters.
     pub models: Vec<LoadedModel>,
     /// Orders taken since its start.
@@ -32,8 +33,8 @@
     Undone,
 }
 
-/// What a report says of an order that its brick took after `sequence` others.
-pub fn judge(order: &Order, sequence: u64, report: &BrickContents) -> Progress {
+/// What a report says of an order that its model server took after `sequence` others.
+pub fn judge(order: &Order, sequence: u64, report: &ModelServerContents) -> Progress {
     if report.sequence <= sequence {
         return Progress::TooOld;
     }
@@ -54,8 +55,9 @@
     is_there == (order.operation == Operation::Load)
 }
 
-/// What a brick holds once an order is done that it took. `version`: of the weights that a load brings in.
-pub fn after(order: &Order, mut contents: BrickContents, version: u64) -> BrickContents {
+/// What a model server holds once an order is done that it took. `version`: of the weights that a load brings
+/// in.
+pub fn after(order: &Order, mut contents: ModelServerContents, version: u64) -> ModelServerContents {
     contents.sequence += 1;
     contents.busy = false;
     if holds(order, &contents.models) {
@@ -84,7 +86,7 @@
 pub enum OrderKind {
     /// A model comes from the weight store.
     Fetch,
-    /// A model comes from the brick's own disk.
+    /// A model comes from the model server's own disk.
     Reload,
     /// An adapter comes.
     Adapter,
@@ -94,7 +96,7 @@
 
 /// A load takes so many times what the configuration tells.
 const LOAD_FACTOR: Prior = Prior { start: 1.0, least: 0.01, most: 4.0 };
-/// A load from the brick's own disk, the same.
+/// A load from the model server's own disk, the same.
 const RELOAD_FACTOR: Prior = Prior { start: 0.3, least: 0.01, most: 4.0 };
 /// An adapter arrives within this, milliseconds.
 const ADAPTER_MS: Prior = Prior { start: 25.0, least: 2.0, most: 5_000.0 };
@@ -120,7 +122,8 @@
 }
 
 impl OrderTimes {
-    /// When an order should be done, milliseconds after it was given. `told_ms`: what the configuration says of a load.
+    /// When an order should be done, milliseconds after it was given. `told_ms`: what the configuration says
+    /// of a load.
     pub fn expected(&self, now: Millis, kind: OrderKind, told_ms: Millis) -> Millis {
         let told = told_ms as f64;
         let expected = match kind {
@@ -132,7 +135,8 @@
         (MARGIN * expected).ceil() as Millis
     }
 
-    /// How long each kind of order takes: loads as so many times what the configuration tells, others in milliseconds.
+    /// How long each kind of order takes: loads as so many times what the configuration tells, others in
+    /// milliseconds.
     pub fn learned(&self, now: Millis) -> [(OrderKind, f64); 4] {
         [
             (OrderKind::Fetch, self.fetch.value(now, LOAD_FACTOR)),
--- a/crates/control/src/placement.rs
+++ b/crates/control/src/placement.rs
@@ -1,7 +1,8 @@
-//! Which brick is ordered to load or unload what.
+//! Which model server is ordered to load or unload what.
 //!
-//! Demand decides: a model or adapter that clients wait for and no brick holds is loaded first; a model whose bricks are
-//! busy gets one more. Room is made by unloading what is asked for least, and never for something asked for less.
+//! Demand decides: a model or adapter that clients wait for and no model server holds is loaded first; a
+//! model whose model servers are busy gets one more. Room is made by unloading what is asked for least, and
+//! never for something asked for less.
 
 mod adapters;
 mod allowance;
@@ -14,32 +15,36 @@
 
 use crate::configuration::{Backend, Model, Runtime};
 use crate::demand::{DemandTable, ModelKey};
-use crate::directory::{HeldBefore, Millis};
+use crate::directory::{CachedWeights, Millis};
 use crate::order_progress::{OrderKind, OrderTimes};
 use allowance::LoadAllowance;
 pub use order::{Operation, Order};
-use pathbank_protocol::message::{Brick, ExpectedModel, LoadedModel};
+use pathbank_protocol::message::{ExpectedModel, LoadedModel, ModelServer};
 use std::collections::{BTreeMap, BTreeSet};
 pub use training_hold::TrainingHold;
 use worth::ModelLoad;
 use zones::ZoneCopies;
 
-/// What a load from the weight store counts for beside one from the brick's own disk, requests a second.
+/// What a load from the weight store counts for beside one from the model server's own disk, requests a
+/// second.
 const FETCHED: f64 = 0.4;
 /// What a load has to bring at least beyond what goes for it, requests a second.
 const LOAD_COST: f64 = 0.03;
-/// What the demand that a brick serves already counts for when a load looks for its brick.
+/// What the demand that a model server serves already counts for when a load looks for its model server.
 const CROWDED: f64 = 0.3;
-/// What requests for adapters of a brick's models count for when a load looks for its brick: meanwhile no adapter comes.
+/// What requests for adapters of a model server's models count for when a load looks for its model server:
+/// meanwhile no adapter comes.
 const BLOCKED: f64 = 0.5;
-/// What a copy in a zone that has one already counts for when a load looks for its brick, requests a second.
+/// What a copy in a zone that has one already counts for when a load looks for its model server, requests a
+/// second.
 const SAME_ZONE: f64 = 0.1;
-/// A brick that fails this part of its requests serves none of its models.
+/// A model server that fails this part of its requests serves none of its models.
 const FAILS_MOST: f64 = 0.5;
 /// What each request that waits counts for, requests a second.
 const WAITING_WEIGHT: f64 = 0.3;
 
-/// A brick that was cleared for a model: nothing else is loaded there until the model is, or the time is over.
+/// A model server that was cleared for a model: nothing else is loaded there until the model is, or the time
+/// is over.
 #[derive(Clone, Debug)]
 struct Reservation {
     model: String,
@@ -58,11 +63,11 @@
     allowance: BTreeMap<String, LoadAllowance>,
     training: TrainingHold,
     times: OrderTimes,
-    /// Bricks that fail most of their requests.
+    /// Model servers that fail most of their requests.
     failing: BTreeSet<String>,
 }
 
-/// Bricks that are not placed on as others are.
+/// Model servers that are not placed on as others are.
 #[derive(Clone, Debug, Default)]
 struct Exceptions {
     training: TrainingHold,
@@ -74,35 +79,35 @@
     now: Millis,
     backend: &'a Backend,
     runtime: &'a Runtime,
-    bricks: Vec<&'a Brick>,
+    servers: Vec<&'a ModelServer>,
     demand: &'a DemandTable,
-    held_before: &'a HeldBefore,
-    /// What training steps do with bricks meanwhile.
+    cached_weights: &'a CachedWeights,
+    /// What training steps do with model servers meanwhile.
     training: &'a TrainingHold,
-    /// Bricks that fail most of their requests.
+    /// Model servers that fail most of their requests.
     failing: &'a BTreeSet<String>,
     models: BTreeMap<&'a str, &'a Model>,
     /// Requests a second by model and adapter, what waits among them.
     rates: BTreeMap<ModelKey, f64>,
     /// The same by model, all its adapters together.
     model_rates: BTreeMap<String, f64>,
-    /// How many bricks hold a model.
+    /// How many model servers hold a model.
     holders: BTreeMap<&'a str, usize>,
-    /// The places of those bricks among `bricks`.
+    /// The places of those model servers among `servers`.
     holding: BTreeMap<&'a str, Vec<usize>>,
-    /// Zones with bricks of the service, and the copies of each model there.
+    /// Zones with model servers of the service, and the copies of each model there.
     zones: ZoneCopies<'a>,
-    /// Bricks that hold an adapter.
+    /// Model servers that hold an adapter.
     adapter_holders: BTreeMap<(&'a str, &'a str), usize>,
     /// Requests a second by model that name an adapter.
     adapter_rates: BTreeMap<String, f64>,
-    /// What the demand for each model, all its adapters together, asks of bricks.
+    /// What the demand for each model, all its adapters together, asks of model servers.
     model_loads: BTreeMap<String, ModelLoad>,
     /// The shortest objective of requests for each model, milliseconds.
     objectives: BTreeMap<String, u32>,
-    /// Slots of a brick.
+    /// Slots of a model server.
     capacity: f64,
-    /// Requests out at each brick.
+    /// Requests out at each model server.
     in_flight: BTreeMap<String, u32>,
     orders: Vec<Order>,
 }
@@ -112,9 +117,9 @@
         now: Millis,
         backend: &'a Backend,
         runtime: &'a Runtime,
-        bricks: Vec<&'a Brick>,
+        servers: Vec<&'a ModelServer>,
         demand: &'a DemandTable,
-        held_before: &'a HeldBefore,
+        cached_weights: &'a CachedWeights,
         exceptions: &'a Exceptions,
     ) -> Plan<'a> {
         let models = runtime.models.iter().map(|model| (model.name.as_str(), model)).collect();
@@ -122,9 +127,9 @@
             now,
             backend,
             runtime,
-            bricks,
+            servers,
             demand,
-            held_before,
+            cached_weights,
             training: &exceptions.training,
             failing: &exceptions.failing,
             models,
@@ -141,30 +146,31 @@
             in_flight: demand.in_flight(now),
             orders: Vec::new(),
         };
-        let slots: f64 = plan.bricks.iter().map(|brick| f64::from(brick.capacity)).sum();
-        plan.capacity = (slots / plan.bricks.len().max(1) as f64).max(1.0);
+        let slots: f64 = plan.servers.iter().map(|server| f64::from(server.capacity)).sum();
+        plan.capacity = (slots / plan.servers.len().max(1) as f64).max(1.0);
         plan.count_holders();
         plan.work_out_rates();
         plan
     }
 
     fn count_holders(&mut self) {
-        self.zones = ZoneCopies::count(&self.bricks);
-        for (place, brick) in self.bricks.iter().enumerate() {
-            for held in &brick.models {
+        self.zones = ZoneCopies::count(&self.servers);
+        for (place, server) in self.servers.iter().enumerate() {
+            for held in &server.models {
                 self.holding.entry(&held.name).or_default().push(place);
                 for adapter in &held.adapters {
                     *self.adapter_holders.entry((&held.name, adapter)).or_default() += 1;
                 }
             }
         }
-        let serves = |place: &&usize| !self.failing.contains(&self.bricks[**place].instance);
+        let serves = |place: &&usize| !self.failing.contains(&self.servers[**place].instance);
         let serving = |places: &Vec<usize>| places.iter().filter(serves).count();
         self.holders = self.holding.iter().map(|(name, places)| (*name, serving(places))).collect();
-        // A brick that changes versions will hold the model again: no other copy has to take its place.
-        let back_soon = self.bricks.iter().filter_map(|brick| {
-            let model = self.training.changing.get(&brick.instance)?;
-            loaded(brick, model).is_none().then_some(model.as_str())
+        // A model server that changes versions will hold the model again: no other copy has to take its
+        // place.
+        let back_soon = self.servers.iter().filter_map(|server| {
+            let model = self.training.changing.get(&server.instance)?;
+            loaded(server, model).is_none().then_some(model.as_str())
         });
         for model in back_soon.collect::<Vec<_>>() {
             *self.holders.entry(model).or_default() += 1;
@@ -199,7 +205,7 @@
         Placer::default()
     }
 
-    /// The models that new orders bring to bricks, and when.
+    /// The models that new orders bring to model servers, and when.
     pub fn expected(&self, now: Millis, orders: &[Order]) -> Vec<ExpectedModel> {
         let model = |order: &Order| match (order.kind, self.reserved.get(&order.instance)) {
             (OrderKind::Fetch | OrderKind::Reload, _) => Some((order.model.clone(), order.expected_ms)),
@@ -216,7 +222,7 @@
         expected.collect()
     }
 
-    /// Bricks that are cleared for a model, and the model.
+    /// Model servers that are cleared for a model, and the model.
     pub fn reserved(&self) -> impl Iterator<Item = (&str, &str)> {
         self.reserved.iter().map(|(instance, reservation)| (instance.as_str(), reservation.model.as_str()))
     }
@@ -231,13 +237,13 @@
         self.under_way.values()
     }
 
-    /// What training steps do with bricks from now on.
+    /// What training steps do with model servers from now on.
     pub fn hold_for_training(&mut self, hold: TrainingHold) {
         self.training = hold;
     }
 
-    /// The part of requests that failed at each brick that fails much. One that fails most of them counts as no copy of what
-    /// it holds, and nothing is loaded there.
+    /// The part of requests that failed at each model server that fails much. One that fails most of them
+    /// counts as no copy of what it holds, and nothing is loaded there.
     pub fn note_failing(&mut self, outliers: &BTreeMap<String, f64>) {
         let failing = outliers.iter().filter(|(_, errors)| **errors >= FAILS_MOST);
         self.failing = failing.map(|(instance, _)| instance.clone()).collect();
@@ -250,7 +256,7 @@
         allowance.take(1.0)
     }
 
-    /// Whether an order of placement is under way at a brick.
+    /// Whether an order of placement is under way at a model server.
     pub fn is_ordered(&self, instance: &str) -> bool {
         self.under_way.contains_key(instance)
     }
@@ -260,13 +266,13 @@
         self.times.note(now, order.kind, order.told_ms, took_ms);
     }
 
-    /// The end of a brick's order is known, or nothing more will be heard of it.
+    /// The end of a model server's order is known, or nothing more will be heard of it.
     pub fn finished(&mut self, instance: &str) {
         self.under_way.remove(instance);
         self.given.remove(instance);
     }
 
-    /// How long ago the order under way at a brick was given, milliseconds; 0: there is none.
+    /// How long ago the order under way at a model server was given, milliseconds; 0: there is none.
     pub fn took(&self, now: Millis, instance: &str) -> Millis {
         self.given.get(instance).map_or(0, |given| now.saturating_sub(*given))
     }
@@ -276,9 +282,9 @@
         &mut self,
         now: Millis,
         backends: &[Backend],
-        bricks: &[Brick],
+        servers: &[ModelServer],
         demand: &DemandTable,
-        held_before: &HeldBefore,
+        cached_weights: &CachedWeights,
     ) -> Vec<Order> {
         let mut orders = Vec::new();
         self.reserved.retain(|_, reservation| now < reservation.until);
@@ -289,8 +295,8 @@
             };
             let mut allowance = self.allowance.get(&backend.name).copied().unwrap_or_default();
             allowance.fill(now, runtime.loads_per_s);
-            let bricks = bricks.iter().filter(|brick| brick.backend == backend.name).collect();
-            let mut plan = Plan::new(now, backend, runtime, bricks, demand, held_before, &exceptions);
+            let servers = servers.iter().filter(|server| server.backend == backend.name).collect();
+            let mut plan = Plan::new(now, backend, runtime, servers, demand, cached_weights, &exceptions);
             plan.reserved_models(self, &mut allowance);
             plan.add_copies(self, &mut allowance);
             plan.adapters(self);
@@ -327,7 +333,7 @@
         self.holders.get(model).copied().unwrap_or(0)
     }
 
-    /// The places of the bricks that hold a model.
+    /// The places of the model servers that hold a model.
     fn places(&self, model: &str) -> impl Iterator<Item = usize> {
         self.holding.get(model).into_iter().flatten().copied()
     }
@@ -336,13 +342,13 @@
         self.adapter_holders.get(&(model, adapter)).copied().unwrap_or(0)
     }
 
-    fn is_free(&self, placer: &Placer, brick: &Brick) -> bool {
-        let changes = self.training.changing.contains_key(&brick.instance);
-        !brick.busy && !changes && !placer.under_way.contains_key(&brick.instance)
+    fn is_free(&self, placer: &Placer, server: &ModelServer) -> bool {
+        let changes = self.training.changing.contains_key(&server.instance);
+        !server.busy && !changes && !placer.under_way.contains_key(&server.instance)
     }
 
     fn is_loading(&self, placer: &Placer, model: &str, adapter: &str) -> bool {
-        let ours = |order: &Order| self.bricks.iter().any(|brick| brick.instance == order.instance);
+        let ours = |order: &Order| self.servers.iter().any(|server| server.instance == order.instance);
         let same = |order: &Order| {
             order.operation == Operation::Load && order.model == model && order.adapter == adapter
         };
@@ -350,33 +356,34 @@
             || adapter.is_empty() && placer.reserved.values().any(|reservation| reservation.model == model)
     }
 
-    fn occupancy(&self, brick: &Brick) -> f64 {
-        let in_flight = self.in_flight.get(&brick.instance).copied().unwrap_or(0);
-        f64::from(in_flight) / f64::from(brick.capacity.max(1))
+    fn occupancy(&self, server: &ModelServer) -> f64 {
+        let in_flight = self.in_flight.get(&server.instance).copied().unwrap_or(0);
+        f64::from(in_flight) / f64::from(server.capacity.max(1))
     }
 
-    /// Requests a second that a brick serves, if every model's demand is spread evenly over its copies.
-    fn served_by(&self, brick: &Brick) -> f64 {
+    /// Requests a second that a model server serves, if every model's demand is spread evenly over its
+    /// copies.
+    fn served_by(&self, server: &ModelServer) -> f64 {
         let part = |held: &LoadedModel| self.model_rate(&held.name) / self.holders(&held.name).max(1) as f64;
-        brick.models.iter().map(part).sum()
+        server.models.iter().map(part).sum()
     }
 
-    /// Requests a second for adapters of a brick's models, spread evenly over the copies of each.
-    fn adapters_asked_at(&self, brick: &Brick) -> f64 {
+    /// Requests a second for adapters of a model server's models, spread evenly over the copies of each.
+    fn adapters_asked_at(&self, server: &ModelServer) -> f64 {
         let part = |held: &LoadedModel| {
             let asked = self.adapter_rates.get(&held.name).copied().unwrap_or(0.0);
             asked / self.holders(&held.name).max(1) as f64
         };
-        brick.models.iter().map(part).sum()
+        server.models.iter().map(part).sum()
     }
 
-    /// Megabytes that a brick's models and adapters take.
-    fn used_mb(&self, brick: &Brick) -> f64 {
+    /// Megabytes that a model server's models and adapters take.
+    fn used_mb(&self, server: &ModelServer) -> f64 {
         let size = |held: &LoadedModel| {
             let model = self.model(&held.name);
             model.map_or(0.0, |model| model.weights_mb + held.adapters.len() as f64 * model.adapter_mb)
         };
-        brick.models.iter().map(size).sum()
+        server.models.iter().map(size).sum()
     }
 
     /// What the configuration says of a model's load, milliseconds.
@@ -384,18 +391,18 @@
         self.model(model).map_or(0, |model| (model.load_s * 1_000.0) as Millis)
     }
 
-    fn order(&mut self, placer: &mut Placer, brick: &Brick, operation: Operation, key: &ModelKey) {
+    fn order(&mut self, placer: &mut Placer, server: &ModelServer, operation: Operation, key: &ModelKey) {
         let load_ms = self.told_load_ms(&key.model);
         let kind = match (operation, key.adapter.is_empty()) {
             (Operation::Unload, _) => OrderKind::Unload,
             (Operation::Load, false) => OrderKind::Adapter,
-            (Operation::Load, true) if self.has_held(brick, &key.model) => OrderKind::Reload,
+            (Operation::Load, true) if self.has_cached_weights(server, &key.model) => OrderKind::Reload,
             (Operation::Load, true) => OrderKind::Fetch,
         };
         let order = Order {
             backend: self.backend.name.clone(),
-            instance: brick.instance.clone(),
-            address: brick.address.clone(),
+            instance: server.instance.clone(),
+            address: server.address.clone(),
             operation,
             model: key.model.clone(),
             adapter: key.adapter.clone(),
@@ -410,20 +417,20 @@
                 *holders = holders.saturating_sub(1);
             }
         }
-        placer.under_way.insert(brick.instance.clone(), order.clone());
-        placer.given.insert(brick.instance.clone(), self.now);
+        placer.under_way.insert(server.instance.clone(), order.clone());
+        placer.given.insert(server.instance.clone(), self.now);
         self.orders.push(order);
     }
 }
 
-fn loaded<'a>(brick: &'a Brick, model: &str) -> Option<&'a LoadedModel> {
-    brick.models.iter().find(|held| held.name == model)
+fn loaded<'a>(server: &'a ModelServer, model: &str) -> Option<&'a LoadedModel> {
+    server.models.iter().find(|held| held.name == model)
 }
 
-fn holds_adapter(brick: &Brick, model: &str, adapter: &str) -> bool {
-    loaded(brick, model).is_some_and(|held| held.adapters.iter().any(|name| name == adapter))
+fn holds_adapter(server: &ModelServer, model: &str, adapter: &str) -> bool {
+    loaded(server, model).is_some_and(|held| held.adapters.iter().any(|name| name == adapter))
 }
 
-fn adapter_count(brick: &Brick) -> usize {
-    brick.models.iter().map(|held| held.adapters.len()).sum()
+fn adapter_count(server: &ModelServer) -> usize {
+    server.models.iter().map(|held| held.adapters.len()).sum()
 }
--- a/crates/control/src/placement/copies.rs
+++ b/crates/control/src/placement/copies.rs
@@ -1,16 +1,17 @@
-//! Which models get one more copy, on which brick, and what goes for it.
+//! Which models get one more copy, on which model server, and what goes for it.
 
 use super::allowance::LoadAllowance;
 use super::rooms::Rooms;
 use super::{Operation, Order, Placer, Plan, Reservation, loaded};
 use crate::directory::Millis;
-use pathbank_protocol::message::Brick;
+use pathbank_protocol::message::ModelServer;
 use std::cmp::Ordering;
 use std::collections::{BTreeSet, BinaryHeap};
 
-/// What a load from a brick's own disk takes of that; it should take nothing, but the disk may be another one by now.
+/// What a load from a model server's own disk takes of that; it should take nothing, but the disk may be
+/// another one by now.
 const OWN_DISK_LOAD: f64 = 0.2;
-/// For how long a cleared brick is kept for its model, milliseconds.
+/// For how long a cleared model server is kept for its model, milliseconds.
 const RESERVED_FOR: Millis = 6_000;
 
 /// A model that should get one more copy.
@@ -43,20 +44,21 @@
 impl Eq for Wish {}
 
 impl<'a> Plan<'a> {
-    /// Loads what bricks were cleared for.
+    /// Loads what model servers were cleared for.
     pub(super) fn reserved_models(&mut self, placer: &mut Placer, allowance: &mut LoadAllowance) {
-        for brick in self.bricks.clone() {
-            let Some(reservation) = placer.reserved.get(&brick.instance) else { continue };
+        for server in self.servers.clone() {
+            let Some(reservation) = placer.reserved.get(&server.instance) else { continue };
             let model = reservation.model.clone();
             let Some(size) = self.model(&model).map(|model| model.weights_mb) else { continue };
-            let done = loaded(brick, &model).is_some();
-            let room = self.runtime.weights_mb - self.used_mb(brick) >= size;
-            if done || self.is_free(placer, brick) && room && allowance.take(self.load_cost(brick, &model)) {
-                placer.reserved.remove(&brick.instance);
+            let done = loaded(server, &model).is_some();
+            let room = self.runtime.weights_mb - self.used_mb(server) >= size;
+            if done || self.is_free(placer, server) && room && allowance.take(self.load_cost(server, &model))
+            {
+                placer.reserved.remove(&server.instance);
             }
-            if !done && !placer.reserved.contains_key(&brick.instance) {
+            if !done && !placer.reserved.contains_key(&server.instance) {
                 let key = self.key(&model, "");
-                self.order(placer, brick, Operation::Load, &key);
+                self.order(placer, server, Operation::Load, &key);
             }
         }
     }
@@ -86,7 +88,7 @@
         }
     }
 
-    /// Bricks that load a model at the moment.
+    /// Model servers that load a model at the moment.
     fn loading(&self, placer: &Placer, name: &str) -> usize {
         let same = |order: &&Order| {
             order.operation == Operation::Load && order.model == name && order.adapter.is_empty()
@@ -109,13 +111,13 @@
             Some(victim) => {
                 let (model, load_ms) = (wish.name.clone(), self.told_load_ms(&wish.name));
                 let reservation = Reservation { model, load_ms, until: self.now + RESERVED_FOR };
-                placer.reserved.insert(best.brick.instance.clone(), reservation);
+                placer.reserved.insert(best.server.instance.clone(), reservation);
                 let victim = self.key(victim, "");
-                self.order(placer, best.brick, Operation::Unload, &victim);
+                self.order(placer, best.server, Operation::Unload, &victim);
             }
-            None if allowance.take(self.load_cost(best.brick, &wish.name)) => {
+            None if allowance.take(self.load_cost(best.server, &wish.name)) => {
                 let key = self.key(&wish.name, "");
-                self.order(placer, best.brick, Operation::Load, &key);
+                self.order(placer, best.server, Operation::Load, &key);
             }
             None => return false,
         }
@@ -123,13 +125,13 @@
         true
     }
 
-    /// Whether a brick can read a model from its own disk.
-    pub(super) fn has_held(&self, brick: &Brick, name: &str) -> bool {
-        self.held_before.get(&brick.address).is_some_and(|models| models.contains(name))
+    /// Whether a model server can read a model from its own disk.
+    pub(super) fn has_cached_weights(&self, server: &ModelServer, name: &str) -> bool {
+        self.cached_weights.get(&server.address).is_some_and(|models| models.contains(name))
     }
 
     /// What a load takes of the weight store's loads.
-    fn load_cost(&self, brick: &Brick, name: &str) -> f64 {
-        if self.has_held(brick, name) { OWN_DISK_LOAD } else { 1.0 }
+    fn load_cost(&self, server: &ModelServer, name: &str) -> f64 {
+        if self.has_cached_weights(server, name) { OWN_DISK_LOAD } else { 1.0 }
     }
 }
--- a/crates/control/src/placement/order.rs
+++ b/crates/control/src/placement/order.rs
@@ -1,11 +1,11 @@
-//! Orders to bricks.
+//! Orders to model servers.
 
 use crate::configuration::Runtime;
 use crate::directory::Millis;
 use crate::order_progress::OrderKind;
 use pathbank_protocol::message::LoadedModel;
 
-/// What a brick is ordered to do.
+/// What a model server is ordered to do.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Operation {
     /// Load a model or adapter.
@@ -14,12 +14,12 @@
     Unload,
 }
 
-/// An order to a brick.
+/// An order to a model server.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Order {
     /// The service.
     pub backend: String,
-    /// The brick's incarnation.
+    /// The model server's incarnation.
     pub instance: String,
     /// Where it takes orders.
     pub address: String,
@@ -35,12 +35,12 @@
     pub told_ms: Millis,
     /// How long it should take, milliseconds.
     pub expected_ms: Millis,
-    /// The brick's own report has to tell of its end: more has to be known than that it is done.
+    /// The model server's own report has to tell of its end: more has to be known than that it is done.
     pub report_only: bool,
 }
 
 impl Order {
-    /// Whether a brick that holds `held` has room for what is to be loaded.
+    /// Whether a model server that holds `held` has room for what is to be loaded.
     pub fn fits(&self, runtime: &Runtime, held: &[LoadedModel]) -> bool {
         let model = |name: &str| runtime.models.iter().find(|model| model.name == name);
         let Some(wanted) = model(&self.model) else { return false };
--- a/crates/control/src/placement/rooms.rs
+++ b/crates/control/src/placement/rooms.rs
@@ -1,9 +1,10 @@
-//! What room bricks have for one more model, worked out once for all models that look for a brick.
+//! What room model servers have for one more model, worked out once for all models that look for a model
+//! server.
 
 use super::{BLOCKED, CROWDED, FETCHED, LOAD_COST, Placer, Plan, SAME_ZONE, loaded};
-use pathbank_protocol::message::Brick;
+use pathbank_protocol::message::ModelServer;
 
-/// A model that may go from a brick.
+/// A model that may go from a model server.
 struct Evictable<'a> {
     model: &'a str,
     weights_mb: f64,
@@ -11,43 +12,44 @@
     value: f64,
 }
 
-/// The room of one brick.
+/// The room of one model server.
 struct Room<'a> {
-    brick: &'a Brick,
+    server: &'a ModelServer,
     /// Nothing is under way there, and it is kept for nothing.
     is_open: bool,
     left_mb: f64,
     /// Requests a second that it serves by its part of each model's demand.
     served: f64,
-    /// Requests a second whose adapters cannot come while the brick loads a model.
+    /// Requests a second whose adapters cannot come while the model server loads a model.
     blocked: f64,
     /// The least valuable first.
     evictable: Vec<Evictable<'a>>,
 }
 
 impl<'a> Room<'a> {
-    fn of(plan: &Plan<'a>, placer: &Placer, brick: &'a Brick) -> Room<'a> {
-        let is_reserved = placer.reserved.contains_key(&brick.instance);
-        let is_open = plan.is_free(placer, brick) && !is_reserved && !plan.failing.contains(&brick.instance);
-        let left_mb = plan.runtime.weights_mb - plan.used_mb(brick);
-        let mut room = Room { brick, is_open, left_mb, served: 0.0, blocked: 0.0, evictable: Vec::new() };
+    fn of(plan: &Plan<'a>, placer: &Placer, server: &'a ModelServer) -> Room<'a> {
+        let is_reserved = placer.reserved.contains_key(&server.instance);
+        let is_open =
+            plan.is_free(placer, server) && !is_reserved && !plan.failing.contains(&server.instance);
+        let left_mb = plan.runtime.weights_mb - plan.used_mb(server);
+        let mut room = Room { server, is_open, left_mb, served: 0.0, blocked: 0.0, evictable: Vec::new() };
         room.value_models(plan);
         room
     }
 
-    /// What its models serve changes with the copies that other bricks hold.
+    /// What its models serve changes with the copies that other model servers hold.
     fn value_models(&mut self, plan: &Plan<'a>) {
-        let brick = self.brick;
-        let may_go = brick.models.iter().filter(|held| !plan.training.keeps(&brick.instance, &held.name));
+        let server = self.server;
+        let may_go = server.models.iter().filter(|held| !plan.training.keeps(&server.instance, &held.name));
         let evictable = may_go.map(|held| Evictable {
             model: &held.name,
             weights_mb: plan.model(&held.name).map_or(0.0, |model| model.weights_mb),
-            value: plan.value(&held.name, &brick.zone),
+            value: plan.value(&held.name, &server.zone),
         });
         self.evictable = evictable.collect();
         self.evictable.sort_by(|one, other| one.value.total_cmp(&other.value));
-        self.served = plan.served_by(brick);
-        self.blocked = BLOCKED * plan.adapters_asked_at(brick);
+        self.served = plan.served_by(server);
+        self.blocked = BLOCKED * plan.adapters_asked_at(server);
     }
 
     /// What room for so many megabytes costs, requests a second, and the model that has to go first.
@@ -72,25 +74,25 @@
 pub struct Best<'a> {
     /// Its place among all rooms.
     place: usize,
-    /// The brick.
-    pub brick: &'a Brick,
+    /// The model server.
+    pub server: &'a ModelServer,
     /// The model that has to go first, if any.
     pub victim: Option<&'a str>,
 }
 
-/// The room of all bricks of a service.
+/// The room of all model servers of a service.
 pub struct Rooms<'a> {
-    /// In the order of the plan's bricks.
+    /// In the order of the plan's model servers.
     rooms: Vec<Room<'a>>,
 }
 
 impl<'a> Rooms<'a> {
-    /// As bricks stand now.
+    /// As model servers stand now.
     pub fn of(plan: &Plan<'a>, placer: &Placer) -> Rooms<'a> {
-        Rooms { rooms: plan.bricks.iter().map(|brick| Room::of(plan, placer, brick)).collect() }
+        Rooms { rooms: plan.servers.iter().map(|server| Room::of(plan, placer, server)).collect() }
     }
 
-    /// The brick where the least has to go for a model, and less than it would bring.
+    /// The model server where the least has to go for a model, and less than it would bring.
     pub fn best(&self, plan: &Plan<'a>, name: &str, size_mb: f64, relief: f64) -> Option<Best<'a>> {
         let mut best: Option<(f64, Best)> = None;
         for (place, room) in self.rooms.iter().enumerate().filter(|(_, room)| room.is_open) {
@@ -98,25 +100,25 @@
             else {
                 continue;
             };
-            let brick = room.brick;
-            // What follows is looked up by name: not for a brick that is worse without it.
+            let server = room.server;
+            // What follows is looked up by name: not for a model server that is worse without it.
             let crowded = CROWDED * room.served;
             let is_worse = best.as_ref().is_some_and(|(least, _)| cost + crowded > *least);
-            if is_worse || loaded(brick, name).is_some() {
+            if is_worse || loaded(server, name).is_some() {
                 continue;
             }
-            let fetched = if plan.has_held(brick, name) { 0.0 } else { FETCHED };
-            let beside = SAME_ZONE * plan.zones.crowding(name, &brick.zone);
-            let blocked = if plan.has_held(brick, name) { 0.0 } else { room.blocked };
+            let fetched = if plan.has_cached_weights(server, name) { 0.0 } else { FETCHED };
+            let beside = SAME_ZONE * plan.zones.crowding(name, &server.zone);
+            let blocked = if plan.has_cached_weights(server, name) { 0.0 } else { room.blocked };
             let total = cost + fetched + beside + crowded + blocked;
             if best.as_ref().is_none_or(|(least, _)| total < *least) {
-                best = Some((total, Best { place, brick, victim }));
+                best = Some((total, Best { place, server, victim }));
             }
         }
         best.map(|(_, best)| best)
     }
 
-    /// That brick was given an order.
+    /// That model server was given an order.
     pub fn ordered(&mut self, plan: &Plan<'a>, best: &Best<'a>) {
         self.rooms[best.place].is_open = false;
         // A copy that goes leaves more to the others.
--- a/crates/control/src/placement/worth.rs
+++ b/crates/control/src/placement/worth.rs
@@ -4,28 +4,29 @@
 use crate::demand::ModelKey;
 use crate::directory::Millis;
 
-/// Of the requests to a brick that reads prompts all the time so many are harmed for each one that is not. Of others
-/// it is less, by the third power of the part of its time that it reads.
+/// Of the requests to a model server that reads prompts all the time so many are harmed for each one that is
+/// not. Of others it is less, by the third power of the part of its time that it reads.
 const HARM_WHEN_FULL: f64 = 1.6;
 /// Slots that are taken harm less than reading: this part of them counts beside it.
 const SLOTS_HARM: f64 = 0.55;
-/// A brick is filled by demand that it reads for this part of its time.
+/// A model server is filled by demand that it reads for this part of its time.
 const FILLED: f64 = 0.3;
 /// A load that takes this part of an objective or less serves the request that waits for it in time.
 const IN_TIME_PART: f64 = 0.85;
 /// What a request counts for that can wait for a load: the load, and the copy that has to go for it.
 const CAN_WAIT: f64 = 0.3;
-/// A model that no brick holds is loaded for demand above this, requests a second.
+/// A model that no model server holds is loaded for demand above this, requests a second.
 const LEAST_DEMAND: f64 = 0.05;
-/// What the only copy of a model counts for beyond its demand, requests a second: whoever asks for it waits for a load.
+/// What the only copy of a model counts for beyond its demand, requests a second: whoever asks for it waits
+/// for a load.
 const ONLY_COPY: f64 = 0.15;
 /// The same where requests can wait for a load.
 const ONLY_COPY_THAT_CAN_WAIT: f64 = 0.02;
 const ONLY_COPY_FACTOR: f64 = 2.0;
 /// What a copy of a model with several counts for while demand is not known yet, requests a second.
 const UNKNOWN_COPY: f64 = 3.0;
-/// A model that was asked for within this is likely to answer at the moment, milliseconds: an unload waits for the end of
-/// its answers.
+/// A model that was asked for within this is likely to answer at the moment, milliseconds: an unload waits
+/// for the end of its answers.
 const ANSWERS_FOR: Millis = 3_000;
 /// What such a wait counts for, requests a second.
 const UNLOAD_WAIT: f64 = 0.06;
@@ -37,16 +38,17 @@
 const RESERVED_RATE: f64 = 3.0;
 
 impl Plan<'_> {
-    /// The part of a brick that the demand for a model takes, as if it were on one brick alone; above 1: it would need more.
+    /// The part of a model server that the demand for a model takes, as if it were on one model server alone;
+    /// above 1: it would need more.
     fn demand_on_one(&self, model: &str) -> f64 {
         let load = self.model_loads.get(model).copied().unwrap_or_default();
         let reading = load.read_ms_per_s / 1_000.0;
-        let slots = load.held_ms_per_s / 1_000.0 / self.capacity;
+        let slots = load.slot_time_ms_per_s / 1_000.0 / self.capacity;
         reading.max(SLOTS_HARM * slots)
     }
 
-    /// Bricks that the demand for a model fills.
-    pub(super) fn bricks_filled(&self, model: &str) -> f64 {
+    /// Model servers that the demand for a model fills.
+    pub(super) fn servers_filled(&self, model: &str) -> f64 {
         self.demand_on_one(model) / FILLED
     }
 
@@ -99,13 +101,13 @@
     }
 }
 
-/// What the demand for a model asks of bricks.
+/// What the demand for a model asks of model servers.
 #[derive(Clone, Copy, Debug, Default)]
 pub(super) struct ModelLoad {
-    /// Time that bricks take to read prompts, milliseconds a second.
+    /// Time that model servers take to read prompts, milliseconds a second.
     read_ms_per_s: f64,
     /// Slots taken, in milliseconds a second.
-    held_ms_per_s: f64,
+    slot_time_ms_per_s: f64,
 }
 
 impl ModelLoad {
@@ -115,7 +117,7 @@
         if told > 0.0 {
             let rise = requests_per_s / told;
             self.read_ms_per_s += rise * plan.demand.read_ms_per_s(plan.now, key);
-            self.held_ms_per_s += rise * plan.demand.held_ms_per_s(plan.now, key);
+            self.slot_time_ms_per_s += rise * plan.demand.slot_time_ms_per_s(plan.now, key);
         }
     }
 }
--- a/crates/control/src/placement/zones.rs
+++ b/crates/control/src/placement/zones.rs
@@ -1,6 +1,6 @@
 //! In which zones the copies of each model are.
 
-use pathbank_protocol::message::Brick;
+use pathbank_protocol::message::ModelServer;
 use std::collections::{BTreeMap, BTreeSet};
 
 /// Copies of models, by zone.
@@ -11,14 +11,14 @@
 }
 
 impl<'a> ZoneCopies<'a> {
-    /// Counts what bricks hold.
-    pub fn count(bricks: &[&'a Brick]) -> ZoneCopies<'a> {
+    /// Counts what model servers hold.
+    pub fn count(servers: &[&'a ModelServer]) -> ZoneCopies<'a> {
         let mut counted = ZoneCopies::default();
-        for brick in bricks {
-            counted.zones.insert(&brick.zone);
-            for held in &brick.models {
+        for server in servers {
+            counted.zones.insert(&server.zone);
+            for held in &server.models {
                 let by_zone = counted.copies.entry(&held.name).or_default();
-                *by_zone.entry(&brick.zone).or_default() += 1;
+                *by_zone.entry(&server.zone).or_default() += 1;
             }
         }
         counted
@@ -29,7 +29,8 @@
         self.zones.len() > 1
     }
 
-    /// How much a zone has of a model beside the others: the part of all copies that are there; 0 where it has none.
+    /// How much a zone has of a model beside the others: the part of all copies that are there; 0 where it
+    /// has none.
     pub fn crowding(&self, model: &str, zone: &str) -> f64 {
         let Some(by_zone) = self.copies.get(model) else { return 0.0 };
         let all: usize = by_zone.values().sum();
--- a/crates/control/src/result_code.rs
+++ b/crates/control/src/result_code.rs
@@ -1,5 +1,5 @@
-//! The numbered results of calls to the control plane and of requests that the system itself answers. The table for
-//! people is in `docs/operators/result-codes.md`.
+//! The numbered results of calls to the control plane and of requests that the system itself answers. The
+//! table for people is in `docs/operators/result-codes.md`.
 
 /// A numbered result.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -40,9 +40,9 @@
     UnknownKey = 302,
     /// A header that decides something is missing or malformed.
     BadRequest = 303,
-    /// No brick that could take the request is there.
-    NoBrick = 304,
-    /// All bricks that could take the request are busy.
+    /// No model server that could take the request is there.
+    NoModelServer = 304,
+    /// All model servers that could take the request are busy.
     Overloaded = 305,
     /// The request may have run and has no answer.
     BrokenOff = 306,
@@ -108,7 +108,7 @@
             ResultCode::TimedOut => 504,
             ResultCode::Unclear => 500,
             ResultCode::NoLeader
-            | ResultCode::NoBrick
+            | ResultCode::NoModelServer
             | ResultCode::Overloaded
             | ResultCode::Stopping
             | ResultCode::NoConfiguration => 503,
--- a/crates/control/src/usage.rs
+++ b/crates/control/src/usage.rs
@@ -3,9 +3,11 @@
 use pathbank_protocol::message::UsageWindow;
 use std::collections::BTreeMap;
 
-/// A window is sealed so long after its end, milliseconds of true time: the edges' last reports are in by then.
+/// A window is sealed so long after its end, milliseconds of true time: the edges' last reports are in by
+/// then.
 pub const SETTLE_MS: u64 = 3_000;
-/// A leader that has just begun seals nothing for so long, milliseconds: the edges' links come up, and they tell it all again.
+/// A leader that has just begun seals nothing for so long, milliseconds: the edges' links come up, and they
+/// tell it all again.
 pub const HEAR_FIRST_MS: u64 = 1_000;
 /// Windows that are followed; older ones are never reported.
 const WINDOWS_KEPT: u64 = 16;
@@ -30,11 +32,11 @@
     }
 }
 
-/// One edge's one life.
+/// One edge's one incarnation.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
 struct Source {
     edge: String,
-    life: u64,
+    incarnation: u64,
 }
 
 /// Counts of the windows that are not sealed yet.
@@ -44,11 +46,11 @@
 }
 
 impl UsageLedger {
-    /// Takes an edge's whole counts; an older report of the same life never lowers a newer one.
-    pub fn note(&mut self, edge: &str, life: u64, windows: &[UsageWindow], last_sealed: u64) {
+    /// Takes an edge's whole counts; an older report of the same incarnation never lowers a newer one.
+    pub fn note(&mut self, edge: &str, incarnation: u64, windows: &[UsageWindow], last_sealed: u64) {
         for window in windows.iter().filter(|window| window.window > last_sealed) {
             let sources = self.windows.entry(window.window).or_default();
-            let counts = sources.entry(Source { edge: edge.to_owned(), life }).or_default();
+            let counts = sources.entry(Source { edge: edge.to_owned(), incarnation }).or_default();
             for (tenant, count) in &window.counts {
                 let known = counts.entry(tenant.clone()).or_default();
                 *known = (*known).max(*count);
@@ -63,7 +65,8 @@
         self.windows.iter().map(|(window, sources)| (*window, sum(sources))).collect()
     }
 
-    /// The next window to seal at a time of day, with its counts. Windows without any request are passed over.
+    /// The next window to seal at a time of day, with its counts. Windows without any request are passed
+    /// over.
     pub fn due(
         &self,
         wall_clock_ms: u64,
--- a/crates/control/tests/admission.rs
+++ b/crates/control/tests/admission.rs
@@ -1,7 +1,7 @@
-//! Prompts of many heads, lined up before bricks.
+//! Prompts of many heads, lined up before model servers.
 
 use pathbank_control::admission::AdmissionController;
-use pathbank_protocol::message::{AdmissionOption, AdmissionRequest, Brick, BrickState};
+use pathbank_protocol::message::{AdmissionOption, AdmissionRequest, ModelServer, ModelServerState};
 use std::collections::BTreeMap;
 use test_case::test_case;
 
@@ -17,15 +17,17 @@
         Story { controller: AdmissionController::default(), now: 1_000, request: 0, urgency: 0 }
     }
 
-    /// Bricks with so many slots, and the requests there by what edges told.
+    /// Model servers with so many slots, and the requests there by what edges told.
     fn told_slots(&mut self, slots: &[(&str, u32, u32)]) {
-        let ready: Vec<Brick> = slots.iter().map(|(name, capacity, _)| brick(name, *capacity)).collect();
+        let ready: Vec<ModelServer> =
+            slots.iter().map(|(name, capacity, _)| server(name, *capacity)).collect();
         let in_flight: BTreeMap<String, u32> =
             slots.iter().map(|(name, _, in_flight)| ((*name).to_owned(), *in_flight)).collect();
         self.controller.note_slots(&ready, &in_flight);
     }
 
-    /// Asks with options of brick, time to read, and what else speaks against it. Returns the brick and the wait.
+    /// Asks with options of model server, time to read, and what else speaks against it. Returns the model
+    /// server and the wait.
     fn asked<'a>(&mut self, options: &[(&'a str, u32, u32)]) -> (&'a str, u32) {
         self.request += 1;
         let option = |(instance, read_ms, extra_ms): &(&str, u32, u32)| AdmissionOption {
@@ -44,15 +46,15 @@
     }
 }
 
-fn brick(instance: &str, capacity: u32) -> Brick {
-    Brick {
+fn server(instance: &str, capacity: u32) -> ModelServer {
+    ModelServer {
         instance: instance.into(),
         backend: "llm".into(),
         address: "10.0.0.1:80".into(),
         zone: "z".into(),
         version: "v1".into(),
         capacity,
-        state: BrickState::Ready,
+        state: ModelServerState::Ready,
         cold_remaining_ms: 0,
         remaining_ms: 0,
         models: Vec::new(),
@@ -62,7 +64,7 @@
 }
 
 #[test]
-fn a_brick_in_another_zone_with_room_is_taken_before_a_full_one() {
+fn a_server_in_another_zone_with_room_is_taken_before_a_full_one() {
     let mut story = Story::given();
     story.told_slots(&[("here", 12, 12), ("there", 12, 3)]);
     assert_eq!(story.asked(&[("here", 10, 0), ("there", 40, 30)]), ("there", 0));
@@ -73,7 +75,7 @@
 
 #[test]
 fn what_was_granted_counts_before_any_edge_tells_of_it() {
-    // Given a brick with two free slots, and many heads that do not know of each other.
+    // Given a model server with two free slots, and many heads that do not know of each other.
     let mut story = Story::given();
     story.told_slots(&[("near", 12, 10), ("far", 12, 0)]);
     let near = (0..6).filter(|_| {
@@ -100,7 +102,7 @@
 }
 
 #[test]
-fn a_brick_that_leaves_is_forgotten_with_its_slots() {
+fn a_server_that_leaves_is_forgotten_with_its_slots() {
     let mut story = Story::given();
     let options = [("a", 10, 0), ("far", 10, 50)];
     story.told_slots(&[("a", 2, 2), ("far", 2, 0)]);
@@ -119,7 +121,7 @@
 }
 
 #[test]
-fn prompts_for_one_brick_come_one_after_the_other_with_room_for_its_streams() {
+fn prompts_for_one_server_come_one_after_the_other_with_room_for_its_streams() {
     let mut story = Story::given();
     let waits: Vec<u32> = (0..3).map(|_| story.asked(&[("a", 80, 0)]).1).collect();
     assert_eq!(waits[0], 0);
@@ -127,7 +129,7 @@
 }
 
 #[test]
-fn prompts_are_spread_over_the_bricks_that_hold_the_model() {
+fn prompts_are_spread_over_the_servers_that_hold_the_model() {
     let mut story = Story::given();
     let options = [("a", 80, 0), ("b", 80, 5), ("c", 80, 10)];
     let chosen: Vec<&str> = (0..3).map(|_| story.asked(&options).0).collect();
@@ -135,11 +137,11 @@
 }
 
 #[test]
-fn a_brick_that_has_read_most_of_the_prompt_is_worth_a_wait() {
+fn a_server_that_has_read_most_of_the_prompt_is_worth_a_wait() {
     let mut story = Story::given();
     story.asked(&[("kept", 40, 0)]);
-    let (brick, wait) = story.asked(&[("kept", 5, 0), ("other", 200, 0)]);
-    assert_eq!(brick, "kept");
+    let (server, wait) = story.asked(&[("kept", 5, 0), ("other", 200, 0)]);
+    assert_eq!(server, "kept");
     assert!(wait > 0);
 }
 
--- a/crates/control/tests/configuration.rs
+++ b/crates/control/tests/configuration.rs
@@ -409,8 +409,9 @@
     assert!(error.contains(message), "{error}");
 }
 
-// Two items of one name are no invalid configuration, and a change by that name removes both. Edge heads kept one item to a name:
-// of two routes or tenants that went, one went on being served, and a key of it went on opening.
+// Two items of one name are no invalid configuration, and a change by that name removes both. Edges kept one
+// item to a name: of two routes or tenants that went, one went on being served, and a key of it went on
+// opening.
 #[test_case(json!({ "delete": { "routes": ["twin"], "tenants": ["twin"] } }); "both are removed")]
 #[test_case(json!({ "upsert": { "routes": [route("twin", "/c/", "two")], "tenants": [{ "name": "twin", "api_keys": ["k3"] }] } }); "the first is replaced")]
 #[test_case(json!({ "upsert": { "limits": { "max_body_bytes": 5 } } }); "something else is changed")]
--- a/crates/control/tests/configuration_holders.rs
+++ b/crates/control/tests/configuration_holders.rs
@@ -1,4 +1,4 @@
-//! Who has which configuration in force, by what edge heads tell.
+//! Who has which configuration in force, by what edges tell.
 
 use pathbank_control::configuration_holders::ConfigurationHolders;
 use pathbank_protocol::message::{ConfigurationInForce, EdgeReport};
--- a/crates/control/tests/bricks.rs
+++ b/crates/control/tests/directory.rs
@@ -1,22 +1,22 @@
-//! The list of bricks, and what is told of it.
+//! The list of model servers, and what is told of it.
 
 use pathbank_control::directory::Directory;
-use pathbank_control::pending_news::{News, PendingNews};
-use pathbank_protocol::message::{Brick, BrickNews, BrickState, LoadedModel};
+use pathbank_control::pending_changes::{PendingChanges, ServerChanges};
+use pathbank_protocol::message::{LoadedModel, ModelServer, ModelServerState, OrderStatus};
 use std::time::{Duration, Instant};
 
 const HEARTBEAT: u64 = 1_200;
 
-fn brick(number: usize, models: &[&str]) -> Brick {
+fn server(number: usize, models: &[&str]) -> ModelServer {
     let held = |name: &&str| LoadedModel { name: (*name).into(), version: 1, adapters: Vec::new() };
-    Brick {
+    ModelServer {
         instance: format!("i-{number}"),
         backend: "llm".into(),
         address: format!("10.0.0.{number}:80"),
         zone: "z".into(),
         version: "v1".into(),
         capacity: 64,
-        state: BrickState::Ready,
+        state: ModelServerState::Ready,
         cold_remaining_ms: 0,
         remaining_ms: 0,
         models: models.iter().map(held).collect(),
@@ -25,60 +25,60 @@
     }
 }
 
-fn later(mut brick: Brick, sequence: u64, state: BrickState) -> Brick {
-    (brick.sequence, brick.state) = (sequence, state);
-    brick
+fn later(mut server: ModelServer, sequence: u64, state: ModelServerState) -> ModelServer {
+    (server.sequence, server.state) = (sequence, state);
+    server
 }
 
-fn state_of(directory: &Directory, instance: &str) -> BrickState {
-    directory.brick(instance).unwrap().state
+fn state_of(directory: &Directory, instance: &str) -> ModelServerState {
+    directory.server(instance).unwrap().state
 }
 
 // ---- directory ----
 
 #[test]
-fn a_brick_that_drains_never_comes_back_ready() {
+fn a_server_that_drains_never_comes_back_ready() {
     let mut directory = Directory::new(HEARTBEAT);
-    directory.heard(0, brick(1, &[]));
-    assert!(directory.heard(10, later(brick(1, &[]), 5, BrickState::Draining)).changed);
-    assert!(!directory.heard(20, later(brick(1, &[]), 4, BrickState::Ready)).changed, "an older word");
-    directory.heard(30, later(brick(1, &[]), 6, BrickState::Ready));
-    assert_eq!(state_of(&directory, "i-1"), BrickState::Draining);
+    directory.heard(0, server(1, &[]));
+    assert!(directory.heard(10, later(server(1, &[]), 5, ModelServerState::Draining)).changed);
+    assert!(!directory.heard(20, later(server(1, &[]), 4, ModelServerState::Ready)).changed, "an older word");
+    directory.heard(30, later(server(1, &[]), 6, ModelServerState::Ready));
+    assert_eq!(state_of(&directory, "i-1"), ModelServerState::Draining);
     assert_eq!(directory.ready().count(), 0);
 }
 
 #[test]
 fn an_older_heartbeat_changes_nothing() {
     let mut directory = Directory::new(HEARTBEAT);
-    directory.heard(0, later(brick(1, &["new"]), 7, BrickState::Ready));
-    let late = directory.heard(10, later(brick(1, &["old"]), 6, BrickState::Ready));
+    directory.heard(0, later(server(1, &["new"]), 7, ModelServerState::Ready));
+    let late = directory.heard(10, later(server(1, &["old"]), 6, ModelServerState::Ready));
     assert!(!late.changed && !late.relay);
-    assert_eq!(directory.brick("i-1").unwrap().models[0].name, "new");
+    assert_eq!(directory.server("i-1").unwrap().models[0].name, "new");
 }
 
 #[test]
-fn a_brick_that_deregistered_is_gone_whatever_comes_late() {
+fn a_server_that_deregistered_is_gone_whatever_comes_late() {
     let mut directory = Directory::new(HEARTBEAT);
-    directory.heard(0, brick(1, &[]));
-    assert_eq!(directory.deregister(10, "i-1").unwrap().state, BrickState::Gone);
-    directory.heard(20, later(brick(1, &[]), 9, BrickState::Ready));
-    assert_eq!(state_of(&directory, "i-1"), BrickState::Gone);
+    directory.heard(0, server(1, &[]));
+    assert_eq!(directory.deregister(10, "i-1").unwrap().state, ModelServerState::Removed);
+    directory.heard(20, later(server(1, &[]), 9, ModelServerState::Ready));
+    assert_eq!(state_of(&directory, "i-1"), ModelServerState::Removed);
 }
 
 #[test]
-fn a_silent_brick_is_taken_for_gone_and_comes_back_when_it_speaks() {
+fn a_silent_server_is_taken_for_gone_and_comes_back_when_it_speaks() {
     let mut directory = Directory::new(HEARTBEAT);
-    directory.heard(0, brick(1, &[]));
+    directory.heard(0, server(1, &[]));
     assert!(directory.expire(5 * HEARTBEAT - 1).is_empty());
     assert_eq!(directory.expire(5 * HEARTBEAT).len(), 1);
-    assert!(directory.heard(9_000, later(brick(1, &[]), 2, BrickState::Ready)).changed);
+    assert!(directory.heard(9_000, later(server(1, &[]), 2, ModelServerState::Ready)).changed);
     assert_eq!(directory.ready().count(), 1);
 }
 
 #[test]
 fn silence_while_this_core_was_cut_off_says_nothing() {
     let mut directory = Directory::new(HEARTBEAT);
-    directory.heard(0, brick(1, &[]));
+    directory.heard(0, server(1, &[]));
     directory.forgive_silence(9_000);
     assert!(directory.expire(9_100).is_empty());
     assert_eq!(directory.expire(9_000 + 5 * HEARTBEAT).len(), 1);
@@ -87,56 +87,57 @@
 #[test]
 fn another_incarnation_at_the_address_ends_the_one_before() {
     let mut directory = Directory::new(HEARTBEAT);
-    directory.heard(0, brick(1, &["m"]));
-    let mut next = brick(1, &[]);
+    directory.heard(0, server(1, &["m"]));
+    let mut next = server(1, &[]);
     next.instance = "i-next".into();
     let heard = directory.heard(10, next);
     assert_eq!(heard.displaced.len(), 1, "edges have to know of both");
-    assert_eq!(heard.displaced[0].state, BrickState::Gone);
-    assert_eq!(state_of(&directory, "i-1"), BrickState::Gone);
-    assert!(directory.held_before()["10.0.0.1:80"].contains("m"), "the machine's disk still has it");
+    assert_eq!(heard.displaced[0].state, ModelServerState::Removed);
+    assert_eq!(state_of(&directory, "i-1"), ModelServerState::Removed);
+    assert!(directory.cached_weights()["10.0.0.1:80"].contains("m"), "the machine's disk still has it");
 }
 
-/// After all machines were killed, control heads answered each other's votes after half a second: each first heartbeat of an
-/// instance was compared with all instances known, 0.1 to 0.2 ms of a third of a core at 3,008 of them. Here as many come at
-/// once as take minutes in that way; with an index by address they take a fraction of a second.
+/// After all machines were killed, cores answered each other's votes after half a second: each first
+/// heartbeat of an instance was compared with all instances known, 0.1 to 0.2 ms of a third of a core at
+/// 3,008 of them. Here as many come at once as take minutes in that way; with an index by address they take a
+/// fraction of a second.
 #[test]
-fn a_first_heartbeat_costs_the_same_however_many_bricks_are_known() {
-    const BRICKS: usize = 100_000;
+fn a_first_heartbeat_costs_the_same_however_many_servers_are_known() {
+    const SERVERS: usize = 100_000;
     const FAR_MORE_THAN_NEEDED: Duration = Duration::from_secs(20);
     let mut directory = Directory::new(HEARTBEAT);
     let begun = Instant::now();
-    for number in 0..BRICKS {
-        assert!(directory.heard(0, brick(number, &[])).changed);
+    for number in 0..SERVERS {
+        assert!(directory.heard(0, server(number, &[])).changed);
         assert!(
             begun.elapsed() < FAR_MORE_THAN_NEEDED,
-            "only {number} of {BRICKS} bricks were heard by then"
+            "only {number} of {SERVERS} model servers were heard by then"
         );
     }
 }
 
 #[test]
-fn a_brick_is_displaced_at_the_address_where_it_is_now() {
+fn a_server_is_displaced_at_the_address_where_it_is_now() {
     let mut directory = Directory::new(HEARTBEAT);
-    directory.heard(0, brick(1, &[]));
-    let mut moved = later(brick(1, &[]), 2, BrickState::Ready);
+    directory.heard(0, server(1, &[]));
+    let mut moved = later(server(1, &[]), 2, ModelServerState::Ready);
     moved.address = "10.0.0.2:80".into();
     directory.heard(10, moved);
-    let mut at_old_address = brick(3, &[]);
+    let mut at_old_address = server(3, &[]);
     at_old_address.address = "10.0.0.1:80".into();
     assert!(directory.heard(20, at_old_address).displaced.is_empty());
-    assert_eq!(directory.heard(30, brick(2, &[])).displaced.len(), 1);
-    assert_eq!(state_of(&directory, "i-1"), BrickState::Gone);
+    assert_eq!(directory.heard(30, server(2, &[])).displaced.len(), 1);
+    assert_eq!(state_of(&directory, "i-1"), ModelServerState::Removed);
 }
 
 #[test]
-fn a_brick_that_was_forgotten_is_displaced_by_nobody() {
+fn a_server_that_was_forgotten_is_displaced_by_nobody() {
     let mut directory = Directory::new(HEARTBEAT);
-    directory.heard(0, brick(1, &[]));
+    directory.heard(0, server(1, &[]));
     directory.deregister(0, "i-1");
     directory.expire(1_000_000);
-    assert!(directory.brick("i-1").is_none());
-    let mut next = brick(1, &[]);
+    assert!(directory.server("i-1").is_none());
+    let mut next = server(1, &[]);
     next.instance = "i-next".into();
     assert!(directory.heard(1_000_000, next).displaced.is_empty());
 }
@@ -144,10 +145,11 @@
 #[test]
 fn unchanged_heartbeats_are_relayed_seldom_and_never_told_to_edges() {
     let mut directory = Directory::new(HEARTBEAT);
-    directory.heard(0, brick(1, &["m"]));
+    directory.heard(0, server(1, &["m"]));
     let mut relayed = 0;
     for round in 1..=10 {
-        let heard = directory.heard(round * HEARTBEAT, later(brick(1, &["m"]), round + 1, BrickState::Ready));
+        let heard =
+            directory.heard(round * HEARTBEAT, later(server(1, &["m"]), round + 1, ModelServerState::Ready));
         assert!(!heard.changed);
         relayed += u64::from(heard.relay);
     }
@@ -157,17 +159,17 @@
 #[test]
 fn a_model_that_is_being_unloaded_is_told_to_nobody() {
     let mut directory = Directory::new(HEARTBEAT);
-    directory.heard(0, brick(1, &["m", "n"]));
+    directory.heard(0, server(1, &["m", "n"]));
     assert_eq!(directory.withhold("i-1", "m", "").unwrap().models.len(), 1);
-    directory.heard(10, later(brick(1, &["m", "n"]), 2, BrickState::Ready));
-    assert_eq!(directory.brick("i-1").unwrap().models.len(), 1, "nor by a heartbeat on its way");
+    directory.heard(10, later(server(1, &["m", "n"]), 2, ModelServerState::Ready));
+    assert_eq!(directory.server("i-1").unwrap().models.len(), 1, "nor by a heartbeat on its way");
     assert_eq!(directory.release("i-1").unwrap().models.len(), 2);
 }
 
 // ---- usage ----
 
-/// What the leader's directory says of a brick, as another core takes it.
-fn news(leader: &Directory, instance: &str, reported: bool) -> BrickNews {
+/// What the leader's directory says of a model server, as another core takes it.
+fn news(leader: &Directory, instance: &str, reported: bool) -> OrderStatus {
     leader.news(instance, reported).expect("it is known")
 }
 
@@ -177,13 +179,13 @@
     let mut other = Directory::new(HEARTBEAT);
     [&mut leader, &mut other]
         .into_iter()
-        .for_each(|directory| drop(directory.heard(0, brick(1, &["m", "n"]))));
+        .for_each(|directory| drop(directory.heard(0, server(1, &["m", "n"]))));
     leader.withhold("i-1", "m", "");
     assert_eq!(other.ordered(10, news(&leader, "i-1", false)).unwrap().models.len(), 1);
     assert_eq!(other.ordered(20, news(&leader, "i-1", false)), None, "that is no news");
-    other.heard(30, later(brick(1, &["m", "n"]), 2, BrickState::Ready));
-    assert_eq!(other.brick("i-1").unwrap().models.len(), 1, "a heartbeat from before the order's end");
-    // The order has ended: the brick holds another model, and says so before its next heartbeat.
+    other.heard(30, later(server(1, &["m", "n"]), 2, ModelServerState::Ready));
+    assert_eq!(other.server("i-1").unwrap().models.len(), 1, "a heartbeat from before the order's end");
+    // The order has ended: the model server holds another model, and says so before its next heartbeat.
     leader.release("i-1");
     let held = |name: &str| LoadedModel { name: name.into(), version: 1, adapters: Vec::new() };
     leader.reported(0, "i-1", vec![held("n"), held("o")], false);
@@ -191,21 +193,21 @@
     assert_eq!(told.models.iter().map(|held| held.name.as_str()).collect::<Vec<_>>(), ["n", "o"]);
 }
 
-/// A heartbeat that a brick had written before an order was done brought back what it had dropped: for a second heads sent it
-/// requests that it turned away.
+/// A heartbeat that a model server had written before an order was done brought back what it had dropped: for
+/// a second heads sent it requests that it turned away.
 #[test]
 fn a_heartbeat_as_old_as_the_end_of_an_order_does_not_undo_it() {
     let mut directory = Directory::new(HEARTBEAT);
-    directory.heard(0, brick(1, &["a", "b"]));
+    directory.heard(0, server(1, &["a", "b"]));
     directory.withhold("i-1", "a", "");
-    directory.reported(1_000, "i-1", brick(1, &["b"]).models, false);
+    directory.reported(1_000, "i-1", server(1, &["b"]).models, false);
     directory.release("i-1");
     let names = |directory: &Directory| -> Vec<String> {
-        directory.brick("i-1").unwrap().models.into_iter().map(|held| held.name).collect()
+        directory.server("i-1").unwrap().models.into_iter().map(|held| held.name).collect()
     };
-    directory.heard(1_100, later(brick(1, &["a", "b"]), 2, BrickState::Ready));
+    directory.heard(1_100, later(server(1, &["a", "b"]), 2, ModelServerState::Ready));
     assert_eq!(names(&directory), ["b"]);
-    directory.heard(2_300, later(brick(1, &["a", "b"]), 3, BrickState::Ready));
+    directory.heard(2_300, later(server(1, &["a", "b"]), 3, ModelServerState::Ready));
     assert_eq!(names(&directory), ["a", "b"], "its later word counts");
 }
 
@@ -213,21 +215,21 @@
 fn what_a_leader_withheld_that_is_gone_lapses() {
     let mut leader = Directory::new(HEARTBEAT);
     let mut other = Directory::new(HEARTBEAT);
-    [&mut leader, &mut other].into_iter().for_each(|directory| drop(directory.heard(0, brick(1, &["m"]))));
+    [&mut leader, &mut other].into_iter().for_each(|directory| drop(directory.heard(0, server(1, &["m"]))));
     leader.withhold("i-1", "m", "");
     other.ordered(10, news(&leader, "i-1", false));
     assert_eq!(leader.withheld().collect::<Vec<_>>(), ["i-1"]);
     assert!(other.lapse(8_009).is_empty());
     assert_eq!(other.lapse(8_010).len(), 1);
-    assert_eq!(other.brick("i-1").unwrap().models.len(), 1);
+    assert_eq!(other.server("i-1").unwrap().models.len(), 1);
     assert!(leader.lapse(1_000_000).is_empty(), "the leader knows the end of its order");
 }
 
-// ---- news of bricks ----
+// ---- news of model servers ----
 
 #[test]
-fn of_many_bricks_that_leave_the_first_is_told_at_once_and_the_others_together() {
-    let mut news = PendingNews::default();
+fn of_many_servers_that_leave_the_first_is_told_at_once_and_the_others_together() {
+    let mut news = PendingChanges::default();
     news.note_changed("stays".into());
     assert_eq!(news.take_urgent(0), None, "it waits for others");
     let mut told = Vec::new();
@@ -240,12 +242,12 @@
 }
 
 #[test]
-fn a_brick_that_leaves_is_told_so_whatever_else_changes() {
-    let mut news = PendingNews::default();
+fn a_server_that_leaves_is_told_so_whatever_else_changes() {
+    let mut news = PendingChanges::default();
     news.note_changed("i-1".into());
     news.note_leaving("i-1".into());
     news.note_changed("i-1".into());
     let told = news.take_urgent(0).unwrap();
     assert_eq!((told.leaving.len(), told.changed.len()), (1, 0));
-    assert_eq!(news.take(1), News::default());
+    assert_eq!(news.take(1), ServerChanges::default());
 }
--- a/crates/control/tests/document_history.rs
+++ b/crates/control/tests/document_history.rs
@@ -1,4 +1,4 @@
-//! Which earlier documents a control head still knows.
+//! Which earlier documents a core still knows.
 
 use pathbank_control::document::Document;
 use pathbank_control::document_history::DocumentHistory;
--- a/crates/control/tests/estimate.rs
+++ b/crates/control/tests/estimate.rs
@@ -1,4 +1,4 @@
-//! Stories of what is seen of bricks, and what is made of it.
+//! Stories of what is seen of model servers, and what is made of it.
 
 use pathbank_control::estimate::{Estimate, EstimateTable, Prior};
 use test_case::test_case;
@@ -64,7 +64,7 @@
 #[test_case(f64::NAN; "no number")]
 #[test_case(0.0; "nothing")]
 #[test_case(-5.0; "less than nothing")]
-fn what_a_lying_brick_tells_stays_within_bounds(told: f64) {
+fn what_a_lying_server_tells_stays_within_bounds(told: f64) {
     let mut estimate = Estimate::default();
     let now = when_seen(&mut estimate, 0, &[told; 50]);
     let value = estimate.value(now, PRIOR);
@@ -72,7 +72,7 @@
 }
 
 #[test]
-fn a_brick_of_which_little_was_seen_is_taken_to_be_like_the_others() {
+fn a_server_of_which_little_was_seen_is_taken_to_be_like_the_others() {
     let mut table: EstimateTable<String> = EstimateTable::new(PRIOR);
     for number in 0..20 {
         table.note(number * EVERY, &format!("i-{number}"), 60.0);
--- a/crates/control/tests/order_progress.rs
+++ b/crates/control/tests/order_progress.rs
@@ -1,7 +1,7 @@
-//! Stories of orders that bricks take, and of what they report meanwhile.
+//! Stories of orders that model servers take, and of what they report meanwhile.
 
 use pathbank_control::order_progress::{
-    BrickContents, OrderKind, OrderTimes, Progress, after, earlier, holds, judge,
+    ModelServerContents, OrderKind, OrderTimes, Progress, after, earlier, holds, judge,
 };
 use pathbank_control::placement::{Operation, Order};
 use pathbank_protocol::message::LoadedModel;
@@ -22,18 +22,18 @@
     }
 }
 
-fn contents(sequence: u64, models: &[(&str, &[&str])], busy: bool) -> BrickContents {
+fn contents(sequence: u64, models: &[(&str, &[&str])], busy: bool) -> ModelServerContents {
     let held = |(name, adapters): &(&str, &[&str])| LoadedModel {
         name: (*name).into(),
         version: 1,
         adapters: adapters.iter().map(|adapter| (*adapter).into()).collect(),
     };
-    BrickContents { models: models.iter().map(held).collect(), sequence, busy }
+    ModelServerContents { models: models.iter().map(held).collect(), sequence, busy }
 }
 
-/// Heads offered a model at bricks that had dropped it: a brick's report, a fifth of a second old, showed no order under way
-/// and the model still there, for it was made before the order came. It was taken for the order's end, and the model was
-/// told to all heads again.
+/// Heads offered a model at model servers that had dropped it: a model server's report, a fifth of a second
+/// old, showed no order under way and the model still there, for it was made before the order came. It was
+/// taken for the order's end, and the model was told to all heads again.
 #[test]
 fn a_report_that_is_older_than_the_order_tells_nothing_of_its_end() {
     let unload = order(Operation::Unload, "a", "");
@@ -48,7 +48,7 @@
 #[test_case(Operation::Unload, "a", "a1", &[("a", &[])]; "an adapter goes")]
 #[test_case(Operation::Unload, "a", "", &[]; "a model goes with its adapters")]
 #[test_case(Operation::Load, "a", "a1", &[("a", &["a1"])]; "what is there stays")]
-fn what_a_brick_holds_after_an_order(
+fn what_a_server_holds_after_an_order(
     operation: Operation,
     model: &str,
     adapter: &str,
--- a/crates/control/tests/outliers.rs
+++ b/crates/control/tests/outliers.rs
@@ -1,30 +1,30 @@
-//! Bricks that fail, by what all heads together saw.
+//! Model servers that fail, by what all heads together saw.
 
 use pathbank_control::demand::DemandTable;
 use pathbank_control::outliers::OutlierTable;
-use pathbank_protocol::message::{Brick, BrickLoad, BrickState, EdgeReport};
+use pathbank_protocol::message::{EdgeReport, ModelServer, ModelServerLoad, ModelServerState};
 use std::collections::BTreeMap;
 
-fn bricks(count: usize) -> Vec<Brick> {
-    let brick = |number| Brick {
+fn servers(count: usize) -> Vec<ModelServer> {
+    let server = |number| ModelServer {
         instance: format!("i-{number}"),
         backend: "llm".into(),
         address: format!("10.0.0.{number}:80"),
         zone: "z".into(),
         version: "v1".into(),
         capacity: 8,
-        state: BrickState::Ready,
+        state: ModelServerState::Ready,
         cold_remaining_ms: 0,
         remaining_ms: 0,
         models: Vec::new(),
         sequence: 1,
         busy: false,
     };
-    (0..count).map(brick).collect()
+    (0..count).map(server).collect()
 }
 
-fn outcome(number: usize, failed: u32, answered: u32) -> BrickLoad {
-    BrickLoad { instance: format!("i-{number}"), failed, answered, ..BrickLoad::default() }
+fn outcome(number: usize, failed: u32, answered: u32) -> ModelServerLoad {
+    ModelServerLoad { instance: format!("i-{number}"), failed, answered, ..ModelServerLoad::default() }
 }
 
 fn names(outliers: &BTreeMap<String, f64>) -> Vec<&str> {
@@ -32,10 +32,10 @@
 }
 
 #[test]
-fn a_brick_that_fails_a_little_at_many_heads_is_known_to_fail() {
+fn a_server_that_fails_a_little_at_many_heads_is_known_to_fail() {
     let mut table = OutlierTable::default();
     (0..20).for_each(|_| table.note(1_000, &[outcome(0, 1, 0), outcome(1, 0, 1)]));
-    let outliers = table.outliers(1_000, &bricks(6));
+    let outliers = table.outliers(1_000, &servers(6));
     assert_eq!(names(&outliers), ["i-0"]);
     assert!(outliers["i-0"] > 0.8);
 }
@@ -44,40 +44,40 @@
 fn one_failure_alone_says_little() {
     let mut table = OutlierTable::default();
     table.note(1_000, &[outcome(0, 1, 9)]);
-    assert!(table.outliers(1_000, &bricks(6)).is_empty());
+    assert!(table.outliers(1_000, &servers(6)).is_empty());
 }
 
 #[test]
-fn a_brick_that_is_left_alone_is_tried_again() {
+fn a_server_that_is_left_alone_is_tried_again() {
     let mut table = OutlierTable::default();
     table.note(1_000, &[outcome(0, 20, 0)]);
-    assert!(!table.outliers(1_000, &bricks(6)).is_empty());
-    assert!(table.outliers(20_000, &bricks(6)).is_empty());
+    assert!(!table.outliers(1_000, &servers(6)).is_empty());
+    assert!(table.outliers(20_000, &servers(6)).is_empty());
     table.tidy(60_000);
     table.note(60_000, &[outcome(0, 0, 5)]);
-    assert!(table.outliers(60_000, &bricks(6)).is_empty(), "and is sound once it answers");
+    assert!(table.outliers(60_000, &servers(6)).is_empty(), "and is sound once it answers");
 }
 
 #[test]
 fn where_most_fail_only_the_worst_are_told() {
     let mut table = OutlierTable::default();
-    let all: Vec<BrickLoad> = (0..9).map(|number| outcome(number, 10 + number as u32, 5)).collect();
+    let all: Vec<ModelServerLoad> = (0..9).map(|number| outcome(number, 10 + number as u32, 5)).collect();
     table.note(1_000, &all);
-    assert_eq!(names(&table.outliers(1_000, &bricks(9))), ["i-6", "i-7", "i-8"]);
-    assert!(table.outliers(1_000, &bricks(2)).is_empty(), "a service of two is never halved");
+    assert_eq!(names(&table.outliers(1_000, &servers(9))), ["i-6", "i-7", "i-8"]);
+    assert!(table.outliers(1_000, &servers(2)).is_empty(), "a service of two is never halved");
 }
 
 #[test]
-fn a_brick_that_is_gone_is_no_outlier() {
+fn a_server_that_is_gone_is_no_outlier() {
     let mut table = OutlierTable::default();
     table.note(1_000, &[outcome(7, 20, 0)]);
-    assert!(table.outliers(1_000, &bricks(6)).is_empty());
+    assert!(table.outliers(1_000, &servers(6)).is_empty());
 }
 
 #[test]
 fn edges_are_told_of_outliers_whether_anything_is_out_there_or_not() {
     let mut demand = DemandTable::default();
-    let out = BrickLoad { in_flight: 3, ..outcome(1, 0, 0) };
+    let out = ModelServerLoad { in_flight: 3, ..outcome(1, 0, 0) };
     let report = EdgeReport { edge: "e".into(), loads: vec![out], ..EdgeReport::default() };
     demand.note(1_000, &report);
     let outliers = BTreeMap::from([("i-0".to_owned(), 0.5), ("i-1".to_owned(), 0.25)]);
--- a/crates/control/tests/placement.rs
+++ b/crates/control/tests/placement.rs
@@ -1,22 +1,22 @@
-//! Stories of placement: which brick is ordered to load or unload what.
+//! Stories of placement: which model server is ordered to load or unload what.
 
 use pathbank_control::configuration::{Backend, Model, Runtime};
 use pathbank_control::demand::{DemandTable, ModelKey};
-use pathbank_control::directory::HeldBefore;
+use pathbank_control::directory::CachedWeights;
 use pathbank_control::order_progress::OrderKind;
 use pathbank_control::placement::{Operation, Order, Placer, TrainingHold};
-use pathbank_protocol::message::{Brick, BrickState, EdgeReport, LoadedModel, ModelDemand};
+use pathbank_protocol::message::{EdgeReport, LoadedModel, ModelDemand, ModelServer, ModelServerState};
 
-fn brick(number: usize, models: &[&str]) -> Brick {
+fn server(number: usize, models: &[&str]) -> ModelServer {
     let held = |name: &&str| LoadedModel { name: (*name).into(), version: 1, adapters: Vec::new() };
-    Brick {
+    ModelServer {
         instance: format!("i-{number}"),
         backend: "llm".into(),
         address: format!("10.0.0.{number}:80"),
         zone: "z".into(),
         version: "v1".into(),
         capacity: 64,
-        state: BrickState::Ready,
+        state: ModelServerState::Ready,
         cold_remaining_ms: 0,
         remaining_ms: 0,
         models: models.iter().map(held).collect(),
@@ -26,7 +26,8 @@
 }
 
 const SIZE: f64 = 70_000.0;
-/// What a brick takes to read a request's prompt, and for how long the answer takes a slot, milliseconds.
+/// What a model server takes to read a request's prompt, and for how long the answer takes a slot,
+/// milliseconds.
 const READ_MS: u64 = 60;
 const SHORT_READ_MS: u64 = 4;
 const HELD_MS: u64 = 1_500;
@@ -68,7 +69,7 @@
     ask_to_read(demand, now, (model, adapter), (arrived, waiting), READ_MS);
 }
 
-/// Requests come whose prompts a brick reads in `read_ms` each.
+/// Requests come whose prompts a model server reads in `read_ms` each.
 fn ask_to_read(
     demand: &mut DemandTable,
     now: u64,
@@ -84,40 +85,41 @@
         tokens: 1_500 * arrived,
         waiting,
         read_ms: read_ms * arrived,
-        held_ms: HELD_MS * arrived,
+        slot_time_ms: HELD_MS * arrived,
         objective_ms: OBJECTIVE_MS,
     };
     let report = EdgeReport { edge: "edge".into(), demand: vec![demand_of_model], ..EdgeReport::default() };
     demand.note(now, &report);
 }
 
-/// Bricks that carry orders out at once.
+/// Model servers that carry orders out at once.
 struct Story {
     backends: Vec<Backend>,
-    bricks: Vec<Brick>,
+    servers: Vec<ModelServer>,
     demand: DemandTable,
     placer: Placer,
-    held_before: HeldBefore,
+    cached_weights: CachedWeights,
     now: u64,
     orders: Vec<(u64, Order)>,
-    /// What a brick takes to read a request's prompt, milliseconds.
+    /// What a model server takes to read a request's prompt, milliseconds.
     read_ms: u64,
 }
 
 impl Story {
     fn given(models: &[&str], held: &[&[&str]]) -> Story {
-        let bricks: Vec<Brick> = held.iter().enumerate().map(|(number, held)| brick(number, held)).collect();
-        let mut held_before = HeldBefore::default();
-        for brick in &bricks {
-            let names = brick.models.iter().map(|model| model.name.clone());
-            held_before.insert(brick.address.clone(), names.collect());
+        let servers: Vec<ModelServer> =
+            held.iter().enumerate().map(|(number, held)| server(number, held)).collect();
+        let mut cached_weights = CachedWeights::default();
+        for server in &servers {
+            let names = server.models.iter().map(|model| model.name.clone());
+            cached_weights.insert(server.address.clone(), names.collect());
         }
         Story {
             backends: backends(models),
-            bricks,
+            servers,
             demand: DemandTable::default(),
             placer: Placer::new(),
-            held_before,
+            cached_weights,
             now: 100_000,
             orders: Vec::new(),
             read_ms: READ_MS,
@@ -128,7 +130,7 @@
     fn look(&mut self) {
         self.now += 100;
         let orders =
-            self.placer.plan(self.now, &self.backends, &self.bricks, &self.demand, &self.held_before);
+            self.placer.plan(self.now, &self.backends, &self.servers, &self.demand, &self.cached_weights);
         for order in orders {
             self.carry_out(&order);
             self.placer.finished(&order.instance);
@@ -138,20 +140,23 @@
 
     fn carry_out(&mut self, order: &Order) {
         let runtime = runtime(&self.backends).clone();
-        let brick = self.bricks.iter_mut().find(|brick| brick.instance == order.instance).unwrap();
+        let server = self.servers.iter_mut().find(|server| server.instance == order.instance).unwrap();
         match (order.operation, order.adapter.is_empty()) {
             (Operation::Load, whole) => {
-                assert!(order.fits(&runtime, &brick.models), "more than the brick has room for: {order:?}");
+                assert!(
+                    order.fits(&runtime, &server.models),
+                    "more than the model server has room for: {order:?}"
+                );
                 if whole {
                     let name = order.model.clone();
-                    brick.models.push(LoadedModel { name, version: 1, adapters: Vec::new() });
+                    server.models.push(LoadedModel { name, version: 1, adapters: Vec::new() });
                 } else {
-                    let held = brick.models.iter_mut().find(|held| held.name == order.model).unwrap();
+                    let held = server.models.iter_mut().find(|held| held.name == order.model).unwrap();
                     held.adapters.push(order.adapter.clone());
                 }
             }
-            (Operation::Unload, true) => brick.models.retain(|held| held.name != order.model),
-            (Operation::Unload, false) => brick
+            (Operation::Unload, true) => server.models.retain(|held| held.name != order.model),
+            (Operation::Unload, false) => server
                 .models
                 .iter_mut()
                 .for_each(|held| held.adapters.retain(|adapter| *adapter != order.adapter)),
@@ -171,7 +176,7 @@
     }
 
     fn copies(&self, model: &str) -> usize {
-        self.bricks.iter().filter(|brick| brick.models.iter().any(|held| held.name == model)).count()
+        self.servers.iter().filter(|server| server.models.iter().any(|held| held.name == model)).count()
     }
 
     fn loads_between(&self, from: u64, to: u64) -> usize {
@@ -183,11 +188,11 @@
 }
 
 #[test]
-fn a_model_that_no_brick_holds_is_loaded_where_it_is_missed_least() {
+fn a_model_that_no_server_holds_is_loaded_where_it_is_missed_least() {
     let mut story = Story::given(&["a", "b", "c", "d"], &[&["a", "b", "c"], &["a", "b"]]);
     story.when_asked(600, &[("d", 1)]);
     assert_eq!(story.copies("d"), 1);
-    assert_eq!(story.bricks[1].models.len(), 3, "there was room on the second one");
+    assert_eq!(story.servers[1].models.len(), 3, "there was room on the second one");
 }
 
 #[test]
@@ -200,23 +205,23 @@
     assert_eq!(story.loads_between(before, u64::MAX), 1, "one load, and nothing turned back");
 }
 
-/// The bricks of a story take turns between two zones.
+/// The model servers of a story take turns between two zones.
 fn in_two_zones(mut story: Story) -> Story {
-    for (number, brick) in story.bricks.iter_mut().enumerate() {
-        brick.zone = format!("z{}", number % 2);
+    for (number, server) in story.servers.iter_mut().enumerate() {
+        server.zone = format!("z{}", number % 2);
     }
     story
 }
 
 fn zones_of(story: &Story, model: &str) -> usize {
-    let holds = |brick: &&Brick| brick.models.iter().any(|held| held.name == model);
-    let zones = story.bricks.iter().filter(holds).map(|brick| brick.zone.clone());
+    let holds = |server: &&ModelServer| server.models.iter().any(|held| held.name == model);
+    let zones = story.servers.iter().filter(holds).map(|server| server.zone.clone());
     zones.collect::<std::collections::BTreeSet<_>>().len()
 }
 
 #[test]
 fn a_model_that_is_asked_for_is_held_in_two_zones() {
-    // Given a model whose part of all demand would fill no second brick.
+    // Given a model whose part of all demand would fill no second model server.
     let held: &[&[&str]] =
         &[&["hot", "asked", "x"], &["hot", "y", "z"], &["hot", "x", "y"], &["hot", "z", "x"]];
     let mut story = in_two_zones(Story::given(&["hot", "asked", "x", "y", "z"], held));
@@ -227,16 +232,18 @@
 
 #[test]
 fn no_room_is_made_by_a_models_last_copy_outside_one_zone() {
-    // Given full bricks, and a model with copies in two zones, more of them than its demand would fill.
+    // Given full model servers, and a model with copies in two zones, more of them than its demand would
+    // fill.
     let held: &[&[&str]] = &[&["hot", "cool", "asked"], &["hot", "cool", "asked"], &["hot", "cool", "asked"]];
     let mut story = in_two_zones(Story::given(&["hot", "cool", "asked", "new"], held));
     story.when_asked(8_000, &[("hot", 30), ("cool", 30), ("asked", 1)]);
-    // When only the brick in the second zone takes orders, and another model is missing, then its copy there stays.
-    (story.bricks[0].busy, story.bricks[2].busy) = (true, true);
+    // When only the model server in the second zone takes orders, and another model is missing, then its copy
+    // there stays.
+    (story.servers[0].busy, story.servers[2].busy) = (true, true);
     story.when_asked(3_000, &[("hot", 30), ("cool", 30), ("asked", 1), ("new", 1)]);
     assert_eq!(zones_of(&story, "asked"), 2);
-    // And one of the others makes room, once its brick takes orders.
-    story.bricks[0].busy = false;
+    // And one of the others makes room, once its model server takes orders.
+    story.servers[0].busy = false;
     story.when_asked(3_000, &[("hot", 30), ("cool", 30), ("asked", 1), ("new", 1)]);
     assert_eq!((story.copies("new"), zones_of(&story, "asked")), (1, 2));
 }
@@ -268,19 +275,19 @@
     ["a", "b", "c"].iter().for_each(|model| assert!(story.copies(model) >= 1, "{model}"));
 }
 
-/// Models whose only copy was on a brick that failed every request were lost with it: the leader told heads to avoid the brick,
-/// and counted its copy as one that serves.
+/// Models whose only copy was on a model server that failed every request were lost with it: the leader told
+/// heads to avoid the model server, and counted its copy as one that serves.
 #[test]
-fn a_model_whose_only_copy_is_on_a_failing_brick_is_loaded_elsewhere() {
+fn a_model_whose_only_copy_is_on_a_failing_server_is_loaded_elsewhere() {
     let failing = [("i-0".to_owned(), 0.9)].into();
     let mut story = Story::given(&["a", "b", "c"], &[&["a"], &["b"], &["b"]]);
     story.read_ms = SHORT_READ_MS;
     story.when_asked(3_000, &[("a", 1), ("b", 1)]);
-    assert_eq!(story.copies("a"), 1, "while the brick serves");
+    assert_eq!(story.copies("a"), 1, "while the model server serves");
     story.placer.note_failing(&failing);
     story.when_asked(3_000, &[("a", 1), ("b", 1), ("c", 1)]);
     assert_eq!(story.copies("a"), 2);
-    assert_eq!(story.bricks[0].models.len(), 1, "nothing is loaded on a brick that fails");
+    assert_eq!(story.servers[0].models.len(), 1, "nothing is loaded on a model server that fails");
     // And one that fails now and then serves.
     let mut story = Story::given(&["a", "b"], &[&["a"], &["b"]]);
     story.placer.note_failing(&[("i-0".to_owned(), 0.3)].into());
@@ -325,16 +332,16 @@
         ask(&mut story.demand, story.now, "a", adapter, 1, 1);
         (0..5).for_each(|_| story.look());
     }
-    assert_eq!(story.bricks[0].models[0].adapters, ["a1", "a2"]);
+    assert_eq!(story.servers[0].models[0].adapters, ["a1", "a2"]);
     story.now += 20_000;
     (0..3).for_each(|_| ask(&mut story.demand, story.now, "a", "a2", 3, 0));
     ask(&mut story.demand, story.now, "a", "a3", 2, 2);
     (0..5).for_each(|_| story.look());
-    assert_eq!(story.bricks[0].models[0].adapters, ["a2", "a3"]);
+    assert_eq!(story.servers[0].models[0].adapters, ["a2", "a3"]);
 }
 
 #[test]
-fn a_brick_whose_report_is_fuller_than_the_list_takes_no_load() {
+fn a_server_whose_report_is_fuller_than_the_list_takes_no_load() {
     let backends = backends(&["a", "b", "c", "d"]);
     let order = Order {
         backend: "llm".into(),
@@ -348,9 +355,9 @@
         expected_ms: 4_000,
         report_only: false,
     };
-    assert!(order.fits(runtime(&backends), &brick(1, &["a", "b"]).models));
-    assert!(!order.fits(runtime(&backends), &brick(1, &["a", "b", "c"]).models));
-    assert!(!order.fits(runtime(&backends), &brick(1, &["unknown"]).models), "its size cannot be told");
+    assert!(order.fits(runtime(&backends), &server(1, &["a", "b"]).models));
+    assert!(!order.fits(runtime(&backends), &server(1, &["a", "b", "c"]).models));
+    assert!(!order.fits(runtime(&backends), &server(1, &["unknown"]).models), "its size cannot be told");
 }
 
 #[test]
@@ -369,8 +376,8 @@
 // ---- placement around training steps ----
 
 #[test]
-fn a_brick_that_changes_versions_gets_no_order_and_counts_as_a_copy() {
-    // Given a brick that is full and one with room, when the first one's model is asked for often,
+fn a_server_that_changes_versions_gets_no_order_and_counts_as_a_copy() {
+    // Given a model server that is full and one with room, when the first one's model is asked for often,
     let given = || Story::given(&["a", "b", "c", "d"], &[&["b", "c", "d"], &[]]);
     let mut free = given();
     free.when_asked(3_000, &[("b", 1)]);
@@ -395,7 +402,7 @@
 
 #[test]
 fn a_model_that_draws_for_a_step_makes_room_for_nothing() {
-    // Given a brick full of models that nobody asks for, one of which draws for a step,
+    // Given a model server full of models that nobody asks for, one of which draws for a step,
     let mut story = Story::given(&["a", "b", "c", "d"], &[&["a", "b", "c"]]);
     let kept = [("i-0".to_owned(), ["a".to_owned()].into())].into();
     story.placer.hold_for_training(TrainingHold { kept, ..TrainingHold::default() });
--- a/crates/control/tests/placement_cost.rs
+++ b/crates/control/tests/placement_cost.rs
@@ -1,10 +1,11 @@
-//! What one look at placement costs the leader, by the allocations that it makes: the same on every machine and at any load.
+//! What one look at placement costs the leader, by the allocations that it makes: the same on every machine
+//! and at any load.
 
 use pathbank_control::configuration::{Backend, Model, Runtime};
 use pathbank_control::demand::DemandTable;
-use pathbank_control::directory::HeldBefore;
+use pathbank_control::directory::CachedWeights;
 use pathbank_control::placement::Placer;
-use pathbank_protocol::message::{Brick, BrickState, EdgeReport, LoadedModel, ModelDemand};
+use pathbank_protocol::message::{EdgeReport, LoadedModel, ModelDemand, ModelServer, ModelServerState};
 use stats_alloc::{INSTRUMENTED_SYSTEM, Region, StatsAlloc};
 use std::alloc::System;
 
@@ -12,11 +13,11 @@
 static ALLOCATOR: &StatsAlloc<System> = &INSTRUMENTED_SYSTEM;
 
 /// The size that is planned for.
-const BRICKS: usize = 1_200;
+const SERVERS: usize = 1_200;
 const MODELS: usize = 1_900;
-const MODELS_OF_A_BRICK: usize = 3;
+const MODELS_OF_A_SERVER: usize = 3;
 /// What counting what they hold takes, and a few looks at each; a look at each for each model is hundreds.
-const MOST_FOR_A_BRICK: usize = 40;
+const MOST_FOR_A_SERVER: usize = 40;
 
 fn backend() -> Backend {
     let model = |number| Model {
@@ -44,23 +45,23 @@
     }
 }
 
-fn brick(number: usize) -> Brick {
+fn server(number: usize) -> ModelServer {
     let held = |place: usize| LoadedModel {
-        name: format!("m{}", (number * MODELS_OF_A_BRICK + place) % MODELS),
+        name: format!("m{}", (number * MODELS_OF_A_SERVER + place) % MODELS),
         version: 1,
         adapters: Vec::new(),
     };
-    Brick {
+    ModelServer {
         instance: format!("i-{number}"),
         backend: "llm".into(),
         address: format!("10.0.{}.{}:80", number / 200, number % 200),
         zone: format!("z{}", number % 4),
         version: "v1".into(),
         capacity: 24,
-        state: BrickState::Ready,
+        state: ModelServerState::Ready,
         cold_remaining_ms: 0,
         remaining_ms: 0,
-        models: (0..MODELS_OF_A_BRICK).map(held).collect(),
+        models: (0..MODELS_OF_A_SERVER).map(held).collect(),
         sequence: 1,
         busy: false,
     }
@@ -83,21 +84,23 @@
     table
 }
 
-/// After all machines were killed, the new leader stood still for up to 70 ms in each of its turns, with three times what it is planned
-/// for: its heartbeats came late, and it gave up its lead four times in half a second. For each model that is asked for, the room and the worth of
-/// what it holds was worked out anew for every instance: 105 ms of a whole core for 1,200 instances, 160 to 230 ms for 3,008.
+/// After all machines were killed, the new leader stood still for up to 70 ms in each of its turns, with
+/// three times what it is planned for: its heartbeats came late, and it gave up its lead four times in half a
+/// second. For each model that is asked for, the room and the worth of what it holds was worked out anew for
+/// every instance: 105 ms of a whole core for 1,200 instances, 160 to 230 ms for 3,008.
 #[test]
-fn a_look_at_placement_does_not_cost_models_times_bricks() {
+fn a_look_at_placement_does_not_cost_models_times_servers() {
     let now = 100_000;
     let (backends, demand) = ([backend()], demand(now));
-    let bricks: Vec<Brick> = (0..BRICKS).map(brick).collect();
+    let servers: Vec<ModelServer> = (0..SERVERS).map(server).collect();
     let mut placer = Placer::new();
     for look in 0..3 {
         let region = Region::new(ALLOCATOR);
-        let orders = placer.plan(now + 100 * look, &backends, &bricks, &demand, &HeldBefore::default()).len();
+        let orders =
+            placer.plan(now + 100 * look, &backends, &servers, &demand, &CachedWeights::default()).len();
         let made = region.change();
         let allocations = made.allocations + made.reallocations;
         println!("look {look}: {allocations} allocations, {orders} orders");
-        assert!(allocations < MOST_FOR_A_BRICK * BRICKS, "look {look}: {allocations} allocations");
+        assert!(allocations < MOST_FOR_A_SERVER * SERVERS, "look {look}: {allocations} allocations");
     }
 }
--- a/crates/control/tests/recovery/main.rs
+++ b/crates/control/tests/recovery/main.rs
@@ -1,7 +1,8 @@
-//! Control heads on small processors: how long it takes, after all were dark, until each hands out the newest configuration.
+//! Cores on small processors: how long it takes, after all were dark, until each hands out the newest
+//! configuration.
 //!
-//! Processor time is charged in virtual time by the allocations of the state machine, which are the same on every machine
-//! and at any load.
+//! Processor time is charged in virtual time by the allocations of the state machine, which are the same on
+//! every machine and at any load.
 
 #[path = "../../../coordination/tests/common/mod.rs"]
 mod common;
@@ -17,12 +18,12 @@
 static ALLOCATOR: &StatsAlloc<System> = &INSTRUMENTED_SYSTEM;
 
 const HEADS: usize = 3;
-/// Allocations that a control head with half of a core gets through in a millisecond: it took 2.3 to 3 ms for a change that made
-/// 2,300 of them. Their bytes tell less: a parser's workspace of 58 kB is not touched.
+/// Allocations that a core with half of a core gets through in a millisecond: it took 2.3 to 3 ms for a
+/// change that made 2,300 of them. Their bytes tell less: a parser's workspace of 58 kB is not touched.
 const ALLOCATIONS_PER_MS: u64 = 900;
 /// The least that any entry takes there, microseconds.
 const LEAST_US: u64 = 40;
-/// After this edge heads are in touch again, and refuse nothing that was confirmed before, milliseconds.
+/// After this edges are in touch again, and refuse nothing that was confirmed before, milliseconds.
 const IN_TOUCH_AFTER: u64 = 3_000;
 
 fn route(number: usize, timeout_ms: u64) -> Value {
@@ -119,9 +120,10 @@
     }
 }
 
-// All three control heads were dark for a second behind a confirmed change; an edge head refused what it allows 3.5 s later.
-// Each entry of the log took 2.3 to 3 ms to be applied, for the whole document was copied, written, read and checked anew
-// for a change of one item; 64 entries were applied 0.8 s after the start, 772 after 3.1 to 3.7 s.
+// All three cores were dark for a second behind a confirmed change; an edge refused what it allows 3.5 s
+// later. Each entry of the log took 2.3 to 3 ms to be applied, for the whole document was copied, written,
+// read and checked anew for a change of one item; 64 entries were applied 0.8 s after the start, 772 after
+// 3.1 to 3.7 s.
 fn then_all_are_current_in_time(routes: usize, models: usize, changes: usize) {
     let mut heads = Heads::given_a_log(&commands(routes, models, changes));
     heads.when_all_were_dark_for_a_second();
--- a/crates/control/tests/training_workers.rs
+++ b/crates/control/tests/training_workers.rs
@@ -1,22 +1,22 @@
-//! Which bricks are a step's workers.
+//! Which model servers are a step's workers.
 
 use pathbank_control::configuration::{Model, Runtime};
 use pathbank_control::training::workers::{Workers, choose};
-use pathbank_protocol::message::{Brick, BrickState, LoadedModel};
+use pathbank_protocol::message::{LoadedModel, ModelServer, ModelServerState};
 use pathbank_rollout::step::{StepRequest, WorkersWanted};
 use std::collections::BTreeSet;
 use test_case::test_case;
 
-fn brick(instance: &str, models: &[&str]) -> Brick {
+fn server(instance: &str, models: &[&str]) -> ModelServer {
     let held = |name: &&str| LoadedModel { name: (*name).to_owned(), version: 1, adapters: Vec::new() };
-    Brick {
+    ModelServer {
         instance: instance.into(),
         backend: "llm".into(),
         address: "10.0.0.1:80".into(),
         zone: "z".into(),
         version: "v".into(),
         capacity: 8,
-        state: BrickState::Ready,
+        state: ModelServerState::Ready,
         cold_remaining_ms: 0,
         remaining_ms: 0,
         models: models.iter().map(held).collect(),
@@ -25,7 +25,7 @@
     }
 }
 
-/// Bricks with room for two models.
+/// Model servers with room for two models.
 fn runtime() -> Runtime {
     let model =
         |name: &str| Model { name: name.into(), weights_mb: 40.0, load_s: 1.0, adapters: 0, adapter_mb: 0.0 };
@@ -48,12 +48,12 @@
     names.iter().map(|name| (*name).to_owned()).collect()
 }
 
-/// Ten bricks with the model, one with room for it, one without.
-fn bricks() -> Vec<Brick> {
-    let mut bricks: Vec<Brick> = (0..10).map(|number| brick(&format!("w{number}"), &["m"])).collect();
-    bricks.push(brick("room", &["n"]));
-    bricks.push(brick("full", &["n", "o"]));
-    bricks
+/// Ten model servers with the model, one with room for it, one without.
+fn servers() -> Vec<ModelServer> {
+    let mut servers: Vec<ModelServer> = (0..10).map(|number| server(&format!("w{number}"), &["m"])).collect();
+    servers.push(server("room", &["n"]));
+    servers.push(server("full", &["n", "o"]));
+    servers
 }
 
 #[test_case(WorkersWanted::All, 1, 10, 7; "all that hold the model")]
@@ -62,8 +62,8 @@
 #[test_case(WorkersWanted::Count(2), 3, 3, 0; "no fewer than the floor")]
 #[test_case(WorkersWanted::Count(11), 1, 11, 7; "one more loads the model where there is room")]
 #[test_case(WorkersWanted::Count(12), 1, 11, 7; "nobody else's model has to go for a step")]
-fn so_many_bricks_are_workers(workers: WorkersWanted, floor: u32, chosen: usize, serving_floor: usize) {
-    let found = choose(&request(workers, floor), &runtime(), &bricks(), &names(&[]), &names(&[]));
+fn so_many_servers_are_workers(workers: WorkersWanted, floor: u32, chosen: usize, serving_floor: usize) {
+    let found = choose(&request(workers, floor), &runtime(), &servers(), &names(&[]), &names(&[]));
     assert_eq!((found.chosen.len(), found.serving_floor), (chosen, serving_floor), "{found:?}");
     assert!(!found.chosen.contains("full"));
 }
@@ -71,21 +71,21 @@
 #[test]
 fn workers_stay_workers() {
     let before = names(&["w7", "w9", "gone"]);
-    let found = choose(&request(WorkersWanted::Count(3), 1), &runtime(), &bricks(), &before, &names(&[]));
+    let found = choose(&request(WorkersWanted::Count(3), 1), &runtime(), &servers(), &before, &names(&[]));
     assert_eq!(found.chosen, names(&["w0", "w7", "w9"]));
 }
 
 #[test]
 fn a_worker_that_has_dropped_the_old_version_still_counts() {
-    let bricks = [brick("a", &["m"]), brick("b", &[])];
+    let servers = [server("a", &["m"]), server("b", &[])];
     let request = request(WorkersWanted::All, 1);
-    let found = choose(&request, &runtime(), &bricks, &names(&[]), &names(&["b"]));
+    let found = choose(&request, &runtime(), &servers, &names(&[]), &names(&["b"]));
     assert_eq!(found, Workers { chosen: names(&["a", "b"]), serving_floor: 1 });
 }
 
 #[test]
-fn bricks_of_another_service_are_no_workers() {
-    let other = Brick { backend: "other".into(), ..brick("x", &["m"]) };
+fn servers_of_another_service_are_no_workers() {
+    let other = ModelServer { backend: "other".into(), ..server("x", &["m"]) };
     let request = request(WorkersWanted::All, 1);
     let found = choose(&request, &runtime(), &[other], &names(&[]), &names(&[]));
     assert_eq!(found.chosen, names(&[]));
--- a/crates/coordination/src/gossip/datagram.rs
+++ b/crates/coordination/src/gossip/datagram.rs
@@ -1,8 +1,8 @@
-//! What heads say to each other about the fleet, and its bytes, big-endian: a form, a check, then the figures. Decoded
-//! once; whatever is cut, foreign, changed or of a later form is none.
+//! What heads say to each other about the fleet, and its bytes, big-endian: a form, a check, then the
+//! figures. Decoded once; whatever is cut, foreign, changed or of a later form is none.
 
 use super::view::BLOCKS;
-use super::{About, Life, Number, Record, State};
+use super::{About, Incarnation, Number, Record, State};
 use ring::digest;
 
 /// No datagram is longer.
@@ -69,8 +69,8 @@
     pub from: Number,
     /// The receiver.
     pub to: Number,
-    /// The sender's life.
-    pub life: Life,
+    /// The sender's incarnation.
+    pub incarnation: Incarnation,
     /// The sender has heard all that others know.
     pub joined: bool,
     /// Of a question, and of the answer to it.
@@ -111,7 +111,7 @@
         for number in [self.to, self.from, subject] {
             out.extend(number.to_be_bytes());
         }
-        out.extend(&self.life.bits().to_be_bytes()[2..]);
+        out.extend(&self.incarnation.bits().to_be_bytes()[2..]);
         out.extend(self.serial.to_be_bytes());
         out.extend(self.digest.to_be_bytes());
         out.extend(self.about.list.to_be_bytes());
@@ -128,7 +128,7 @@
                 out.push(records.len() as u8);
                 for (member, record) in records {
                     out.extend(member.to_be_bytes());
-                    out.extend(&record.life.bits().to_be_bytes()[2..]);
+                    out.extend(&record.incarnation.bits().to_be_bytes()[2..]);
                     out.push(record.state as u8);
                 }
             }
@@ -163,13 +163,14 @@
         let mut told = Figures(told);
         let (kind, to, from, subject) =
             (told.take(1) as u8, told.take(2) as Number, told.take(2) as Number, told.take(2) as Number);
-        let (life, serial, digest) = (Life::of(told.take(6)), told.take(4) as u32, told.take(8));
+        let (incarnation, serial, digest) =
+            (Incarnation::of(told.take(6)), told.take(4) as u32, told.take(8));
         let (list, revision, flags) = (told.take(4) as u32, told.take(4) as u32, told.take(1) as u8);
         let about = About { list, revision, draining: flags >> 7 == 1, pressure: flags & 3 };
         let joined = flags >> 6 & 1 == 1;
         let count = told.take(1) as usize;
         let size = if kind == 4 { 3 } else { ENTRY };
-        if told.0.len() != count * size || life.none() {
+        if told.0.len() != count * size || incarnation.none() {
             return Err(Bad::Figures);
         }
         let say = if kind == 4 {
@@ -177,9 +178,9 @@
         } else {
             let mut records = Vec::with_capacity(count);
             for _ in 0..count {
-                let (member, life) = (told.take(2) as Number, Life::of(told.take(6)));
+                let (member, incarnation) = (told.take(2) as Number, Incarnation::of(told.take(6)));
                 let state = State::ALL.get(told.take(1) as usize).copied().ok_or(Bad::Figures)?;
-                records.push((member, Record { life, state }));
+                records.push((member, Record { incarnation, state }));
             }
             match kind {
                 1 => Say::Ask(records),
@@ -189,7 +190,7 @@
                 _ => return Err(Bad::Figures),
             }
         };
-        Ok(Datagram { from, to, life, joined, serial, digest, about, say })
+        Ok(Datagram { from, to, incarnation, joined, serial, digest, about, say })
     }
 }
 
--- a/crates/coordination/src/gossip/datagram/tests.rs
+++ b/crates/coordination/src/gossip/datagram/tests.rs
@@ -1,8 +1,9 @@
 use super::*;
 
 fn every_kind() -> Vec<Datagram> {
-    let record =
-        |n: u64| (n as Number, Record { life: Life::of(n << 20 | 7), state: State::ALL[n as usize % 5] });
+    let record = |n: u64| {
+        (n as Number, Record { incarnation: Incarnation::of(n << 20 | 7), state: State::ALL[n as usize % 5] })
+    };
     let few: Vec<_> = (1..4).map(record).collect();
     let full: Vec<_> = (1..=ENTRIES as u64).map(record).collect();
     let says = [
@@ -17,7 +18,7 @@
     let told = |say| Datagram {
         from: 5,
         to: 1_000,
-        life: Life::began(1_700_000_000),
+        incarnation: Incarnation::began(1_700_000_000),
         joined: true,
         serial: u32::MAX - 1,
         digest: u64::MAX / 3,
@@ -56,7 +57,7 @@
     }
     // Sound as to its check, and of a kind or a state that this version has not.
     for (place, value, count) in [(5, 9, 0), (HEAD + 8, 5, 1), (HEAD - 1, 2, 1)] {
-        let record = (1, Record { life: Life::of(1), state: State::Alive });
+        let record = (1, Record { incarnation: Incarnation::of(1), state: State::Alive });
         let said = Datagram { say: Say::Ask(vec![record; count]), ..every_kind()[0].clone() };
         let mut bytes = said.bytes(&key);
         bytes[place] = value;
--- a/crates/coordination/src/gossip/member.rs
+++ b/crates/coordination/src/gossip/member.rs
@@ -2,7 +2,7 @@
 
 use super::datagram::{Datagram, ENTRIES, Say};
 use super::view::View;
-use super::{About, Change, Life, Micros, Number, Record, State, Why};
+use super::{About, Change, Incarnation, Micros, Number, Record, State, Why};
 use std::collections::{BTreeMap, VecDeque};
 
 /// The times that the promise rests on. All heads have to have the same.
@@ -21,9 +21,9 @@
 }
 
 impl Times {
-    /// The promise: so long after the last fault all views are the same and true, with one datagram in ten lost. Whoever is
-    /// dead is asked within 7 periods, doubted after 2 and dead after those in which it may speak up; all hear of it in one and a
-    /// half for each doubling of the fleet.
+    /// The promise: so long after the last fault all views are the same and true, with one datagram in ten
+    /// lost. Whoever is dead is asked within 7 periods, doubted after 2 and dead after those in which it may
+    /// speak up; all hear of it in one and a half for each doubling of the fleet.
     pub fn settled_within(&self, heads: usize) -> Micros {
         let doublings = f64::from(usize::BITS - heads.leading_zeros());
         let periods = 7.0 + PATIENCE as f64 + speak_up(heads) + 1.5 * doublings;
@@ -38,8 +38,8 @@
 
 /// A record is passed on so many times by each head, for each doubling of the fleet.
 const TELLS: u32 = 3;
-/// A suspect has so many periods to speak up, and as many again for each tenfold of the fleet beyond ten: word of it has
-/// to reach it, and its own to come back.
+/// A suspect has so many periods to speak up, and as many again for each tenfold of the fleet beyond ten:
+/// word of it has to reach it, and its own to come back.
 const SPEAK_UP: f64 = 3.0;
 /// Whoever has heard for so many periods, or heard nobody for as long, takes part like all others.
 const JOINED: u64 = 10;
@@ -49,8 +49,8 @@
 const PATIENCE: u64 = 2;
 /// Its own health, from 0: each point makes it wait for one more period before it doubts others.
 const WORST_HEALTH: u32 = 8;
-/// Where some do not answer, more than one is asked in a period: so many at the most beside the first. Of seven in ten heads
-/// that end at once the others are to find each within a few periods.
+/// Where some do not answer, more than one is asked in a period: so many at the most beside the first. Of
+/// seven in ten heads that end at once the others are to find each within a few periods.
 const HURRY: usize = 3;
 /// Repairs to one other head, and to all, in one period.
 const REPAIRS: u32 = 4;
@@ -65,7 +65,7 @@
     whom: Number,
     serial: u32,
     /// The life that was asked: a later one is not to blame.
-    life: Life,
+    incarnation: Incarnation,
     at: Micros,
     /// Tries beside the first one: others were asked to ask, then all was done once more.
     tries: u32,
@@ -103,7 +103,7 @@
 #[derive(Debug)]
 pub struct Member {
     own: Number,
-    life: Life,
+    incarnation: Incarnation,
     leaving: bool,
     joined: bool,
     joined_at: Micros,
@@ -112,7 +112,8 @@
     view: View,
     draw: fastrand::Rng,
     serial: u32,
-    /// Whom to ask next: those that run in a drawn order, one after another; and those that do not, in another one.
+    /// Whom to ask next: those that run in a drawn order, one after another; and those that do not, in
+    /// another one.
     to_ask: VecDeque<Number>,
     to_knock: VecDeque<Number>,
     asked: Vec<Asked>,
@@ -131,16 +132,16 @@
 }
 
 impl Member {
-    /// `own` of so many heads; `seconds`: the day's time, by which a life is told from earlier ones.
+    /// `own` of so many heads; `seconds`: the day's time, by which an incarnation is told from earlier ones.
     pub fn new(own: Number, heads: usize, times: Times, now: Micros, seconds: u64, seed: u64) -> Member {
         let mut draw = fastrand::Rng::with_seed(seed);
-        let life = Life::began(seconds);
+        let incarnation = Incarnation::began(seconds);
         let mut view = View::new(heads);
-        view.learn(now, own, Record { life, state: State::Joining }, Why::Heard);
+        view.learn(now, own, Record { incarnation, state: State::Joining }, Why::Heard);
         let alone = heads < 2;
         let mut member = Member {
             own,
-            life,
+            incarnation,
             leaving: false,
             joined: false,
             joined_at: now + JOINED * times.period,
@@ -175,9 +176,9 @@
         &self.view
     }
 
-    /// Its own life.
-    pub fn life(&self) -> Life {
-        self.life
+    /// Its own incarnation.
+    pub fn incarnation(&self) -> Incarnation {
+        self.incarnation
     }
 
     /// What that head last told of itself.
@@ -263,11 +264,11 @@
         }
         let patience = self.patience();
         let over: Vec<Asked> = self.asked.extract_if(.., |asked| now >= asked.at + patience).collect();
-        for Asked { whom, life, at, .. } in over {
+        for Asked { whom, incarnation, at, .. } in over {
             // It may be at fault itself: so it looks where nobody was heard since.
             self.health = (self.health + u32::from(self.heard_at <= at)).min(WORST_HEALTH);
-            if self.view.record(whom).is_some_and(|known| known.life == life) {
-                self.learn(now, whom, Record { life, state: State::Suspect }, Why::Unanswered, out);
+            if self.view.record(whom).is_some_and(|known| known.incarnation == incarnation) {
+                self.learn(now, whom, Record { incarnation, state: State::Suspect }, Why::Unanswered, out);
             }
         }
         let silent: Vec<Number> =
@@ -293,11 +294,12 @@
             self.to_ask = others.into();
         }
         while let Some(whom) = self.to_ask.pop_front() {
-            let known = self.view.record(whom).filter(|known| !known.life.none() && known.state.runs());
-            let Some(Record { life, .. }) = known else { continue };
+            let known =
+                self.view.record(whom).filter(|known| !known.incarnation.none() && known.state.runs());
+            let Some(Record { incarnation, .. }) = known else { continue };
             self.serial = self.serial.wrapping_add(1);
             let serial = self.serial;
-            self.asked.push(Asked { whom, serial, life, at: now, tries: 0 });
+            self.asked.push(Asked { whom, serial, incarnation, at: now, tries: 0 });
             let records = self.records_for(whom);
             return self.say(whom, serial, Say::Ask(records), out);
         }
@@ -314,9 +316,10 @@
         }
     }
 
-    /// Asks one that is not thought to run: it may have come, or come back, or be on the other side of a cut that has healed.
+    /// Asks one that is not thought to run: it may have come, or come back, or be on the other side of a cut
+    /// that has healed.
     fn knock_next(&mut self, out: &mut Output) {
-        let runs = |record: Record| !record.life.none() && record.state.runs();
+        let runs = |record: Record| !record.incarnation.none() && record.state.runs();
         if self.to_knock.is_empty() {
             let others = self.view.records().filter(|(other, record)| *other != self.own && !runs(*record));
             let mut others: Vec<Number> = others.map(|(other, _)| other).collect();
@@ -331,11 +334,11 @@
         }
     }
 
-    /// What is passed on with something that is said to that head: what it is thought to be itself, where it might object,
-    /// then what has been passed on least.
+    /// What is passed on with something that is said to that head: what it is thought to be itself, where it
+    /// might object, then what has been passed on least.
     fn records_for(&mut self, to: Number) -> Vec<(Number, Record)> {
         let mut records = Vec::with_capacity(ENTRIES);
-        let of_it = self.view.record(to).filter(|known| !known.life.none());
+        let of_it = self.view.record(to).filter(|known| !known.incarnation.none());
         records.extend(of_it.filter(|known| known.state > State::Alive).map(|known| (to, known)));
         let mut least: Vec<(u32, Number)> =
             self.telling.iter().map(|(member, told)| (*told, *member)).collect();
@@ -353,8 +356,8 @@
     }
 
     fn say(&mut self, to: Number, serial: u32, say: Say, out: &mut Output) {
-        let (from, life, digest, about) = (self.own, self.life, self.view.digest(), self.about);
-        out.send.push(Datagram { from, to, life, joined: self.joined, serial, digest, about, say });
+        let (from, incarnation, digest, about) = (self.own, self.incarnation, self.view.digest(), self.about);
+        out.send.push(Datagram { from, to, incarnation, joined: self.joined, serial, digest, about, say });
     }
 
     /// Takes a record that is greater than what is known, and passes it on.
@@ -365,13 +368,14 @@
         if record.state == State::Suspect {
             self.suspects.insert(member, now + self.speak_up());
         }
-        if record.life > change.before.life {
+        if record.incarnation > change.before.incarnation {
             self.asked.retain(|asked| asked.whom != member);
         }
         out.changes.push(change);
     }
 
-    /// What others tell, of itself too: a verdict on it, or word of a later life than its own, it answers with a later one.
+    /// What others tell, of itself too: a verdict on it, or word of a later incarnation than its own, it
+    /// answers with a later one.
     fn learn_all(&mut self, now: Micros, from: Number, records: &[(Number, Record)], out: &mut Output) {
         for (member, record) in records {
             if *member != self.own {
@@ -379,36 +383,44 @@
                 continue;
             }
             let own = self.view.record(self.own).unwrap_or_default();
-            let verdict = record.life == self.life && record.state > State::Alive && !self.leaving;
-            if record.life > self.life || verdict {
-                self.life = record.life.next();
+            let verdict =
+                record.incarnation == self.incarnation && record.state > State::Alive && !self.leaving;
+            if record.incarnation > self.incarnation || verdict {
+                self.incarnation = record.incarnation.next();
                 let state = if self.leaving { State::Left } else { own.state.min(State::Alive) };
-                self.learn(now, self.own, Record { life: self.life, state }, Why::Heard, out);
+                self.learn(now, self.own, Record { incarnation: self.incarnation, state }, Why::Heard, out);
             }
         }
     }
 
     fn join(&mut self, now: Micros, out: &mut Output) {
         if !std::mem::replace(&mut self.joined, true) && !self.leaving {
-            self.learn(now, self.own, Record { life: self.life, state: State::Alive }, Why::Heard, out);
+            self.learn(
+                now,
+                self.own,
+                Record { incarnation: self.incarnation, state: State::Alive },
+                Why::Heard,
+                out,
+            );
         }
     }
 
-    /// What another head says. Whoever carries it out has seen to it that the sender is who it says it is, by its address.
+    /// What another head says. Whoever carries it out has seen to it that the sender is who it says it is, by
+    /// its address.
     pub fn hear(&mut self, now: Micros, said: Datagram) -> Output {
         let mut out = Output::default();
-        let Datagram { from, to, life, joined, serial, digest, about, say } = said;
+        let Datagram { from, to, incarnation, joined, serial, digest, about, say } = said;
         // What was meant for whoever had this address before, and what this head said itself.
         if to != self.own || from == self.own || usize::from(from) >= self.view.heads() {
             return out;
         }
         self.heard_at = now;
         let known = self.view.record(from).unwrap_or_default();
-        // A verdict on this life weighs more: it has to speak up against that in a later one.
+        // A verdict on this incarnation weighs more: it has to speak up against that in a later one.
         let state = if joined { State::Alive } else { State::Joining };
-        self.learn(now, from, Record { life, state }, Why::Heard, &mut out);
+        self.learn(now, from, Record { incarnation, state }, Why::Heard, &mut out);
         // What a former life said late tells nothing of this one.
-        if life >= known.life {
+        if incarnation >= known.incarnation {
             self.heard.insert(from, Heard { at: now, about, digest });
         }
         match say {
@@ -435,7 +447,8 @@
             }
             Say::Blocks(blocks) => {
                 let differing = self.view.differing(&blocks);
-                // Only a part of a large difference goes at once: drawn, so that the rest comes with the next ones.
+                // Only a part of a large difference goes at once: drawn, so that the rest comes with the next
+                // ones.
                 let mut parts: Vec<Vec<(Number, Record)>> =
                     differing.chunks(ENTRIES).map(<[(Number, Record)]>::to_vec).collect();
                 self.draw.shuffle(&mut parts);
@@ -479,7 +492,13 @@
     pub fn leave(&mut self, now: Micros) -> Output {
         let mut out = Output::default();
         self.leaving = true;
-        self.learn(now, self.own, Record { life: self.life, state: State::Left }, Why::Heard, &mut out);
+        self.learn(
+            now,
+            self.own,
+            Record { incarnation: self.incarnation, state: State::Left },
+            Why::Heard,
+            &mut out,
+        );
         for other in self.drawn(2 * self.times.helpers, self.own) {
             let records = self.records_for(other);
             self.say(other, 0, Say::Ask(records), &mut out);
--- a/crates/coordination/src/gossip/mod.rs
+++ b/crates/coordination/src/gossip/mod.rs
@@ -1,5 +1,6 @@
-//! A view of which heads run, kept by the heads themselves by gossip (after SWIM). No I/O and no clock: datagrams, times
-//! and a seed are passed in, what is to be sent comes out. `docs/design/fleet.md` has the promise and why it holds.
+//! A view of which heads run, kept by the heads themselves by gossip (after SWIM). No I/O and no clock:
+//! datagrams, times and a seed are passed in, what is to be sent comes out. `docs/design/fleet.md` has the
+//! promise and why it holds.
 //!
 //! A view is an opinion: no rule of a protocol may rest on it.
 //!
@@ -30,25 +31,25 @@
 /// A head's place in the list of heads that every head is given.
 pub type Number = u16;
 
-/// One life of a head: when it started, in seconds of its clock, and how often it has spoken up against a verdict since. Of
-/// two lives the greater one is the later one, whatever the clock said: whoever hears of an own one that is greater takes the
-/// next.
+/// One incarnation of a head: when it started, in seconds of its clock, and how often it has spoken up
+/// against a verdict since. Of two lives the greater one is the later one, whatever the clock said: whoever
+/// hears of an own one that is greater takes the next.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord)]
-pub struct Life(u64);
+pub struct Incarnation(u64);
 
-impl Life {
+impl Incarnation {
     /// So many bits are told.
     pub const BITS: u32 = 48;
-    const MOST: u64 = (1 << Life::BITS) - 1;
+    const MOST: u64 = (1 << Incarnation::BITS) - 1;
 
-    /// A life that began at this time of day, seconds.
-    pub fn began(seconds: u64) -> Life {
-        Life((seconds.clamp(1, u64::from(u32::MAX))) << 16)
+    /// An incarnation that began at this time of day, seconds.
+    pub fn began(seconds: u64) -> Incarnation {
+        Incarnation((seconds.clamp(1, u64::from(u32::MAX))) << 16)
     }
 
-    /// A life by its bits, as it is told.
-    pub fn of(bits: u64) -> Life {
-        Life(bits & Life::MOST)
+    /// An incarnation by its bits, as it is told.
+    pub fn of(bits: u64) -> Incarnation {
+        Incarnation(bits & Incarnation::MOST)
     }
 
     /// Its bits, as it is told.
@@ -62,8 +63,8 @@
     }
 
     /// The life that a head takes to speak up against a verdict on this one.
-    pub fn next(self) -> Life {
-        Life((self.0 + 1).min(Life::MOST))
+    pub fn next(self) -> Incarnation {
+        Incarnation((self.0 + 1).min(Incarnation::MOST))
     }
 
     /// Nothing was ever heard of that head.
@@ -72,7 +73,7 @@
     }
 }
 
-/// What is thought of a head in one life, from what weighs least to what weighs most.
+/// What is thought of a head in one incarnation, from what weighs least to what weighs most.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord)]
 pub enum State {
     /// It runs, and has not heard all that the others know.
@@ -113,8 +114,8 @@
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord)]
 pub struct Record {
     /// Its latest life that was heard of.
-    pub life: Life,
-    /// What is thought of it in that life.
+    pub incarnation: Incarnation,
+    /// What is thought of it in that incarnation.
     pub state: State,
 }
 
--- a/crates/coordination/src/gossip/view.rs
+++ b/crates/coordination/src/gossip/view.rs
@@ -1,7 +1,8 @@
-//! What is known of all heads, and its digest: over who runs, and since which start. Verdicts that are under way, and lives in
-//! which a head only spoke up, are no part of it: they come and go without anybody being in or out.
+//! What is known of all heads, and its digest: over who runs, and since which start. Verdicts that are under
+//! way, and lives in which a head only spoke up, are no part of it: they come and go without anybody being in
+//! or out.
 
-use super::{Change, Life, Micros, Number, Record, State, Why};
+use super::{Change, Incarnation, Micros, Number, Record, State, Why};
 
 /// Digests of so many parts of a view fit into one datagram.
 pub const BLOCKS: usize = 64;
@@ -24,11 +25,11 @@
 
 /// Spreads a record's bits: views that differ in one record differ in their digests.
 fn mixed(member: Number, record: Record) -> u64 {
-    if record.life.none() {
+    if record.incarnation.none() {
         return 0;
     }
     // The finalizer of splitmix64.
-    let mut bits = record.life.start() << 32 | u64::from(member) << 1 | u64::from(record.state.runs());
+    let mut bits = record.incarnation.start() << 32 | u64::from(member) << 1 | u64::from(record.state.runs());
     bits = (bits ^ bits >> 30).wrapping_mul(0xbf58_476d_1ce4_e5b9);
     bits = (bits ^ bits >> 27).wrapping_mul(0x94d0_49bb_1331_11eb);
     bits ^ bits >> 31
@@ -98,14 +99,14 @@
             let part = usize::from(*member) / self.block();
             own.get(part) != blocks.get(part)
         };
-        self.records().filter(|(member, record)| differs(member) && !record.life.none()).collect()
+        self.records().filter(|(member, record)| differs(member) && !record.incarnation.none()).collect()
     }
 
     /// Takes a record that is greater than the one that is known.
     pub fn learn(&mut self, now: Micros, member: Number, record: Record, why: Why) -> Option<Change> {
         let known = self.known.get_mut(usize::from(member))?;
         let before = known.record;
-        if record <= before || record.life.none() {
+        if record <= before || record.incarnation.none() {
             return None;
         }
         *known = Known { record, at: now, why: Some(why) };
@@ -116,11 +117,11 @@
 }
 
 fn runs(record: Record) -> bool {
-    !record.life.none() && record.state.runs()
+    !record.incarnation.none() && record.state.runs()
 }
 
 /// What a head that was never heard of is known as.
-pub const UNKNOWN: Record = Record { life: Life(0), state: State::Joining };
+pub const UNKNOWN: Record = Record { incarnation: Incarnation(0), state: State::Joining };
 
 #[cfg(test)]
 mod tests;
--- a/crates/coordination/src/gossip/view/tests.rs
+++ b/crates/coordination/src/gossip/view/tests.rs
@@ -1,7 +1,7 @@
 use super::*;
 
-fn record(life: u64, state: State) -> Record {
-    Record { life: Life::of(life), state }
+fn record(incarnation: u64, state: State) -> Record {
+    Record { incarnation: Incarnation::of(incarnation), state }
 }
 
 #[test]
--- a/crates/coordination/src/replica/mod.rs
+++ b/crates/coordination/src/replica/mod.rs
@@ -1,7 +1,8 @@
-//! A replica of the log. Terms, majorities and leases as in Raft, with joint consensus for changes of the group.
+//! A replica of the log. Terms, majorities and leases as in Raft, with joint consensus for changes of the
+//! group.
 //!
-//! The caller saves [`Effects::records`] in order. A message with `after_save` leaves once they are on disk; the others
-//! may leave at once. [`Replica::saved`] tells the replica how far the disk is.
+//! The caller saves [`Effects::records`] in order. A message with `after_save` leaves once they are on disk;
+//! the others may leave at once. [`Replica::saved`] tells the replica how far the disk is.
 
 mod departing;
 mod following;
@@ -27,7 +28,8 @@
 pub struct Timing {
     /// Between a leader's heartbeats.
     pub heartbeat: Millis,
-    /// A follower that hears no leader for so long, and up to twice that, asks for votes; before, it gives none.
+    /// A follower that hears no leader for so long, and up to twice that, asks for votes; before, it gives
+    /// none.
     pub election: Millis,
     /// For how long a leader may act after it sent what a majority answered. Shorter than `election`.
     pub lease: Millis,
@@ -88,7 +90,7 @@
     leader_heard: Option<Millis>,
     /// What the leader said is committed, whether this replica has it or not.
     leader_commit: Index,
-    /// Before this no vote is given: an earlier life of this process may have heard a leader.
+    /// Before this no vote is given: an earlier incarnation of this process may have heard a leader.
     votes_from: Millis,
     election_at: Millis,
     heartbeat_at: Millis,
@@ -205,8 +207,8 @@
     pub fn others(&self) -> impl Iterator<Item = (&Member, Index, Millis)> {
         self.progress.values().map(|other| (&other.member, other.cursor.matched, other.heard))
     }
-    /// Whether this replica has applied all that it could know to be committed: it leads within its lease, or heard a
-    /// leader within `silence` milliseconds and lacks nothing of what that leader told.
+    /// Whether this replica has applied all that it could know to be committed: it leads within its lease, or
+    /// heard a leader within `silence` milliseconds and lacks nothing of what that leader told.
     pub fn is_current(&self, now: Millis, silence: Millis) -> bool {
         if self.role == Role::Leader {
             return self.lease_until() > now;
@@ -221,7 +223,7 @@
         let heard = self.role == Role::Leader || self.leader_heard.is_some_and(|heard| now < heard + silence);
         self.leader().filter(|_| heard)
     }
-    /// When the leader of this group was heard last, if ever in this life.
+    /// When the leader of this group was heard last, if ever in this incarnation.
     pub fn leader_heard(&self) -> Option<Millis> {
         if self.role == Role::Leader { Some(Millis::MAX) } else { self.leader_heard }
     }
--- a/crates/coordination/tests/recovery.rs
+++ b/crates/coordination/tests/recovery.rs
@@ -7,7 +7,7 @@
 
 const HEADS: usize = 3;
 const ENTRIES: usize = 800;
-/// What it took a control head with half of a core to apply one change.
+/// What it took a core with half of a core to apply one change.
 const ENTRY_TAKES_US: u64 = 2_500;
 /// A follower believes in a leader that it heard within this, milliseconds.
 const LEADER_SILENCE: u64 = 1_500;
@@ -41,9 +41,9 @@
     }
 }
 
-// All three control heads of a deployment were dark for a second while changes came without a pause, and edge heads had the
-// newest configuration only 3.1 to 3.7 s after the start. Whoever led first applied its whole log in one turn, said nothing
-// meanwhile, and was deposed by the next head, which did the same:
+// All three cores of a deployment were dark for a second while changes came without a pause, and edges had
+// the newest configuration only 3.1 to 3.7 s after the start. Whoever led first applied its whole log in one
+// turn, said nothing meanwhile, and was deposed by the next head, which did the same:
 //   62.070 role=Leader term=10 last=603      62.631 role=PreCandidate term=10 (another head)
 //   62.643 role=Leader term=11 last=604      64.252 the first one's next word
 #[test]
@@ -78,8 +78,8 @@
     Killed,
 }
 
-/// A head that starts again on a small processor applies its log beside the others: they lead on, take changes, and it is
-/// current within the time that its replay takes.
+/// A head that starts again on a small processor applies its log beside the others: they lead on, take
+/// changes, and it is current within the time that its replay takes.
 #[test_case(false, Beside::Nothing; "a follower starts again")]
 #[test_case(false, Beside::SlowDisks; "a follower, with slow disks")]
 #[test_case(false, Beside::Loss; "a follower, with messages that get lost")]
--- a/crates/fair-queue/tests/design.rs
+++ b/crates/fair-queue/tests/design.rs
@@ -4,7 +4,7 @@
 
 type Queue = FairQueue<&'static str, u32, u64>;
 
-const BRICK: u32 = 1;
+const SERVER: u32 = 1;
 const OTHER: u32 = 2;
 
 fn queue() -> Queue {
@@ -18,29 +18,29 @@
 #[test]
 fn the_longest_queue_at_the_server_goes_first_with_its_oldest_request() {
     let mut queue = queue();
-    push(&mut queue, 0, "a", BRICK, &[1], 1.0);
-    push(&mut queue, 0, "b", BRICK, &[2, 3], 1.0);
+    push(&mut queue, 0, "a", SERVER, &[1], 1.0);
+    push(&mut queue, 0, "b", SERVER, &[2, 3], 1.0);
     push(&mut queue, 0, "c", OTHER, &[4, 5, 6], 1.0);
-    assert_eq!(queue.take(0, &BRICK), Some(2), "the queue there counts, not the flow's queues elsewhere");
+    assert_eq!(queue.take(0, &SERVER), Some(2), "the queue there counts, not the flow's queues elsewhere");
 }
 
 #[test]
 fn ties_go_to_the_flow_with_fewest_in_flight() {
     let mut queue = queue();
-    push(&mut queue, 0, "a", BRICK, &[1, 2], 1.0);
-    push(&mut queue, 0, "b", BRICK, &[3], 1.0);
-    assert_eq!(queue.take(0, &BRICK), Some(1));
-    assert_eq!(queue.take(0, &BRICK), Some(3), "both wait with one; a has one in flight");
+    push(&mut queue, 0, "a", SERVER, &[1, 2], 1.0);
+    push(&mut queue, 0, "b", SERVER, &[3], 1.0);
+    assert_eq!(queue.take(0, &SERVER), Some(1));
+    assert_eq!(queue.take(0, &SERVER), Some(3), "both wait with one; a has one in flight");
     queue.done(&"a");
-    assert_eq!(queue.take(0, &BRICK), Some(2));
+    assert_eq!(queue.take(0, &SERVER), Some(2));
 }
 
 #[test]
 fn the_told_size_is_charged_and_a_flow_too_far_ahead_is_throttled() {
     let mut queue = queue();
-    push(&mut queue, 0, "greedy", BRICK, &[1, 2, 3, 4, 5, 6], 1.0);
-    push(&mut queue, 0, "modest", BRICK, &[10], 1.0);
-    let taken: Vec<u64> = (0..4).filter_map(|_| queue.take(0, &BRICK)).collect();
+    push(&mut queue, 0, "greedy", SERVER, &[1, 2, 3, 4, 5, 6], 1.0);
+    push(&mut queue, 0, "modest", SERVER, &[10], 1.0);
+    let taken: Vec<u64> = (0..4).filter_map(|_| queue.take(0, &SERVER)).collect();
     assert_eq!(taken, [1, 2, 3, 10], "after three sizes it is more than T = 2 ahead of the modest flow");
     assert_eq!(queue.virtual_time(&"greedy"), Some(3.0));
     assert_eq!(queue.virtual_time(&"modest"), Some(1.0));
@@ -49,9 +49,9 @@
 #[test]
 fn a_server_with_only_throttled_work_serves_the_lowest_virtual_time() {
     let mut queue = queue();
-    push(&mut queue, 0, "ahead", BRICK, &[1, 2, 3, 4, 5, 6], 1.0);
+    push(&mut queue, 0, "ahead", SERVER, &[1, 2, 3, 4, 5, 6], 1.0);
     push(&mut queue, 0, "elsewhere", OTHER, &[10], 1.0);
-    let taken: Vec<u64> = (0..5).filter_map(|_| queue.take(0, &BRICK)).collect();
+    let taken: Vec<u64> = (0..5).filter_map(|_| queue.take(0, &SERVER)).collect();
     assert_eq!(
         taken,
         [1, 2, 3, 4, 5],
@@ -62,11 +62,11 @@
 #[test]
 fn a_flow_back_from_idle_takes_the_global_virtual_time() {
     let mut queue = queue();
-    push(&mut queue, 0, "idle", BRICK, &[1], 1.0);
-    assert_eq!(queue.take(0, &BRICK), Some(1));
-    push(&mut queue, 5_000, "busy", BRICK, &[2, 3, 4, 5], 10.0);
-    (0..3).for_each(|_| assert!(queue.take(5_000, &BRICK).is_some()));
-    push(&mut queue, 5_000, "idle", BRICK, &[6], 1.0);
+    push(&mut queue, 0, "idle", SERVER, &[1], 1.0);
+    assert_eq!(queue.take(0, &SERVER), Some(1));
+    push(&mut queue, 5_000, "busy", SERVER, &[2, 3, 4, 5], 10.0);
+    (0..3).for_each(|_| assert!(queue.take(5_000, &SERVER).is_some()));
+    push(&mut queue, 5_000, "idle", SERVER, &[6], 1.0);
     let (back, global) = (queue.virtual_time(&"idle").unwrap(), queue.global_virtual_time());
     assert!(back >= global.min(31.0) && back > 1.0, "back at {back}, global {global}");
 }
@@ -74,26 +74,26 @@
 #[test]
 fn an_emptied_flow_stays_active_and_holds_the_global_time_back() {
     let mut queue = queue();
-    push(&mut queue, 0, "emptied", BRICK, &[1], 1.0);
-    assert_eq!(queue.take(0, &BRICK), Some(1));
-    push(&mut queue, 10, "other", BRICK, &[2, 3], 5.0);
-    assert!(queue.take(10, &BRICK).is_some());
-    assert!(queue.take(500, &BRICK).is_some());
+    push(&mut queue, 0, "emptied", SERVER, &[1], 1.0);
+    assert_eq!(queue.take(0, &SERVER), Some(1));
+    push(&mut queue, 10, "other", SERVER, &[2, 3], 5.0);
+    assert!(queue.take(10, &SERVER).is_some());
+    assert!(queue.take(500, &SERVER).is_some());
     assert!(queue.global_virtual_time() <= 1.0, "before its second arrival it stays active for a second");
-    push(&mut queue, 1_500, "other", BRICK, &[4], 5.0);
-    assert!(queue.take(1_500, &BRICK).is_some());
+    push(&mut queue, 1_500, "other", SERVER, &[4], 5.0);
+    assert!(queue.take(1_500, &SERVER).is_some());
     assert!(queue.global_virtual_time() > 1.0, "then it does not");
 }
 
 #[test]
 fn what_is_given_up_is_never_taken_and_what_moves_keeps_its_age() {
     let mut queue = queue();
-    push(&mut queue, 0, "a", BRICK, &[1, 2], 1.0);
+    push(&mut queue, 0, "a", SERVER, &[1, 2], 1.0);
     push(&mut queue, 0, "a", OTHER, &[3], 1.0);
     assert!(queue.remove(0, 1));
     assert!(!queue.remove(0, 1));
     queue.move_to(2, OTHER);
-    assert_eq!(queue.take(0, &BRICK), None);
+    assert_eq!(queue.take(0, &SERVER), None);
     assert_eq!(queue.take(0, &OTHER), Some(2), "older than 3");
     assert_eq!(queue.queued_at(&OTHER), 1);
     assert_eq!(queue.len(), 1);
--- a/crates/protocol/schema/internal.capnp
+++ b/crates/protocol/schema/internal.capnp
@@ -97,7 +97,7 @@
   role @0 :Role;
   name @1 :Text;
   zone @2 :Text;
-  life @3 :UInt64;
+  incarnation @3 :UInt64;
   readsCompressed @4 :Bool;
 }
 
@@ -107,20 +107,20 @@
   adapters @2 :List(Text);
 }
 
-enum BrickState {
+enum ModelServerState {
   ready @0;
   draining @1;
-  gone @2;
+  removed @2;
 }
 
-struct Brick {
+struct ModelServer {
   instance @0 :Text;
   backend @1 :Text;
   address @2 :Text;
   zone @3 :Text;
   version @4 :Text;
   capacity @5 :UInt32;
-  state @6 :BrickState;
+  state @6 :ModelServerState;
   coldRemainingMs @7 :UInt64;
   remainingMs @8 :UInt64;
   models @9 :List(LoadedModel);
@@ -128,9 +128,9 @@
   busy @11 :Bool;
 }
 
-struct Bricks {
+struct ModelServers {
   complete @0 :Bool;
-  bricks @1 :List(Brick);
+  servers @1 :List(ModelServer);
 }
 
 struct Configuration {
@@ -166,14 +166,14 @@
   arrived @3 :UInt64;
   tokens @4 :UInt64;
   waiting @5 :UInt32;
-  # What bricks take to read their prompts, and for how long answers that ended meanwhile took a slot, by the edge's estimates.
+  # What model servers take to read their prompts, and for how long answers that ended meanwhile took a slot, by the edge's estimates.
   readMs @6 :UInt64;
-  heldMs @7 :UInt64;
+  slotTimeMs @7 :UInt64;
   # The shortest time inside which an answer to one of them earns its full worth, milliseconds; 0: not told.
   objectiveMs @8 :UInt32;
 }
 
-# A model that a brick is loading.
+# A model that a model server is loading.
 struct ExpectedModel {
   backend @0 :Text;
   model @1 :Text;
@@ -185,22 +185,22 @@
   models @0 :List(ExpectedModel);
 }
 
-struct BrickLoad {
+struct ModelServerLoad {
   instance @0 :Text;
   inFlight @1 :UInt32;
   # From an edge: requests that failed there, and that it answered, since the last report.
   failed @2 :UInt32;
   answered @3 :UInt32;
-  # From the leader: the part of all heads' requests that failed there lately, in thousandths.
+  # From the leader: the part of all edges' requests that failed there lately, in thousandths.
   errorPermille @4 :UInt16;
 }
 
 struct EdgeReport {
   edge @0 :Text;
-  life @1 :UInt64;
+  incarnation @1 :UInt64;
   usage @2 :List(UsageWindow);
   demand @3 :List(ModelDemand);
-  loads @4 :List(BrickLoad);
+  loads @4 :List(ModelServerLoad);
   # How far back the demand reaches, milliseconds before the report.
   demandSpanMs @5 :UInt64;
   # The configuration in force at the edge; index 0: none.
@@ -211,7 +211,7 @@
 }
 
 struct Heartbeats {
-  bricks @0 :List(Brick);
+  servers @0 :List(ModelServer);
 }
 
 struct Subscription {
@@ -219,11 +219,11 @@
   knownIndex @1 :UInt64;
 }
 
-struct BrickLoads {
-  loads @0 :List(BrickLoad);
+struct ModelServerLoads {
+  loads @0 :List(ModelServerLoad);
 }
 
-# A brick that could answer a request.
+# A model server that could answer a request.
 struct AdmissionOption {
   instance @0 :Text;
   # What it takes to read the prompt there, milliseconds.
@@ -325,17 +325,17 @@
   models @0 :List(ModelVersions);
 }
 
-# A model, or one adapter of it, that a brick is about to drop.
+# A model, or one adapter of it, that a model server is about to drop.
 struct WithheldModel {
   model @0 :Text;
   adapter @1 :Text;
 }
 
-# What the leader knows of a brick by the orders that it gave there.
-struct BrickNews {
+# What the leader knows of a model server by the orders that it gave there.
+struct OrderStatus {
   instance @0 :Text;
   withheld @1 :List(WithheldModel);
-  # The brick itself reported what it holds, at the end of an order.
+  # The model server itself reported what it holds, at the end of an order.
   reported @2 :Bool;
   models @3 :List(LoadedModel);
   busy @4 :Bool;
@@ -347,13 +347,13 @@
     replica @1 :ReplicaMessage;
     core @2 :Core;
     configuration @3 :Configuration;
-    bricks @4 :Bricks;
+    modelServers @4 :ModelServers;
     report @5 :EdgeReport;
     heartbeats @6 :Heartbeats;
     ping @7 :UInt64;
     subscribe @8 :Subscription;
     fetchConfiguration @9 :Void;
-    loads @10 :BrickLoads;
+    loads @10 :ModelServerLoads;
     admissionRequest @11 :AdmissionRequest;
     admissionGrant @12 :AdmissionGrant;
     drawOffer @13 :DrawOffer;
@@ -361,7 +361,7 @@
     drawGrant @15 :DrawGrant;
     drawResult @16 :DrawResult;
     modelVersions @17 :ModelVersionList;
-    brickNews @18 :BrickNews;
+    orderStatus @18 :OrderStatus;
     # The configuration's entry that the edge has; 0: none.
     fetchDifference @19 :UInt64;
     # The body of another frame, by LZ4 with its length in front. Only to processes that said in their hello that they read it.
