--- a/crates/system/src/core/api.rs
+++ b/crates/system/src/core/api.rs
@@ -19,10 +19,10 @@
 const BASE_VERSION: &str = "x-pathbank-base-version";
 const RESULT_CODE: &str = "x-pathbank-result-code";
 /// A call is answered within this, whatever happens.
-const ANSWER_WITHIN: Duration = Duration::from_millis(3_000);
+const ANSWER_TIMEOUT: Duration = Duration::from_millis(3_000);
 /// Where no leader answered, one is elected by then; seconds.
 const RETRY_AFTER_S: &str = "0.5";
-const MOST_BODY_BYTES: usize = 16 * 1024 * 1024;
+const MAX_BODY_BYTES: usize = 16 * 1024 * 1024;
 
 type Events = UnboundedSender<Event>;
 
@@ -79,7 +79,9 @@
         .get("/api/placement", move |_: viz::Request| {
             ask(placement.clone(), "/api/placement", Event::ReadPlacement)
         })
-        .get("/api/duties", move |_: viz::Request| ask(duties.clone(), "/api/duties", Event::ReadDuties))
+        .get("/api/duties", move |_: viz::Request| {
+            ask(duties.clone(), "/api/duties", Event::ReadSingletonRoles)
+        })
         .get("/api/status", move |_: viz::Request| ask(status.clone(), "/api/status", Event::ReadStatus))
         .any("/*", |_: viz::Request| async {
             Ok::<_, viz::Error>(own(ResultCode::UnknownCall, "no such call"))
@@ -109,7 +111,7 @@
 async fn body_of(request: &mut viz::Request) -> Result<Vec<u8>, Response> {
     use http_body_util::{BodyExt, Limited};
     let body = std::mem::replace(request.body_mut(), Body::Empty);
-    match tokio::time::timeout(ANSWER_WITHIN, Limited::new(body, MOST_BODY_BYTES).collect()).await {
+    match tokio::time::timeout(ANSWER_TIMEOUT, Limited::new(body, MAX_BODY_BYTES).collect()).await {
         Ok(Ok(collected)) => Ok(collected.to_bytes().to_vec()),
         Ok(Err(error)) if error.is::<http_body_util::LengthLimitError>() => {
             Err(own(ResultCode::BodyTooLarge, "the body is too large"))
@@ -165,7 +167,7 @@
 ) -> viz::Result<Response> {
     let (sender, receiver) = oneshot::channel();
     let _ = events.send(event(sender));
-    let reply = tokio::time::timeout(ANSWER_WITHIN, receiver).await;
+    let reply = tokio::time::timeout(ANSWER_TIMEOUT, receiver).await;
     Ok(match reply {
         Ok(Ok(Reply::Json(body))) => json(body),
         Ok(Ok(Reply::Result(code, message))) => own(code, &message),
--- a/crates/system/src/core/api/training.rs
+++ b/crates/system/src/core/api/training.rs
@@ -2,7 +2,7 @@
 
 use super::{Events, ask, body_of, own};
 use crate::core::node::Event;
-use crate::core::training::call::{self, MOST_RESULTS, OpenBody, SealBody, TrainingCall};
+use crate::core::training::call::{self, MAX_RESULTS, OpenBody, SealBody, TrainingCall};
 use pathbank_control::configuration::Rejection;
 use pathbank_control::result_code::ResultCode;
 use pathbank_rollout::StepNumber;
@@ -57,7 +57,7 @@
         Kind::Read => TrainingCall::Read { step: step(request)?, seen: query(request, "seen")? },
         Kind::Submit => TrainingCall::Submit(step(request)?, call::read_prompts(body)?),
         Kind::Results => {
-            let most = query(request, "most")?.unwrap_or(MOST_RESULTS);
+            let most = query(request, "most")?.unwrap_or(MAX_RESULTS);
             TrainingCall::Results { step: step(request)?, after: query(request, "after")?, most }
         }
         Kind::Seal => TrainingCall::Seal(step(request)?, call::read::<SealBody>(body)?),
--- a/crates/system/src/core/configuration_updates.rs
+++ b/crates/system/src/core/configuration_updates.rs
@@ -12,7 +12,7 @@
 
 /// A whole configuration that was made ready serves all edges that lack one for so long, with what changed
 /// since, milliseconds.
-const WHOLE_KEPT: u64 = 2_000;
+const COMPLETE_MESSAGE_TTL_MS: u64 = 2_000;
 
 /// The configuration that edges are told, and those that they may have.
 #[derive(Default)]
@@ -108,7 +108,8 @@
     /// The whole configuration. Making one ready costs as much as it holds, and all edges may lack it at
     /// once: it is kept, and what changed since goes behind it.
     fn whole(&mut self, now: u64) -> Vec<SharedMessage> {
-        if let Some(whole) = self.whole.as_ref().filter(|whole| now < whole.made_at + WHOLE_KEPT) {
+        if let Some(whole) = self.whole.as_ref().filter(|whole| now < whole.made_at + COMPLETE_MESSAGE_TTL_MS)
+        {
             let (index, message) = (whole.index, whole.message.clone());
             if index == self.index() {
                 return vec![message];
--- a/crates/system/src/core/disk.rs
+++ b/crates/system/src/core/disk.rs
@@ -14,7 +14,7 @@
 use tokio::sync::mpsc::UnboundedSender;
 
 /// A write that was refused is tried again after this.
-const RETRY_AFTER: Duration = Duration::from_millis(100);
+const RETRY_BACKOFF: Duration = Duration::from_millis(100);
 
 enum Job {
     Append { records: Vec<Record>, ticket: u64, last_index: Index },
@@ -67,7 +67,8 @@
         Ok(Disk { jobs, next_ticket: 1, durable, me })
     }
 
-    /// Saves records behind all that was handed over before. Returns the ticket under which they will be reported.
+    /// Saves records behind all that was handed over before. Returns the ticket under which they will be
+    /// reported.
     pub fn append(&mut self, records: Vec<Record>, last_index: Index) -> u64 {
         let ticket = self.take_ticket();
         let _ = self.jobs.send(Job::Append { records, ticket, last_index });
@@ -87,9 +88,10 @@
     }
 }
 
-/// Whose store an empty disk becomes. At the very first start of the system the seeds are its voters, and each knows its
-/// number among them; any other store gets a number of its own, and joins. So does one that begins where another was lost
-/// (`lost_a_store`): under the founder's number it could vote a second time, with nothing of what it had acknowledged.
+/// Whose store an empty disk becomes. At the very first start of the system the seeds are its voters, and
+/// each knows its number among them; any other store gets a number of its own, and joins. So does one that
+/// begins where another was lost (`lost_a_store`): under the founder's number it could vote a second time,
+/// with nothing of what it had acknowledged.
 fn first_identity(settings: &Settings, control: SocketAddr, lost_a_store: bool) -> Record {
     let is_founder = settings.bootstrap && settings.seeds.contains(&control) && !lost_a_store;
     if !is_founder {
@@ -153,7 +155,7 @@
             let _ = events.send(Event::Disk(DiskEvent::Impaired(true)));
         }
         failed = true;
-        std::thread::sleep(RETRY_AFTER);
+        std::thread::sleep(RETRY_BACKOFF);
     }
     if failed {
         tracing::info!("the disk takes writes again");
--- a/crates/system/src/core/mod.rs
+++ b/crates/system/src/core/mod.rs
@@ -4,11 +4,11 @@
 mod api;
 pub mod configuration_updates;
 mod disk;
-mod duties;
 pub mod model_server_json;
 mod node;
 pub mod orders;
 mod peers;
+mod singleton_roles;
 mod training;
 
 use crate::clock;
@@ -23,13 +23,13 @@
 use tokio::sync::{mpsc, watch};
 
 /// How often the node looks at time.
-const TICK: Duration = Duration::from_millis(25);
-const MOST_HEAD_BYTES: usize = 64 * 1024;
+const TICK_INTERVAL: Duration = Duration::from_millis(25);
+const MAX_HEAD_BYTES: usize = 64 * 1024;
 /// A replica that knows less than the others of what the log means neither votes nor serves.
-const CANNOT_TAKE_PART: &str = "this control head cannot take part; start the program that wrote its state";
-const IDLE_WITHIN: Duration = Duration::from_secs(30);
+const CANNOT_PARTICIPATE: &str = "this control head cannot take part; start the program that wrote its state";
+const HEAD_TIMEOUT: Duration = Duration::from_secs(30);
 /// Part of the descriptors that calls to the control plane may take.
-const CALLER_DESCRIPTORS: f64 = 0.6;
+const CALLER_DESCRIPTOR_FRACTION: f64 = 0.6;
 
 /// Runs a core until it is told to stop.
 pub async fn run(settings: Settings) -> Result<()> {
@@ -42,12 +42,12 @@
     let (events, mut inbox) = mpsc::unbounded_channel();
     let disk = disk::Disk::open(&settings, control, events.clone())?;
     startup.reach(Milestone::DiskRead);
-    let mut node = Node::new(settings.clone(), disk, events.clone(), startup).context(CANNOT_TAKE_PART)?;
+    let mut node = Node::new(settings.clone(), disk, events.clone(), startup).context(CANNOT_PARTICIPATE)?;
     let (close, closing) = watch::channel(false);
     let limits = Limits {
-        head_bytes: MOST_HEAD_BYTES,
-        head_within: IDLE_WITHIN,
-        connections: (settings.max_descriptors as f64 * CALLER_DESCRIPTORS) as usize,
+        head_bytes: MAX_HEAD_BYTES,
+        head_within: HEAD_TIMEOUT,
+        connections: (settings.max_descriptors as f64 * CALLER_DESCRIPTOR_FRACTION) as usize,
     };
     let service = api::service(events.clone());
     let serving = tokio::spawn(server::serve(
@@ -65,7 +65,7 @@
         tokio::select! {
             Some(event) = inbox.recv() => node.on_event(clock::now(), event),
             () = tokio::time::sleep_until(next_tick) => {
-                next_tick = tokio::time::Instant::now() + TICK;
+                next_tick = tokio::time::Instant::now() + TICK_INTERVAL;
                 node.on_event(clock::now(), Event::Tick);
             }
             signal = signals.next() => node.on_signal(clock::now(), signal),
@@ -73,7 +73,7 @@
             () = tokio::task::yield_now(), if node.has_more_to_apply() => node.apply_more(clock::now()),
         }
         if let Some(error) = node.take_fatal() {
-            return Err(error).context(CANNOT_TAKE_PART);
+            return Err(error).context(CANNOT_PARTICIPATE);
         }
         if node.may_end(clock::now()) {
             break;
--- a/crates/system/src/core/node.rs
+++ b/crates/system/src/core/node.rs
@@ -44,26 +44,26 @@
 use tokio::sync::mpsc::UnboundedSender;
 
 /// How often a core tells others about itself, milliseconds.
-const STATUS_EVERY: u64 = 700;
+const STATUS_INTERVAL_MS: u64 = 700;
 /// In every so many of these words it names the voters.
-const MEMBERS_EVERY: u64 = 4;
+const STATUSES_PER_MEMBERSHIP: u64 = 4;
 /// How often the leader counts the requests at each model server, milliseconds.
-const SLOTS_EVERY: u64 = 150;
+const SLOT_COUNT_INTERVAL_MS: u64 = 150;
 /// How often the leader tells how much is out at each model server, milliseconds.
-const LOADS_EVERY: u64 = 400;
+const MIN_LOADS_INTERVAL_MS: u64 = 400;
 /// And no more than so many bytes a second to each edge.
-const LOADS_BYTES_S: u64 = 6_000;
+const MAX_LOADS_BYTES_PER_S: u64 = 6_000;
 /// How often the settings file is looked at, milliseconds.
-const SETTINGS_EVERY: u64 = 2_000;
+const SETTINGS_POLL_INTERVAL_MS: u64 = 2_000;
 /// How often the other cores are told again what model servers are about to drop, milliseconds.
-const ORDER_UPDATES_EVERY: u64 = 3_000;
+const ORDER_STATUS_INTERVAL_MS: u64 = 3_000;
 /// How often model servers that fell silent are looked for, milliseconds.
-const EXPIRE_EVERY: u64 = 250;
+const EXPIRY_INTERVAL_MS: u64 = 250;
 
 /// A head that was told to stop waits no longer than this for another store to take its place, milliseconds.
-const LEAVE_WITHIN: u64 = 3_000;
+const REPLACEMENT_TIMEOUT_MS: u64 = 3_000;
 /// Nor longer than this for a first word of the leader, milliseconds.
-const LEAVE_ANSWER_WITHIN: u64 = 600;
+const DEPARTURE_ACK_TIMEOUT_MS: u64 = 600;
 
 struct Peer {
     hello: Hello,
@@ -76,7 +76,7 @@
 
 /// Times at which regular work is due.
 #[derive(Default)]
-struct Due {
+struct Schedule {
     status: u64,
     slots: u64,
     loads: u64,
@@ -120,7 +120,7 @@
     stopping_since: Option<u64>,
     /// Why it cannot go on.
     fatal: Option<StateError>,
-    due: Due,
+    due: Schedule,
 }
 
 /// Every command of the log has to be one that this program knows.
@@ -184,7 +184,7 @@
             published_current: false,
             stopping_since: None,
             fatal: None,
-            due: Due::default(),
+            due: Schedule::default(),
         };
         node.note_document(snapshot.data.len());
         node.open_links();
@@ -206,8 +206,10 @@
         let Some(since) = self.stopping_since else { return false };
         match self.replication.replica.departure() {
             Departure::Free => true,
-            Departure::Replacing => now >= since + (self.settings.bounds.grace_ms / 2).min(LEAVE_WITHIN),
-            Departure::Unanswered => now >= since + LEAVE_ANSWER_WITHIN,
+            Departure::Replacing => {
+                now >= since + (self.settings.bounds.grace_ms / 2).min(REPLACEMENT_TIMEOUT_MS)
+            }
+            Departure::Unanswered => now >= since + DEPARTURE_ACK_TIMEOUT_MS,
         }
     }
 
@@ -236,21 +238,21 @@
                 let _ = reply.send(Reply::Json(self.status(now).to_string().into_bytes()));
             }
             Event::ReadPlacement(reply) => self.on_read_placement(now, reply),
-            Event::ReadDuties(reply) => self.on_read_duties(now, reply),
+            Event::ReadSingletonRoles(reply) => self.on_read_singleton_roles(now, reply),
             Event::Disk(event) => self.on_disk(now, event),
             Event::LinkOpened(id, hello, link) => self.on_link(id, hello, link),
-            Event::LinkSaid(id, frame) => self.on_frame(now, id, frame),
+            Event::FrameReceived(id, frame) => self.on_frame(now, id, frame),
             Event::LinkClosed(id) => drop(self.peers.remove(&id)),
             Event::Mesh(MeshEvent::Opened(address)) => self.on_core_reached(address),
             Event::Mesh(MeshEvent::Closed(_) | MeshEvent::Said(..)) => {}
-            Event::OrderEnded(end) => self.on_order_ended(*end),
+            Event::OrderFinished(end) => self.on_order_finished(*end),
             Event::UsageReported(window, taken) => self.leadership.usage_reported(window, taken),
             Event::ModelServersOrdered(order, taken) => self.leadership.servers_ordered(now, &order, taken),
             Event::Training(call, reply) => self.on_training_call(now, call, reply),
             Event::WorkerReported { model, worker, report } => {
                 self.on_worker_reported(now, &model, &worker, &report);
             }
-            Event::VersionOrderEnded(end) => self.on_version_order_ended(now, *end),
+            Event::VersionOrderFinished(end) => self.on_version_order_finished(now, *end),
         }
     }
 
@@ -298,20 +300,20 @@
         }
         if now >= self.due.status || leader != self.published_leader || current != self.published_current {
             (self.published_leader, self.published_current) = (leader, current);
-            self.due.status = now + STATUS_EVERY;
+            self.due.status = now + STATUS_INTERVAL_MS;
             self.publish_status();
             self.ask_to_join(now);
         }
         if now >= self.due.slots {
-            self.due.slots = now + SLOTS_EVERY;
+            self.due.slots = now + SLOT_COUNT_INTERVAL_MS;
             self.count_slots(now);
         }
         if now >= self.due.loads {
             let bytes = self.publish_loads(now);
-            self.due.loads = now + LOADS_EVERY.max(1_000 * bytes / LOADS_BYTES_S);
+            self.due.loads = now + MIN_LOADS_INTERVAL_MS.max(1_000 * bytes / MAX_LOADS_BYTES_PER_S);
         }
         if now >= self.due.expire {
-            self.due.expire = now + EXPIRE_EVERY;
+            self.due.expire = now + EXPIRY_INTERVAL_MS;
             self.expire_servers(now);
             self.demand.tidy(now);
             self.outliers.tidy(now);
@@ -321,11 +323,11 @@
             self.replication.callers.forget_silent(now);
         }
         if now >= self.due.order_updates {
-            self.due.order_updates = now + ORDER_UPDATES_EVERY;
+            self.due.order_updates = now + ORDER_STATUS_INTERVAL_MS;
             self.repeat_order_updates();
         }
         if now >= self.due.settings {
-            self.due.settings = now + SETTINGS_EVERY;
+            self.due.settings = now + SETTINGS_POLL_INTERVAL_MS;
             self.reload();
         }
     }
--- a/crates/system/src/core/node/event.rs
+++ b/crates/system/src/core/node/event.rs
@@ -2,7 +2,7 @@
 
 use crate::core::disk::DiskEvent;
 use crate::core::model_server_json::ReportJson;
-use crate::core::orders::OrderEnd;
+use crate::core::orders::OrderOutcome;
 use crate::core::peers::LinkId;
 use crate::core::training::call::TrainingCall;
 use crate::net::link::Link;
@@ -31,7 +31,7 @@
     /// An operator asks what is placed where, and why.
     ReadPlacement(oneshot::Sender<Reply>),
     /// An operator asks who holds the duties, and how they stand.
-    ReadDuties(oneshot::Sender<Reply>),
+    ReadSingletonRoles(oneshot::Sender<Reply>),
     /// An operator asks how things stand.
     ReadStatus(oneshot::Sender<Reply>),
     /// The disk reports.
@@ -39,13 +39,13 @@
     /// Another process opened a link to this one.
     LinkOpened(LinkId, Hello, Link),
     /// Something came on it.
-    LinkSaid(LinkId, Frame),
+    FrameReceived(LinkId, Frame),
     /// It ended.
     LinkClosed(LinkId),
     /// This process's own links to other cores.
     Mesh(MeshEvent),
     /// An order to a model server has ended.
-    OrderEnded(Box<OrderEnd>),
+    OrderFinished(Box<OrderOutcome>),
     /// A window's usage was reported, or could not be.
     UsageReported(u64, bool),
     /// The platform took an order of model servers, or gave no clear answer.
@@ -62,5 +62,5 @@
         report: ReportJson,
     },
     /// An order that brings a worker to another version has ended.
-    VersionOrderEnded(Box<OrderEnd>),
+    VersionOrderFinished(Box<OrderOutcome>),
 }
--- a/crates/system/src/core/node/leadership.rs
+++ b/crates/system/src/core/node/leadership.rs
@@ -2,9 +2,9 @@
 
 use super::{Event, Node};
 use crate::clock;
-use crate::core::duties;
 use crate::core::model_server_json::ReportJson;
-use crate::core::orders::{self, Assignment, Authority, LeaseEnd, OrderEnd};
+use crate::core::orders::{self, LeaseExpiry, LeaseGuard, OrderOutcome, OrderTask};
+use crate::core::singleton_roles;
 use crate::core::training::lead::Training;
 use crate::startup::Milestone;
 use pathbank_control::admission::AdmissionController;
@@ -23,19 +23,19 @@
 use std::sync::atomic::{AtomicBool, Ordering};
 
 /// How often placement is looked at without news, milliseconds.
-const PLACE_EVERY: u64 = 500;
+const PLACEMENT_INTERVAL_MS: u64 = 500;
 /// With news it is looked at again after this, milliseconds.
-const PLACE_APART: u64 = 20;
+const MIN_PLACEMENT_INTERVAL_MS: u64 = 20;
 /// And after so many times what the last look took: links, votes and callers wait meanwhile.
-const PLACE_PAUSES: u64 = 10;
+const PLACEMENT_IDLE_FACTOR: u64 = 10;
 /// How often usage is looked at, milliseconds.
-const USAGE_EVERY: u64 = 200;
+const USAGE_INTERVAL_MS: u64 = 200;
 /// Usage is sealed so long before it is due, milliseconds: the report has to reach the platform.
-const SEAL_MARGIN: u64 = 2_000;
+const SEAL_MARGIN_MS: u64 = 2_000;
 /// How often the number of model servers is looked at, milliseconds.
-const SCALE_EVERY: u64 = 500;
+const AUTOSCALING_INTERVAL_MS: u64 = 500;
 /// Calls are not begun so shortly before the lease ends, milliseconds.
-const LEASE_MARGIN: u64 = 100;
+const LEASE_MARGIN_MS: u64 = 100;
 
 /// The state that one leadership needs.
 pub struct Leadership {
@@ -59,7 +59,7 @@
     /// Set for all that act in this leadership's name once it is over.
     revoked: Arc<AtomicBool>,
     /// Until when they may act, extended with this leadership's lease.
-    lease: Arc<LeaseEnd>,
+    lease: Arc<LeaseExpiry>,
     place_at: u64,
     /// With news it is not looked at before this.
     place_not_before: u64,
@@ -143,7 +143,7 @@
         if !replica.is_settled_leader() {
             return None;
         }
-        let (term, lease) = (replica.term(), replica.lease_until().saturating_sub(LEASE_MARGIN));
+        let (term, lease) = (replica.term(), replica.lease_until().saturating_sub(LEASE_MARGIN_MS));
         let turn_wait = self.settings.bounds.lease_ms;
         let permit = self.leadership.fence.permit(&self.settings.node_name, term, lease, turn_wait, now)?;
         self.leadership.enter_term(now, term);
@@ -151,8 +151,8 @@
         Some(permit)
     }
 
-    pub(super) fn authority(&self, permit: Permit) -> Authority {
-        Authority {
+    pub(super) fn authority(&self, permit: Permit) -> LeaseGuard {
+        LeaseGuard {
             lease_holder: self.settings.node_name.clone(),
             fencing_token: permit.fencing_token,
             lease: self.leadership.lease.clone(),
@@ -171,15 +171,16 @@
             let begun = clock::now();
             self.place(now);
             let took = clock::now().saturating_sub(begun);
-            self.leadership.place_not_before = now + (PLACE_PAUSES * took).clamp(PLACE_APART, PLACE_EVERY);
-            self.leadership.place_at = now + PLACE_EVERY;
+            self.leadership.place_not_before =
+                now + (PLACEMENT_IDLE_FACTOR * took).clamp(MIN_PLACEMENT_INTERVAL_MS, PLACEMENT_INTERVAL_MS);
+            self.leadership.place_at = now + PLACEMENT_INTERVAL_MS;
         }
         if now >= self.leadership.usage_at {
-            self.leadership.usage_at = now + USAGE_EVERY;
+            self.leadership.usage_at = now + USAGE_INTERVAL_MS;
             self.report_usage(now);
         }
         if now >= self.leadership.scale_at {
-            self.leadership.scale_at = now + SCALE_EVERY;
+            self.leadership.scale_at = now + AUTOSCALING_INTERVAL_MS;
             self.order_servers(now);
         }
     }
@@ -210,7 +211,7 @@
         }
     }
 
-    fn give(&mut self, order: Order, authority: Authority) {
+    fn give(&mut self, order: Order, authority: LeaseGuard) {
         if order.operation == Operation::Unload {
             self.directory.withhold(&order.instance, &order.model, &order.adapter);
             self.publish_order_update(&order.instance, false);
@@ -222,10 +223,10 @@
         let (pool, events) = (self.pool.clone(), self.events.clone());
         let known = self.leadership.contents.remove(&order.instance);
         let version = self.directory.newest_version(&order.model);
-        let assignment = Assignment { order, runtime, authority, known, version };
+        let task = OrderTask { order, runtime, authority, known, version };
         tokio::spawn(async move {
-            let end = orders::carry_out(pool, assignment).await;
-            let _ = events.send(Event::OrderEnded(Box::new(end)));
+            let end = orders::execute(pool, task).await;
+            let _ = events.send(Event::OrderFinished(Box::new(end)));
         });
     }
 
@@ -236,9 +237,9 @@
         known.runtime.clone().map(Arc::new)
     }
 
-    pub(super) fn on_order_ended(&mut self, end: OrderEnd) {
+    pub(super) fn on_order_finished(&mut self, end: OrderOutcome) {
         let now = clock::now();
-        let OrderEnd { order, report, took_ms } = end;
+        let OrderOutcome { order, report, took_ms } = end;
         let ended_after_ms = self.leadership.placer.took(now, &order.instance);
         let Order { instance, operation, model, adapter, expected_ms, .. } = &order;
         let reported = report.is_some();
@@ -277,14 +278,14 @@
     // ---- usage ----
 
     fn report_usage(&mut self, now: u64) {
-        let Some(platform) = self.duty_address("usage_reporting") else { return };
+        let Some(platform) = self.role_address("usage_reporting") else { return };
         let Some(permit) = self.permit(now) else { return };
         let wall_clock = self.wall_clock.now(now, crate::clock::wall_clock());
         let edges = self.edges().map(|edge| edge.hello.name.as_str());
         let rule = SealRule {
             window_ms: self.settings.bounds.report_window_ms,
             all_told: self.leadership.all_told(now, edges),
-            latest_ms: self.settings.bounds.usage_delay_ms.saturating_sub(SEAL_MARGIN),
+            latest_ms: self.settings.bounds.usage_delay_ms.saturating_sub(SEAL_MARGIN_MS),
         };
         let last_sealed = self.state.last_sealed().max(self.leadership.sealing);
         if let Some((window, counts)) = self.usage.due(wall_clock, rule, last_sealed) {
@@ -300,7 +301,7 @@
             self.leadership.reported.insert(window);
             let (pool, events, authority) = (self.pool.clone(), self.events.clone(), self.authority(permit));
             tokio::spawn(async move {
-                let taken = duties::report_usage(pool, platform, window, counts, authority).await;
+                let taken = singleton_roles::report_usage(pool, platform, window, counts, authority).await;
                 let _ = events.send(Event::UsageReported(window, taken));
             });
         }
@@ -309,7 +310,7 @@
     // ---- model servers ordered ----
 
     fn order_servers(&mut self, now: u64) {
-        let Some(platform) = self.duty_address("autoscale") else { return };
+        let Some(platform) = self.role_address("autoscale") else { return };
         let Some(permit) = self.permit(now) else { return };
         let Some(backends) = self.state.backends() else { return };
         let servers: Vec<ModelServer> = self.directory.ready().collect();
@@ -323,14 +324,14 @@
             );
             let (pool, events, authority) = (self.pool.clone(), self.events.clone(), self.authority(permit));
             tokio::spawn(async move {
-                let taken = duties::order_servers(pool, platform, &order, authority).await;
+                let taken = singleton_roles::order_servers(pool, platform, &order, authority).await;
                 let _ = events.send(Event::ModelServersOrdered(order, taken));
             });
         }
     }
 
     /// Where the platform takes the calls of a duty, if this deployment has that duty.
-    fn duty_address(&self, name: &str) -> Option<SocketAddr> {
+    fn role_address(&self, name: &str) -> Option<SocketAddr> {
         let has_duty = self.settings.cloud_api.duties.iter().any(|duty| duty == name);
         self.settings.cloud_api.address.filter(|_| has_duty)
     }
--- a/crates/system/src/core/node/links.rs
+++ b/crates/system/src/core/node/links.rs
@@ -1,6 +1,6 @@
 //! Links to other processes: what comes on them, and what is published on them.
 
-use super::{MEMBERS_EVERY, Node, Peer};
+use super::{Node, Peer, STATUSES_PER_MEMBERSHIP};
 use crate::clock;
 use crate::core::configuration_updates::SentConfiguration;
 use crate::core::peers::LinkId;
@@ -146,7 +146,7 @@
     pub(super) fn publish_status(&mut self) {
         self.wall_clock.note(clock::now(), &self.settings.node_name, clock::wall_clock());
         self.status_round += 1;
-        let with_members = self.status_round.is_multiple_of(MEMBERS_EVERY);
+        let with_members = self.status_round.is_multiple_of(STATUSES_PER_MEMBERSHIP);
         let frame = Frame::Core(self.core_status(with_members));
         self.publish_to_edges(&frame);
         self.mesh.send_to_all(&frame);
--- a/crates/system/src/core/node/overview.rs
+++ b/crates/system/src/core/node/overview.rs
@@ -109,7 +109,7 @@
     }
 
     /// Who may act on the outside, until when, and what was told to the platform.
-    pub(super) fn on_read_duties(&mut self, now: u64, reply: oneshot::Sender<Reply>) {
+    pub(super) fn on_read_singleton_roles(&mut self, now: u64, reply: oneshot::Sender<Reply>) {
         let Some(reply) = self.as_leader(now, reply) else { return };
         let permit = self.permit(now);
         let leadership = &self.leadership;
--- a/crates/system/src/core/node/publication.rs
+++ b/crates/system/src/core/node/publication.rs
@@ -12,7 +12,7 @@
 use pathbank_protocol::message::{Frame, ModelVersions, ProcessRole};
 
 /// Edges are told of changes at least so far apart, milliseconds.
-const PUBLISH_APART: u64 = 150;
+const MIN_PUBLISH_INTERVAL_MS: u64 = 150;
 
 /// What edges were told of the replicated state.
 #[derive(Default)]
@@ -53,7 +53,7 @@
     /// succession go together.
     pub(super) fn publish_configuration(&mut self, now: u64) {
         let Some((document, index)) = self.state.document() else { return };
-        let soon = now < self.publication.told_at + PUBLISH_APART;
+        let soon = now < self.publication.told_at + MIN_PUBLISH_INTERVAL_MS;
         if index == self.publication.index() || soon || !self.is_current(now) {
             return;
         }
--- a/crates/system/src/core/node/replication.rs
+++ b/crates/system/src/core/node/replication.rs
@@ -15,14 +15,14 @@
 use tokio::sync::oneshot;
 
 /// A write that has not ended for so long counts as a disk that takes nothing, milliseconds.
-const DISK_PATIENCE: u64 = 1_500;
+const WRITE_STALL_TIMEOUT_MS: u64 = 1_500;
 
-struct WaitingChange {
+struct PendingProposal {
     term: Term,
     reply: oneshot::Sender<Reply>,
 }
 
-struct HeldMessages {
+struct PendingMessages {
     ticket: u64,
     messages: Vec<Outgoing>,
 }
@@ -32,14 +32,14 @@
     pub replica: Replica,
     disk: Disk,
     /// Messages that may leave only once the disk is that far.
-    held: VecDeque<HeldMessages>,
+    held: VecDeque<PendingMessages>,
     saved_ticket: u64,
     last_ticket: u64,
     /// When the oldest write that has not ended began.
     writing_since: Option<u64>,
     refused: bool,
     impaired: bool,
-    waiting: BTreeMap<Index, Vec<WaitingChange>>,
+    waiting: BTreeMap<Index, Vec<PendingProposal>>,
     /// Addresses of replicas that spoke lately.
     pub callers: Callers,
     log_bytes: usize,
@@ -106,7 +106,7 @@
             messages.into_iter().partition(|message| message.after_save && !saved);
         if !wait.is_empty() {
             let ticket = replication.last_ticket;
-            replication.held.push_back(HeldMessages { ticket, messages: wait });
+            replication.held.push_back(PendingMessages { ticket, messages: wait });
         }
         self.send_replica_messages(go);
         if let Some(snapshot) = install {
@@ -180,7 +180,7 @@
     /// A store that cannot save leads nobody, and says so.
     pub(super) fn watch_disk(&mut self, now: u64) {
         let replication = &mut self.replication;
-        let stalled = replication.writing_since.is_some_and(|since| now > since + DISK_PATIENCE);
+        let stalled = replication.writing_since.is_some_and(|since| now > since + WRITE_STALL_TIMEOUT_MS);
         let impaired = replication.refused || stalled;
         if impaired == replication.impaired {
             return;
@@ -321,7 +321,7 @@
         match self.replication.replica.propose(now, command.encode()) {
             Ok((index, effects)) => {
                 let term = self.replication.replica.term();
-                self.replication.waiting.entry(index).or_default().push(WaitingChange { term, reply });
+                self.replication.waiting.entry(index).or_default().push(PendingProposal { term, reply });
                 self.carry_out(now, effects);
             }
             Err(error) => {
--- a/crates/system/src/core/node/training.rs
+++ b/crates/system/src/core/node/training.rs
@@ -5,8 +5,11 @@
 
 use super::{Event, Node};
 use crate::core::model_server_json::ReportJson;
-use crate::core::orders::{self, Assignment, Authority, OrderEnd};
-use crate::core::training::lead::{ASK_CHANGING_EVERY, ASK_EVERY, ChangePhase, LOOK_EVERY, ModelTraining};
+use crate::core::orders::{self, LeaseGuard, OrderOutcome, OrderTask};
+use crate::core::training::lead::{
+    CHANGING_WORKER_POLL_INTERVAL_MS, ChangePhase, ModelTraining, TRAINING_INTERVAL_MS,
+    WORKER_POLL_INTERVAL_MS,
+};
 use pathbank_control::configuration::Runtime;
 use pathbank_control::placement::{Operation, Order};
 use pathbank_control::state::Command;
@@ -23,22 +26,22 @@
 
 /// What a worker has when it begins to drain may go on for so long, milliseconds; then the order to unload
 /// waits for it.
-const DRAIN_MS: Millis = 2_000;
+const DRAIN_TIMEOUT_MS: Millis = 2_000;
 /// An edge begins what it was given so long after it asked, or not at all, milliseconds.
-const BEGIN_WITHIN_MS: Millis = 500;
+const START_TIMEOUT_MS: Millis = 500;
 /// A request that was written may lie in the network for so long, milliseconds; then its connection is
 /// broken.
-const IN_NETWORK_MS: Millis = 2_500;
+const MAX_NETWORK_DELAY_MS: Millis = 2_500;
 /// An earlier leader's lease is over before another one is elected; clocks drift by no more, milliseconds.
-const LEASE_DRIFT_MS: Millis = 200;
+const MAX_LEASE_DRIFT_MS: Millis = 200;
 /// A step whose workers hold its version waits so long for the rest, milliseconds.
-const STRAGGLER_MS: Millis = 5_000;
+const STRAGGLER_TIMEOUT_MS: Millis = 5_000;
 /// A worker that says nothing for so long leaves its step, milliseconds.
-const SILENCE_MS: Millis = 4_000;
+const WORKER_SILENCE_TIMEOUT_MS: Millis = 4_000;
 /// Of a worker's slots, one in so many is left to what it serves.
 const SERVING_SLOTS_ONE_IN: u32 = 4;
 /// Of the loads that the weight store permits, so much is used.
-const LOADS_USED: f64 = 0.95;
+const LOAD_RATE_FRACTION: f64 = 0.95;
 
 /// Who a step's workers are, as its configuration has them.
 struct Place {
@@ -55,7 +58,7 @@
         if now < self.leadership.training.look_at {
             return;
         }
-        self.leadership.training.look_at = now + LOOK_EVERY;
+        self.leadership.training.look_at = now + TRAINING_INTERVAL_MS;
         self.answer_watchers(now);
         let open = self.state.training().ledger().models();
         let idle = open.is_empty() && self.leadership.training.models.is_empty();
@@ -110,7 +113,7 @@
         for worker in &training.workers {
             if now >= training.ask_at.get(worker).copied().unwrap_or(0) {
                 let changes = training.changing.contains_key(worker);
-                let pause = if changes { ASK_CHANGING_EVERY } else { ASK_EVERY };
+                let pause = if changes { CHANGING_WORKER_POLL_INTERVAL_MS } else { WORKER_POLL_INTERVAL_MS };
                 training.ask_at.insert(worker.clone(), now + pause);
                 due.push(worker.clone());
             }
@@ -167,7 +170,7 @@
     // ---- what the conductor wants ----
 
     /// Carries out what is due for a model. Returns the generations that begin, `most_draws` at the most.
-    fn act(&mut self, now: u64, model: &str, most_draws: usize, authority: &Authority) -> Vec<Draw> {
+    fn act(&mut self, now: u64, model: &str, most_draws: usize, authority: &LeaseGuard) -> Vec<Draw> {
         let Some(training) = self.leadership.training.models.get_mut(model) else { return Vec::new() };
         let actions = training.conductor.tick_within(now, self.state.training().ledger(), most_draws);
         let mut draws = Vec::new();
@@ -197,7 +200,7 @@
 
     /// Brings a worker to the newest version: what it holds is dropped, then loaded anew. An order to load a
     /// model that is held would change nothing.
-    fn change_worker(&mut self, now: u64, model: &str, worker: &str, authority: &Authority) {
+    fn change_worker(&mut self, now: u64, model: &str, worker: &str, authority: &LeaseGuard) {
         let Some(server) = self.directory.server(worker) else { return };
         let Some(runtime) = self.runtime_of(worker) else { return };
         let Some(training) = self.leadership.training.models.get_mut(model) else { return };
@@ -217,20 +220,20 @@
         self.give_version_order(order, authority.clone());
     }
 
-    fn give_version_order(&mut self, order: Order, authority: Authority) {
+    fn give_version_order(&mut self, order: Order, authority: LeaseGuard) {
         let Some(runtime) = self.runtime_of(&order.instance) else { return };
         tracing::info!(worker = order.instance, model = order.model, operation = ?order.operation, "version order");
         let (pool, events) = (self.pool.clone(), self.events.clone());
         self.leadership.contents.remove(&order.instance);
-        let assignment = Assignment { order, runtime, authority, known: None, version: 0 };
+        let task = OrderTask { order, runtime, authority, known: None, version: 0 };
         tokio::spawn(async move {
-            let end = orders::carry_out(pool, assignment).await;
-            let _ = events.send(Event::VersionOrderEnded(Box::new(end)));
+            let end = orders::execute(pool, task).await;
+            let _ = events.send(Event::VersionOrderFinished(Box::new(end)));
         });
     }
 
-    pub(super) fn on_version_order_ended(&mut self, now: u64, end: OrderEnd) {
-        let OrderEnd { order, report, .. } = end;
+    pub(super) fn on_version_order_finished(&mut self, now: u64, end: OrderOutcome) {
+        let OrderOutcome { order, report, .. } = end;
         let has_dropped = report
             .as_ref()
             .is_some_and(|report| !report.busy && !report.models().any(|held| held.name == order.model));
@@ -271,15 +274,19 @@
 }
 
 fn settings_of(place: &Place, generation_ms: Millis) -> Settings {
-    let loads_per_s = LOADS_USED * place.runtime.loads_per_s;
+    let loads_per_s = LOAD_RATE_FRACTION * place.runtime.loads_per_s;
     Settings {
-        change_over: Bounds { serving_floor: place.workers.serving_floor, loads_per_s, drain_ms: DRAIN_MS },
+        change_over: Bounds {
+            serving_floor: place.workers.serving_floor,
+            loads_per_s,
+            drain_ms: DRAIN_TIMEOUT_MS,
+        },
         generation_ms,
-        begin_ms: BEGIN_WITHIN_MS + IN_NETWORK_MS,
-        lease_ms: LEASE_DRIFT_MS,
+        begin_ms: START_TIMEOUT_MS + MAX_NETWORK_DELAY_MS,
+        lease_ms: MAX_LEASE_DRIFT_MS,
         serving_slots: place.serving_slots,
-        straggler_ms: STRAGGLER_MS,
-        silence_ms: SILENCE_MS,
+        straggler_ms: STRAGGLER_TIMEOUT_MS,
+        silence_ms: WORKER_SILENCE_TIMEOUT_MS,
     }
 }
 
--- a/crates/system/src/core/node/training/calls.rs
+++ b/crates/system/src/core/node/training/calls.rs
@@ -2,7 +2,7 @@
 
 use crate::core::node::{Node, Reply};
 use crate::core::training::call::{self, TrainingCall};
-use crate::core::training::lead::{WATCH_WITHIN, Watcher};
+use crate::core::training::lead::{WATCH_TIMEOUT_MS, Watcher};
 use crate::core::training::view;
 use pathbank_control::configuration::Rejection;
 use pathbank_control::result_code::ResultCode;
@@ -80,14 +80,14 @@
         };
         match call {
             TrainingCall::Results { after, most, .. } => {
-                send_json(reply, &view::results(state, step, after, most.min(call::MOST_RESULTS)));
+                send_json(reply, &view::results(state, step, after, most.min(call::MAX_RESULTS)));
             }
             TrainingCall::Explain(_) => {
                 let training = self.leadership.training.models.get(&step.request.model);
                 send_json(reply, &view::explain(state, step, training, now, number));
             }
             TrainingCall::Read { seen: Some(seen), .. } if state.changed(number) <= seen => {
-                let until = now + WATCH_WITHIN;
+                let until = now + WATCH_TIMEOUT_MS;
                 self.leadership.training.watchers.push(Watcher { step: number, seen, until, reply });
             }
             _ => send_json(reply, &view::step(state, step, self.waits(now, step))),
--- a/crates/system/src/core/node/training/generations.rs
+++ b/crates/system/src/core/node/training/generations.rs
@@ -1,9 +1,9 @@
 //! Generations of training steps: offered to edges, given to those that ask, recorded as they end.
 
-use super::BEGIN_WITHIN_MS;
+use super::START_TIMEOUT_MS;
 use crate::core::node::Node;
 use crate::core::peers::LinkId;
-use crate::core::training::lead::{MOST_OFFERED, OFFER_APART};
+use crate::core::training::lead::{MAX_OFFERED_GENERATIONS, MIN_OFFER_INTERVAL_MS};
 use pathbank_control::training::{Output, TrainingCommand};
 use pathbank_protocol::message::{
     DrawEnding, DrawGrant, DrawId, DrawOffer, DrawRequest, DrawResult, DrawTask, Frame, ProcessRole,
@@ -31,12 +31,12 @@
             .filter(|(_, peer)| free(&peer.hello.name))
             .map(|(id, peer)| (peer.hello.name.clone(), *id))
             .collect();
-        let each = waiting.div_ceil(edges.len().max(1)).clamp(1, MOST_OFFERED);
+        let each = waiting.div_ceil(edges.len().max(1)).clamp(1, MAX_OFFERED_GENERATIONS);
         for (name, id) in edges.into_iter().take(waiting.div_ceil(each)) {
             if let Some(peer) = self.peers.get(&id) {
                 peer.link.send(&Frame::DrawOffer(DrawOffer { count: each as u32 }));
             }
-            self.leadership.training.offer_at.insert(name, now + OFFER_APART);
+            self.leadership.training.offer_at.insert(name, now + MIN_OFFER_INTERVAL_MS);
         }
     }
 
@@ -55,7 +55,7 @@
             return;
         }
         let tasks: Vec<DrawTask> = draws.iter().filter_map(|(model, draw)| self.task(model, draw)).collect();
-        let grant = DrawGrant { asked_at: request.asked_at, begin_ms: BEGIN_WITHIN_MS, tasks };
+        let grant = DrawGrant { asked_at: request.asked_at, begin_ms: START_TIMEOUT_MS, tasks };
         let sent = self.peers.get(&id).is_some_and(|peer| peer.link.send(&Frame::DrawGrant(grant)));
         if !sent {
             draws.into_iter().for_each(|(model, draw)| {
--- a/crates/system/src/core/orders.rs
+++ b/crates/system/src/core/orders.rs
@@ -14,63 +14,63 @@
 use std::sync::atomic::{AtomicBool, AtomicU64, Ordering};
 use std::time::Duration;
 
-const CALL_WITHIN: Duration = Duration::from_millis(1_500);
+const CALL_TIMEOUT: Duration = Duration::from_millis(1_500);
 /// Reports tell how things stood some hundred milliseconds earlier: one asked for after this tells of an
 /// order's start.
-const REPORT_LAG: Duration = Duration::from_millis(250);
+const REPORT_DELAY: Duration = Duration::from_millis(250);
 /// An order that takes longer than expected is asked about this often.
-const ASK_EVERY: Duration = Duration::from_millis(250);
+const REPORT_POLL_INTERVAL: Duration = Duration::from_millis(250);
 /// Before that it is given again so often, each time after this part of the time that it has taken, for its
 /// answer tells how things stand now.
-const REPEATS: u32 = 3;
-const REPEAT_AFTER: f64 = 0.1;
-const LEAST_REPEAT: Duration = Duration::from_millis(15);
+const MAX_REPEATS: u32 = 3;
+const REPEAT_BACKOFF_FACTOR: f64 = 0.1;
+const MIN_REPEAT_BACKOFF: Duration = Duration::from_millis(15);
 /// An order without an answer that no report shows so long after it was given was not taken, milliseconds.
-const NOT_TAKEN_MS: u64 = 2_500;
+const ACCEPTANCE_TIMEOUT_MS: u64 = 2_500;
 /// An order whose end is not known after this, beyond its expected time, is given up.
-const GIVE_UP_MS: u64 = 20_000;
+const COMPLETION_TIMEOUT_MS: u64 = 20_000;
 
 /// In whose name orders and calls are given. It is looked at when a call's bytes are about to be written, not
 /// before.
 #[derive(Clone, Debug)]
-pub struct Authority {
+pub struct LeaseGuard {
     /// The machine that leads.
     pub lease_holder: String,
     /// Its fencing token.
     pub fencing_token: u64,
     /// The lease: it is renewed while this machine leads.
-    pub lease: Arc<LeaseEnd>,
+    pub lease: Arc<LeaseExpiry>,
     /// Set once this machine leads no more: after it handed over, another one acts before this lease is over.
     pub revoked: Arc<AtomicBool>,
 }
 
 /// Until when calls may leave in the name of one leadership.
 #[derive(Debug, Default)]
-pub struct LeaseEnd(AtomicU64);
+pub struct LeaseExpiry(AtomicU64);
 
-impl LeaseEnd {
+impl LeaseExpiry {
     /// The lease was renewed, or began.
     pub fn extend(&self, until: u64) {
         self.0.fetch_max(until, Ordering::AcqRel);
     }
 }
 
-impl Authority {
+impl LeaseGuard {
     /// Whether a call may leave now.
-    pub fn holds(&self) -> bool {
+    pub fn is_valid(&self) -> bool {
         clock::now() < self.lease.0.load(Ordering::Acquire) && !self.revoked.load(Ordering::Acquire)
     }
 }
 
 /// An order, and what has to be known to give it.
 #[derive(Clone, Debug)]
-pub struct Assignment {
+pub struct OrderTask {
     /// The order.
     pub order: Order,
     /// What the model server can hold.
     pub runtime: Arc<Runtime>,
     /// In whose name it is given.
-    pub authority: Authority,
+    pub authority: LeaseGuard,
     /// What the model server holds by the end of this leader's last order there; `None`: it is asked.
     pub known: Option<ModelServerContents>,
     /// The version of the weights that a load brings in, as far as is known.
@@ -79,7 +79,7 @@
 
 /// What became of an order.
 #[derive(Debug)]
-pub struct OrderEnd {
+pub struct OrderOutcome {
     /// The order.
     pub order: Order,
     /// How the model server stands now, if that is known.
@@ -88,13 +88,13 @@
     pub took_ms: Option<u64>,
 }
 
-impl OrderEnd {
-    fn unknown(order: Order) -> OrderEnd {
-        OrderEnd { order, report: None, took_ms: None }
+impl OrderOutcome {
+    fn unknown(order: Order) -> OrderOutcome {
+        OrderOutcome { order, report: None, took_ms: None }
     }
 
-    fn told(order: Order, report: ReportJson) -> OrderEnd {
-        OrderEnd { order, report: Some(report), took_ms: None }
+    fn told(order: Order, report: ReportJson) -> OrderOutcome {
+        OrderOutcome { order, report: Some(report), took_ms: None }
     }
 }
 
@@ -102,41 +102,41 @@
 ///
 /// A load is given only on what the model server itself reports, and only if it took no order since: another
 /// leader's order, or one of this leader's whose answer was lost, may have filled it.
-pub async fn carry_out(pool: ConnectionPool, assignment: Assignment) -> OrderEnd {
-    let Assignment { order, runtime, authority, known, version } = assignment;
-    let Ok(address) = order.address.parse::<SocketAddr>() else { return OrderEnd::unknown(order) };
+pub async fn execute(pool: ConnectionPool, task: OrderTask) -> OrderOutcome {
+    let OrderTask { order, runtime, authority, known, version } = task;
+    let Ok(address) = order.address.parse::<SocketAddr>() else { return OrderOutcome::unknown(order) };
     let before = match known {
         Some(known) => known,
         None => match report(&pool, address, &order.instance).await {
             Some(report) => report.contents(),
-            None => return OrderEnd::unknown(order),
+            None => return OrderOutcome::unknown(order),
         },
     };
     if before.busy || order.operation == Operation::Load && !order.fits(&runtime, &before.models) {
         let stands = report(&pool, address, &order.instance).await;
-        return OrderEnd { order, report: stands, took_ms: None };
+        return OrderOutcome { order, report: stands, took_ms: None };
     }
-    let follower = Follower { pool, address, order, authority, before, version, given: clock::now() };
+    let follower = OrderTracker { pool, address, order, authority, before, version, given: clock::now() };
     match follower.give(Some(follower.before.sequence)).await {
-        Given::Taken => follower.follow().await,
-        Given::Holds => follower.cached_weights(),
-        Given::TurnedAway(status) => {
+        OrderReply::Taken => follower.follow().await,
+        OrderReply::Holds => follower.cached_weights(),
+        OrderReply::TurnedAway(status) => {
             tracing::warn!(instance = follower.order.instance, status, "order turned away");
-            OrderEnd::unknown(follower.order)
+            OrderOutcome::unknown(follower.order)
         }
         // Another order is under way, or was taken since: what the model server holds is not what was
         // thought.
-        Given::Conflict => {
-            tokio::time::sleep(REPORT_LAG).await;
+        OrderReply::Conflict => {
+            tokio::time::sleep(REPORT_DELAY).await;
             let report = follower.report().await;
-            OrderEnd { order: follower.order, report, took_ms: None }
+            OrderOutcome { order: follower.order, report, took_ms: None }
         }
-        Given::Unclear => follower.follow_by_reports(Answer::Missing).await,
+        OrderReply::Unclear => follower.follow_by_reports(Acceptance::Missing).await,
     }
 }
 
 /// What the answer to an order says.
-enum Given {
+enum OrderReply {
     /// It is being done.
     Taken,
     /// It holds already.
@@ -151,7 +151,7 @@
 
 /// Whether an order is known to have been taken.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum Answer {
+enum Acceptance {
     /// The model server said so.
     Taken,
     /// No answer came: it may have been.
@@ -159,30 +159,31 @@
 }
 
 /// Follows one order to its end.
-struct Follower {
+struct OrderTracker {
     pool: ConnectionPool,
     address: SocketAddr,
     order: Order,
-    authority: Authority,
+    authority: LeaseGuard,
     /// What the model server held before.
     before: ModelServerContents,
     version: u64,
     given: u64,
 }
 
-impl Follower {
-    async fn give(&self, revision: Option<u64>) -> Given {
+impl OrderTracker {
+    async fn give(&self, revision: Option<u64>) -> OrderReply {
         let request = order_request(&self.order, revision, &self.authority);
-        let answer = self.pool.call_once(self.address, request, CALL_WITHIN, || self.authority.holds()).await;
+        let answer =
+            self.pool.call_once(self.address, request, CALL_TIMEOUT, || self.authority.is_valid()).await;
         let status = answer.as_ref().map(|(status, _)| *status);
         let Order { instance, operation, model, adapter, .. } = &self.order;
         tracing::debug!(instance, ?operation, model, adapter, ?status, "order");
         match status {
-            Some(200) => Given::Holds,
-            Some(202) => Given::Taken,
-            Some(409) => Given::Conflict,
-            Some(status @ (400 | 412 | 421)) => Given::TurnedAway(status),
-            Some(_) | None => Given::Unclear,
+            Some(200) => OrderReply::Holds,
+            Some(202) => OrderReply::Taken,
+            Some(409) => OrderReply::Conflict,
+            Some(status @ (400 | 412 | 421)) => OrderReply::TurnedAway(status),
+            Some(_) | None => OrderReply::Unclear,
         }
     }
 
@@ -191,9 +192,9 @@
     }
 
     /// The model server holds already what was ordered: it took no order.
-    fn cached_weights(self) -> OrderEnd {
+    fn cached_weights(self) -> OrderOutcome {
         let contents = ModelServerContents { sequence: self.before.sequence, ..self.contents_after() };
-        OrderEnd::told(self.order, ReportJson::of(contents))
+        OrderOutcome::told(self.order, ReportJson::of(contents))
     }
 
     fn contents_after(&self) -> ModelServerContents {
@@ -208,47 +209,47 @@
     /// The order was taken. Given again when it should be done, it is answered by how things stand then. It
     /// is for the model server with this order as its last one: one that comes late must not undo what a
     /// later leader ordered.
-    async fn follow(self) -> OrderEnd {
+    async fn follow(self) -> OrderOutcome {
         tokio::time::sleep(Duration::from_millis(self.order.expected_ms)).await;
         if self.order.report_only {
-            return self.follow_by_reports(Answer::Taken).await;
+            return self.follow_by_reports(Acceptance::Taken).await;
         }
         let taken_as = Some(self.before.sequence + 1);
-        for repeat in 0..REPEATS {
+        for repeat in 0..MAX_REPEATS {
             let asked_ms = clock::now().saturating_sub(self.given);
             match self.give(taken_as).await {
-                Given::Holds => {
+                OrderReply::Holds => {
                     // Done at the first look: it may have been done for a while.
                     let took_ms =
                         Some(if repeat == 0 { order_progress::earlier(asked_ms) } else { asked_ms });
-                    return OrderEnd { report: Some(self.done()), order: self.order, took_ms };
+                    return OrderOutcome { report: Some(self.done()), order: self.order, took_ms };
                 }
-                Given::Conflict | Given::Taken => {}
-                Given::TurnedAway(_) | Given::Unclear => break,
+                OrderReply::Conflict | OrderReply::Taken => {}
+                OrderReply::TurnedAway(_) | OrderReply::Unclear => break,
             }
             let taken = Duration::from_millis(clock::now().saturating_sub(self.given));
-            tokio::time::sleep(taken.mul_f64(REPEAT_AFTER).max(LEAST_REPEAT)).await;
+            tokio::time::sleep(taken.mul_f64(REPEAT_BACKOFF_FACTOR).max(MIN_REPEAT_BACKOFF)).await;
         }
-        self.follow_by_reports(Answer::Taken).await
+        self.follow_by_reports(Acceptance::Taken).await
     }
 
     fn is_old(&self) -> bool {
-        clock::now() >= self.given + NOT_TAKEN_MS
+        clock::now() >= self.given + ACCEPTANCE_TIMEOUT_MS
     }
 
     /// Asks the model server until it tells of the order's end, or that it never got it.
-    async fn follow_by_reports(self, answer: Answer) -> OrderEnd {
-        while clock::now() < self.given + self.order.expected_ms + GIVE_UP_MS {
+    async fn follow_by_reports(self, answer: Acceptance) -> OrderOutcome {
+        while clock::now() < self.given + self.order.expected_ms + COMPLETION_TIMEOUT_MS {
             let Some(report) = self.report().await else { break };
             match order_progress::judge(&self.order, self.before.sequence, &report.contents()) {
-                Progress::Done | Progress::Undone => return OrderEnd::told(self.order, report),
-                Progress::TooOld if answer == Answer::Missing && self.is_old() => {
-                    return OrderEnd::told(self.order, report);
+                Progress::Done | Progress::Undone => return OrderOutcome::told(self.order, report),
+                Progress::TooOld if answer == Acceptance::Missing && self.is_old() => {
+                    return OrderOutcome::told(self.order, report);
                 }
-                Progress::TooOld | Progress::UnderWay => tokio::time::sleep(ASK_EVERY).await,
+                Progress::TooOld | Progress::UnderWay => tokio::time::sleep(REPORT_POLL_INTERVAL).await,
             }
         }
-        OrderEnd::unknown(self.order)
+        OrderOutcome::unknown(self.order)
     }
 }
 
@@ -259,11 +260,11 @@
         .header("x-pathbank-target-instance", instance)
         .body(Full::new(Bytes::new()))
         .ok()?;
-    let (status, body) = pool.call(address, request, CALL_WITHIN).await?;
+    let (status, body) = pool.call(address, request, CALL_TIMEOUT).await?;
     (status == 200).then(|| serde_json::from_slice(&body).ok())?
 }
 
-fn order_request(order: &Order, revision: Option<u64>, authority: &Authority) -> Request<Full<Bytes>> {
+fn order_request(order: &Order, revision: Option<u64>, authority: &LeaseGuard) -> Request<Full<Bytes>> {
     let operation = match order.operation {
         Operation::Load => "model_load",
         Operation::Unload => "model_unload",
--- a/crates/system/src/core/peers.rs
+++ b/crates/system/src/core/peers.rs
@@ -13,13 +13,13 @@
 pub type LinkId = u64;
 
 static NEXT_LINK: AtomicU64 = AtomicU64::new(1);
-const ACCEPT_PAUSE: Duration = Duration::from_millis(20);
+const ACCEPT_BACKOFF: Duration = Duration::from_millis(20);
 
 /// Accepts links and reports what comes on them.
 pub async fn accept(listener: TcpListener, events: UnboundedSender<Event>) {
     loop {
         let Ok((stream, _)) = listener.accept().await else {
-            tokio::time::sleep(ACCEPT_PAUSE).await;
+            tokio::time::sleep(ACCEPT_BACKOFF).await;
             continue;
         };
         socket::prepare(&stream);
@@ -39,7 +39,7 @@
         }
         // Nothing else counts before a process said who it is.
         (_, None) => false,
-        (frame, Some(_)) => events.send(Event::LinkSaid(id, frame)).is_ok(),
+        (frame, Some(_)) => events.send(Event::FrameReceived(id, frame)).is_ok(),
     };
     link::run(stream, outbox, on_frame).await;
     let _ = events.send(Event::LinkClosed(id));
--- a/crates/system/src/core/duties.rs
+++ b/crates/system/src/core/singleton_roles.rs
@@ -1,6 +1,6 @@
 //! Calls to the platform that are the duty of one head at a time.
 
-use super::orders::Authority;
+use super::orders::LeaseGuard;
 use crate::net::client::ConnectionPool;
 use bytes::Bytes;
 use http_body_util::Full;
@@ -10,10 +10,10 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-const CALL_WITHIN: Duration = Duration::from_millis(2_500);
+const CALL_TIMEOUT: Duration = Duration::from_millis(2_500);
 /// A call without a clear answer is made again after this.
-const RETRY_AFTER: Duration = Duration::from_millis(700);
-const MOST_TRIES: u32 = 6;
+const RETRY_BACKOFF: Duration = Duration::from_millis(700);
+const MAX_ATTEMPTS: u32 = 6;
 
 /// Reports a window's usage until it is taken. Returns whether it was.
 pub async fn report_usage(
@@ -21,14 +21,14 @@
     platform: SocketAddr,
     window: u64,
     counts: BTreeMap<String, u64>,
-    authority: Authority,
+    authority: LeaseGuard,
 ) -> bool {
     let body = serde_json::json!({ "window_id": window, "counts": counts }).to_string();
-    for _ in 0..MOST_TRIES {
+    for _ in 0..MAX_ATTEMPTS {
         match call(&pool, platform, "/usage", &authority, &body).await {
             CallEnd::Taken => return true,
             CallEnd::TurnedAway | CallEnd::LeaseOver => return false,
-            CallEnd::Unclear => tokio::time::sleep(RETRY_AFTER).await,
+            CallEnd::Unclear => tokio::time::sleep(RETRY_BACKOFF).await,
         }
     }
     false
@@ -40,7 +40,7 @@
     pool: ConnectionPool,
     platform: SocketAddr,
     order: &ScaleOrder,
-    authority: Authority,
+    authority: LeaseGuard,
 ) -> bool {
     let body = serde_json::json!({
         "backend": order.backend,
@@ -65,16 +65,16 @@
     pool: &ConnectionPool,
     platform: SocketAddr,
     path: &str,
-    authority: &Authority,
+    authority: &LeaseGuard,
     body: &str,
 ) -> CallEnd {
-    if !authority.holds() {
+    if !authority.is_valid() {
         return CallEnd::LeaseOver;
     }
     let Some(request) = request(path, platform, authority, body.to_owned()) else {
         return CallEnd::TurnedAway;
     };
-    match pool.call_if(platform, request, CALL_WITHIN, || authority.holds()).await {
+    match pool.call_if(platform, request, CALL_TIMEOUT, || authority.is_valid()).await {
         Some((200..=299, _)) => CallEnd::Taken,
         Some((400..=428, _)) => CallEnd::TurnedAway,
         Some(_) | None => CallEnd::Unclear,
@@ -84,7 +84,7 @@
 fn request(
     path: &str,
     platform: SocketAddr,
-    authority: &Authority,
+    authority: &LeaseGuard,
     body: String,
 ) -> Option<Request<Full<Bytes>>> {
     Request::post(path)
--- a/crates/system/src/core/training/call.rs
+++ b/crates/system/src/core/training/call.rs
@@ -1,5 +1,5 @@
-//! What trainers ask of the control plane, as typed calls. Whatever makes no sense is refused with a reason and changes
-//! nothing.
+//! What trainers ask of the control plane, as typed calls. Whatever makes no sense is refused with a reason
+//! and changes nothing.
 
 use pathbank_control::configuration::{Backend, Rejection};
 use pathbank_control::result_code::ResultCode;
@@ -9,13 +9,14 @@
 use serde::Deserialize;
 use std::collections::BTreeMap;
 
-/// A generation may take no longer than this, milliseconds: a new leader waits so long before it seals a step.
-const MOST_GENERATION_MS: Millis = 120_000;
-const MOST_NAME_BYTES: usize = 256;
-const MOST_PATH_BYTES: usize = 2_048;
-const MOST_PREFIX_BYTES: usize = 8 * 1024;
+/// A generation may take no longer than this, milliseconds: a new leader waits so long before it seals a
+/// step.
+const MAX_GENERATION_MS: Millis = 120_000;
+const MAX_NAME_BYTES: usize = 256;
+const MAX_PATH_BYTES: usize = 2_048;
+const MAX_PREFIX_BYTES: usize = 8 * 1024;
 /// Results that one call brings at most.
-pub const MOST_RESULTS: usize = 256;
+pub const MAX_RESULTS: usize = 256;
 
 /// A trainer's call.
 #[derive(Clone, Debug)]
@@ -137,7 +138,7 @@
     }
     let mut prompts = BTreeMap::new();
     for PromptJson { id, body, input_tokens, output_tokens, prefix } in body.prompts {
-        if prefix.len() > MOST_PREFIX_BYTES || !prefix.bytes().all(|byte| byte.is_ascii_graphic()) {
+        if prefix.len() > MAX_PREFIX_BYTES || !prefix.bytes().all(|byte| byte.is_ascii_graphic()) {
             return Err(bad(format!("prompt {id}: its prefix cannot be sent")));
         }
         let prompt = Prompt { body, input_tokens, output_tokens, prefix };
@@ -153,23 +154,24 @@
     ///
     /// # Errors
     ///
-    /// A name, a number or a path makes no sense, or no service has the model, or several have and none is named.
+    /// A name, a number or a path makes no sense, or no service has the model, or several have and none is
+    /// named.
     pub fn request(self, backends: &[Backend]) -> Result<StepRequest, Rejection> {
-        let named = |name: &str| !name.is_empty() && name.len() <= MOST_NAME_BYTES;
+        let named = |name: &str| !name.is_empty() && name.len() <= MAX_NAME_BYTES;
         if !named(&self.key) {
-            return Err(bad(format!("key: 1 to {MOST_NAME_BYTES} bytes")));
+            return Err(bad(format!("key: 1 to {MAX_NAME_BYTES} bytes")));
         }
         let backend = backend_of(backends, &self.model, self.backend.as_deref())?;
         let version = wanted_version(self.version)?;
         let workers = wanted_workers(self.workers, self.share)?;
         let path = self.path.unwrap_or_else(|| "/".to_owned());
-        let is_path = path.starts_with('/') && path.len() <= MOST_PATH_BYTES;
+        let is_path = path.starts_with('/') && path.len() <= MAX_PATH_BYTES;
         if !is_path || !path.bytes().all(|byte| byte.is_ascii_graphic()) {
             return Err(bad("path: begins with a slash and has no spaces"));
         }
         let generation_ms = self.generation_ms.unwrap_or(DEFAULT_GENERATION_MS);
-        if !(1..=MOST_GENERATION_MS).contains(&generation_ms) {
-            return Err(bad(format!("generation_ms: 1 to {MOST_GENERATION_MS}")));
+        if !(1..=MAX_GENERATION_MS).contains(&generation_ms) {
+            return Err(bad(format!("generation_ms: 1 to {MAX_GENERATION_MS}")));
         }
         if self.deadline_ms == Some(0) {
             return Err(bad("deadline_ms: above 0"));
--- a/crates/system/src/core/training/lead.rs
+++ b/crates/system/src/core/training/lead.rs
@@ -12,16 +12,16 @@
 
 /// A worker that changes versions is asked for its report this often, milliseconds; one that does not, that
 /// often.
-pub const ASK_CHANGING_EVERY: u64 = 250;
-pub const ASK_EVERY: u64 = 1_000;
+pub const CHANGING_WORKER_POLL_INTERVAL_MS: u64 = 250;
+pub const WORKER_POLL_INTERVAL_MS: u64 = 1_000;
 /// Steps are looked at this often, milliseconds.
-pub const LOOK_EVERY: u64 = 50;
+pub const TRAINING_INTERVAL_MS: u64 = 50;
 /// An edge that was offered generations is offered more after this, milliseconds.
-pub const OFFER_APART: u64 = 100;
+pub const MIN_OFFER_INTERVAL_MS: u64 = 100;
 /// Generations that one edge is offered at once.
-pub const MOST_OFFERED: usize = 16;
+pub const MAX_OFFERED_GENERATIONS: usize = 16;
 /// Who waits for a step to change is answered after this, milliseconds, whether it has or not.
-pub const WATCH_WITHIN: u64 = 2_000;
+pub const WATCH_TIMEOUT_MS: u64 = 2_000;
 
 /// Which of the two orders that bring a worker to another version is under way.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
--- a/crates/system/tests/orders.rs
+++ b/crates/system/tests/orders.rs
@@ -5,7 +5,7 @@
 use pathbank_control::order_progress::OrderKind;
 use pathbank_control::placement::{Operation, Order};
 use pathbank_system::clock;
-use pathbank_system::core::orders::{Assignment, Authority, LeaseEnd, OrderEnd, carry_out};
+use pathbank_system::core::orders::{LeaseExpiry, LeaseGuard, OrderOutcome, OrderTask, execute};
 use pathbank_system::net::client::ConnectionPool;
 use pathbank_system::stand_in::engine::{Engine, OrderBody};
 use serde_json::{Value, json};
@@ -146,21 +146,21 @@
     }
 }
 
-fn authority(lease_ms: u64) -> Authority {
-    let lease = Arc::new(LeaseEnd::default());
+fn authority(lease_ms: u64) -> LeaseGuard {
+    let lease = Arc::new(LeaseExpiry::default());
     lease.extend(clock::now() + lease_ms);
-    Authority { lease_holder: "core-1".into(), fencing_token: 7, lease, revoked: Arc::default() }
+    LeaseGuard { lease_holder: "core-1".into(), fencing_token: 7, lease, revoked: Arc::default() }
 }
 
-fn given(order: Order, authority: Authority) -> Assignment {
-    Assignment { order, runtime: Arc::new(runtime()), authority, known: None, version: 1 }
+fn given(order: Order, authority: LeaseGuard) -> OrderTask {
+    OrderTask { order, runtime: Arc::new(runtime()), authority, known: None, version: 1 }
 }
 
-async fn when_given(order: Order) -> OrderEnd {
-    carry_out(ConnectionPool::default(), given(order, authority(60_000))).await
+async fn when_given(order: Order) -> OrderOutcome {
+    execute(ConnectionPool::default(), given(order, authority(60_000))).await
 }
 
-fn names(end: &OrderEnd) -> Vec<String> {
+fn names(end: &OrderOutcome) -> Vec<String> {
     let report = end.report.as_ref().expect("how the model server stands");
     report.models().map(|held| held.name).collect()
 }
@@ -227,12 +227,12 @@
     let server = LateModelServer::new(300, &["a"]);
     let address = serve(server.clone()).await;
     let over = given(order(address, Operation::Load, "b", 20), authority(0));
-    carry_out(ConnectionPool::default(), over).await;
+    execute(ConnectionPool::default(), over).await;
     assert_eq!(server.lock().unwrap().orders.len(), 0);
     let handed_over = authority(60_000);
     let revoked = handed_over.revoked.clone();
-    let assignment = given(order(address, Operation::Load, "b", 150), handed_over);
-    let carried_out = tokio::spawn(carry_out(ConnectionPool::default(), assignment));
+    let task = given(order(address, Operation::Load, "b", 150), handed_over);
+    let carried_out = tokio::spawn(execute(ConnectionPool::default(), task));
     tokio::time::sleep(Duration::from_millis(60)).await;
     revoked.store(true, std::sync::atomic::Ordering::Release);
     carried_out.await.expect("it ends");
