--- a/crates/protocol/tests/round_trip.rs
+++ b/crates/protocol/tests/round_trip.rs
@@ -1,145 +1,14 @@
 //! Every kind of message comes back as it was sent.
 
-use pathbank_coordination::types::{
-    Entry, Member, Membership, Message, Payload, SnapshotId, SnapshotPart, StoreId,
-};
+mod common;
+
+use common::*;
+use pathbank_coordination::types::Message;
 use pathbank_protocol::codec::{SharedMessage, decode, encode};
 use pathbank_protocol::framing::{FrameTooLong, LENGTH_BYTES, take_body};
 use pathbank_protocol::message::*;
 use test_case::test_case;
 
-fn member() -> Member {
-    Member {
-        id: StoreId(7),
-        name: "core-1".into(),
-        address: "10.0.0.1:7660".into(),
-        control_address: "10.0.0.1:8407".into(),
-    }
-}
-
-fn server() -> ModelServer {
-    ModelServer {
-        instance: "i-1".into(),
-        backend: "llm".into(),
-        address: "10.0.0.9:8080".into(),
-        zone: "z".into(),
-        version: "v1".into(),
-        capacity: 64,
-        state: ModelServerState::Draining,
-        cold_remaining_ms: 5,
-        remaining_ms: 2_000,
-        models: vec![LoadedModel { name: "m".into(), version: 3, adapters: vec!["a1".into(), "a2".into()] }],
-        sequence: 9,
-        busy: true,
-    }
-}
-
-fn report() -> EdgeReport {
-    EdgeReport {
-        edge: "edge-1".into(),
-        incarnation: 4,
-        usage: vec![UsageWindow { window: 8, counts: vec![("tenant".into(), 3)] }],
-        demand: vec![ModelDemand {
-            backend: "llm".into(),
-            model: "m".into(),
-            adapter: "a1".into(),
-            arrived: 2,
-            tokens: 900,
-            waiting: 1,
-            read_ms: 140,
-            slot_time_ms: 2_600,
-            objective_ms: 500,
-        }],
-        loads: vec![ModelServerLoad {
-            instance: "i-1".into(),
-            in_flight: 2,
-            failed: 1,
-            answered: 9,
-            error_permille: 100,
-        }],
-        demand_span_ms: 4_000,
-        configuration: ConfigurationInForce { index: 9, version: 14, for_ms: 250 },
-    }
-}
-
-fn admission() -> AdmissionRequest {
-    let option = AdmissionOption { instance: "i-1".into(), read_ms: 80, extra_ms: 30 };
-    let options = vec![option.clone(), AdmissionOption { read_ms: 9, ..option }];
-    AdmissionRequest { request: 7, options, urgency: 12 }
-}
-
-fn draw_id() -> DrawId {
-    DrawId { step: 3, epoch: 40, prompt: 5, instance: "i-1".into(), version: 7 }
-}
-
-fn draw_grant() -> DrawGrant {
-    let task = DrawTask {
-        id: draw_id(),
-        address: "10.0.0.9:8080".into(),
-        model: "m".into(),
-        path: "/generate".into(),
-        body: "a prompt".into(),
-        input_tokens: 20,
-        output_tokens: 30,
-        prefix: "aa:20".into(),
-        within_ms: 9_000,
-        event_tokens: 3,
-    };
-    DrawGrant { asked_at: 12, begin_ms: 300, tasks: vec![task.clone(), task] }
-}
-
-fn draw_result(ending: DrawEnding) -> Frame {
-    Frame::DrawResult(DrawResult { id: draw_id(), within_ms: 9_000, ending })
-}
-
-fn drawn(head: Option<u64>) -> DrawEnding {
-    let (text, truncated) = ("some text".into(), true);
-    DrawEnding::Complete(DrawnAnswer { head, events: vec![7, 8], tokens: 30, text, truncated })
-}
-
-fn model_versions() -> Frame {
-    let trained = ModelVersions { backend: "llm".into(), model: "m".into(), open: Some(8), sealed: Some(7) };
-    Frame::ModelVersions(vec![ModelVersions { open: None, ..trained.clone() }, trained])
-}
-
-fn order_status(models: Option<Vec<LoadedModel>>) -> Frame {
-    let withheld = vec![WithheldModel { model: "m".into(), adapter: "a1".into() }];
-    Frame::OrderStatus(OrderStatus { instance: "i-1".into(), withheld, models, busy: true })
-}
-
-fn core_status() -> CoreStatus {
-    CoreStatus {
-        members: vec![member()],
-        leader: "l".into(),
-        edges: 8,
-        wall_clock_ms: 6,
-        zone: "z".into(),
-        configuration_index: 4,
-        current: true,
-    }
-}
-
-fn replica(message: Message) -> Frame {
-    Frame::Replica(member(), message)
-}
-
-fn append() -> Message {
-    let membership = Membership { voters: vec![member()], outgoing: vec![member()] };
-    let payloads = [
-        Payload::LeaderStart("core-1".into()),
-        Payload::Membership(membership),
-        Payload::Command(vec![1, 2]),
-    ];
-    let entry = |(at, payload): (usize, Payload)| Entry { index: at as u64 + 1, term: 2, payload };
-    let entries = payloads.into_iter().enumerate().map(entry).collect();
-    Message::Append { term: 2, previous_index: 0, previous_term: 0, entries, commit: 1, sent_at: 77 }
-}
-
-fn snapshot_part() -> Message {
-    let id = SnapshotId { index: 5, length: 700, checksum: 0xdead_beef };
-    Message::SnapshotPart(SnapshotPart { term: 3, id, offset: 400, bytes: vec![9; 300], sent_at: 5 })
-}
-
 #[test_case(Frame::Hello(Hello { role: ProcessRole::Edge, name: "e".into(), zone: "z".into(), incarnation: 1, reads_compressed: true }); "hello")]
 #[test_case(replica(append()); "append")]
 #[test_case(replica(snapshot_part()); "snapshot part")]
@@ -213,10 +82,6 @@
     }
 }
 
-fn hello(reads_compressed: bool) -> Hello {
-    Hello { role: ProcessRole::Edge, name: "e".into(), zone: "z".into(), incarnation: 1, reads_compressed }
-}
-
 fn read_back(bytes: &[u8]) -> Frame {
     let mut buffer = bytes.to_vec();
     decode(&take_body(&mut buffer).unwrap().unwrap()).unwrap()
