--- a/crates/system/src/core/api.rs
+++ b/crates/system/src/core/api.rs
@@ -3,11 +3,12 @@
 
 mod training;
 
+use super::event::Event;
 use super::model_server_json::HeartbeatJson;
-use super::node::{Event, Reply};
 use http_body_util::Full;
 use hyper::Request;
 use hyper::body::Incoming;
+use pathbank_control::operator_calls::Reply;
 use pathbank_control::result_code::ResultCode;
 use pathbank_control::state::{Change, ChangeKind};
 use std::sync::Arc;
--- a/crates/system/src/core/api/training.rs
+++ b/crates/system/src/core/api/training.rs
@@ -1,7 +1,7 @@
 //! The trainers' part of the control plane, `/api/v1/steps`: JSON bodies, and answers with numbered results.
 
 use super::{Events, ask, body_of, own};
-use crate::core::node::Event;
+use crate::core::event::Event;
 use crate::core::training::call::{self, MAX_RESULTS, OpenBody, SealBody, TrainingCall};
 use pathbank_control::configuration::Rejection;
 use pathbank_control::result_code::ResultCode;
--- a/crates/system/src/core/disk.rs
+++ b/crates/system/src/core/disk.rs
@@ -1,6 +1,6 @@
 //! The replica's disk, on a thread of its own: the node never waits for a sync.
 
-use super::node::Event;
+use super::event::{DiskEvent, Event};
 use crate::clock;
 use crate::settings::Settings;
 use anyhow::{Context, Result};
@@ -13,17 +13,17 @@
 use std::time::Duration;
 use tokio::sync::mpsc::UnboundedSender;
 
-/// A write that was refused is tried again after this.
-const RETRY_BACKOFF: Duration = Duration::from_millis(100);
+/// Between attempts of a write that failed.
+const WRITE_RETRY_BACKOFF: Duration = Duration::from_millis(100);
 
-enum Job {
+enum Write {
     Append { records: Vec<Record>, ticket: u64, last_index: Index },
     Rewrite { durable: Box<Durable>, ticket: u64 },
 }
 
 /// The replica's disk.
 pub struct Disk {
-    jobs: mpsc::Sender<Job>,
+    writes: mpsc::Sender<Write>,
     next_ticket: u64,
     /// What the disk held at the start.
     pub durable: Durable,
@@ -31,20 +31,6 @@
     pub me: Member,
 }
 
-/// What the disk reports.
-#[derive(Clone, Copy, Debug)]
-pub enum DiskEvent {
-    /// All up to a ticket is on disk; the log's last entry of it, if it had any.
-    Saved {
-        /// The ticket.
-        ticket: u64,
-        /// The last entry at the time of the ticket.
-        last_index: Option<Index>,
-    },
-    /// Writes are refused, or work again.
-    Impaired(bool),
-}
-
 impl Disk {
     /// Opens the log of the data directory, or begins one.
     pub fn open(settings: &Settings, control: SocketAddr, events: UnboundedSender<Event>) -> Result<Disk> {
@@ -62,23 +48,23 @@
             address: settings.own_internal_address().to_string(),
             control_address: control.to_string(),
         };
-        let (jobs, queue) = mpsc::channel();
+        let (writes, queue) = mpsc::channel();
         std::thread::Builder::new().name("disk".into()).spawn(move || work(log, &queue, &events))?;
-        Ok(Disk { jobs, next_ticket: 1, durable, me })
+        Ok(Disk { writes, next_ticket: 1, durable, me })
     }
 
     /// Saves records behind all that was handed over before. Returns the ticket under which they will be
     /// reported.
     pub fn append(&mut self, records: Vec<Record>, last_index: Index) -> u64 {
         let ticket = self.take_ticket();
-        let _ = self.jobs.send(Job::Append { records, ticket, last_index });
+        let _ = self.writes.send(Write::Append { records, ticket, last_index });
         ticket
     }
 
     /// Replaces the file by the whole state, which holds all that was handed over before.
     pub fn rewrite(&mut self, durable: Durable) -> u64 {
         let ticket = self.take_ticket();
-        let _ = self.jobs.send(Job::Rewrite { durable: Box::new(durable), ticket });
+        let _ = self.writes.send(Write::Rewrite { durable: Box::new(durable), ticket });
         ticket
     }
 
@@ -112,25 +98,25 @@
     StoreId(digest(&[seed.to_string().as_bytes()]) as u64 & !1)
 }
 
-fn work(mut log: LogFile, queue: &mpsc::Receiver<Job>, events: &UnboundedSender<Event>) {
+fn work(mut log: LogFile, queue: &mpsc::Receiver<Write>, events: &UnboundedSender<Event>) {
     while let Ok(first) = queue.recv() {
-        let mut jobs = vec![first];
-        jobs.extend(queue.try_iter());
-        carry_out_all(&mut log, jobs, events);
+        let mut writes = vec![first];
+        writes.extend(queue.try_iter());
+        write_batch(&mut log, writes, events);
     }
 }
 
 /// Appends in a row share one sync.
-fn carry_out_all(log: &mut LogFile, jobs: Vec<Job>, events: &UnboundedSender<Event>) {
+fn write_batch(log: &mut LogFile, writes: Vec<Write>, events: &UnboundedSender<Event>) {
     let mut batch: Vec<Record> = Vec::new();
     let mut saved = None;
-    for job in jobs {
-        match job {
-            Job::Append { records, ticket, last_index } => {
+    for write in writes {
+        match write {
+            Write::Append { records, ticket, last_index } => {
                 batch.extend(records);
                 saved = Some(DiskEvent::Saved { ticket, last_index: Some(last_index) });
             }
-            Job::Rewrite { durable, ticket } => {
+            Write::Rewrite { durable, ticket } => {
                 // The whole state holds the batch as well.
                 batch.clear();
                 until_done(events, || log.rewrite(&durable));
@@ -155,7 +141,7 @@
             let _ = events.send(Event::Disk(DiskEvent::Impaired(true)));
         }
         failed = true;
-        std::thread::sleep(RETRY_BACKOFF);
+        std::thread::sleep(WRITE_RETRY_BACKOFF);
     }
     if failed {
         tracing::info!("the disk takes writes again");
--- a/crates/system/src/core/mod.rs
+++ b/crates/system/src/core/mod.rs
@@ -4,6 +4,8 @@
 mod api;
 pub mod configuration_updates;
 mod disk;
+mod event;
+pub mod lease;
 pub mod model_server_json;
 mod node;
 pub mod orders;
@@ -18,7 +20,8 @@
 use crate::signals::Signals;
 use crate::startup::{Milestone, Startup};
 use anyhow::{Context, Result};
-use node::{Event, Node};
+use event::Event;
+use node::Node;
 use std::time::Duration;
 use tokio::sync::{mpsc, watch};
 
@@ -26,7 +29,7 @@
 const TICK_INTERVAL: Duration = Duration::from_millis(25);
 const MAX_HEAD_BYTES: usize = 64 * 1024;
 /// A replica that knows less than the others of what the log means neither votes nor serves.
-const CANNOT_PARTICIPATE: &str = "this control head cannot take part; start the program that wrote its state";
+const CANNOT_PARTICIPATE: &str = "this core cannot take part; start the program that wrote its state";
 const HEAD_TIMEOUT: Duration = Duration::from_secs(30);
 /// Part of the descriptors that calls to the control plane may take.
 const CALLER_DESCRIPTOR_FRACTION: f64 = 0.6;
--- a/crates/system/src/core/node.rs
+++ b/crates/system/src/core/node.rs
@@ -1,6 +1,5 @@
 //! The one owner of a core's state: every event comes here, one after the other.
 
-mod event;
 mod leadership;
 mod links;
 mod model_servers;
@@ -11,8 +10,8 @@
 
 use super::configuration_updates::SentConfiguration;
 use super::disk::Disk;
+use super::event::{Event, LinkId};
 use super::model_server_json::ModelServerView;
-use super::peers::LinkId;
 use crate::clock;
 use crate::net::client::ConnectionPool;
 use crate::net::link::Link;
@@ -21,12 +20,11 @@
 use crate::signals::Request;
 use crate::startup::{Milestone, Startup};
 use anyhow::{Context, Result};
-pub use event::Event;
 use leadership::Leadership;
 use pathbank_control::configuration_holders::ConfigurationHolders;
 use pathbank_control::demand::DemandTable;
 use pathbank_control::directory::Directory;
-pub use pathbank_control::operator_calls::Reply;
+use pathbank_control::operator_calls::Reply;
 use pathbank_control::outliers::OutlierTable;
 use pathbank_control::pending_changes::PendingChanges;
 use pathbank_control::state::{Command, ControlState, StateError};
@@ -246,8 +244,8 @@
             Event::Mesh(MeshEvent::Opened(address)) => self.on_core_reached(address),
             Event::Mesh(MeshEvent::Closed(_) | MeshEvent::Said(..)) => {}
             Event::OrderFinished(end) => self.on_order_finished(*end),
-            Event::UsageReported(window, taken) => self.leadership.usage_reported(window, taken),
-            Event::ModelServersOrdered(order, taken) => self.leadership.servers_ordered(now, &order, taken),
+            Event::UsageReported { window, outcome } => self.leadership.usage_reported(window, outcome),
+            Event::ServersOrdered { order, outcome } => self.leadership.servers_ordered(now, &order, outcome),
             Event::Training(call, reply) => self.on_training_call(now, call, reply),
             Event::WorkerReported { model, worker, report } => {
                 self.on_worker_reported(now, &model, &worker, &report);
--- a/crates/system/src/core/node/leadership.rs
+++ b/crates/system/src/core/node/leadership.rs
@@ -1,10 +1,12 @@
 //! What only the leader does: orders to model servers and calls to the platform, each within its lease.
 
-use super::{Event, Node};
+use super::Node;
 use crate::clock;
+use crate::core::event::Event;
+use crate::core::lease::{LeaseExpiry, LeaseGuard};
 use crate::core::model_server_json::ReportJson;
-use crate::core::orders::{self, LeaseExpiry, LeaseGuard, OrderOutcome, OrderTask};
-use crate::core::singleton_roles;
+use crate::core::orders::{self, OrderOutcome, OrderTask};
+use crate::core::singleton_roles::{self, PlatformOutcome};
 use crate::core::training::lead::Training;
 use crate::startup::Milestone;
 use pathbank_control::admission::AdmissionController;
@@ -97,15 +99,15 @@
     }
 
     /// A window's usage was taken by the platform, or has to be reported again.
-    pub fn usage_reported(&mut self, window: u64, taken: bool) {
-        if !taken {
+    pub fn usage_reported(&mut self, window: u64, outcome: PlatformOutcome) {
+        if !outcome.is_accepted() {
             self.reported.remove(&window);
         }
     }
 
     /// The platform took an order of model servers, or gave no clear answer.
-    pub fn servers_ordered(&mut self, now: u64, order: &ScaleOrder, taken: bool) {
-        self.autoscaler.taken(now, order, taken);
+    pub fn servers_ordered(&mut self, now: u64, order: &ScaleOrder, outcome: PlatformOutcome) {
+        self.autoscaler.taken(now, order, outcome.is_accepted());
     }
 
     /// An edge told its counts to the leader of this term.
@@ -151,7 +153,7 @@
         Some(permit)
     }
 
-    pub(super) fn authority(&self, permit: Permit) -> LeaseGuard {
+    pub(super) fn guard(&self, permit: Permit) -> LeaseGuard {
         LeaseGuard {
             lease_holder: self.settings.node_name.clone(),
             fencing_token: permit.fencing_token,
@@ -205,13 +207,13 @@
             self.publish_to_subscribers(&frame);
             self.mesh.send_to_all(&frame);
         }
-        let authority = self.authority(permit);
+        let guard = self.guard(permit);
         for order in orders {
-            self.give(order, authority.clone());
+            self.give(order, guard.clone());
         }
     }
 
-    fn give(&mut self, order: Order, authority: LeaseGuard) {
+    fn give(&mut self, order: Order, guard: LeaseGuard) {
         if order.operation == Operation::Unload {
             self.directory.withhold(&order.instance, &order.model, &order.adapter);
             self.publish_order_update(&order.instance, false);
@@ -223,7 +225,7 @@
         let (pool, events) = (self.pool.clone(), self.events.clone());
         let known = self.leadership.contents.remove(&order.instance);
         let version = self.directory.newest_version(&order.model);
-        let task = OrderTask { order, runtime, authority, known, version };
+        let task = OrderTask { order, runtime, guard, known, version };
         tokio::spawn(async move {
             let end = orders::execute(pool, task).await;
             let _ = events.send(Event::OrderFinished(Box::new(end)));
@@ -299,10 +301,10 @@
         let open: Vec<_> = open.into_iter().map(|(window, counts)| (*window, counts.clone())).collect();
         for (window, counts) in open {
             self.leadership.reported.insert(window);
-            let (pool, events, authority) = (self.pool.clone(), self.events.clone(), self.authority(permit));
+            let (pool, events, guard) = (self.pool.clone(), self.events.clone(), self.guard(permit));
             tokio::spawn(async move {
-                let taken = singleton_roles::report_usage(pool, platform, window, counts, authority).await;
-                let _ = events.send(Event::UsageReported(window, taken));
+                let outcome = singleton_roles::report_usage(pool, platform, window, counts, guard).await;
+                let _ = events.send(Event::UsageReported { window, outcome });
             });
         }
     }
@@ -322,10 +324,10 @@
                 count = order.desired_count,
                 "model servers ordered"
             );
-            let (pool, events, authority) = (self.pool.clone(), self.events.clone(), self.authority(permit));
+            let (pool, events, guard) = (self.pool.clone(), self.events.clone(), self.guard(permit));
             tokio::spawn(async move {
-                let taken = singleton_roles::order_servers(pool, platform, &order, authority).await;
-                let _ = events.send(Event::ModelServersOrdered(order, taken));
+                let outcome = singleton_roles::order_servers(pool, platform, &order, guard).await;
+                let _ = events.send(Event::ServersOrdered { order, outcome });
             });
         }
     }
--- a/crates/system/src/core/node/links.rs
+++ b/crates/system/src/core/node/links.rs
@@ -3,7 +3,7 @@
 use super::{Node, Peer, STATUSES_PER_MEMBERSHIP};
 use crate::clock;
 use crate::core::configuration_updates::SentConfiguration;
-use crate::core::peers::LinkId;
+use crate::core::event::LinkId;
 use crate::net::link::Link;
 use pathbank_coordination::replica::Role;
 use pathbank_protocol::codec::SharedMessage;
--- a/crates/system/src/core/node/model_servers.rs
+++ b/crates/system/src/core/node/model_servers.rs
@@ -1,7 +1,7 @@
 //! Model servers: their heartbeats, their silence, what is out at them, and who is sent news of them.
 
 use super::Node;
-use crate::core::peers::LinkId;
+use crate::core::event::LinkId;
 use crate::startup::Milestone;
 use pathbank_control::pending_changes::ServerChanges;
 use pathbank_protocol::codec::{self, SharedMessage};
--- a/crates/system/src/core/node/overview.rs
+++ b/crates/system/src/core/node/overview.rs
@@ -1,9 +1,10 @@
 //! What operators are told of this head, and of placement and duties. Of the latter only the leader knows;
 //! others lead on to it.
 
-use super::{Node, Reply};
+use super::Node;
 use pathbank_control::configuration_holders::Holder;
 use pathbank_control::demand::ModelKey;
+use pathbank_control::operator_calls::Reply;
 use pathbank_control::placement::Operation;
 use pathbank_coordination::types::Member;
 use pathbank_protocol::message::ModelServer;
--- a/crates/system/src/core/node/publication.rs
+++ b/crates/system/src/core/node/publication.rs
@@ -5,7 +5,7 @@
 use super::{Node, Peer};
 use crate::clock;
 use crate::core::configuration_updates::{ConfigurationUpdates, SentConfiguration};
-use crate::core::peers::LinkId;
+use crate::core::event::LinkId;
 use crate::core::training::lead::model_versions;
 use pathbank_control::document::Document;
 use pathbank_coordination::types::Index;
--- a/crates/system/src/core/node/replication.rs
+++ b/crates/system/src/core/node/replication.rs
@@ -1,8 +1,9 @@
 //! The replica's part of a core: effects carried out, operators' changes, the group of voters.
 
-use super::{Node, Reply};
-use crate::core::disk::{Disk, DiskEvent};
-use pathbank_control::operator_calls::{self, LEADER_SILENCE, Standing};
+use super::Node;
+use crate::core::disk::Disk;
+use crate::core::event::DiskEvent;
+use pathbank_control::operator_calls::{self, LEADER_SILENCE, Reply, Standing};
 use pathbank_control::result_code::ResultCode;
 use pathbank_control::state::{Change, Command, ControlState, StateError};
 use pathbank_coordination::callers::Callers;
--- a/crates/system/src/core/node/training.rs
+++ b/crates/system/src/core/node/training.rs
@@ -3,9 +3,11 @@
 mod calls;
 mod generations;
 
-use super::{Event, Node};
+use super::Node;
+use crate::core::event::Event;
+use crate::core::lease::LeaseGuard;
 use crate::core::model_server_json::ReportJson;
-use crate::core::orders::{self, LeaseGuard, OrderOutcome, OrderTask};
+use crate::core::orders::{self, OrderOutcome, OrderTask};
 use crate::core::training::lead::{
     CHANGING_WORKER_POLL_INTERVAL_MS, ChangePhase, ModelTraining, TRAINING_INTERVAL_MS,
     WORKER_POLL_INTERVAL_MS,
@@ -67,11 +69,11 @@
             return;
         }
         let Some(permit) = self.permit(now) else { return };
-        let authority = self.authority(permit);
+        let guard = self.guard(permit);
         self.forget_models(&models);
         for model in &models {
             self.look_at_workers(now, model);
-            self.act(now, model, 0, &authority);
+            self.act(now, model, 0, &guard);
         }
         let hold = self.leadership.training.hold(self.state.training());
         self.leadership.placer.hold_for_training(hold);
@@ -153,7 +155,7 @@
         let Some(address) = address else { return };
         let (pool, events, model) = (self.pool.clone(), self.events.clone(), model.to_owned());
         tokio::spawn(async move {
-            if let Some(report) = orders::report(&pool, address, &worker).await {
+            if let Some(report) = orders::fetch_report(&pool, address, &worker).await {
                 let _ = events.send(Event::WorkerReported { model, worker, report });
             }
         });
@@ -170,7 +172,7 @@
     // ---- what the conductor wants ----
 
     /// Carries out what is due for a model. Returns the generations that begin, `most_draws` at the most.
-    fn act(&mut self, now: u64, model: &str, most_draws: usize, authority: &LeaseGuard) -> Vec<Draw> {
+    fn act(&mut self, now: u64, model: &str, most_draws: usize, guard: &LeaseGuard) -> Vec<Draw> {
         let Some(training) = self.leadership.training.models.get_mut(model) else { return Vec::new() };
         let actions = training.conductor.tick_within(now, self.state.training().ledger(), most_draws);
         let mut draws = Vec::new();
@@ -178,7 +180,7 @@
             match action {
                 Action::Propose(command) => self.propose_step(now, TrainingCommand::Ledger(command)),
                 Action::Drain(worker) => self.drain_worker(model, worker),
-                Action::Load { worker, .. } => self.change_worker(now, model, &worker, authority),
+                Action::Load { worker, .. } => self.change_worker(now, model, &worker, guard),
                 Action::Draw(draw) => draws.push(draw),
             }
         }
@@ -200,7 +202,7 @@
 
     /// Brings a worker to the newest version: what it holds is dropped, then loaded anew. An order to load a
     /// model that is held would change nothing.
-    fn change_worker(&mut self, now: u64, model: &str, worker: &str, authority: &LeaseGuard) {
+    fn change_worker(&mut self, now: u64, model: &str, worker: &str, guard: &LeaseGuard) {
         let Some(server) = self.directory.server(worker) else { return };
         let Some(runtime) = self.runtime_of(worker) else { return };
         let Some(training) = self.leadership.training.models.get_mut(model) else { return };
@@ -217,15 +219,15 @@
             false => (ChangePhase::Loading, workers::load_order(&server, model, &runtime)),
         };
         training.changing.insert(worker.to_owned(), Some(phase));
-        self.give_version_order(order, authority.clone());
+        self.give_version_order(order, guard.clone());
     }
 
-    fn give_version_order(&mut self, order: Order, authority: LeaseGuard) {
+    fn give_version_order(&mut self, order: Order, guard: LeaseGuard) {
         let Some(runtime) = self.runtime_of(&order.instance) else { return };
         tracing::info!(worker = order.instance, model = order.model, operation = ?order.operation, "version order");
         let (pool, events) = (self.pool.clone(), self.events.clone());
         self.leadership.contents.remove(&order.instance);
-        let task = OrderTask { order, runtime, authority, known: None, version: 0 };
+        let task = OrderTask { order, runtime, guard, known: None, version: 0 };
         tokio::spawn(async move {
             let end = orders::execute(pool, task).await;
             let _ = events.send(Event::VersionOrderFinished(Box::new(end)));
@@ -262,13 +264,13 @@
     /// step was given up meanwhile. Returns whether it does.
     fn load_next(&mut self, now: u64, order: &Order) -> bool {
         let Some(permit) = self.permit(now) else { return false };
-        let authority = self.authority(permit);
+        let guard = self.guard(permit);
         let Some(server) = self.directory.server(&order.instance) else { return false };
         let Some(runtime) = self.runtime_of(&order.instance) else { return false };
         if let Some(training) = self.leadership.training.models.get_mut(&order.model) {
             training.changing.insert(order.instance.clone(), Some(ChangePhase::Loading));
         }
-        self.give_version_order(workers::load_order(&server, &order.model, &runtime), authority);
+        self.give_version_order(workers::load_order(&server, &order.model, &runtime), guard);
         true
     }
 }
--- a/crates/system/src/core/node/training/calls.rs
+++ b/crates/system/src/core/node/training/calls.rs
@@ -1,10 +1,11 @@
 //! Trainers' calls at the leader, and what came of the commands that they ask for.
 
-use crate::core::node::{Node, Reply};
+use crate::core::node::Node;
 use crate::core::training::call::{self, TrainingCall};
 use crate::core::training::lead::{WATCH_TIMEOUT_MS, Watcher};
 use crate::core::training::view;
 use pathbank_control::configuration::Rejection;
+use pathbank_control::operator_calls::Reply;
 use pathbank_control::result_code::ResultCode;
 use pathbank_control::state::Command;
 use pathbank_control::training::TrainingCommand;
--- a/crates/system/src/core/node/training/generations.rs
+++ b/crates/system/src/core/node/training/generations.rs
@@ -1,8 +1,8 @@
 //! Generations of training steps: offered to edges, given to those that ask, recorded as they end.
 
 use super::START_TIMEOUT_MS;
+use crate::core::event::LinkId;
 use crate::core::node::Node;
-use crate::core::peers::LinkId;
 use crate::core::training::lead::{MAX_OFFERED_GENERATIONS, MIN_OFFER_INTERVAL_MS};
 use pathbank_control::training::{Output, TrainingCommand};
 use pathbank_protocol::message::{
@@ -43,12 +43,12 @@
     /// An edge asks for generations: they begin by its clock, and by this head's lease.
     pub(in crate::core::node) fn on_draw_request(&mut self, now: u64, id: LinkId, request: DrawRequest) {
         let Some(permit) = self.permit(now) else { return };
-        let authority = self.authority(permit);
+        let guard = self.guard(permit);
         let models: Vec<String> = self.leadership.training.models.keys().cloned().collect();
         let mut draws: Vec<(String, Draw)> = Vec::new();
         for model in models {
             let room = (request.count as usize).saturating_sub(draws.len());
-            let begun = self.act(now, &model, room, &authority);
+            let begun = self.act(now, &model, room, &guard);
             draws.extend(begun.into_iter().map(|draw| (model.clone(), draw)));
         }
         if draws.is_empty() {
--- a/crates/system/src/core/peers.rs
+++ b/crates/system/src/core/peers.rs
@@ -1,6 +1,6 @@
 //! Links that other processes open to this core.
 
-use super::node::Event;
+use super::event::Event;
 use crate::net::link;
 use crate::net::socket;
 use pathbank_protocol::message::{Frame, Hello};
@@ -9,9 +9,6 @@
 use tokio::net::TcpListener;
 use tokio::sync::mpsc::UnboundedSender;
 
-/// Names a link for as long as the process lives.
-pub type LinkId = u64;
-
 static NEXT_LINK: AtomicU64 = AtomicU64::new(1);
 const ACCEPT_BACKOFF: Duration = Duration::from_millis(20);
 
--- a/crates/system/src/core/singleton_roles.rs
+++ b/crates/system/src/core/singleton_roles.rs
@@ -1,6 +1,6 @@
-//! Calls to the platform that are the duty of one head at a time.
+//! Calls to the platform that exactly one core makes at a time: usage reports and the number of model servers.
 
-use super::orders::LeaseGuard;
+use super::lease::LeaseGuard;
 use crate::net::client::ConnectionPool;
 use bytes::Bytes;
 use http_body_util::Full;
@@ -11,87 +11,106 @@
 use std::time::Duration;
 
 const CALL_TIMEOUT: Duration = Duration::from_millis(2_500);
-/// A call without a clear answer is made again after this.
+/// Between attempts of a call without a clear answer.
 const RETRY_BACKOFF: Duration = Duration::from_millis(700);
 const MAX_ATTEMPTS: u32 = 6;
 
-/// Reports a window's usage until it is taken. Returns whether it was.
+/// Whether the platform accepted what it was sent.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub enum PlatformOutcome {
+    /// The platform confirmed it.
+    Accepted,
+    /// The platform rejected it or gave no clear answer, or the lease has expired.
+    Unconfirmed,
+}
+
+impl PlatformOutcome {
+    /// Whether the platform confirmed it.
+    pub fn is_accepted(self) -> bool {
+        self == PlatformOutcome::Accepted
+    }
+}
+
+/// Reports a window's usage, counts of requests by tenant, with retries.
 pub async fn report_usage(
     pool: ConnectionPool,
     platform: SocketAddr,
     window: u64,
     counts: BTreeMap<String, u64>,
-    authority: LeaseGuard,
-) -> bool {
+    guard: LeaseGuard,
+) -> PlatformOutcome {
     let body = serde_json::json!({ "window_id": window, "counts": counts }).to_string();
     for _ in 0..MAX_ATTEMPTS {
-        match call(&pool, platform, "/usage", &authority, &body).await {
-            CallEnd::Taken => return true,
-            CallEnd::TurnedAway | CallEnd::LeaseOver => return false,
-            CallEnd::Unclear => tokio::time::sleep(RETRY_BACKOFF).await,
+        match call(&pool, platform, "/usage", &guard, &body).await {
+            CallReply::Accepted => return PlatformOutcome::Accepted,
+            CallReply::Rejected | CallReply::LeaseExpired => return PlatformOutcome::Unconfirmed,
+            CallReply::Unknown => tokio::time::sleep(RETRY_BACKOFF).await,
         }
     }
-    false
+    PlatformOutcome::Unconfirmed
 }
 
-/// Orders how many model servers of a service run in a zone. Returns whether the platform took it; who is
-/// asked again later may want another number by then, so it is tried once.
+/// Orders how many model servers of a backend run in a zone. One attempt: the number may be another one by the
+/// time of a retry.
 pub async fn order_servers(
     pool: ConnectionPool,
     platform: SocketAddr,
     order: &ScaleOrder,
-    authority: LeaseGuard,
-) -> bool {
+    guard: LeaseGuard,
+) -> PlatformOutcome {
     let body = serde_json::json!({
         "backend": order.backend,
         "zone": order.zone,
         "desired_count": order.desired_count,
     });
-    matches!(call(&pool, platform, "/scale", &authority, &body.to_string()).await, CallEnd::Taken)
+    match call(&pool, platform, "/scale", &guard, &body.to_string()).await {
+        CallReply::Accepted => PlatformOutcome::Accepted,
+        CallReply::Rejected | CallReply::LeaseExpired | CallReply::Unknown => PlatformOutcome::Unconfirmed,
+    }
 }
 
-/// How a call to the platform ended.
-enum CallEnd {
-    Taken,
-    /// The same call would be turned away again.
-    TurnedAway,
-    /// It was not made: the lease is over.
-    LeaseOver,
-    /// It may have been taken.
-    Unclear,
+/// What is known of one call to the platform.
+enum CallReply {
+    Accepted,
+    /// The same call would be rejected again.
+    Rejected,
+    /// It was not made.
+    LeaseExpired,
+    /// It may have been accepted.
+    Unknown,
 }
 
 async fn call(
     pool: &ConnectionPool,
     platform: SocketAddr,
     path: &str,
-    authority: &LeaseGuard,
+    guard: &LeaseGuard,
     body: &str,
-) -> CallEnd {
-    if !authority.is_valid() {
-        return CallEnd::LeaseOver;
+) -> CallReply {
+    if !guard.is_valid() {
+        return CallReply::LeaseExpired;
     }
-    let Some(request) = request(path, platform, authority, body.to_owned()) else {
-        return CallEnd::TurnedAway;
+    let Some(request) = request(path, platform, guard, body.to_owned()) else {
+        return CallReply::Rejected;
     };
-    match pool.call_if(platform, request, CALL_TIMEOUT, || authority.is_valid()).await {
-        Some((200..=299, _)) => CallEnd::Taken,
-        Some((400..=428, _)) => CallEnd::TurnedAway,
-        Some(_) | None => CallEnd::Unclear,
+    match pool.call_if(platform, request, CALL_TIMEOUT, || guard.is_valid()).await {
+        Some((200..=299, _)) => CallReply::Accepted,
+        Some((400..=428, _)) => CallReply::Rejected,
+        Some(_) | None => CallReply::Unknown,
     }
 }
 
 fn request(
     path: &str,
     platform: SocketAddr,
-    authority: &LeaseGuard,
+    guard: &LeaseGuard,
     body: String,
 ) -> Option<Request<Full<Bytes>>> {
     Request::post(path)
         .header("host", platform.to_string())
         .header("content-type", "application/json")
-        .header("x-pathbank-lease-holder", &authority.lease_holder)
-        .header("x-pathbank-fencing-token", authority.fencing_token.to_string())
+        .header("x-pathbank-lease-holder", &guard.lease_holder)
+        .header("x-pathbank-fencing-token", guard.fencing_token.to_string())
         .body(Full::new(Bytes::from(body)))
         .ok()
 }
--- a/crates/system/src/core/training/lead.rs
+++ b/crates/system/src/core/training/lead.rs
@@ -1,6 +1,6 @@
 //! What the leader of control knows of training steps that are under way; it is lost with the leadership.
 
-use crate::core::node::Reply;
+use pathbank_control::operator_calls::Reply;
 use pathbank_control::placement::TrainingHold;
 use pathbank_control::training::TrainingState;
 use pathbank_protocol::message::ModelVersions;
--- a/crates/system/tests/orders.rs
+++ b/crates/system/tests/orders.rs
@@ -1,11 +1,12 @@
-//! Stories of one order, from the call to its known end, at a model server whose reports tell how it stood a
+//! One order, from the call to its known end, at a model server whose reports show its state a
 //! while ago.
 
 use pathbank_control::configuration::{Model, Runtime};
 use pathbank_control::order_progress::OrderKind;
 use pathbank_control::placement::{Operation, Order};
 use pathbank_system::clock;
-use pathbank_system::core::orders::{LeaseExpiry, LeaseGuard, OrderOutcome, OrderTask, execute};
+use pathbank_system::core::lease::{LeaseExpiry, LeaseGuard};
+use pathbank_system::core::orders::{OrderOutcome, OrderTask, execute};
 use pathbank_system::net::client::ConnectionPool;
 use pathbank_system::stand_in::engine::{Engine, OrderBody};
 use serde_json::{Value, json};
@@ -16,29 +17,34 @@
 use tokio::net::TcpListener;
 use viz::{IntoResponse, Request, RequestExt, Response, ResponseExt, Router, StatusCode};
 
-/// Reports are so old, milliseconds.
-const REPORT_AGE: u64 = 200;
+/// The age of reports, milliseconds.
+const REPORT_AGE_MS: u64 = 200;
 const INSTANCE: &str = "i-1";
 
-/// A model server that keeps the published protocol, with reports of some time ago.
-struct LateModelServer {
+/// A model server that keeps the published protocol, with delayed reports.
+struct DelayedReportServer {
     engine: Engine,
-    /// How it stood, and when.
-    stood: VecDeque<(u64, Value)>,
+    /// Reports with the time of each.
+    reports: VecDeque<(u64, Value)>,
     /// Bodies of the orders that came.
     orders: Vec<Value>,
-    /// The next orders get no answer, and are not taken.
-    loses: usize,
+    /// So many orders more get no answer, and are not accepted.
+    lost_orders: usize,
 }
 
-impl LateModelServer {
-    fn new(load_ms: u64, models: &[&str]) -> Arc<Mutex<LateModelServer>> {
+impl DelayedReportServer {
+    fn new(load_ms: u64, models: &[&str]) -> Arc<Mutex<DelayedReportServer>> {
         let models: Vec<String> = models.iter().map(|name| (*name).to_owned()).collect();
         let engine = Engine::new(8, load_ms, &models, 1);
-        Arc::new(Mutex::new(LateModelServer { engine, stood: VecDeque::new(), orders: Vec::new(), loses: 0 }))
+        Arc::new(Mutex::new(DelayedReportServer {
+            engine,
+            reports: VecDeque::new(),
+            orders: Vec::new(),
+            lost_orders: 0,
+        }))
     }
 
-    fn note(&mut self) {
+    fn record(&mut self) {
         let now = clock::now();
         self.engine.settle(now, 1);
         let models =
@@ -47,36 +53,36 @@
             );
         let models: Vec<Value> = models.collect();
         let (busy, sequence) = (self.engine.is_busy(), self.engine.sequence());
-        self.stood.push_back((now, json!({ "models": models, "busy": busy, "sequence": sequence })));
+        self.reports.push_back((now, json!({ "models": models, "busy": busy, "sequence": sequence })));
     }
 
     fn report(&mut self) -> Value {
-        self.note();
-        let then = clock::now().saturating_sub(REPORT_AGE);
-        let old = self.stood.iter().rev().find(|(at, _)| *at <= then).or(self.stood.front());
-        old.map(|(_, stood)| stood.clone()).unwrap_or_default()
+        self.record();
+        let then = clock::now().saturating_sub(REPORT_AGE_MS);
+        let old = self.reports.iter().rev().find(|(at, _)| *at <= then).or(self.reports.front());
+        old.map(|(_, reports)| reports.clone()).unwrap_or_default()
     }
 
     fn take(&mut self, body: Value) -> Option<StatusCode> {
-        self.note();
+        self.record();
         self.orders.push(body.clone());
-        if self.loses > 0 {
-            self.loses -= 1;
+        if self.lost_orders > 0 {
+            self.lost_orders -= 1;
             return None;
         }
         let order: OrderBody = serde_json::from_value(body).expect("an order");
         let status = self.engine.take_order(clock::now(), order);
-        self.note();
+        self.record();
         Some(status)
     }
 
     fn holds(&mut self, model: &str) -> bool {
-        self.note();
+        self.record();
         self.engine.models().contains_key(model)
     }
 }
 
-async fn serve(server: Arc<Mutex<LateModelServer>>) -> SocketAddr {
+async fn serve(server: Arc<Mutex<DelayedReportServer>>) -> SocketAddr {
     let listener = TcpListener::bind("127.0.0.1:0").await.expect("a port");
     let address = listener.local_addr().expect("its address");
     let (of_reports, of_orders, of_time) = (server.clone(), server.clone(), server);
@@ -101,7 +107,7 @@
     });
     tokio::spawn(async move {
         loop {
-            of_time.lock().expect("not poisoned").note();
+            of_time.lock().expect("not poisoned").record();
             tokio::time::sleep(Duration::from_millis(5)).await;
         }
     });
@@ -146,54 +152,54 @@
     }
 }
 
-fn authority(lease_ms: u64) -> LeaseGuard {
+fn lease_guard(lease_ms: u64) -> LeaseGuard {
     let lease = Arc::new(LeaseExpiry::default());
     lease.extend(clock::now() + lease_ms);
     LeaseGuard { lease_holder: "core-1".into(), fencing_token: 7, lease, revoked: Arc::default() }
 }
 
-fn given(order: Order, authority: LeaseGuard) -> OrderTask {
-    OrderTask { order, runtime: Arc::new(runtime()), authority, known: None, version: 1 }
+fn task(order: Order, guard: LeaseGuard) -> OrderTask {
+    OrderTask { order, runtime: Arc::new(runtime()), guard, known: None, version: 1 }
 }
 
-async fn when_given(order: Order) -> OrderOutcome {
-    execute(ConnectionPool::default(), given(order, authority(60_000))).await
+async fn execute_order(order: Order) -> OrderOutcome {
+    execute(ConnectionPool::default(), task(order, lease_guard(60_000))).await
 }
 
-fn names(end: &OrderOutcome) -> Vec<String> {
+fn loaded_models(end: &OrderOutcome) -> Vec<String> {
     let report = end.report.as_ref().expect("how the model server stands");
     report.models().map(|held| held.name).collect()
 }
 
-/// A report of before the unload was taken for its end, and heads were told that the model is there.
+/// A report from before the unload counted as its end, and edges were notified that the model is resident.
 #[tokio::test]
-async fn the_end_of_an_unload_is_not_told_by_a_report_from_before_it() {
-    let server = LateModelServer::new(0, &["a", "b"]);
+async fn a_report_from_before_an_unload_does_not_complete_it() {
+    let server = DelayedReportServer::new(0, &["a", "b"]);
     let address = serve(server.clone()).await;
-    tokio::time::sleep(Duration::from_millis(REPORT_AGE + 50)).await;
-    let end = when_given(order(address, Operation::Unload, "a", 10)).await;
-    assert_eq!(names(&end), ["b"]);
+    tokio::time::sleep(Duration::from_millis(REPORT_AGE_MS + 50)).await;
+    let end = execute_order(order(address, Operation::Unload, "a", 10)).await;
+    assert_eq!(loaded_models(&end), ["b"]);
     assert!(!server.lock().unwrap().holds("a"));
 }
 
 #[tokio::test]
-async fn a_load_is_known_to_be_done_before_reports_tell() {
-    let server = LateModelServer::new(300, &["a"]);
+async fn a_load_is_complete_before_reports_show_it() {
+    let server = DelayedReportServer::new(300, &["a"]);
     let address = serve(server.clone()).await;
-    tokio::time::sleep(Duration::from_millis(REPORT_AGE + 50)).await;
-    let end = when_given(order(address, Operation::Load, "b", 320)).await;
-    assert_eq!(names(&end), ["a", "b"]);
+    tokio::time::sleep(Duration::from_millis(REPORT_AGE_MS + 50)).await;
+    let end = execute_order(order(address, Operation::Load, "b", 320)).await;
+    assert_eq!(loaded_models(&end), ["a", "b"]);
     assert!(end.took_ms.is_some(), "by the same order given again");
     assert_eq!(end.report.map(|report| report.sequence), Some(1), "what the next order is based on");
 }
 
-/// A repeated order named no revision. One that came late, after another leader had ordered, would have
+/// A repeated order named no revision. A late one, after another leader's order, would have
 /// filled the model server.
 #[tokio::test]
-async fn a_repeated_order_is_for_a_server_whose_last_order_it_was() {
-    let server = LateModelServer::new(300, &["a"]);
+async fn a_repeated_order_names_the_revision_after_the_first() {
+    let server = DelayedReportServer::new(300, &["a"]);
     let address = serve(server.clone()).await;
-    when_given(order(address, Operation::Load, "b", 100)).await;
+    execute_order(order(address, Operation::Load, "b", 100)).await;
     let orders = server.lock().unwrap().orders.clone();
     let revisions: Vec<&Value> = orders.iter().map(|order| &order["if_revision"]).collect();
     assert!(revisions.len() > 1, "it was given again");
@@ -201,37 +207,37 @@
 }
 
 #[tokio::test]
-async fn what_holds_already_leaves_the_revision_as_it_is() {
-    let server = LateModelServer::new(0, &["a"]);
+async fn an_order_without_effect_keeps_the_revision() {
+    let server = DelayedReportServer::new(0, &["a"]);
     let address = serve(server.clone()).await;
-    let end = when_given(order(address, Operation::Load, "a", 10)).await;
+    let end = execute_order(order(address, Operation::Load, "a", 10)).await;
     assert_eq!(end.report.map(|report| report.sequence), Some(0));
 }
 
-/// An order that never reached its model server kept it from all others for twenty seconds.
+/// An order that never reached its model server blocked all others there for twenty seconds.
 #[tokio::test]
-async fn an_order_that_no_report_shows_is_over_after_a_while() {
-    let server = LateModelServer::new(0, &["a"]);
+async fn an_order_that_no_report_shows_times_out() {
+    let server = DelayedReportServer::new(0, &["a"]);
     let address = serve(server.clone()).await;
-    server.lock().unwrap().loses = 1;
+    server.lock().unwrap().lost_orders = 1;
     let begun = clock::now();
-    let end = when_given(order(address, Operation::Load, "b", 100)).await;
-    assert_eq!(names(&end), ["a"]);
+    let end = execute_order(order(address, Operation::Load, "b", 100)).await;
+    assert_eq!(loaded_models(&end), ["a"]);
     let took = clock::now() - begun;
     assert!((1_500..8_000).contains(&took), "{took}");
 }
 
-/// A leader whose lease is over, or that handed over, gives nothing, however often it would have.
+/// A leader whose lease has expired, or that handed over, sends no order and no repeat.
 #[tokio::test]
-async fn nothing_is_given_without_a_lease() {
-    let server = LateModelServer::new(300, &["a"]);
+async fn no_order_is_sent_without_a_valid_lease() {
+    let server = DelayedReportServer::new(300, &["a"]);
     let address = serve(server.clone()).await;
-    let over = given(order(address, Operation::Load, "b", 20), authority(0));
+    let over = task(order(address, Operation::Load, "b", 20), lease_guard(0));
     execute(ConnectionPool::default(), over).await;
     assert_eq!(server.lock().unwrap().orders.len(), 0);
-    let handed_over = authority(60_000);
+    let handed_over = lease_guard(60_000);
     let revoked = handed_over.revoked.clone();
-    let task = given(order(address, Operation::Load, "b", 150), handed_over);
+    let task = task(order(address, Operation::Load, "b", 150), handed_over);
     let carried_out = tokio::spawn(execute(ConnectionPool::default(), task));
     tokio::time::sleep(Duration::from_millis(60)).await;
     revoked.store(true, std::sync::atomic::Ordering::Release);
