--- /dev/null
+++ b/crates/coordination/tests/stored_form.rs
@@ -0,0 +1,180 @@
+//! Files and datagrams of an earlier release are read, and written byte for byte as it wrote them.
+
+use pathbank_coordination::gossip::datagram::{Datagram, Key, Say};
+use pathbank_coordination::gossip::{self, About, Incarnation, Number, State};
+use pathbank_coordination::record::{Durable, Record};
+use pathbank_coordination::store::{DAMAGED_FILE, LogFile, Opened};
+use pathbank_coordination::types::{Entry, Member, Membership, Payload, Snapshot, StoreId};
+use std::fs;
+use std::path::{Path, PathBuf};
+use test_case::test_case;
+
+fn fixture(name: &str) -> Vec<u8> {
+    fs::read(Path::new(env!("CARGO_MANIFEST_DIR")).join("tests/fixtures").join(name)).unwrap()
+}
+
+/// A data directory that is removed with the value.
+struct DataDirectory(PathBuf);
+
+impl DataDirectory {
+    fn new(name: &str) -> DataDirectory {
+        let path = std::env::temp_dir().join(format!("pathbank-stored-{}-{name}", std::process::id()));
+        let _ = fs::remove_dir_all(&path);
+        fs::create_dir_all(&path).unwrap();
+        DataDirectory(path)
+    }
+
+    fn with_log(name: &str) -> DataDirectory {
+        let directory = DataDirectory::new(name);
+        fs::write(directory.log(), fixture(name)).unwrap();
+        directory
+    }
+
+    fn log(&self) -> PathBuf {
+        self.0.join("replica.log")
+    }
+}
+
+impl Drop for DataDirectory {
+    fn drop(&mut self) {
+        let _ = fs::remove_dir_all(&self.0);
+    }
+}
+
+fn member(id: u64) -> Member {
+    Member {
+        id: StoreId(id),
+        name: format!("core-{id}"),
+        address: format!("10.0.0.{id}:7000"),
+        control_address: format!("10.0.0.{id}:7001"),
+    }
+}
+
+fn members(ids: [u64; 3]) -> Vec<Member> {
+    ids.map(member).to_vec()
+}
+
+fn entry(index: u64, term: u64, payload: Payload) -> Record {
+    Record::Entry(Entry { index, term, payload })
+}
+
+fn command(index: u64, term: u64) -> Record {
+    entry(index, term, Payload::Command(format!("command {index}").into_bytes()))
+}
+
+/// What the log was first written with: the state up to a snapshot, and one entry after it.
+fn compacted() -> Durable {
+    let initial = Membership::of(members([1, 2, 3]));
+    let snapshot = Snapshot {
+        index: 4,
+        term: 3,
+        membership: initial.clone(),
+        leaders: vec!["core-3".into(), "core-1".into()],
+        data: b"state at 4".to_vec(),
+    };
+    let mut durable = Durable { id: Some(StoreId(2)), initial, ..Durable::default() };
+    durable.apply(Record::Vote { term: 3, voted_for: Some(StoreId(1)) });
+    durable.apply(Record::Snapshot { snapshot, keep_tail: false });
+    durable.apply(command(5, 3));
+    durable
+}
+
+/// The batches that were appended to it: votes, a leader's start, a joint membership, commands, one replaced.
+fn batches() -> [Vec<Record>; 4] {
+    let joint = Membership { voters: members([1, 2, 4]), outgoing: members([1, 2, 3]) };
+    [
+        vec![
+            Record::Vote { term: 4, voted_for: None },
+            Record::Vote { term: 4, voted_for: Some(StoreId(3)) },
+        ],
+        vec![entry(6, 4, Payload::LeaderStart("core-3".into())), entry(7, 4, Payload::Membership(joint))],
+        vec![entry(8, 4, Payload::Command(b"replaced".to_vec())), command(8, 4)],
+        vec![command(9, 4)],
+    ]
+}
+
+fn state_after(appended: usize) -> Durable {
+    let mut durable = compacted();
+    batches().into_iter().take(appended).flatten().for_each(|record| durable.apply(record));
+    durable
+}
+
+#[test]
+fn a_log_of_an_earlier_release_is_read() {
+    let directory = DataDirectory::with_log("replica.log");
+    let (mut log, opened) = LogFile::open(&directory.0).unwrap();
+    assert_eq!(opened, Opened { durable: state_after(4), lost_a_store: false });
+    assert_eq!(opened.durable.last_index(), 9);
+    log.append(&[command(10, 4)]).unwrap();
+    assert_eq!(LogFile::open(&directory.0).unwrap().1.durable.last_index(), 10);
+}
+
+#[test]
+fn a_log_is_written_as_the_earlier_release_wrote_it() {
+    let directory = DataDirectory::new("written");
+    let (mut log, _) = LogFile::open(&directory.0).unwrap();
+    log.rewrite(&compacted()).unwrap();
+    batches().iter().for_each(|batch| log.append(batch).unwrap());
+    assert_eq!(fs::read(directory.log()).unwrap(), fixture("replica.log"));
+}
+
+#[test_case("torn-tail.log"; "its last bytes are missing")]
+#[test_case("damaged-tail.log"; "a bit of its last batch is flipped")]
+fn a_log_that_is_damaged_at_its_tail_ends_before_the_last_batch(name: &str) {
+    let directory = DataDirectory::with_log(name);
+    let (log, opened) = LogFile::open(&directory.0).unwrap();
+    assert_eq!(opened, Opened { durable: state_after(3), lost_a_store: false });
+    let intact = log.length() as usize;
+    assert_eq!(fs::read(directory.log()).unwrap(), fixture("replica.log")[..intact]);
+}
+
+#[test]
+fn a_log_that_is_damaged_before_its_tail_is_a_lost_store() {
+    let directory = DataDirectory::with_log("damaged.log");
+    let (_, opened) = LogFile::open(&directory.0).unwrap();
+    assert_eq!(opened, Opened { durable: Durable::default(), lost_a_store: true });
+    assert_eq!(fs::read(directory.0.join(DAMAGED_FILE)).unwrap(), fixture("damaged.log"));
+}
+
+/// One datagram of each kind.
+fn datagrams() -> Vec<Datagram> {
+    let record = |number: u64| {
+        let incarnation = Incarnation::of(number << 20 | 7);
+        (number as Number, gossip::Record { incarnation, state: State::ALL[number as usize % 5] })
+    };
+    let records: Vec<_> = (1..6).map(record).collect();
+    let says = [
+        Say::Ask(records.clone()),
+        Say::Answer { of: 9, records: records.clone() },
+        Say::AskFor { whom: 1_023, records: records.clone() },
+        Say::Blocks((0..6).map(|number| number * 0x03_0201).collect()),
+        Say::Records(records),
+    ];
+    let about = About { list: 77, revision: 1 << 30, draining: true, pressure: 3 };
+    let datagram = |say| Datagram {
+        from: 5,
+        to: 1_000,
+        incarnation: Incarnation::began(1_700_000_000),
+        joined: true,
+        serial: u32::MAX - 1,
+        digest: u64::MAX / 3,
+        about,
+        say,
+    };
+    says.into_iter().map(datagram).collect()
+}
+
+#[test]
+fn datagrams_of_an_earlier_release_are_read_and_written_alike() {
+    let key = Key::of("fleet-a");
+    let hex = String::from_utf8(fixture("datagrams.hex")).unwrap();
+    let byte = |digits: &[u8]| u8::from_str_radix(std::str::from_utf8(digits).unwrap(), 16).unwrap();
+    let stored: Vec<Vec<u8>> =
+        hex.lines().map(|line| line.as_bytes().chunks(2).map(byte).collect()).collect();
+    let datagrams = datagrams();
+    assert_eq!(stored.len(), datagrams.len());
+    for (bytes, datagram) in stored.iter().zip(datagrams) {
+        assert_eq!(Datagram::read(bytes, &key), Ok(datagram.clone()));
+        assert_eq!(datagram.bytes(&key), *bytes);
+    }
+}
