--- a/src/net/agree/mod.rs
+++ b/src/net/agree/mod.rs
@@ -8,3 +8,6 @@
 pub mod office;
 mod serve;
 pub mod wire;
+
+#[cfg(test)]
+mod tests;
