--- /dev/null
+++ b/crates/control/tests/stored_formats.rs
@@ -0,0 +1,135 @@
+//! Commands and snapshots as an earlier version stored them: each is read, means the same and is written the same.
+//!
+//! `commands.jsonl` holds one log entry on each line, each kind of command among them; `state.json` is the snapshot that
+//! they came to. `state_format_1.json` is a snapshot of the first format, `state_format_1_upgraded.json` what it became.
+
+use pathbank_control::state::{Change, ChangeKind, Command, ControlState};
+use pathbank_control::training::TrainingCommand;
+use pathbank_rollout::ledger::Command as StepCommand;
+use pathbank_rollout::step::StepState;
+use serde_json::Value;
+use std::collections::{BTreeMap, BTreeSet};
+
+const COMMANDS: &str = include_str!("fixtures/commands.jsonl");
+const STATE: &str = include_str!("fixtures/state.json");
+const STATE_FORMAT_1: &str = include_str!("fixtures/state_format_1.json");
+const STATE_FORMAT_1_UPGRADED: &str = include_str!("fixtures/state_format_1_upgraded.json");
+
+fn json(text: &str) -> Value {
+    serde_json::from_str(text).expect("valid JSON")
+}
+
+fn encoded(state: &ControlState) -> Value {
+    serde_json::from_slice(&state.encode()).expect("valid JSON")
+}
+
+fn commands() -> Vec<Command> {
+    COMMANDS.lines().map(|line| Command::decode(line.as_bytes()).expect("a readable command")).collect()
+}
+
+fn counts(of: &[(&str, u64)]) -> BTreeMap<String, u64> {
+    of.iter().map(|(tenant, count)| ((*tenant).to_owned(), *count)).collect()
+}
+
+#[test]
+fn stored_commands_are_encoded_byte_for_byte_as_before() {
+    for (line, command) in COMMANDS.lines().zip(commands()) {
+        assert_eq!(String::from_utf8(command.encode()).unwrap(), line);
+    }
+}
+
+#[test]
+fn stored_commands_of_each_kind_are_decoded() {
+    let commands = commands();
+    assert_eq!(commands.len(), 29);
+    let change = |kind: ChangeKind| {
+        commands.iter().find_map(|command| match command {
+            Command::Change(change) if change.kind == kind => Some(change.clone()),
+            _ => None,
+        })
+    };
+    let Some(Change { base: 0, body, .. }) = change(ChangeKind::Replace) else { panic!("no replacement") };
+    assert_eq!(json(&body)["version"], 5);
+    let Some(Change { base: 5, body, .. }) = change(ChangeKind::Update) else { panic!("no update") };
+    assert_eq!(json(&body)["delete"]["routes"][0], "r1");
+    assert_eq!(commands[2], Command::SealUsage { window: 41, counts: counts(&[("t1", 3), ("t2", 1)]) });
+    let training = |command: &Command| match command {
+        Command::Training(TrainingCommand::Submit { .. }) => Some("submit with text"),
+        Command::Training(TrainingCommand::Record { .. }) => Some("record with text"),
+        Command::Training(TrainingCommand::Ledger(command)) => Some(match command {
+            StepCommand::Announce(_) => "announce",
+            StepCommand::Submit { .. } => "submit",
+            StepCommand::FixVersion { .. } => "fix version",
+            StepCommand::Begin { .. } => "begin",
+            StepCommand::Record(_) => "record",
+            StepCommand::Leave { .. } => "leave",
+            StepCommand::Close { .. } => "close",
+            StepCommand::Seal { .. } => "seal",
+            StepCommand::Abort { .. } => "abort",
+        }),
+        Command::Change(_) | Command::SealUsage { .. } => None,
+    };
+    let kinds: BTreeSet<&str> = commands.iter().filter_map(training).collect();
+    let expected = [
+        "abort",
+        "announce",
+        "begin",
+        "close",
+        "fix version",
+        "leave",
+        "record",
+        "record with text",
+        "seal",
+        "submit with text",
+    ];
+    assert_eq!(kinds, BTreeSet::from(expected));
+}
+
+#[test]
+fn stored_commands_come_to_the_stored_state() {
+    let mut state = ControlState::default();
+    for (index, command) in (1..).zip(commands()) {
+        state.apply(index, &command).expect("it was accepted before");
+    }
+    assert_eq!(encoded(&state), json(STATE));
+}
+
+#[test]
+fn a_stored_snapshot_is_decoded_and_encoded_the_same() {
+    let state = ControlState::decode(STATE.as_bytes()).unwrap();
+    let (document, index) = state.document().expect("a document");
+    let document = document.to_value();
+    assert_eq!((state.version(), index), (6, 2));
+    assert_eq!(document["routes"].as_array().unwrap().len(), 1);
+    assert_eq!(document["backends"][0]["kept"]["as"], "sent");
+    assert_eq!(document["unknown"][1], "two");
+    assert_eq!(document["tenants"][1]["api_keys"][0], "k3");
+    let backends = state.backends().expect("typed services");
+    assert_eq!(backends[1].runtime.as_ref().unwrap().models[0].name, "m");
+    assert_eq!(state.last_sealed(), 43);
+    let sealed = BTreeMap::from([(41, counts(&[("t1", 3), ("t2", 1)])), (43, counts(&[("t1", 12)]))]);
+    assert_eq!(*state.sealed(), sealed);
+    let training = state.training();
+    let steps: Vec<StepState> = training.ledger().steps().map(|step| step.state()).collect();
+    let expected = [
+        StepState::Sealed,
+        StepState::Aborted,
+        StepState::Sealing,
+        StepState::Open,
+        StepState::Preparing,
+        StepState::Announced,
+    ];
+    assert_eq!(steps, expected);
+    assert_eq!(training.prompt(1, 1).unwrap().prefix, "p/q");
+    assert_eq!(training.output(1, 1).unwrap().text, "out one");
+    assert!(training.output(1, 2).unwrap().truncated);
+    assert_eq!(training.changed(1), 14);
+    assert_eq!(encoded(&state), json(STATE));
+}
+
+#[test]
+fn a_stored_snapshot_of_the_first_format_is_upgraded_as_before() {
+    let state = ControlState::decode(STATE_FORMAT_1.as_bytes()).unwrap();
+    assert_eq!((state.version(), state.document().unwrap().1), (5, 3));
+    assert_eq!(encoded(&state), json(STATE_FORMAT_1_UPGRADED));
+}
