--- a/crates/control/src/training.rs
+++ b/crates/control/src/training.rs
@@ -5,8 +5,8 @@
 use crate::configuration::Rejection;
 use crate::result_code::ResultCode;
 use crate::state::Accepted;
-use pathbank_rollout::ledger::{Applied, Command, Generation, Ledger, Refusal};
 use pathbank_rollout::step::{Step, StepState};
+use pathbank_rollout::step_table::{Applied, Command, Generation, StepError, StepTable};
 use pathbank_rollout::{PromptId, StepNumber};
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
@@ -84,7 +84,7 @@
 /// All training steps.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct TrainingState {
-    ledger: Ledger,
+    ledger: StepTable,
     contents: BTreeMap<StepNumber, Content>,
     /// The log's entry that changed a step last.
     changed: BTreeMap<StepNumber, u64>,
@@ -92,7 +92,7 @@
 
 impl TrainingState {
     /// Where the steps stand.
-    pub fn ledger(&self) -> &Ledger {
+    pub fn ledger(&self) -> &StepTable {
         &self.ledger
     }
 
@@ -147,7 +147,7 @@
         let applied = self.ledger.apply(index, command).map_err(rejection)?;
         let step = match applied {
             Applied::Step(number) => number,
-            Applied::Done | Applied::Before | Applied::Discarded(_) => step_of(command),
+            Applied::Done | Applied::AlreadyApplied | Applied::Discarded(_) => step_of(command),
         };
         Ok((step, accepted(applied)))
     }
@@ -217,8 +217,8 @@
         Command::Announce(_) => 0,
         Command::Submit { step, .. }
         | Command::FixVersion { step, .. }
-        | Command::Begin { step, .. }
-        | Command::Leave { step, .. }
+        | Command::Open { step, .. }
+        | Command::RemoveWorker { step, .. }
         | Command::Close { step, .. }
         | Command::Seal { step }
         | Command::Abort { step } => *step,
@@ -229,26 +229,26 @@
 fn accepted(applied: Applied) -> Accepted {
     match applied {
         Applied::Done | Applied::Discarded(_) => Accepted::Now,
-        Applied::Before => Accepted::Before,
+        Applied::AlreadyApplied => Accepted::Before,
         Applied::Step(number) => Accepted::Step(number),
     }
 }
 
-impl From<&Refusal> for ResultCode {
-    fn from(refusal: &Refusal) -> ResultCode {
+impl From<&StepError> for ResultCode {
+    fn from(refusal: &StepError) -> ResultCode {
         match refusal {
-            Refusal::UnknownStep(_) => ResultCode::UnknownStep,
-            Refusal::WrongState { .. } => ResultCode::WrongStepState,
-            Refusal::EarlierStep(_) => ResultCode::EarlierStep,
-            Refusal::KeyTaken(_) => ResultCode::StepKeyTaken,
-            Refusal::WrongVersion(_) => ResultCode::WrongVersion,
-            Refusal::BelowFloor { .. } => ResultCode::BelowFloor,
-            Refusal::Missing(_) => ResultCode::MissingGenerations,
+            StepError::UnknownStep(_) => ResultCode::UnknownStep,
+            StepError::WrongState { .. } => ResultCode::WrongStepState,
+            StepError::EarlierStep(_) => ResultCode::EarlierStep,
+            StepError::KeyConflict(_) => ResultCode::StepKeyTaken,
+            StepError::WrongVersion(_) => ResultCode::WrongVersion,
+            StepError::TooFewWorkers { .. } => ResultCode::BelowFloor,
+            StepError::Missing(_) => ResultCode::MissingGenerations,
         }
     }
 }
 
-fn rejection(refusal: Refusal) -> Rejection {
+fn rejection(refusal: StepError) -> Rejection {
     Rejection::new(ResultCode::from(&refusal), refusal.to_string())
 }
 
--- a/crates/control/tests/stored_formats.rs
+++ b/crates/control/tests/stored_formats.rs
@@ -5,8 +5,8 @@
 
 use pathbank_control::state::{Change, ChangeKind, Command, ControlState};
 use pathbank_control::training::TrainingCommand;
-use pathbank_rollout::ledger::Command as StepCommand;
 use pathbank_rollout::step::StepState;
+use pathbank_rollout::step_table::Command as StepCommand;
 use serde_json::Value;
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -60,9 +60,9 @@
             StepCommand::Announce(_) => "announce",
             StepCommand::Submit { .. } => "submit",
             StepCommand::FixVersion { .. } => "fix version",
-            StepCommand::Begin { .. } => "begin",
+            StepCommand::Open { .. } => "begin",
             StepCommand::Record(_) => "record",
-            StepCommand::Leave { .. } => "leave",
+            StepCommand::RemoveWorker { .. } => "leave",
             StepCommand::Close { .. } => "close",
             StepCommand::Seal { .. } => "seal",
             StepCommand::Abort { .. } => "abort",
--- a/crates/control/tests/training.rs
+++ b/crates/control/tests/training.rs
@@ -6,8 +6,8 @@
     MOST_OPEN_STEPS, MOST_OUTPUT_BYTES, MOST_PROMPT_BYTES, Output, Prompt, TrainingCommand,
 };
 use pathbank_rollout::evidence::VersionTrail;
-use pathbank_rollout::ledger::{Command as StepCommand, Generation, Refusal};
 use pathbank_rollout::step::{StepRequest, StepState};
+use pathbank_rollout::step_table::{Command as StepCommand, Generation, StepError};
 use std::collections::{BTreeMap, BTreeSet};
 use test_case::test_case;
 
@@ -45,7 +45,7 @@
 
     fn open(&mut self, step: u64) {
         self.ledger(StepCommand::FixVersion { step, version: 7 }).unwrap();
-        self.ledger(StepCommand::Begin { step, members: BTreeSet::from(["w".into()]) }).unwrap();
+        self.ledger(StepCommand::Open { step, members: BTreeSet::from(["w".into()]) }).unwrap();
     }
 
     fn record(&mut self, step: u64, prompt: u64, text: String) -> Result<Accepted, ResultCode> {
@@ -177,13 +177,13 @@
 fn every_refusal_has_a_number_of_its_own() {
     let state = StepState::Open;
     let refusals = [
-        Refusal::UnknownStep(1),
-        Refusal::WrongState { step: 1, state },
-        Refusal::EarlierStep(1),
-        Refusal::KeyTaken(1),
-        Refusal::WrongVersion(1),
-        Refusal::BelowFloor { present: 1, floor: 2 },
-        Refusal::Missing(1),
+        StepError::UnknownStep(1),
+        StepError::WrongState { step: 1, state },
+        StepError::EarlierStep(1),
+        StepError::KeyConflict(1),
+        StepError::WrongVersion(1),
+        StepError::TooFewWorkers { active_workers: 1, floor: 2 },
+        StepError::Missing(1),
     ];
     let numbers: BTreeSet<u16> = refusals.iter().map(|refusal| ResultCode::from(refusal).number()).collect();
     assert_eq!(numbers, (401..=407).collect());
--- a/crates/control/tests/training_workers.rs
+++ b/crates/control/tests/training_workers.rs
@@ -3,7 +3,7 @@
 use pathbank_control::configuration::{Model, Runtime};
 use pathbank_control::training::workers::{Workers, choose};
 use pathbank_protocol::message::{LoadedModel, ModelServer, ModelServerState};
-use pathbank_rollout::step::{StepRequest, WorkersWanted};
+use pathbank_rollout::step::{RequestedWorkers, StepRequest};
 use std::collections::BTreeSet;
 use test_case::test_case;
 
@@ -40,7 +40,7 @@
     }
 }
 
-fn request(workers: WorkersWanted, floor: u32) -> StepRequest {
+fn request(workers: RequestedWorkers, floor: u32) -> StepRequest {
     StepRequest { backend: "llm".into(), workers, ..StepRequest::new("key", "m", floor) }
 }
 
@@ -56,13 +56,13 @@
     servers
 }
 
-#[test_case(WorkersWanted::All, 1, 10, 7; "all that hold the model")]
-#[test_case(WorkersWanted::Count(4), 1, 4, 1; "so many: six others serve")]
-#[test_case(WorkersWanted::Permille(500), 1, 5, 2; "a share")]
-#[test_case(WorkersWanted::Count(2), 3, 3, 0; "no fewer than the floor")]
-#[test_case(WorkersWanted::Count(11), 1, 11, 7; "one more loads the model where there is room")]
-#[test_case(WorkersWanted::Count(12), 1, 11, 7; "nobody else's model has to go for a step")]
-fn so_many_servers_are_workers(workers: WorkersWanted, floor: u32, chosen: usize, serving_floor: usize) {
+#[test_case(RequestedWorkers::All, 1, 10, 7; "all that hold the model")]
+#[test_case(RequestedWorkers::Count(4), 1, 4, 1; "so many: six others serve")]
+#[test_case(RequestedWorkers::Permille(500), 1, 5, 2; "a share")]
+#[test_case(RequestedWorkers::Count(2), 3, 3, 0; "no fewer than the floor")]
+#[test_case(RequestedWorkers::Count(11), 1, 11, 7; "one more loads the model where there is room")]
+#[test_case(RequestedWorkers::Count(12), 1, 11, 7; "nobody else's model has to go for a step")]
+fn so_many_servers_are_workers(workers: RequestedWorkers, floor: u32, chosen: usize, serving_floor: usize) {
     let found = choose(&request(workers, floor), &runtime(), &servers(), &names(&[]), &names(&[]));
     assert_eq!((found.chosen.len(), found.serving_floor), (chosen, serving_floor), "{found:?}");
     assert!(!found.chosen.contains("full"));
@@ -71,14 +71,14 @@
 #[test]
 fn workers_stay_workers() {
     let before = names(&["w7", "w9", "gone"]);
-    let found = choose(&request(WorkersWanted::Count(3), 1), &runtime(), &servers(), &before, &names(&[]));
+    let found = choose(&request(RequestedWorkers::Count(3), 1), &runtime(), &servers(), &before, &names(&[]));
     assert_eq!(found.chosen, names(&["w0", "w7", "w9"]));
 }
 
 #[test]
 fn a_worker_that_has_dropped_the_old_version_still_counts() {
     let servers = [server("a", &["m"]), server("b", &[])];
-    let request = request(WorkersWanted::All, 1);
+    let request = request(RequestedWorkers::All, 1);
     let found = choose(&request, &runtime(), &servers, &names(&[]), &names(&["b"]));
     assert_eq!(found, Workers { chosen: names(&["a", "b"]), serving_floor: 1 });
 }
@@ -86,7 +86,7 @@
 #[test]
 fn servers_of_another_service_are_no_workers() {
     let other = ModelServer { backend: "other".into(), ..server("x", &["m"]) };
-    let request = request(WorkersWanted::All, 1);
+    let request = request(RequestedWorkers::All, 1);
     let found = choose(&request, &runtime(), &[other], &names(&[]), &names(&[]));
     assert_eq!(found.chosen, names(&[]));
 }
--- a/crates/rollout/examples/training_steps.rs
+++ b/crates/rollout/examples/training_steps.rs
@@ -1,5 +1,5 @@
-//! Plays training steps in virtual time beside the two baselines, audits them, and prints a table; with `--plots` it draws the
-//! change of versions by step.
+//! Plays training steps in virtual time beside the two baselines, audits them, and prints a table; with
+//! `--plots` it draws the change of versions by step.
 //!
 //! ```sh
 //! cargo run --release -p pathbank-rollout --example training_steps -- --steps 1000 --workers 20 --faults 600
--- a/crates/rollout/src/audit.rs
+++ b/crates/rollout/src/audit.rs
@@ -1,5 +1,5 @@
-//! An independent look at training steps: it reads only what engines drew and what trainers were told, and knows nothing of
-//! ledgers and leaders.
+//! An independent look at training steps: it reads only what engines drew and what trainers were told, and
+//! knows nothing of ledgers and leaders.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -49,9 +49,10 @@
 }
 
 /// Problems that are put into words.
-const MOST_PROBLEMS: usize = 8;
+const MAX_PROBLEMS: usize = 8;
 
-/// Looks at everything that was drawn, at what trainers were told at each seal, and at what was read back in the end.
+/// Looks at everything that was drawn, at what trainers were told at each seal, and at what was read back in
+/// the end.
 pub fn audit(drawn: &[Drawn], told: &[Told], read_back: &[Told]) -> Audit {
     let mut audit = Audit { sealed: told.len(), ..Audit::default() };
     let mut by_place: BTreeMap<(u64, u64, &str), Vec<&Drawn>> = BTreeMap::new();
@@ -88,6 +89,6 @@
     if told != read_back {
         audit.problems.push("what was told is not what is read back".into());
     }
-    audit.problems.truncate(MOST_PROBLEMS);
+    audit.problems.truncate(MAX_PROBLEMS);
     audit
 }
--- a/crates/rollout/src/conductor.rs
+++ b/crates/rollout/src/controller.rs
@@ -1,14 +1,15 @@
-//! What the leader does about the steps: it brings workers to a step's version, opens the step once they hold it, has its
-//! prompts drawn for, and seals it once nothing of it is under way.
+//! What the leader does about the steps: it brings workers to a step's version, opens the step once they hold
+//! it, has its prompts drawn for, and seals it once nothing of it is under way.
 //!
-//! What it knows of workers and generations is its own and is lost with it; what counts is in the [`Ledger`]. A new
-//! leader therefore waits, before it seals, until whatever an earlier one began has run out of time. All of its
-//! actions are for the moment at which it may act: within its lease, and on a ledger that has all that is committed.
+//! What it knows of workers and generations is its own and is lost with it; what counts is in the
+//! [`StepTable`]. A new leader therefore waits, before it seals, until whatever an earlier one began has run
+//! out of time. All of its actions are for the moment at which it may act: within its lease, and on a ledger
+//! that has all that is committed.
 
-use crate::change_over::{self, Bounds, LoadAllowance, Move};
 use crate::evidence::VersionTrail;
-use crate::ledger::{Command, Generation, Ledger};
-use crate::step::{LeaveReason, Step, StepState, WantedVersion};
+use crate::step::{RemovalReason, RequestedVersion, Step, StepState};
+use crate::step_table::{Command, Generation, StepTable};
+use crate::version_rollout::{self, LoadRateLimiter, RolloutLimits, WorkerAction};
 use crate::worker::{Worker, WorkerReport, WorkerState};
 use crate::{Epoch, Millis, PromptId, StepNumber, Version, WorkerId};
 use std::collections::{BTreeMap, BTreeSet};
@@ -17,19 +18,19 @@
 #[derive(Clone, Copy, Debug)]
 pub struct Settings {
     /// The change of versions.
-    pub change_over: Bounds,
+    pub version_rollout: RolloutLimits,
     /// No generation takes longer, whatever its step allows; workers are told so with it, milliseconds.
     pub generation_ms: Millis,
     /// A generation that did not begin within this does not begin any more; heads keep to that, milliseconds.
-    pub begin_ms: Millis,
+    pub begin_timeout_ms: Millis,
     /// For how long an earlier leader may have gone on after this one was elected, milliseconds.
     pub lease_ms: Millis,
     /// Slots of a worker that are left to what it serves.
-    pub serving_slots: u32,
+    pub reserved_slots: u32,
     /// A step whose workers hold its version waits so long for the rest, milliseconds.
-    pub straggler_ms: Millis,
+    pub straggler_timeout_ms: Millis,
     /// A worker of an open step that says nothing for so long leaves it, milliseconds.
-    pub silence_ms: Millis,
+    pub silence_timeout_ms: Millis,
 }
 
 /// What is to be done.
@@ -91,7 +92,7 @@
 
 /// Why a step does not go on at the moment.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Waits {
+pub enum WaitReason {
     /// An earlier step is not over.
     EarlierStep,
     /// Workers change over.
@@ -102,11 +103,11 @@
         known: usize,
     },
     /// Fewer workers than the floor are left.
-    Floor,
+    MinWorkers,
     /// Generations are under way.
     Generations,
     /// For what an earlier leader or a lost worker may still be drawing.
-    Deadlines,
+    EarlierGenerations,
     /// For the trainer: prompts, or the word to close.
     Trainer,
 }
@@ -120,22 +121,23 @@
 }
 
 #[derive(Clone, Copy, Debug)]
-struct UnderWay {
+struct PendingDraw {
     until: Millis,
 }
 
 /// The leader's part, for one model.
 #[derive(Clone, Debug)]
-pub struct Conductor {
+pub struct StepController {
     model: String,
     settings: Settings,
     /// Until then an earlier leader's generations may be under way.
-    strangers_until: Millis,
+    earlier_leader_until: Millis,
     workers: BTreeMap<WorkerId, Worker>,
-    allowance: LoadAllowance,
-    under_way: BTreeMap<(PromptId, WorkerId), UnderWay>,
-    /// Generations without an answer that may still be drawn; their prompts are drawn for elsewhere meanwhile.
-    lingering: Vec<UnderWay>,
+    load_limiter: LoadRateLimiter,
+    in_flight: BTreeMap<(PromptId, WorkerId), PendingDraw>,
+    /// Generations without an answer that may still be drawn; their prompts are drawn for elsewhere
+    /// meanwhile.
+    lingering: Vec<PendingDraw>,
     /// The step that is being prepared, and since when enough workers hold its version.
     ready_since: Option<(StepNumber, Millis)>,
     /// Workers that load before the step's version is known.
@@ -145,25 +147,28 @@
     /// The step under way, and when this leader saw it first.
     seen: Option<(StepNumber, Millis)>,
     /// Prompts of that step, and how often this leader had each drawn for.
-    drawn_again: BTreeMap<PromptId, u32>,
+    redrawn_prompts: BTreeMap<PromptId, u32>,
 }
 
-impl Conductor {
+impl StepController {
     /// A leader that has just begun.
-    pub fn new(model: String, settings: Settings, now: Millis) -> Conductor {
-        Conductor {
+    pub fn new(model: String, settings: Settings, now: Millis) -> StepController {
+        StepController {
             model,
             settings,
-            strangers_until: now + settings.lease_ms + settings.begin_ms + settings.generation_ms,
+            earlier_leader_until: now
+                + settings.lease_ms
+                + settings.begin_timeout_ms
+                + settings.generation_ms,
             workers: BTreeMap::new(),
-            allowance: LoadAllowance::default(),
-            under_way: BTreeMap::new(),
+            load_limiter: LoadRateLimiter::default(),
+            in_flight: BTreeMap::new(),
             lingering: Vec::new(),
             ready_since: None,
             first_wave: BTreeMap::new(),
             proposed: None,
             seen: None,
-            drawn_again: BTreeMap::new(),
+            redrawn_prompts: BTreeMap::new(),
         }
     }
 
@@ -172,25 +177,26 @@
         self.settings = settings;
     }
 
-    /// Prompts of the step under way that this leader had drawn for more than once, and how often beyond the first.
-    pub fn drawn_again(&self) -> impl Iterator<Item = (PromptId, u32)> {
-        let again = self.drawn_again.iter().filter(|(_, begun)| **begun > 1);
+    /// Prompts of the step under way that this leader had drawn for more than once, and how often beyond the
+    /// first.
+    pub fn redrawn_prompts(&self) -> impl Iterator<Item = (PromptId, u32)> {
+        let again = self.redrawn_prompts.iter().filter(|(_, begun)| **begun > 1);
         again.map(|(prompt, begun)| (*prompt, begun - 1))
     }
 
     /// Generations that this leader began and that may be under way.
-    pub fn under_way(&self) -> usize {
-        self.under_way.len() + self.lingering.len()
+    pub fn in_flight(&self) -> usize {
+        self.in_flight.len() + self.lingering.len()
     }
 
     /// Whether some prompt of the step under way could be drawn for now.
-    pub fn could_draw(&self, now: Millis, ledger: &Ledger) -> usize {
-        let Some(step) = ledger.current(&self.model).filter(|step| step.state() == StepState::Open) else {
+    pub fn drawable_prompts(&self, now: Millis, table: &StepTable) -> usize {
+        let Some(step) = table.current(&self.model).filter(|step| step.state() == StepState::Open) else {
             return 0;
         };
-        let Some(version) = step.version.filter(|_| step.holds_floor()) else { return 0 };
+        let Some(version) = step.version.filter(|_| step.has_min_workers()) else { return 0 };
         let slots: u32 = self.free_slots(now, step, version).iter().map(|(slots, _)| slots).sum();
-        let missing = step.missing().count().saturating_sub(self.under_way.len());
+        let missing = step.missing().count().saturating_sub(self.in_flight.len());
         missing.min(slots as usize)
     }
 
@@ -200,20 +206,20 @@
     }
 
     /// A worker reported.
-    pub fn reported(&mut self, now: Millis, report: WorkerReport) {
+    pub fn observe_report(&mut self, now: Millis, report: WorkerReport) {
         match self.workers.get_mut(&report.worker) {
-            Some(worker) => worker.reported(now, report),
+            Some(worker) => worker.observe_report(now, report),
             None => drop(self.workers.insert(report.worker.clone(), Worker::new(now, report))),
         }
     }
 
     /// A worker's incarnation is gone for good. What it may still be drawing is waited for by its deadline.
-    pub fn gone(&mut self, worker: &str) {
+    pub fn remove_worker(&mut self, worker: &str) {
         self.workers.remove(worker);
     }
 
     /// The store's loads are used up by others: the worker is ordered at a later look.
-    pub fn load_deferred(&mut self, now: Millis, worker: &str) {
+    pub fn defer_load(&mut self, now: Millis, worker: &str) {
         if let Some(worker) = self.workers.get_mut(worker) {
             worker.drain(now);
         }
@@ -227,9 +233,9 @@
     }
 
     /// A generation ended: what the ledger is to hear of it.
-    pub fn ended(&mut self, end: DrawEnd, ledger: &Ledger) -> Vec<Action> {
+    pub fn draw_ended(&mut self, end: DrawEnd, table: &StepTable) -> Vec<Action> {
         let Draw { step, epoch, prompt, worker, version, .. } = end.draw;
-        let known = self.under_way.remove(&(prompt, worker.clone()));
+        let known = self.in_flight.remove(&(prompt, worker.clone()));
         let versions = match end.outcome {
             DrawOutcome::Complete(versions) => versions,
             DrawOutcome::Over => return Vec::new(),
@@ -240,35 +246,35 @@
         };
         let reason = match versions.single() {
             Some(drawn) if drawn == version => None,
-            Some(_) => Some(LeaveReason::OtherVersion),
-            None => Some(LeaveReason::NoVersion),
+            Some(_) => Some(RemovalReason::VersionMismatch),
+            None => Some(RemovalReason::UnknownVersion),
         };
         let generation =
             Generation { step, epoch, prompt, worker: worker.clone(), versions, tokens: end.tokens };
         let mut actions = vec![Action::Propose(Command::Record(generation))];
-        let is_member = ledger.step(step).is_some_and(|known| known.has(&worker));
+        let is_member = table.step(step).is_some_and(|known| known.has_worker(&worker));
         if let Some(reason) = reason.filter(|_| is_member) {
-            actions.push(Action::Propose(Command::Leave { step, worker, reason }));
+            actions.push(Action::Propose(Command::RemoveWorker { step, worker, reason }));
         }
         actions
     }
 
     /// Time has passed, or something came: what is to be done now.
-    pub fn tick(&mut self, now: Millis, ledger: &Ledger) -> Vec<Action> {
-        self.tick_within(now, ledger, usize::MAX)
+    pub fn tick(&mut self, now: Millis, table: &StepTable) -> Vec<Action> {
+        self.tick_with_limit(now, table, usize::MAX)
     }
 
     /// The same, with no more generations begun than there are heads for.
-    pub fn tick_within(&mut self, now: Millis, ledger: &Ledger, most_draws: usize) -> Vec<Action> {
-        self.under_way.retain(|_, draw| now < draw.until);
+    pub fn tick_with_limit(&mut self, now: Millis, table: &StepTable, max_draws: usize) -> Vec<Action> {
+        self.in_flight.retain(|_, draw| now < draw.until);
         self.lingering.retain(|draw| now < draw.until);
-        let Some(step) = ledger.current(&self.model) else { return Vec::new() };
+        let Some(step) = table.current(&self.model) else { return Vec::new() };
         if self.is_overdue(now, step) {
             return self.propose_once(step, StepState::Aborted, None, Command::Abort { step: step.number });
         }
         match step.state() {
             StepState::Announced | StepState::Preparing => self.prepare(now, step),
-            StepState::Open => self.draw(now, step, most_draws),
+            StepState::Open => self.draw(now, step, max_draws),
             StepState::Sealing => self.seal(now, step),
             StepState::Sealed | StepState::Aborted => Vec::new(),
         }
@@ -280,7 +286,7 @@
             Some((number, since)) if number == step.number => since,
             _ => {
                 self.seen = Some((step.number, now));
-                self.drawn_again.clear();
+                self.redrawn_prompts.clear();
                 now
             }
         };
@@ -316,17 +322,17 @@
             let command = Command::FixVersion { step: step.number, version };
             return self.propose_once(step, StepState::Preparing, Some(version), command);
         }
-        let mut actions = self.change_over(now, step);
+        let mut actions = self.version_rollout(now, step);
         if let Some(version) = step.version {
             actions.extend(self.begin_if_ready(now, step, version));
         }
         actions
     }
 
-    /// The version that the step should draw from, as far as it is known. A load brings in the newest, so a worker that
-    /// loaded for this step tells it; a worker that came back by itself may be ahead of it.
+    /// The version that the step should draw from, as far as it is known. A load brings in the newest, so a
+    /// worker that loaded for this step tells it; a worker that came back by itself may be ahead of it.
     fn newest_known(&self, step: &Step) -> Option<Version> {
-        if let WantedVersion::Exactly(version) = step.request.version {
+        if let RequestedVersion::Exactly(version) = step.request.version {
             return Some(version);
         }
         let held = self.workers.values().filter_map(|worker| match worker.state() {
@@ -350,9 +356,9 @@
         })
     }
 
-    fn change_over(&mut self, now: Millis, step: &Step) -> Vec<Action> {
+    fn version_rollout(&mut self, now: Millis, step: &Step) -> Vec<Action> {
         if let Some(wanted) = step.version {
-            return self.moves(now, |worker| change_over::is_behind(worker, Some(wanted)));
+            return self.moves(now, |worker| version_rollout::is_behind(worker, Some(wanted)));
         }
         // The first wave tells which version is the newest, and whether others have to load at all.
         let actions = self.moves(now, |_| true);
@@ -367,15 +373,15 @@
     }
 
     fn moves(&mut self, now: Millis, is_due: impl Fn(&Worker) -> bool) -> Vec<Action> {
-        let bounds = self.settings.change_over;
-        let moves = change_over::plan(now, &bounds, &mut self.workers, &mut self.allowance, is_due);
+        let bounds = self.settings.version_rollout;
+        let moves = version_rollout::plan(now, &bounds, &mut self.workers, &mut self.load_limiter, is_due);
         moves.into_iter().map(|next| self.action_of(next)).collect()
     }
 
-    fn action_of(&mut self, next: Move) -> Action {
+    fn action_of(&mut self, next: WorkerAction) -> Action {
         match next {
-            Move::Drain(worker) => Action::Drain(worker),
-            Move::Load(worker) => {
+            WorkerAction::Drain(worker) => Action::Drain(worker),
+            WorkerAction::Load(worker) => {
                 let if_revision = self.workers.get(&worker).map_or(0, |known| known.report.sequence);
                 Action::Load { worker, if_revision }
             }
@@ -399,26 +405,26 @@
         };
         self.ready_since = Some((step.number, since));
         let is_whole = verified.len() == self.workers.len();
-        if !is_whole && now < since + self.settings.straggler_ms {
+        if !is_whole && now < since + self.settings.straggler_timeout_ms {
             return Vec::new();
         }
         // Whoever may still draw for the step before has run out of time.
-        if now < self.strangers_until || self.under_way() > 0 {
+        if now < self.earlier_leader_until || self.in_flight() > 0 {
             return Vec::new();
         }
-        let command = Command::Begin { step: step.number, members: verified };
+        let command = Command::Open { step: step.number, members: verified };
         self.propose_once(step, StepState::Open, Some(version), command)
     }
 
     // ---- drawing ----
 
     fn draw(&mut self, now: Millis, step: &Step, most: usize) -> Vec<Action> {
-        let mut actions = self.leavers(now, step);
+        let mut actions = self.workers_to_remove(now, step);
         let (Some(epoch), Some(version)) = (step.epoch, step.version) else { return actions };
-        if !step.holds_floor() {
+        if !step.has_min_workers() {
             return actions;
         }
-        let drawn_for: BTreeSet<PromptId> = self.under_way.keys().map(|(prompt, _)| *prompt).collect();
+        let drawn_for: BTreeSet<PromptId> = self.in_flight.keys().map(|(prompt, _)| *prompt).collect();
         let mut missing = step.missing().filter(|prompt| !drawn_for.contains(prompt));
         let mut free: Vec<(u32, WorkerId)> = self.free_slots(now, step, version);
         for _ in 0..most {
@@ -428,33 +434,35 @@
             let worker = free[place].1.clone();
             free.rotate_left(1);
             let within = step.request.generation_ms.min(self.settings.generation_ms);
-            let until = now + self.settings.begin_ms + within;
-            self.under_way.insert((prompt, worker.clone()), UnderWay { until });
-            *self.drawn_again.entry(prompt).or_default() += 1;
+            let until = now + self.settings.begin_timeout_ms + within;
+            self.in_flight.insert((prompt, worker.clone()), PendingDraw { until });
+            *self.redrawn_prompts.entry(prompt).or_default() += 1;
             actions.push(Action::Draw(Draw { step: step.number, epoch, prompt, worker, version, within }));
         }
         actions
     }
 
     /// Workers of the step that are gone, silent, or hold another version by their own word.
-    fn leavers(&self, now: Millis, step: &Step) -> Vec<Action> {
+    fn workers_to_remove(&self, now: Millis, step: &Step) -> Vec<Action> {
         let reason = |worker: &WorkerId| {
-            let Some(known) = self.workers.get(worker) else { return Some(LeaveReason::Gone) };
+            let Some(known) = self.workers.get(worker) else { return Some(RemovalReason::Lost) };
             match known.state() {
                 WorkerState::Verified(version) if step.version != Some(version) => {
-                    Some(LeaveReason::OtherVersion)
+                    Some(RemovalReason::VersionMismatch)
+                }
+                _ if now >= known.reported_at + self.settings.silence_timeout_ms => {
+                    Some(RemovalReason::Unresponsive)
                 }
-                _ if now >= known.heard + self.settings.silence_ms => Some(LeaveReason::Silent),
                 _ => None,
             }
         };
         // A new leader has not heard all of them yet.
-        if now < self.strangers_until {
+        if now < self.earlier_leader_until {
             return Vec::new();
         }
-        let leaves = step.present().filter_map(|worker| {
+        let leaves = step.active_workers().filter_map(|worker| {
             let (step, worker, reason) = (step.number, worker.clone(), reason(worker)?);
-            Some(Action::Propose(Command::Leave { step, worker, reason }))
+            Some(Action::Propose(Command::RemoveWorker { step, worker, reason }))
         });
         leaves.collect()
     }
@@ -462,16 +470,16 @@
     /// Slots of the step's workers that what they serve does not need.
     fn free_slots(&self, now: Millis, step: &Step, version: Version) -> Vec<(u32, WorkerId)> {
         let mut out: BTreeMap<&WorkerId, u32> = BTreeMap::new();
-        for (_, worker) in self.under_way.keys() {
+        for (_, worker) in self.in_flight.keys() {
             *out.entry(worker).or_default() += 1;
         }
         let out = |worker: &WorkerId| out.get(worker).copied().unwrap_or(0);
-        let members = step.present().filter_map(|id| Some((id, self.workers.get(id)?)));
+        let members = step.active_workers().filter_map(|id| Some((id, self.workers.get(id)?)));
         let able = members.filter(|(_, worker)| worker.is_verified(now, version));
         let free = able.map(|(id, worker)| {
             let report = &worker.report;
             // Its own report counts those of this step among its active ones, with some delay.
-            let taken = report.active.max(out(id)) + self.settings.serving_slots;
+            let taken = report.active.max(out(id)) + self.settings.reserved_slots;
             (report.capacity.saturating_sub(taken), id.clone())
         });
         free.collect()
@@ -480,30 +488,30 @@
     // ---- sealing ----
 
     fn seal(&mut self, now: Millis, step: &Step) -> Vec<Action> {
-        if self.under_way() > 0 || now < self.strangers_until {
+        if self.in_flight() > 0 || now < self.earlier_leader_until {
             return Vec::new();
         }
         self.propose_once(step, StepState::Sealed, None, Command::Seal { step: step.number })
     }
 
     /// Why a step does not go on, for operators.
-    pub fn waits(&self, now: Millis, ledger: &Ledger, number: StepNumber) -> Option<Waits> {
-        let step = ledger.step(number).filter(|step| !step.state().is_final())?;
-        if ledger.current(&self.model).is_some_and(|current| current.number < number) {
-            return Some(Waits::EarlierStep);
+    pub fn wait_reason(&self, now: Millis, table: &StepTable, number: StepNumber) -> Option<WaitReason> {
+        let step = table.step(number).filter(|step| !step.state().is_final())?;
+        if table.current(&self.model).is_some_and(|current| current.number < number) {
+            return Some(WaitReason::EarlierStep);
         }
         match step.state() {
             StepState::Announced | StepState::Preparing => {
                 let is_verified =
                     |worker: &&Worker| step.version.is_some_and(|version| worker.is_verified(now, version));
                 let verified = self.workers.values().filter(is_verified).count();
-                Some(Waits::Workers { verified, known: self.workers.len() })
+                Some(WaitReason::Workers { verified, known: self.workers.len() })
             }
-            StepState::Open if !step.holds_floor() => Some(Waits::Floor),
-            StepState::Open if step.missing().next().is_some() => Some(Waits::Generations),
-            StepState::Open => Some(Waits::Trainer),
-            StepState::Sealing if self.under_way() > 0 => Some(Waits::Generations),
-            _ => Some(Waits::Deadlines),
+            StepState::Open if !step.has_min_workers() => Some(WaitReason::MinWorkers),
+            StepState::Open if step.missing().next().is_some() => Some(WaitReason::Generations),
+            StepState::Open => Some(WaitReason::Trainer),
+            StepState::Sealing if self.in_flight() > 0 => Some(WaitReason::Generations),
+            _ => Some(WaitReason::EarlierGenerations),
         }
     }
 }
--- a/crates/rollout/src/step.rs
+++ b/crates/rollout/src/step.rs
@@ -6,7 +6,7 @@
 
 /// Which version a step is to draw from.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub enum WantedVersion {
+pub enum RequestedVersion {
     /// Whatever the store holds when the step is prepared.
     Newest,
     /// This one and no other.
@@ -15,7 +15,7 @@
 
 /// How many of the workers that could take part in a step should.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub enum WorkersWanted {
+pub enum RequestedWorkers {
     /// All that hold the model.
     All,
     /// So many.
@@ -24,13 +24,13 @@
     Permille(u16),
 }
 
-impl WorkersWanted {
+impl RequestedWorkers {
     /// How many these are where so many hold the model.
     pub fn of(self, holders: usize) -> usize {
         match self {
-            WorkersWanted::All => holders,
-            WorkersWanted::Count(count) => count as usize,
-            WorkersWanted::Permille(permille) => (holders * usize::from(permille)).div_ceil(1_000).max(1),
+            RequestedWorkers::All => holders,
+            RequestedWorkers::Count(count) => count as usize,
+            RequestedWorkers::Permille(permille) => (holders * usize::from(permille)).div_ceil(1_000).max(1),
         }
     }
 }
@@ -48,9 +48,9 @@
     /// The model. Steps of one model go one after the other.
     pub model: String,
     /// The version.
-    pub version: WantedVersion,
+    pub version: RequestedVersion,
     /// Workers that should take part.
-    pub workers: WorkersWanted,
+    pub workers: RequestedWorkers,
     /// The step goes on with no fewer workers than these.
     pub floor: u32,
     /// Where workers take the prompts, as a path.
@@ -68,8 +68,8 @@
             key: key.to_owned(),
             backend: String::new(),
             model: model.to_owned(),
-            version: WantedVersion::Newest,
-            workers: WorkersWanted::All,
+            version: RequestedVersion::Newest,
+            workers: RequestedWorkers::All,
             floor,
             path: "/".to_owned(),
             generation_ms: DEFAULT_GENERATION_MS,
@@ -107,7 +107,7 @@
     }
 
     /// Whether a step may go from this state to another.
-    pub fn leads_to(self, next: StepState) -> bool {
+    pub fn can_become(self, next: StepState) -> bool {
         use StepState::{Aborted, Announced, Open, Preparing, Sealed, Sealing};
         match (self, next) {
             (Announced, Preparing) | (Preparing, Open) | (Open, Sealing) | (Sealing, Sealed) => true,
@@ -119,20 +119,24 @@
 
 /// Why a worker left a step.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub enum LeaveReason {
+pub enum RemovalReason {
     /// It restarted or was lost.
-    Gone,
+    #[serde(rename = "Gone")]
+    Lost,
     /// It drew from another version than the step's.
-    OtherVersion,
+    #[serde(rename = "OtherVersion")]
+    VersionMismatch,
     /// It did not say what it drew from.
-    NoVersion,
+    #[serde(rename = "NoVersion")]
+    UnknownVersion,
     /// It could not be reached for too long.
-    Silent,
+    #[serde(rename = "Silent")]
+    Unresponsive,
 }
 
 /// A generation that counts.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Counted {
+pub struct StepResult {
     /// Who drew it.
     pub worker: WorkerId,
     /// From which version.
@@ -143,7 +147,7 @@
 
 /// What became of a step's generations.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Counts {
+pub struct StepCounts {
     /// Prompts that were submitted.
     pub submitted: u64,
     /// Generations that count.
@@ -151,7 +155,8 @@
     /// Results that were told and do not count.
     pub discarded: u64,
     /// Prompts that the step lacks, known once it is sealed.
-    pub lacking: u64,
+    #[serde(rename = "lacking")]
+    pub missing: u64,
 }
 
 /// One step.
@@ -168,13 +173,13 @@
     /// Its fencing token, from `Open` on.
     pub epoch: Option<Epoch>,
     /// Its workers; those that left, with the reason.
-    pub members: BTreeMap<WorkerId, Option<LeaveReason>>,
+    pub members: BTreeMap<WorkerId, Option<RemovalReason>>,
     /// Prompts that are to be drawn for.
     pub prompts: BTreeSet<PromptId>,
     /// What counts.
-    pub results: BTreeMap<PromptId, Counted>,
+    pub results: BTreeMap<PromptId, StepResult>,
     /// What became of it all.
-    pub counts: Counts,
+    pub counts: StepCounts,
 }
 
 impl Step {
@@ -188,7 +193,7 @@
             members: BTreeMap::new(),
             prompts: BTreeSet::new(),
             results: BTreeMap::new(),
-            counts: Counts::default(),
+            counts: StepCounts::default(),
         }
     }
 
@@ -199,7 +204,7 @@
 
     /// The one function that changes a step's state. Returns whether it may.
     pub(crate) fn enter(&mut self, next: StepState) -> bool {
-        let may = self.state.leads_to(next);
+        let may = self.state.can_become(next);
         if may {
             self.state = next;
         }
@@ -207,18 +212,18 @@
     }
 
     /// Workers that take part now.
-    pub fn present(&self) -> impl Iterator<Item = &WorkerId> {
+    pub fn active_workers(&self) -> impl Iterator<Item = &WorkerId> {
         self.members.iter().filter(|(_, left)| left.is_none()).map(|(worker, _)| worker)
     }
 
     /// Whether a worker takes part now.
-    pub fn has(&self, worker: &str) -> bool {
+    pub fn has_worker(&self, worker: &str) -> bool {
         self.members.get(worker).is_some_and(Option::is_none)
     }
 
     /// Whether enough workers are left to go on.
-    pub fn holds_floor(&self) -> bool {
-        self.present().count() >= self.request.floor.max(1) as usize
+    pub fn has_min_workers(&self) -> bool {
+        self.active_workers().count() >= self.request.floor.max(1) as usize
     }
 
     /// Prompts that have no generation that counts.
--- a/crates/rollout/src/ledger.rs
+++ b/crates/rollout/src/step_table.rs
@@ -1,7 +1,8 @@
-//! The replicated state of all steps. Every replica applies the same commands in the same order and comes to the same state.
+//! The replicated state of all steps. Every replica applies the same commands in the same order and comes to
+//! the same state.
 
 use crate::evidence::VersionTrail;
-use crate::step::{Counted, LeaveReason, Step, StepRequest, StepState, WantedVersion};
+use crate::step::{RemovalReason, RequestedVersion, Step, StepRequest, StepResult, StepState};
 use crate::{Epoch, PromptId, StepNumber, Version, WorkerId};
 use serde::{Deserialize, Serialize};
 use std::collections::{BTreeMap, BTreeSet};
@@ -43,7 +44,8 @@
         version: Version,
     },
     /// These workers hold the version, and draw from now on.
-    Begin {
+    #[serde(rename = "Begin")]
+    Open {
         /// The step.
         step: StepNumber,
         /// The workers.
@@ -52,13 +54,14 @@
     /// A generation came to its end.
     Record(Generation),
     /// A worker takes no part in the step any more.
-    Leave {
+    #[serde(rename = "Leave")]
+    RemoveWorker {
         /// The step.
         step: StepNumber,
         /// The worker.
         worker: WorkerId,
         /// Why.
-        reason: LeaveReason,
+        reason: RemovalReason,
     },
     /// No generation begins any more.
     Close {
@@ -85,33 +88,33 @@
     /// It changed what it says.
     Done,
     /// It had been carried out before.
-    Before,
+    AlreadyApplied,
     /// The step that was asked for.
     Step(StepNumber),
     /// A result that does not count.
-    Discarded(Discard),
+    Discarded(DiscardReason),
 }
 
 /// Why a result does not count.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Discard {
+pub enum DiscardReason {
     /// The step is not open, or is sealed.
     NotOpen,
     /// It was drawn under another epoch.
-    OtherEpoch,
+    EpochMismatch,
     /// Its worker takes no part in the step.
-    NoMember,
+    NotAWorker,
     /// It was not shown to be drawn from the step's version alone.
-    OtherVersion,
+    VersionMismatch,
     /// Nobody submitted that prompt.
     UnknownPrompt,
     /// The prompt has one that counts.
-    Repeated,
+    Duplicate,
 }
 
 /// Why a command was refused; it changed nothing.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
-pub enum Refusal {
+pub enum StepError {
     /// There is no such step.
     #[error("there is no step {0}")]
     UnknownStep(StepNumber),
@@ -128,15 +131,15 @@
     EarlierStep(StepNumber),
     /// The trainer's key names another request.
     #[error("the key names step {0}, which asks for something else")]
-    KeyTaken(StepNumber),
+    KeyConflict(StepNumber),
     /// Another version than the one that was asked for, or an older one than before.
     #[error("version {0} is not the one that the step may draw from")]
     WrongVersion(Version),
     /// Fewer workers than the step's floor.
-    #[error("{present} workers are fewer than the floor of {floor}")]
-    BelowFloor {
+    #[error("{active_workers} workers are fewer than the floor of {floor}")]
+    TooFewWorkers {
         /// Workers that could take part.
-        present: usize,
+        active_workers: usize,
         /// The step's floor.
         floor: u32,
     },
@@ -147,12 +150,12 @@
 
 /// All steps.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Ledger {
+pub struct StepTable {
     steps: BTreeMap<StepNumber, Step>,
     by_key: BTreeMap<String, StepNumber>,
 }
 
-impl Ledger {
+impl StepTable {
     /// One step.
     pub fn step(&self, number: StepNumber) -> Option<&Step> {
         self.steps.get(&number)
@@ -179,21 +182,22 @@
     /// # Errors
     ///
     /// The command is refused, and nothing changes.
-    pub fn apply(&mut self, index: u64, command: &Command) -> Result<Applied, Refusal> {
+    pub fn apply(&mut self, index: u64, command: &Command) -> Result<Applied, StepError> {
         match command {
             Command::Announce(request) => self.announce(request),
             Command::Submit { step, prompts } => self.submit(*step, prompts),
             Command::FixVersion { step, version } => self.fix_version(*step, *version),
-            Command::Begin { step, members } => self.begin(index, *step, members),
+            Command::Open { step, members } => self.begin(index, *step, members),
             Command::Record(generation) => self.record(generation),
-            Command::Leave { step, worker, reason } => self.leave(*step, worker, *reason),
+            Command::RemoveWorker { step, worker, reason } => self.leave(*step, worker, *reason),
             Command::Close { step, allow_missing } => self.close(*step, *allow_missing),
             Command::Seal { step } => self.enter(*step, StepState::Sealed),
             Command::Abort { step } => self.enter(*step, StepState::Aborted),
         }
     }
 
-    /// Forgets the oldest steps that are over, but for so many of them. A key that is forgotten may be used again.
+    /// Forgets the oldest steps that are over, but for so many of them. A key that is forgotten may be used
+    /// again.
     pub fn forget_old(&mut self, kept: usize) {
         let over: Vec<StepNumber> =
             self.steps.values().filter(|step| step.state().is_final()).map(|step| step.number).collect();
@@ -204,10 +208,10 @@
         }
     }
 
-    fn announce(&mut self, request: &StepRequest) -> Result<Applied, Refusal> {
+    fn announce(&mut self, request: &StepRequest) -> Result<Applied, StepError> {
         if let Some(number) = self.by_key.get(&request.key) {
             let same = self.steps.get(number).is_some_and(|step| step.request == *request);
-            return if same { Ok(Applied::Step(*number)) } else { Err(Refusal::KeyTaken(*number)) };
+            return if same { Ok(Applied::Step(*number)) } else { Err(StepError::KeyConflict(*number)) };
         }
         let number = self.steps.keys().next_back().map_or(1, |last| last + 1);
         self.steps.insert(number, Step::new(number, request.clone()));
@@ -215,20 +219,20 @@
         Ok(Applied::Step(number))
     }
 
-    fn step_mut(&mut self, number: StepNumber) -> Result<&mut Step, Refusal> {
-        self.steps.get_mut(&number).ok_or(Refusal::UnknownStep(number))
+    fn step_mut(&mut self, number: StepNumber) -> Result<&mut Step, StepError> {
+        self.steps.get_mut(&number).ok_or(StepError::UnknownStep(number))
     }
 
     /// The step, if it is the one of its model that is under way.
-    fn current_mut(&mut self, number: StepNumber) -> Result<&mut Step, Refusal> {
+    fn current_mut(&mut self, number: StepNumber) -> Result<&mut Step, StepError> {
         let model = self.step_mut(number)?.request.model.clone();
         match self.current(&model).map(|step| step.number) {
-            Some(current) if current < number => Err(Refusal::EarlierStep(current)),
+            Some(current) if current < number => Err(StepError::EarlierStep(current)),
             _ => self.step_mut(number),
         }
     }
 
-    fn submit(&mut self, number: StepNumber, prompts: &BTreeSet<PromptId>) -> Result<Applied, Refusal> {
+    fn submit(&mut self, number: StepNumber, prompts: &BTreeSet<PromptId>) -> Result<Applied, StepError> {
         let step = self.step_mut(number)?;
         if step.state() > StepState::Open {
             return Err(wrong_state(step));
@@ -236,23 +240,23 @@
         let before = step.prompts.len();
         step.prompts.extend(prompts);
         step.counts.submitted = step.prompts.len() as u64;
-        Ok(if step.prompts.len() > before { Applied::Done } else { Applied::Before })
+        Ok(if step.prompts.len() > before { Applied::Done } else { Applied::AlreadyApplied })
     }
 
-    fn fix_version(&mut self, number: StepNumber, version: Version) -> Result<Applied, Refusal> {
+    fn fix_version(&mut self, number: StepNumber, version: Version) -> Result<Applied, StepError> {
         let step = self.current_mut(number)?;
         if step.state() > StepState::Preparing {
             return Err(wrong_state(step));
         }
         let wrong = match step.request.version {
-            WantedVersion::Exactly(wanted) => version != wanted,
-            WantedVersion::Newest => step.version.is_some_and(|known| version < known),
+            RequestedVersion::Exactly(wanted) => version != wanted,
+            RequestedVersion::Newest => step.version.is_some_and(|known| version < known),
         };
         if wrong {
-            return Err(Refusal::WrongVersion(version));
+            return Err(StepError::WrongVersion(version));
         }
         if step.version == Some(version) {
-            return Ok(Applied::Before);
+            return Ok(Applied::AlreadyApplied);
         }
         step.enter(StepState::Preparing);
         step.version = Some(version);
@@ -264,14 +268,14 @@
         index: u64,
         number: StepNumber,
         members: &BTreeSet<WorkerId>,
-    ) -> Result<Applied, Refusal> {
+    ) -> Result<Applied, StepError> {
         let step = self.current_mut(number)?;
         if step.state() != StepState::Preparing {
             return Err(wrong_state(step));
         }
         let floor = step.request.floor.max(1);
         if members.len() < floor as usize {
-            return Err(Refusal::BelowFloor { present: members.len(), floor });
+            return Err(StepError::TooFewWorkers { active_workers: members.len(), floor });
         }
         step.enter(StepState::Open);
         step.epoch = Some(index);
@@ -279,7 +283,7 @@
         Ok(Applied::Done)
     }
 
-    fn record(&mut self, generation: &Generation) -> Result<Applied, Refusal> {
+    fn record(&mut self, generation: &Generation) -> Result<Applied, StepError> {
         let step = self.step_mut(generation.step)?;
         if let Some(why) = why_not(step, generation) {
             if !step.state().is_final() {
@@ -288,13 +292,18 @@
             return Ok(Applied::Discarded(why));
         }
         let Some(version) = step.version else { return Err(wrong_state(step)) };
-        let counted = Counted { worker: generation.worker.clone(), version, tokens: generation.tokens };
+        let counted = StepResult { worker: generation.worker.clone(), version, tokens: generation.tokens };
         step.results.insert(generation.prompt, counted);
         step.counts.counted = step.results.len() as u64;
         Ok(Applied::Done)
     }
 
-    fn leave(&mut self, number: StepNumber, worker: &str, reason: LeaveReason) -> Result<Applied, Refusal> {
+    fn leave(
+        &mut self,
+        number: StepNumber,
+        worker: &str,
+        reason: RemovalReason,
+    ) -> Result<Applied, StepError> {
         let step = self.step_mut(number)?;
         if !step.state().counts() {
             return Err(wrong_state(step));
@@ -304,19 +313,19 @@
                 *left = Some(reason);
                 Ok(Applied::Done)
             }
-            _ => Ok(Applied::Before),
+            _ => Ok(Applied::AlreadyApplied),
         }
     }
 
-    fn close(&mut self, number: StepNumber, allow_missing: bool) -> Result<Applied, Refusal> {
+    fn close(&mut self, number: StepNumber, allow_missing: bool) -> Result<Applied, StepError> {
         let step = self.step_mut(number)?;
         // Whoever did not hear that it is being sealed asks again.
         if matches!(step.state(), StepState::Sealing | StepState::Sealed) {
-            return Ok(Applied::Before);
+            return Ok(Applied::AlreadyApplied);
         }
         let missing = step.missing().count();
         if missing > 0 && !allow_missing {
-            return Err(Refusal::Missing(missing));
+            return Err(StepError::Missing(missing));
         }
         match step.enter(StepState::Sealing) {
             true => Ok(Applied::Done),
@@ -324,39 +333,39 @@
         }
     }
 
-    fn enter(&mut self, number: StepNumber, state: StepState) -> Result<Applied, Refusal> {
+    fn enter(&mut self, number: StepNumber, state: StepState) -> Result<Applied, StepError> {
         let step = self.step_mut(number)?;
         if step.state() == state {
-            return Ok(Applied::Before);
+            return Ok(Applied::AlreadyApplied);
         }
         if !step.enter(state) {
             return Err(wrong_state(step));
         }
-        step.counts.lacking = step.missing().count() as u64;
+        step.counts.missing = step.missing().count() as u64;
         Ok(Applied::Done)
     }
 }
 
-fn wrong_state(step: &Step) -> Refusal {
-    Refusal::WrongState { step: step.number, state: step.state() }
+fn wrong_state(step: &Step) -> StepError {
+    StepError::WrongState { step: step.number, state: step.state() }
 }
 
 /// Why a generation does not count in a step, if it does not.
-fn why_not(step: &Step, generation: &Generation) -> Option<Discard> {
+fn why_not(step: &Step, generation: &Generation) -> Option<DiscardReason> {
     if !step.state().counts() {
-        return Some(Discard::NotOpen);
+        return Some(DiscardReason::NotOpen);
     }
     if step.epoch != Some(generation.epoch) {
-        return Some(Discard::OtherEpoch);
+        return Some(DiscardReason::EpochMismatch);
     }
-    if !step.has(&generation.worker) {
-        return Some(Discard::NoMember);
+    if !step.has_worker(&generation.worker) {
+        return Some(DiscardReason::NotAWorker);
     }
     if generation.versions.single().is_none_or(|version| step.version != Some(version)) {
-        return Some(Discard::OtherVersion);
+        return Some(DiscardReason::VersionMismatch);
     }
     if !step.prompts.contains(&generation.prompt) {
-        return Some(Discard::UnknownPrompt);
+        return Some(DiscardReason::UnknownPrompt);
     }
-    step.results.contains_key(&generation.prompt).then_some(Discard::Repeated)
+    step.results.contains_key(&generation.prompt).then_some(DiscardReason::Duplicate)
 }
--- a/crates/rollout/src/worker.rs
+++ b/crates/rollout/src/worker.rs
@@ -10,7 +10,7 @@
     /// Its zone.
     pub zone: String,
     /// The version of the model that it holds; `None`: it does not hold it.
-    pub holds: Option<Version>,
+    pub loaded_version: Option<Version>,
     /// An order is under way.
     pub busy: bool,
     /// Orders that it took since its start.
@@ -46,17 +46,17 @@
     /// Its last report.
     pub report: WorkerReport,
     /// When that came.
-    pub heard: Millis,
+    pub reported_at: Millis,
     state: WorkerState,
 }
 
 /// A worker that has said nothing for so long takes no part in a step that begins, milliseconds.
-pub const FRESH_FOR: Millis = 3_000;
+pub const REPORT_TTL_MS: Millis = 3_000;
 
 impl Worker {
     /// A worker that reported for the first time. What it holds is known from that report.
     pub fn new(now: Millis, report: WorkerReport) -> Worker {
-        let mut worker = Worker { report, heard: now, state: WorkerState::Serving };
+        let mut worker = Worker { report, reported_at: now, state: WorkerState::Serving };
         worker.look();
         worker
     }
@@ -72,18 +72,18 @@
     }
 
     /// A report came. An older one, by the orders that it counts, changes nothing.
-    pub fn reported(&mut self, now: Millis, report: WorkerReport) {
+    pub fn observe_report(&mut self, now: Millis, report: WorkerReport) {
         if report.sequence < self.report.sequence {
             return;
         }
-        (self.report, self.heard) = (report, now);
+        (self.report, self.reported_at) = (report, now);
         self.look();
     }
 
     /// What its last report says of its state.
     fn look(&mut self) {
-        let holds = self.report.holds.filter(|_| !self.report.busy);
-        match (self.state, holds) {
+        let loaded_version = self.report.loaded_version.filter(|_| !self.report.busy);
+        match (self.state, loaded_version) {
             // A report from before the order says nothing of what it brought.
             (WorkerState::Loading { sequence }, _) if self.report.sequence <= sequence => {}
             (
@@ -120,12 +120,12 @@
 
     /// Whether requests of the model would miss it.
     pub fn serves_model(&self) -> bool {
-        self.serves() && self.report.holds.is_some()
+        self.serves() && self.report.loaded_version.is_some()
     }
 
     /// Whether it can draw from a version now, as far as its own fresh word says.
     pub fn is_verified(&self, now: Millis, version: Version) -> bool {
-        self.state == WorkerState::Verified(version) && now < self.heard + FRESH_FOR
+        self.state == WorkerState::Verified(version) && now < self.reported_at + REPORT_TTL_MS
     }
 
     /// Requests that it could run beside those it has.
--- /dev/null
+++ b/crates/rollout/tests/controller.rs
@@ -0,0 +1,195 @@
+//! The leader's part: what it proposes, orders and says.
+
+use pathbank_rollout::controller::{
+    Action, Draw, DrawEnd, DrawOutcome, Settings, StepController, WaitReason,
+};
+use pathbank_rollout::evidence::VersionTrail;
+use pathbank_rollout::step::{RemovalReason, StepRequest};
+use pathbank_rollout::step_table::{Command, StepTable};
+use pathbank_rollout::version_rollout::RolloutLimits;
+use pathbank_rollout::worker::WorkerReport;
+use std::collections::BTreeSet;
+use test_case::test_case;
+
+const SETTINGS: Settings = Settings {
+    version_rollout: RolloutLimits { min_serving: 1, max_loads_per_s: 100.0, drain_timeout_ms: 100 },
+    generation_ms: 1_000,
+    begin_timeout_ms: 0,
+    lease_ms: 100,
+    reserved_slots: 2,
+    straggler_timeout_ms: 500,
+    silence_timeout_ms: 2_000,
+};
+
+fn report(worker: &str, active: u32) -> WorkerReport {
+    let (worker, zone) = (worker.to_owned(), "z".to_owned());
+    WorkerReport { worker, zone, loaded_version: Some(7), busy: false, sequence: 0, active, capacity: 4 }
+}
+
+/// A step that draws from version 7 for nine prompts with workers a and b.
+fn open() -> (StepTable, StepController) {
+    let mut table = StepTable::default();
+    let request = StepRequest::new("one", "m", 2);
+    let commands = [
+        Command::Announce(request),
+        Command::Submit { step: 1, prompts: (1..10).collect() },
+        Command::FixVersion { step: 1, version: 7 },
+        Command::Open { step: 1, members: BTreeSet::from(["a".into(), "b".into()]) },
+    ];
+    for (index, command) in (1..).zip(&commands) {
+        table.apply(index, command).unwrap();
+    }
+    let mut controller = StepController::new("m".into(), SETTINGS, 0);
+    ["a", "b"].iter().for_each(|worker| controller.observe_report(5_000, report(worker, 0)));
+    (table, controller)
+}
+
+fn draws(actions: &[Action]) -> Vec<Draw> {
+    let draw = |action: &Action| match action {
+        Action::Draw(draw) => Some(draw.clone()),
+        _ => None,
+    };
+    actions.iter().filter_map(draw).collect()
+}
+
+fn trail(head: Option<u64>, events: &[u64]) -> VersionTrail {
+    let mut trail = VersionTrail::begin(head);
+    events.iter().for_each(|version| trail.event(*version));
+    trail.finish();
+    trail
+}
+
+#[test_case(trail(Some(7), &[7]), None; "the step's version")]
+#[test_case(trail(Some(8), &[]), Some(RemovalReason::VersionMismatch); "another version")]
+#[test_case(trail(Some(7), &[8]), Some(RemovalReason::UnknownVersion); "two versions")]
+#[test_case(trail(None, &[7]), Some(RemovalReason::UnknownVersion); "no version at its head")]
+fn a_worker_leaves_the_step_when_it_says(versions: VersionTrail, leaves: Option<RemovalReason>) {
+    let (table, mut controller) = open();
+    let draw = draws(&controller.tick(5_000, &table)).remove(0);
+    let worker = draw.worker.clone();
+    let end = DrawEnd { draw, outcome: DrawOutcome::Complete(versions), tokens: 10 };
+    let actions = controller.draw_ended(end, &table);
+    assert!(matches!(&actions[0], Action::Propose(Command::Record(_))), "the ledger judges it");
+    let leave = leaves.map(|reason| Action::Propose(Command::RemoveWorker { step: 1, worker, reason }));
+    assert_eq!(actions.get(1).cloned(), leave);
+}
+
+#[test]
+fn generations_take_the_slots_that_merchants_leave() {
+    let (table, mut controller) = open();
+    controller.observe_report(5_000, report("a", 2));
+    let begun = draws(&controller.tick(5_000, &table));
+    let at = |worker: &str| begun.iter().filter(|draw| draw.worker == worker).count();
+    assert_eq!((at("a"), at("b")), (0, 2), "two slots are left free at each");
+    assert!(begun.iter().all(|draw| draw.epoch == 4 && draw.version == 7 && draw.within == 1_000));
+    assert_eq!(draws(&controller.tick(5_010, &table)), [], "its own are counted before it reports them");
+}
+
+#[test]
+fn a_prompt_whose_generation_broke_off_is_drawn_again() {
+    let (table, mut controller) = open();
+    let first = draws(&controller.tick(5_000, &table)).remove(0);
+    let prompt = first.prompt;
+    let broken = DrawEnd { draw: first, outcome: DrawOutcome::Over, tokens: 0 };
+    assert_eq!(controller.draw_ended(broken, &table), []);
+    let again = draws(&controller.tick(5_010, &table));
+    assert_eq!(again.iter().map(|draw| draw.prompt).collect::<Vec<_>>(), [prompt]);
+}
+
+#[test]
+fn a_generation_that_is_never_heard_of_is_drawn_again_once_its_time_is_over() {
+    let (table, mut controller) = open();
+    let first = draws(&controller.tick(5_000, &table));
+    controller.observe_report(5_900, report("a", 0));
+    controller.observe_report(5_900, report("b", 0));
+    assert_eq!(draws(&controller.tick(5_999, &table)), []);
+    let again = draws(&controller.tick(6_000, &table));
+    assert_eq!(again.len(), first.len());
+}
+
+#[test]
+fn a_worker_that_is_gone_or_silent_leaves_the_step() {
+    let (table, mut controller) = open();
+    controller.remove_worker("a");
+    let leave = |worker: &str, reason| {
+        Action::Propose(Command::RemoveWorker { step: 1, worker: worker.into(), reason })
+    };
+    assert!(controller.tick(5_000, &table).contains(&leave("a", RemovalReason::Lost)));
+    let late = controller.tick(5_000 + SETTINGS.silence_timeout_ms, &table);
+    assert!(late.contains(&leave("b", RemovalReason::Unresponsive)), "{late:?}");
+}
+
+#[test]
+fn a_new_leader_takes_nobody_for_gone_before_it_could_hear_of_all() {
+    let (table, _) = open();
+    let mut controller = StepController::new("m".into(), SETTINGS, 9_000);
+    assert_eq!(controller.tick(9_050, &table), []);
+}
+
+#[test]
+fn what_a_step_waits_for_is_told() {
+    let (mut table, mut controller) = open();
+    assert_eq!(controller.wait_reason(5_000, &table, 1), Some(WaitReason::Generations));
+    let next = StepRequest::new("two", "m", 1);
+    table.apply(9, &Command::Announce(next)).unwrap();
+    assert_eq!(controller.wait_reason(5_000, &table, 2), Some(WaitReason::EarlierStep));
+    controller.tick(5_000, &table);
+    table.apply(10, &Command::Close { step: 1, allow_missing: true }).unwrap();
+    assert_eq!(controller.wait_reason(5_000, &table, 1), Some(WaitReason::Generations));
+    controller.tick(6_500, &table);
+    assert_eq!(controller.wait_reason(6_500, &table, 1), Some(WaitReason::EarlierGenerations));
+    table.apply(11, &Command::Seal { step: 1 }).unwrap();
+    assert_eq!(controller.wait_reason(6_500, &table, 1), None);
+}
+
+#[test]
+fn what_may_still_be_drawn_holds_up_the_seal_and_not_its_prompt() {
+    // Given a step whose generations are all under way, when one breaks off and its worker may go on with it,
+    let (mut table, mut controller) = open();
+    let mut begun = draws(&controller.tick(5_000, &table));
+    let first = begun.remove(0);
+    let prompt = first.prompt;
+    controller.draw_ended(DrawEnd { draw: first, outcome: DrawOutcome::Unknown, tokens: 0 }, &table);
+    // then its prompt is drawn for again at once,
+    let again = draws(&controller.tick(5_010, &table));
+    assert_eq!(again.iter().map(|draw| draw.prompt).collect::<Vec<_>>(), [prompt]);
+    assert_eq!(controller.redrawn_prompts().collect::<Vec<_>>(), [(prompt, 1)]);
+    // and though all others have ended the step is not sealed before the broken one's time is over.
+    table.apply(5, &Command::Close { step: 1, allow_missing: true }).unwrap();
+    for draw in begun.into_iter().chain(again) {
+        controller.draw_ended(DrawEnd { draw, outcome: DrawOutcome::Over, tokens: 0 }, &table);
+    }
+    assert_eq!(controller.tick(5_999, &table), []);
+    assert_eq!(controller.tick(6_000, &table), [Action::Propose(Command::Seal { step: 1 })]);
+}
+
+#[test]
+fn no_more_generations_begin_than_there_are_heads_for() {
+    let (table, mut controller) = open();
+    assert_eq!(controller.drawable_prompts(5_000, &table), 4);
+    assert_eq!(draws(&controller.tick_with_limit(5_000, &table, 3)).len(), 3);
+    assert_eq!(controller.drawable_prompts(5_000, &table), 1);
+    assert_eq!(draws(&controller.tick_with_limit(5_000, &table, 0)), []);
+}
+
+#[test]
+fn a_generation_that_may_begin_late_is_waited_for_as_long() {
+    let (table, _) = open();
+    let settings = Settings { begin_timeout_ms: 300, ..SETTINGS };
+    let mut controller = StepController::new("m".into(), settings, 0);
+    ["a", "b"].iter().for_each(|worker| controller.observe_report(5_000, report(worker, 0)));
+    controller.tick(5_000, &table);
+    assert_eq!(draws(&controller.tick(6_299, &table)), [], "it may have begun 300 ms later");
+    assert_eq!(draws(&controller.tick(6_300, &table)).len(), 4);
+}
+
+#[test]
+fn a_step_that_takes_too_long_is_given_up() {
+    let mut table = StepTable::default();
+    let request = StepRequest { deadline_ms: Some(4_000), ..StepRequest::new("one", "m", 1) };
+    table.apply(1, &Command::Announce(request)).unwrap();
+    let mut controller = StepController::new("m".into(), SETTINGS, 0);
+    assert_eq!(controller.tick(1_000, &table), []);
+    assert_eq!(controller.tick(4_999, &table), []);
+    assert_eq!(controller.tick(5_000, &table), [Action::Propose(Command::Abort { step: 1 })]);
+}
--- a/crates/rollout/tests/search.rs
+++ b/crates/rollout/tests/search.rs
@@ -1,14 +1,14 @@
-//! The steps' protocol over small bounds, exhaustively: two workers, two steps of one prompt each, one crash, one change of
-//! leaders, one publication, one step closed early, in every order of so many events. The same code as everywhere; only the order of things is
-//! chosen here, all of it.
+//! The steps' protocol over small bounds, exhaustively: two workers, two steps of one prompt each, one crash,
+//! one change of leaders, one publication, one step closed early, in every order of so many events. The same
+//! code as everywhere; only the order of things is chosen here, all of it.
 //!
 //! `SEARCH_DEEPER=N` goes N events deeper.
 
-use pathbank_rollout::change_over::Bounds;
-use pathbank_rollout::conductor::{Action, Conductor, Draw, DrawEnd, DrawOutcome, Settings};
+use pathbank_rollout::controller::{Action, Draw, DrawEnd, DrawOutcome, Settings, StepController};
 use pathbank_rollout::evidence::VersionTrail;
-use pathbank_rollout::ledger::{Command, Ledger};
 use pathbank_rollout::step::{StepRequest, StepState};
+use pathbank_rollout::step_table::{Command, StepTable};
+use pathbank_rollout::version_rollout::RolloutLimits;
 use pathbank_rollout::worker::WorkerReport;
 use std::collections::hash_map::DefaultHasher;
 use std::collections::{BTreeSet, HashSet};
@@ -21,13 +21,13 @@
 
 fn settings() -> Settings {
     Settings {
-        change_over: Bounds { serving_floor: 0, loads_per_s: 1_000.0, drain_ms: 0 },
+        version_rollout: RolloutLimits { min_serving: 0, max_loads_per_s: 1_000.0, drain_timeout_ms: 0 },
         generation_ms: WITHIN,
-        begin_ms: 0,
+        begin_timeout_ms: 0,
         lease_ms: 0,
-        serving_slots: 0,
-        straggler_ms: 0,
-        silence_ms: 1_000_000,
+        reserved_slots: 0,
+        straggler_timeout_ms: 0,
+        silence_timeout_ms: 1_000_000,
     }
 }
 
@@ -58,7 +58,7 @@
             worker: self.id(),
             // Each in a zone of its own, so that both may change at once.
             zone: self.number.to_string(),
-            holds: Some(self.version),
+            loaded_version: Some(self.version),
             busy: self.loading,
             sequence: self.sequence,
             active: u32::from(self.running.is_some()),
@@ -73,8 +73,8 @@
     newest: u64,
     index: u64,
     workers: Vec<Worker>,
-    ledger: Ledger,
-    conductor: Conductor,
+    table: StepTable,
+    controller: StepController,
     proposed: Vec<Command>,
     /// Generations on their way to workers, and until when they may begin.
     draws: Vec<(u64, Draw)>,
@@ -96,7 +96,7 @@
     Commit(usize),
     Begin(usize),
     End(usize),
-    TellEnd(usize),
+    ReportEnd(usize),
     LoseEnd(usize),
     Loaded(usize),
     Report(usize),
@@ -121,8 +121,8 @@
             newest: 1,
             index: 0,
             workers: (0..2).map(worker).collect(),
-            ledger: Ledger::default(),
-            conductor: Conductor::new(MODEL.into(), settings(), 0),
+            table: StepTable::default(),
+            controller: StepController::new(MODEL.into(), settings(), 0),
             proposed: Vec::new(),
             draws: Vec::new(),
             ends: Vec::new(),
@@ -146,7 +146,7 @@
     fn apply(&mut self, command: &Command) {
         self.index += 1;
         // What is refused changes nothing.
-        let _ = self.ledger.apply(self.index, command);
+        let _ = self.table.apply(self.index, command);
     }
 
     fn events(&self) -> Vec<Event> {
@@ -154,11 +154,11 @@
         events.extend((self.ticks > 0).then_some(Event::Tick));
         events.extend((0..self.proposed.len()).map(Event::Commit));
         events.extend((0..self.draws.len()).map(Event::Begin));
-        events.extend((0..self.ends.len()).flat_map(|at| [Event::TellEnd(at), Event::LoseEnd(at)]));
+        events.extend((0..self.ends.len()).flat_map(|at| [Event::ReportEnd(at), Event::LoseEnd(at)]));
         for (at, worker) in self.workers.iter().enumerate() {
             events.extend(worker.running.is_some().then_some(Event::End(at)));
             events.extend(worker.loading.then_some(Event::Loaded(at)));
-            let known = self.conductor.workers().get(&worker.id());
+            let known = self.controller.workers().get(&worker.id());
             let is_news = known.is_none_or(|known| known.report != worker.report());
             events.extend(is_news.then_some(Event::Report(at)));
             events.extend((self.crashes > 0).then_some(Event::Crash(at)));
@@ -166,7 +166,7 @@
         events.extend((self.leaders > 0).then_some(Event::NewLeader));
         events.extend((self.publications > 0).then_some(Event::Publish));
         if self.early_closes > 0 {
-            let open = self.ledger.steps().filter(|step| step.state() == StepState::Open);
+            let open = self.table.steps().filter(|step| step.state() == StepState::Open);
             events.extend(open.map(|step| Event::CloseEarly(step.number)));
         }
         events
@@ -191,9 +191,9 @@
                     self.ended(running);
                 }
             }
-            Event::TellEnd(at) => {
+            Event::ReportEnd(at) => {
                 let end = self.ends.remove(*at);
-                let actions = self.conductor.ended(end, &self.ledger);
+                let actions = self.controller.draw_ended(end, &self.table);
                 self.carry_out(actions);
             }
             Event::LoseEnd(at) => drop(self.ends.remove(*at)),
@@ -205,11 +205,11 @@
                     running.versions.push(self.newest);
                 }
             }
-            Event::Report(at) => self.conductor.reported(self.now, self.workers[*at].report()),
+            Event::Report(at) => self.controller.observe_report(self.now, self.workers[*at].report()),
             Event::Crash(at) => {
                 self.crashes -= 1;
                 let id = self.workers[*at].id();
-                self.conductor.gone(&id);
+                self.controller.remove_worker(&id);
                 let newest = self.newest;
                 let worker = &mut self.workers[*at];
                 (worker.incarnation, worker.sequence, worker.version) = (worker.incarnation + 1, 0, newest);
@@ -217,7 +217,7 @@
             }
             Event::NewLeader => {
                 self.leaders -= 1;
-                self.conductor = Conductor::new(MODEL.into(), settings(), self.now);
+                self.controller = StepController::new(MODEL.into(), settings(), self.now);
             }
             Event::CloseEarly(step) => {
                 self.early_closes -= 1;
@@ -241,13 +241,13 @@
             }
         }
         let sealed = self
-            .ledger
+            .table
             .steps()
             .find(|step| step.state() == StepState::Open && step.missing().next().is_none());
         if let Some(number) = sealed.map(|step| step.number) {
             self.propose(Command::Close { step: number, allow_missing: false });
         }
-        let actions = self.conductor.tick(now, &self.ledger);
+        let actions = self.controller.tick(now, &self.table);
         self.carry_out(actions);
     }
 
@@ -266,7 +266,7 @@
                     let known = self.workers.iter_mut().find(|known| known.id() == worker);
                     match known.filter(|known| known.sequence == if_revision && !known.loading) {
                         Some(known) => (known.loading, known.sequence) = (true, known.sequence + 1),
-                        None => self.conductor.order_failed(&worker),
+                        None => self.controller.order_failed(&worker),
                     }
                 }
                 Action::Draw(draw) => self.draws.push((self.now + draw.within, draw)),
@@ -282,7 +282,7 @@
             self.ends.push(DrawEnd { draw, outcome: DrawOutcome::Over, tokens: 0 });
             return;
         };
-        let state = self.ledger.step(draw.step).map(|step| step.state());
+        let state = self.table.step(draw.step).map(|step| step.state());
         if state.is_none_or(|state| state.is_final()) {
             self.fault = Some(format!("a draw for step {} begins after its end", draw.step));
         }
@@ -308,12 +308,12 @@
         if epochs.len() > 1 {
             return Some(format!("two epochs draw: {epochs:?}"));
         }
-        for step in self.ledger.steps() {
+        for step in self.table.steps() {
             if step.results.values().any(|counted| Some(counted.version) != step.version) {
                 return Some(format!("step {} is mixed", step.number));
             }
             if step.state() == StepState::Sealed
-                && step.counts.counted + step.counts.lacking != step.counts.submitted
+                && step.counts.counted + step.counts.missing != step.counts.submitted
             {
                 return Some(format!("step {} is sealed without its counts", step.number));
             }
@@ -330,7 +330,7 @@
     /// All goes on as it should, without troubles, until that step is in that state.
     fn until(mut self, number: u64, state: StepState) -> World {
         for _ in 0..400 {
-            if self.ledger.step(number).is_some_and(|step| step.state() == state) {
+            if self.table.step(number).is_some_and(|step| step.state() == state) {
                 (self.ticks, self.crashes, self.leaders, self.publications) = (4, 1, 1, 1);
                 self.early_closes = 1;
                 return self;
@@ -393,7 +393,7 @@
             assert_eq!(world.check(), None);
         }
         // A lost proposal or a lost end is told again, or its time runs out.
-        world.conductor.proposal_lost();
+        world.controller.proposal_lost();
         world.until(STEPS, StepState::Sealed);
     }
 }
--- a/crates/rollout/tests/steps/engine.rs
+++ b/crates/rollout/tests/steps/engine.rs
@@ -1,7 +1,7 @@
-//! An engine as the published protocol has it: slots, one order at a time, a load that brings in the newest version, versions
-//! told with each answer; and what may be wrong with it.
+//! An engine as the published protocol has it: slots, one order at a time, a load that brings in the newest
+//! version, versions told with each answer; and what may be wrong with it.
 
-use pathbank_rollout::conductor::Draw;
+use pathbank_rollout::controller::Draw;
 use pathbank_rollout::evidence::VersionTrail;
 use pathbank_rollout::worker::WorkerReport;
 
@@ -76,7 +76,7 @@
         WorkerReport {
             worker: self.id(),
             zone: "z".into(),
-            holds: self.version,
+            loaded_version: self.version,
             busy: self.loading.is_some(),
             sequence: self.sequence,
             active: (self.running.len() + self.merchants.len()) as u32,
--- a/crates/rollout/tests/steps/world.rs
+++ b/crates/rollout/tests/steps/world.rs
@@ -5,10 +5,12 @@
 
 use super::engine::{Engine, LOAD_MS, MERCHANT_MS, Running};
 use pathbank_rollout::audit::{Audit, Drawn, Told, audit};
-use pathbank_rollout::change_over::{self, Bounds};
-use pathbank_rollout::conductor::{Action, Conductor, Draw, DrawEnd, DrawOutcome, Settings, Waits};
-use pathbank_rollout::ledger::{Applied, Command, Ledger};
+use pathbank_rollout::controller::{
+    Action, Draw, DrawEnd, DrawOutcome, Settings, StepController, WaitReason,
+};
 use pathbank_rollout::step::{StepRequest, StepState};
+use pathbank_rollout::step_table::{Applied, Command, StepTable};
+use pathbank_rollout::version_rollout::{self, RolloutLimits};
 use std::collections::{BTreeMap, BTreeSet};
 
 // The example loads this file by its path, so these have to be named by theirs.
@@ -80,11 +82,11 @@
     newest: u64,
     engines: Vec<Engine>,
     closed: BTreeSet<String>,
-    ledger: Ledger,
+    table: StepTable,
     index: u64,
     /// Commands on their way into the log, and when they are there.
     proposed: Vec<(u64, Command)>,
-    conductor: Option<Conductor>,
+    controller: Option<StepController>,
     leads_from: u64,
     /// Ends of generations on their way to the leader.
     ends: Vec<(u64, DrawEnd)>,
@@ -118,10 +120,10 @@
             newest: 1,
             engines: (0..plan.workers).map(|number| Engine::new(number, 1)).collect(),
             closed: BTreeSet::new(),
-            ledger: Ledger::default(),
+            table: StepTable::default(),
             index: 0,
             proposed: Vec::new(),
-            conductor: None,
+            controller: None,
             leads_from: 0,
             ends: Vec::new(),
             late_results: false,
@@ -145,19 +147,19 @@
 
     fn settings(&self) -> Settings {
         Settings {
-            change_over: self.bounds(),
+            version_rollout: self.bounds(),
             generation_ms: GENERATION_MS,
-            begin_ms: 0,
+            begin_timeout_ms: 0,
             lease_ms: LEASE_MS,
-            serving_slots: 2,
-            straggler_ms: 3_000,
-            silence_ms: 1_500,
+            reserved_slots: 2,
+            straggler_timeout_ms: 3_000,
+            silence_timeout_ms: 1_500,
         }
     }
 
-    fn bounds(&self) -> Bounds {
-        let loads_per_s = LOADS_PER_WORKER_S * self.plan.workers as f64;
-        Bounds { serving_floor: self.plan.workers * 7 / 10, loads_per_s, drain_ms: 400 }
+    fn bounds(&self) -> RolloutLimits {
+        let max_loads_per_s = LOADS_PER_WORKER_S * self.plan.workers as f64;
+        RolloutLimits { min_serving: self.plan.workers * 7 / 10, max_loads_per_s, drain_timeout_ms: 400 }
     }
 
     // ---- time ----
@@ -175,7 +177,7 @@
     pub fn run_until_open(&mut self, number: u64) {
         let draws = |world: &World| {
             world
-                .ledger
+                .table
                 .current(MODEL)
                 .is_some_and(|step| step.number >= number && step.state() == StepState::Open)
         };
@@ -269,10 +271,10 @@
             if engine.loading.is_some_and(|end| now >= end) && !engine.stands_still(now) {
                 (engine.loading, engine.version) = (None, Some(self.newest));
                 // The leader asks a worker whose order should be done.
-                if let Some(conductor) =
-                    self.conductor.as_mut().filter(|_| now >= engine.deaf_to_control_until)
+                if let Some(controller) =
+                    self.controller.as_mut().filter(|_| now >= engine.deaf_to_control_until)
                 {
-                    conductor.reported(now, engine.report());
+                    controller.observe_report(now, engine.report());
                 }
             }
             engine.merchants.retain(|end| now < *end);
@@ -284,11 +286,11 @@
             for running in ended {
                 let engine = &self.engines[at];
                 let complete = now >= running.ends && now < running.over_at;
-                let heard = complete && now >= engine.deaf_to_heads_until;
+                let reported_at = complete && now >= engine.deaf_to_heads_until;
                 let (trail, id) = (engine.trail(now, &running), engine.id());
                 self.note_drawn(&running, &id, complete);
                 let delay = if self.late_results { 3_000 } else { 20 };
-                let outcome = if heard { DrawOutcome::Complete(trail) } else { DrawOutcome::Over };
+                let outcome = if reported_at { DrawOutcome::Complete(trail) } else { DrawOutcome::Over };
                 self.ends.push((now + delay, DrawEnd { draw: running.draw, outcome, tokens: 100 }));
                 self.late_results = false;
             }
@@ -297,14 +299,14 @@
 
     // ---- the trainer ----
 
-    /// Opens one step after the other, submits its prompts, closes it, and publishes what it learned. A step that lacks
-    /// workers for long is given up and asked for anew.
+    /// Opens one step after the other, submits its prompts, closes it, and publishes what it learned. A step
+    /// that lacks workers for long is given up and asked for anew.
     fn trainer(&mut self) {
         if self.told.len() >= self.plan.steps {
             return;
         }
         let key = format!("step-{}-{}", self.told.len() + 1, self.attempt);
-        let Some(step) = self.ledger.steps().rev().find(|step| step.request.key == key) else {
+        let Some(step) = self.table.steps().rev().find(|step| step.request.key == key) else {
             let request = StepRequest::new(&key, MODEL, self.floor);
             return self.propose(Command::Announce(request));
         };
@@ -329,7 +331,7 @@
     }
 
     fn gives_up(&mut self, number: u64) -> bool {
-        let lacks = self.ledger.step(number).is_some_and(|step| !step.holds_floor());
+        let lacks = self.table.step(number).is_some_and(|step| !step.has_min_workers());
         if !lacks || self.patient {
             self.lacks_since = self.now;
         }
@@ -337,7 +339,7 @@
     }
 
     fn read(&self, number: u64) -> Option<Told> {
-        let step = self.ledger.step(number)?;
+        let step = self.table.step(number)?;
         let results =
             step.results.iter().map(|(prompt, counted)| (*prompt, counted.worker.clone())).collect();
         Some(Told { step: number, version: step.version?, results })
@@ -357,7 +359,7 @@
             self.proposed.extract_if(.., |(at, _)| now >= *at).map(|(_, command)| command).collect();
         for command in due {
             self.index += 1;
-            let applied = self.ledger.apply(self.index, &command);
+            let applied = self.table.apply(self.index, &command);
             if applied == Ok(Applied::Done) {
                 self.note(now, &command);
             }
@@ -367,9 +369,10 @@
     /// When steps open, close and are sealed.
     fn note(&mut self, now: u64, command: &Command) {
         match command {
-            Command::Begin { step, members } => {
+            Command::Open { step, members } => {
                 let (began, due) = self.preparing.remove(step).unwrap_or((now, 0));
-                let bound_ms = change_over::time_bound(&self.bounds(), self.engines.len(), due, LOAD_MS);
+                let bound_ms =
+                    version_rollout::max_duration_ms(&self.bounds(), self.engines.len(), due, LOAD_MS);
                 let figures = Figures { change_over_ms: now - began, bound_ms, ..Figures::default() };
                 self.open = Figures { step: *step, opened: now, workers: members.len(), ..figures };
             }
@@ -388,13 +391,13 @@
         }
         let settings = self.settings();
         let now = self.now;
-        let mut conductor =
-            self.conductor.take().unwrap_or_else(|| Conductor::new(MODEL.into(), settings, now));
+        let mut controller =
+            self.controller.take().unwrap_or_else(|| StepController::new(MODEL.into(), settings, now));
         if now.is_multiple_of(REPORT_MS) {
-            self.closed.retain(|id| conductor.workers().get(id).is_some_and(|worker| !worker.serves()));
+            self.closed.retain(|id| controller.workers().get(id).is_some_and(|worker| !worker.serves()));
             for engine in &self.engines {
                 if !engine.stands_still(now) && now >= engine.deaf_to_control_until {
-                    conductor.reported(now, engine.report());
+                    controller.observe_report(now, engine.report());
                 }
             }
         }
@@ -402,27 +405,27 @@
             self.ends.extract_if(.., |(at, _)| now >= *at).map(|(_, end)| end).collect();
         let mut actions = Vec::new();
         for end in ended {
-            actions.extend(conductor.ended(end, &self.ledger));
+            actions.extend(controller.draw_ended(end, &self.table));
         }
-        if let Some(step) = self.ledger.current(MODEL)
+        if let Some(step) = self.table.current(MODEL)
             && step.state() <= StepState::Preparing
             && !self.preparing.contains_key(&step.number)
         {
             let due = self.engines.iter().filter(|engine| engine.version < Some(self.newest)).count();
             self.preparing.insert(step.number, (now, due));
         }
-        actions.extend(conductor.tick(now, &self.ledger));
+        actions.extend(controller.tick(now, &self.table));
         for action in actions {
-            self.carry_out(&mut conductor, action);
+            self.carry_out(&mut controller, action);
         }
-        self.conductor = Some(conductor);
+        self.controller = Some(controller);
     }
 
     fn engine_of(&mut self, worker: &str) -> Option<&mut Engine> {
         self.engines.iter_mut().find(|engine| engine.id() == *worker)
     }
 
-    fn carry_out(&mut self, conductor: &mut Conductor, action: Action) {
+    fn carry_out(&mut self, controller: &mut StepController, action: Action) {
         let now = self.now;
         match action {
             Action::Propose(command) => self.propose(command),
@@ -433,7 +436,7 @@
                     hears && engine.order(now, if_revision)
                 });
                 if !taken {
-                    conductor.order_failed(&worker);
+                    controller.order_failed(&worker);
                 }
             }
             Action::Draw(draw) => {
@@ -480,16 +483,16 @@
     }
 
     pub fn waits_for_floor(&self) -> bool {
-        self.stuck().is_some_and(|(_, waits)| waits == Some(Waits::Floor))
+        self.stuck().is_some_and(|(_, waits)| waits == Some(WaitReason::MinWorkers))
     }
 
     /// The step under way, and why it waits.
-    pub fn stuck(&self) -> Option<(StepState, Option<Waits>)> {
-        let step = self.ledger.current(MODEL)?;
+    pub fn stuck(&self) -> Option<(StepState, Option<WaitReason>)> {
+        let step = self.table.current(MODEL)?;
         let waits = self
-            .conductor
+            .controller
             .as_ref()
-            .and_then(|conductor| conductor.waits(self.now, &self.ledger, step.number));
+            .and_then(|controller| controller.wait_reason(self.now, &self.table, step.number));
         Some((step.state(), waits))
     }
 }
--- a/crates/rollout/tests/steps/world/baselines.rs
+++ b/crates/rollout/tests/steps/world/baselines.rs
@@ -3,7 +3,7 @@
 use super::super::engine::{DRAW_MS, Engine, LOAD_MS};
 use super::{GENERATION_MS, PUBLISH_MS, STEP_MS, World};
 use pathbank_rollout::audit::Told;
-use pathbank_rollout::conductor::Draw;
+use pathbank_rollout::controller::Draw;
 
 impl World {
     fn draws(&mut self, step: u64, version_of: impl Fn(&Engine) -> Option<u64>) {
@@ -30,8 +30,8 @@
         }
     }
 
-    /// One worker after the other loads what is newest; each draws for the step whose version it holds, and what it draws
-    /// counts for the step that is under way.
+    /// One worker after the other loads what is newest; each draws for the step whose version it holds, and
+    /// what it draws counts for the step that is under way.
     pub(super) fn rolling(&mut self) {
         if self.now.is_multiple_of(150) {
             let at = (self.rolled % self.engines.len() as u64) as usize;
--- a/crates/rollout/tests/steps/world/faults.rs
+++ b/crates/rollout/tests/steps/world/faults.rs
@@ -2,7 +2,7 @@
 
 use super::super::engine::Running;
 use super::{BURST_MS, LEASE_MS, World};
-use pathbank_rollout::conductor::{DrawEnd, DrawOutcome};
+use pathbank_rollout::controller::{DrawEnd, DrawOutcome};
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Fault {
@@ -54,7 +54,7 @@
                 Fault::NoVersion => engine.mute_until = now + span,
                 Fault::StuckLoad => engine.next_load_sticks = true,
                 Fault::KillLeader => {
-                    self.conductor = None;
+                    self.controller = None;
                     self.leads_from = now + self.random.u64(LEASE_MS..1_000);
                     // What it had proposed is in the log, or is not.
                     let kept = self.random.usize(..=self.proposed.len());
@@ -78,8 +78,8 @@
             self.ends.push((now + 50, DrawEnd { draw: running.draw, outcome, tokens: 0 }));
         }
         let id = self.engines[at].id();
-        if let Some(conductor) = &mut self.conductor {
-            conductor.gone(&id);
+        if let Some(controller) = &mut self.controller {
+            controller.remove_worker(&id);
         }
         self.engines[at].dead_until = now + span;
         self.engines[at].restart(newest);
--- a/crates/rollout/tests/stored_steps.rs
+++ b/crates/rollout/tests/stored_steps.rs
@@ -1,8 +1,9 @@
-//! Commands and state as the program of revision 5480d97 stored them: this program reads them, and stores the same.
+//! Commands and state as the program of revision 5480d97 stored them: this program reads them, and stores the
+//! same.
 
 use pathbank_rollout::evidence::VersionTrail;
-use pathbank_rollout::ledger::{Command, Generation, Ledger};
-use pathbank_rollout::step::{LeaveReason, StepRequest, StepState, WantedVersion, WorkersWanted};
+use pathbank_rollout::step::{RemovalReason, RequestedVersion, RequestedWorkers, StepRequest, StepState};
+use pathbank_rollout::step_table::{Command, Generation, StepTable};
 use std::collections::BTreeSet;
 
 /// One command a line, as JSON.
@@ -32,8 +33,8 @@
         key: "two".into(),
         backend: "llm".into(),
         model: "n".into(),
-        version: WantedVersion::Exactly(9),
-        workers: WorkersWanted::Count(3),
+        version: RequestedVersion::Exactly(9),
+        workers: RequestedWorkers::Count(3),
         floor: 1,
         path: "/generate".into(),
         generation_ms: 9_000,
@@ -41,43 +42,43 @@
     };
     let by_part = StepRequest {
         key: "three".into(),
-        workers: WorkersWanted::Permille(500),
+        workers: RequestedWorkers::Permille(500),
         ..StepRequest::new("three", "m", 1)
     };
     let close = |step, allow_missing| Command::Close { step, allow_missing };
-    let leave = |worker: &str, reason| Command::Leave { step: 1, worker: worker.into(), reason };
+    let leave = |worker: &str, reason| Command::RemoveWorker { step: 1, worker: worker.into(), reason };
     vec![
         Command::Announce(StepRequest::new("one", "m", 1)),
         Command::Announce(full),
         Command::Announce(by_part),
         Command::Submit { step: 1, prompts: BTreeSet::from([1, 2, 3]) },
         Command::FixVersion { step: 1, version: 7 },
-        Command::Begin { step: 1, members: ["a", "b", "c", "d", "e"].map(String::from).into() },
+        Command::Open { step: 1, members: ["a", "b", "c", "d", "e"].map(String::from).into() },
         Command::Record(generation(1, "a", trail(Some(7), &[7], true))),
         Command::Record(generation(2, "b", trail(Some(7), &[8, 9], true))),
         Command::Record(generation(3, "c", trail(None, &[], false))),
-        leave("b", LeaveReason::OtherVersion),
-        leave("c", LeaveReason::NoVersion),
-        leave("d", LeaveReason::Silent),
-        leave("e", LeaveReason::Gone),
+        leave("b", RemovalReason::VersionMismatch),
+        leave("c", RemovalReason::UnknownVersion),
+        leave("d", RemovalReason::Unresponsive),
+        leave("e", RemovalReason::Lost),
         close(1, true),
         Command::Seal { step: 1 },
         Command::FixVersion { step: 2, version: 9 },
         Command::Abort { step: 2 },
         Command::FixVersion { step: 3, version: 8 },
-        Command::Begin { step: 3, members: BTreeSet::from(["a".to_owned()]) },
+        Command::Open { step: 3, members: BTreeSet::from(["a".to_owned()]) },
         Command::Submit { step: 3, prompts: BTreeSet::from([4]) },
         close(3, true),
         Command::Announce(StepRequest::new("four", "m", 1)),
     ]
 }
 
-fn applied() -> Ledger {
-    let mut ledger = Ledger::default();
+fn applied() -> StepTable {
+    let mut table = StepTable::default();
     for (index, command) in (1..).zip(&commands()) {
-        ledger.apply(index, command).unwrap();
+        table.apply(index, command).unwrap();
     }
-    ledger
+    table
 }
 
 #[test]
@@ -95,7 +96,7 @@
 
 #[test]
 fn a_stored_state_has_the_same_value() {
-    let stored: Ledger = serde_json::from_str(STEPS).unwrap();
+    let stored: StepTable = serde_json::from_str(STEPS).unwrap();
     assert_eq!(stored, applied());
     let states: Vec<StepState> = stored.steps().map(|step| step.state()).collect();
     assert_eq!(states, [StepState::Sealed, StepState::Aborted, StepState::Sealing, StepState::Announced]);
--- a/crates/rollout/tests/workers.rs
+++ b/crates/rollout/tests/workers.rs
@@ -1,14 +1,16 @@
 //! Workers' states, and changes of versions beside serving.
 
-use pathbank_rollout::change_over::{Bounds, LoadAllowance, Move, is_behind, plan, time_bound};
-use pathbank_rollout::worker::{FRESH_FOR, Worker, WorkerReport, WorkerState};
+use pathbank_rollout::version_rollout::{
+    LoadRateLimiter, RolloutLimits, WorkerAction, is_behind, max_duration_ms, plan,
+};
+use pathbank_rollout::worker::{REPORT_TTL_MS, Worker, WorkerReport, WorkerState};
 use std::collections::BTreeMap;
 
-const BOUNDS: Bounds = Bounds { serving_floor: 7, loads_per_s: 2.0, drain_ms: 400 };
+const BOUNDS: RolloutLimits = RolloutLimits { min_serving: 7, max_loads_per_s: 2.0, drain_timeout_ms: 400 };
 
-fn report(number: usize, holds: Option<u64>, sequence: u64) -> WorkerReport {
+fn report(number: usize, loaded_version: Option<u64>, sequence: u64) -> WorkerReport {
     let (worker, zone) = (format!("w{number}"), "z".to_owned());
-    WorkerReport { worker, zone, holds, busy: false, sequence, active: 0, capacity: 8 }
+    WorkerReport { worker, zone, loaded_version, busy: false, sequence, active: 0, capacity: 8 }
 }
 
 fn workers(count: usize) -> BTreeMap<String, Worker> {
@@ -20,11 +22,11 @@
 fn a_worker_is_verified_by_its_own_word_alone() {
     let mut worker = Worker::new(0, report(1, None, 0));
     assert_eq!(worker.state(), WorkerState::Serving);
-    worker.reported(10, WorkerReport { busy: true, ..report(1, Some(4), 1) });
+    worker.observe_report(10, WorkerReport { busy: true, ..report(1, Some(4), 1) });
     assert_eq!(worker.state(), WorkerState::Serving, "an order is under way");
-    worker.reported(20, report(1, Some(4), 1));
+    worker.observe_report(20, report(1, Some(4), 1));
     assert_eq!(worker.state(), WorkerState::Verified(4));
-    worker.reported(30, report(1, None, 2));
+    worker.observe_report(30, report(1, None, 2));
     assert_eq!(worker.state(), WorkerState::Serving, "it dropped the model");
 }
 
@@ -34,13 +36,13 @@
     worker.drain(400);
     worker.ordered();
     // What it said before it took the order comes late.
-    worker.reported(10, report(1, Some(4), 3));
+    worker.observe_report(10, report(1, Some(4), 3));
     assert_eq!(worker.state(), WorkerState::Loading { sequence: 3 });
-    worker.reported(900, report(1, Some(5), 4));
+    worker.observe_report(900, report(1, Some(5), 4));
     assert_eq!(worker.state(), WorkerState::Verified(5));
     // And what it said of its orders before does not take that back.
-    worker.reported(910, report(1, Some(4), 3));
-    assert_eq!((worker.state(), worker.report.holds), (WorkerState::Verified(5), Some(5)));
+    worker.observe_report(910, report(1, Some(4), 3));
+    assert_eq!((worker.state(), worker.report.loaded_version), (WorkerState::Verified(5), Some(5)));
 }
 
 #[test]
@@ -55,38 +57,38 @@
 #[test]
 fn a_worker_that_has_said_nothing_for_long_is_not_verified() {
     let worker = Worker::new(1_000, report(1, Some(4), 0));
-    assert!(worker.is_verified(1_000 + FRESH_FOR - 1, 4));
-    assert!(!worker.is_verified(1_000 + FRESH_FOR, 4));
+    assert!(worker.is_verified(1_000 + REPORT_TTL_MS - 1, 4));
+    assert!(!worker.is_verified(1_000 + REPORT_TTL_MS, 4));
     assert!(!worker.is_verified(1_000, 5));
 }
 
 #[test]
 fn the_floor_of_serving_is_kept_in_every_wave() {
     let mut workers = workers(10);
-    let mut allowance = LoadAllowance::default();
+    let mut load_limiter = LoadRateLimiter::default();
     for now in (0..20_000).step_by(50) {
-        plan(now, &BOUNDS, &mut workers, &mut allowance, |worker| is_behind(worker, Some(2)));
+        plan(now, &BOUNDS, &mut workers, &mut load_limiter, |worker| is_behind(worker, Some(2)));
         let serving = workers.values().filter(|worker| worker.serves()).count();
-        assert!(serving >= BOUNDS.serving_floor, "{serving} serve at {now}");
+        assert!(serving >= BOUNDS.min_serving, "{serving} serve at {now}");
         // Loads take 800 ms.
         for (number, worker) in workers.values_mut().enumerate() {
             if matches!(worker.state(), WorkerState::Loading { .. }) && now % 800 == 0 {
-                worker.reported(now, report(number, Some(2), 1));
+                worker.observe_report(now, report(number, Some(2), 1));
             }
         }
     }
-    assert!(workers.values().all(|worker| worker.report.holds == Some(2)), "all have changed");
+    assert!(workers.values().all(|worker| worker.report.loaded_version == Some(2)), "all have changed");
 }
 
 #[test]
 fn loads_begin_no_faster_than_the_store_permits() {
-    let bounds = Bounds { serving_floor: 0, ..BOUNDS };
+    let bounds = RolloutLimits { min_serving: 0, ..BOUNDS };
     let mut workers = workers(30);
-    let mut allowance = LoadAllowance::default();
+    let mut load_limiter = LoadRateLimiter::default();
     let mut loads = Vec::new();
     for now in (0..10_000).step_by(50) {
-        let moves = plan(now, &bounds, &mut workers, &mut allowance, |worker| is_behind(worker, Some(2)));
-        loads.extend(moves.iter().filter(|next| matches!(next, Move::Load(_))).map(|_| now));
+        let moves = plan(now, &bounds, &mut workers, &mut load_limiter, |worker| is_behind(worker, Some(2)));
+        loads.extend(moves.iter().filter(|next| matches!(next, WorkerAction::Load(_))).map(|_| now));
     }
     assert!((18..=20).contains(&loads.len()), "two a second: {loads:?}");
     assert!(loads.windows(2).all(|pair| pair[1] - pair[0] >= 450), "{loads:?}");
@@ -94,13 +96,13 @@
 
 #[test]
 fn many_loads_a_second_begin_although_the_leader_looks_seldom() {
-    let bounds = Bounds { serving_floor: 0, loads_per_s: 400.0, ..BOUNDS };
+    let bounds = RolloutLimits { min_serving: 0, max_loads_per_s: 400.0, ..BOUNDS };
     let mut workers = workers(1_000);
-    let mut allowance = LoadAllowance::default();
+    let mut load_limiter = LoadRateLimiter::default();
     let mut loads = 0;
     for now in (0..1_000).step_by(50) {
-        let moves = plan(now, &bounds, &mut workers, &mut allowance, |worker| is_behind(worker, Some(2)));
-        loads += moves.iter().filter(|next| matches!(next, Move::Load(_))).count();
+        let moves = plan(now, &bounds, &mut workers, &mut load_limiter, |worker| is_behind(worker, Some(2)));
+        loads += moves.iter().filter(|next| matches!(next, WorkerAction::Load(_))).count();
     }
     assert!((380..=440).contains(&loads), "{loads} in a second");
 }
@@ -108,45 +110,45 @@
 #[test]
 fn what_a_draining_worker_has_ends_before_it_loads_but_for_no_longer_than_the_bound() {
     let mut workers = workers(10);
-    let mut allowance = LoadAllowance::default();
+    let mut load_limiter = LoadRateLimiter::default();
     let busy = WorkerReport { active: 3, ..report(0, Some(1), 0) };
-    workers.get_mut("w0").unwrap().reported(0, busy);
+    workers.get_mut("w0").unwrap().observe_report(0, busy);
     let mut moves_of = |now| {
         let only_w0 = |worker: &Worker| worker.report.worker == "w0" && is_behind(worker, Some(2));
-        plan(now, &BOUNDS, &mut workers, &mut allowance, only_w0)
+        plan(now, &BOUNDS, &mut workers, &mut load_limiter, only_w0)
     };
-    assert_eq!(moves_of(1_000), [Move::Drain("w0".into())]);
+    assert_eq!(moves_of(1_000), [WorkerAction::Drain("w0".into())]);
     assert_eq!(moves_of(1_300), []);
-    assert_eq!(moves_of(1_400), [Move::Load("w0".into())]);
+    assert_eq!(moves_of(1_400), [WorkerAction::Load("w0".into())]);
 }
 
 #[test]
 fn the_bound_of_a_change_follows_the_store_or_the_waves() {
-    assert_eq!(time_bound(&BOUNDS, 10, 10, 800), 4_500 + 1_200, "by the store");
-    let quick = Bounds { loads_per_s: 100.0, ..BOUNDS };
-    assert_eq!(time_bound(&quick, 10, 10, 800), 4 * 1_200, "by waves of three");
-    assert_eq!(time_bound(&quick, 10, 0, 800), 1_200, "nobody has to load");
+    assert_eq!(max_duration_ms(&BOUNDS, 10, 10, 800), 4_500 + 1_200, "by the store");
+    let quick = RolloutLimits { max_loads_per_s: 100.0, ..BOUNDS };
+    assert_eq!(max_duration_ms(&quick, 10, 10, 800), 4 * 1_200, "by waves of three");
+    assert_eq!(max_duration_ms(&quick, 10, 0, 800), 1_200, "nobody has to load");
 }
 
 #[test]
 fn a_zone_with_several_workers_keeps_one_that_serves() {
     // Given two workers in one zone and one in another, none of which has to stay for the floor.
-    let bounds = Bounds { serving_floor: 0, loads_per_s: 100.0, drain_ms: 0 };
+    let bounds = RolloutLimits { min_serving: 0, max_loads_per_s: 100.0, drain_timeout_ms: 0 };
     let mut workers = workers(3);
     let alone = WorkerReport { zone: "other".into(), ..report(2, Some(1), 0) };
     workers.insert("w2".into(), Worker::new(0, alone));
-    let mut allowance = LoadAllowance::default();
-    let moves = plan(10, &bounds, &mut workers, &mut allowance, |worker| is_behind(worker, Some(2)));
-    assert_eq!(moves, [Move::Drain("w0".into()), Move::Drain("w2".into())]);
+    let mut load_limiter = LoadRateLimiter::default();
+    let moves = plan(10, &bounds, &mut workers, &mut load_limiter, |worker| is_behind(worker, Some(2)));
+    assert_eq!(moves, [WorkerAction::Drain("w0".into()), WorkerAction::Drain("w2".into())]);
 }
 
 #[test]
 fn a_worker_that_does_not_hold_the_model_leaves_nobody_unserved() {
     // Given a floor that all holders of the model are needed for.
-    let bounds = Bounds { serving_floor: 2, loads_per_s: 100.0, drain_ms: 0 };
+    let bounds = RolloutLimits { min_serving: 2, max_loads_per_s: 100.0, drain_timeout_ms: 0 };
     let mut workers = workers(3);
     workers.insert("w2".into(), Worker::new(0, report(2, None, 0)));
-    let mut allowance = LoadAllowance::default();
-    let moves = plan(10, &bounds, &mut workers, &mut allowance, |worker| is_behind(worker, Some(2)));
-    assert_eq!(moves, [Move::Drain("w2".into())]);
+    let mut load_limiter = LoadRateLimiter::default();
+    let moves = plan(10, &bounds, &mut workers, &mut load_limiter, |worker| is_behind(worker, Some(2)));
+    assert_eq!(moves, [WorkerAction::Drain("w2".into())]);
 }
--- a/crates/system/src/core/node/training.rs
+++ b/crates/system/src/core/node/training.rs
@@ -19,9 +19,9 @@
 use pathbank_control::training::workers::{self, Workers};
 use pathbank_protocol::message::{LoadedModel, ModelServer};
 use pathbank_rollout::Millis;
-use pathbank_rollout::change_over::Bounds;
-use pathbank_rollout::conductor::{Action, Conductor, Draw, Settings};
+use pathbank_rollout::controller::{Action, Draw, Settings, StepController};
 use pathbank_rollout::step::StepRequest;
+use pathbank_rollout::version_rollout::RolloutLimits;
 use pathbank_rollout::worker::WorkerReport;
 use std::collections::BTreeSet;
 use std::net::SocketAddr;
@@ -99,14 +99,13 @@
         let Some(step) = self.state.training().ledger().current(model) else { return };
         let settings = settings_of(&place, self.longest_generation(model));
         let backend = step.request.backend.clone();
-        let training =
-            self.leadership.training.models.entry(model.to_owned()).or_insert_with(|| {
-                ModelTraining::new(backend, Conductor::new(model.to_owned(), settings, now))
-            });
-        training.conductor.set_settings(settings);
+        let training = self.leadership.training.models.entry(model.to_owned()).or_insert_with(|| {
+            ModelTraining::new(backend, StepController::new(model.to_owned(), settings, now))
+        });
+        training.controller.set_settings(settings);
         let gone: Vec<String> = training.workers.difference(&place.workers.chosen).cloned().collect();
         for worker in gone {
-            training.conductor.gone(&worker);
+            training.controller.remove_worker(&worker);
             training.changing.remove(&worker);
             training.ask_at.remove(&worker);
         }
@@ -133,7 +132,7 @@
         let servers: Vec<ModelServer> = self.directory.ready().collect();
         let known = self.leadership.training.models.get(model);
         // After a change of leaders a step's own members come first.
-        let members: BTreeSet<String> = step.present().cloned().collect();
+        let members: BTreeSet<String> = step.active_workers().cloned().collect();
         let before = known.map_or(&members, |training| &training.workers);
         let changing = known.map(|training| training.changing.keys().cloned().collect()).unwrap_or_default();
         let workers = workers::choose(request, &runtime, &servers, before, &changing);
@@ -165,7 +164,7 @@
         let Some(server) = self.directory.server(worker) else { return };
         let Some(training) = self.leadership.training.models.get_mut(model) else { return };
         if training.workers.contains(worker) {
-            training.conductor.reported(now, worker_report(&server, model, report));
+            training.controller.observe_report(now, worker_report(&server, model, report));
         }
     }
 
@@ -174,7 +173,7 @@
     /// Carries out what is due for a model. Returns the generations that begin, `most_draws` at the most.
     fn act(&mut self, now: u64, model: &str, most_draws: usize, guard: &LeaseGuard) -> Vec<Draw> {
         let Some(training) = self.leadership.training.models.get_mut(model) else { return Vec::new() };
-        let actions = training.conductor.tick_within(now, self.state.training().ledger(), most_draws);
+        let actions = training.controller.tick_with_limit(now, self.state.training().ledger(), most_draws);
         let mut draws = Vec::new();
         for action in actions {
             match action {
@@ -210,10 +209,13 @@
         let may = !placer.is_ordered(worker)
             && placer.take_training_load(now, &training.backend, runtime.loads_per_s);
         if !may {
-            return training.conductor.load_deferred(now, worker);
+            return training.controller.defer_load(now, worker);
         }
-        let holds =
-            training.conductor.workers().get(worker).is_some_and(|known| known.report.holds.is_some());
+        let holds = training
+            .controller
+            .workers()
+            .get(worker)
+            .is_some_and(|known| known.report.loaded_version.is_some());
         let (phase, order) = match holds {
             true => (ChangePhase::Unloading, workers::unload_order(&server, model)),
             false => (ChangePhase::Loading, workers::load_order(&server, model, &runtime)),
@@ -247,14 +249,14 @@
             training.changing.remove(&order.instance);
             match (&server, &report) {
                 (Some(server), Some(report)) => {
-                    training.conductor.reported(now, worker_report(server, &order.model, report));
+                    training.controller.observe_report(now, worker_report(server, &order.model, report));
                 }
-                _ => training.conductor.order_failed(&order.instance),
+                _ => training.controller.order_failed(&order.instance),
             }
             let stuck =
-                training.conductor.workers().get(&order.instance).is_some_and(|known| !known.serves());
+                training.controller.workers().get(&order.instance).is_some_and(|known| !known.serves());
             if stuck {
-                training.conductor.order_failed(&order.instance);
+                training.controller.order_failed(&order.instance);
             }
         }
         self.order_is_known(&order.instance, report);
@@ -278,17 +280,17 @@
 fn settings_of(place: &Place, generation_ms: Millis) -> Settings {
     let loads_per_s = LOAD_RATE_FRACTION * place.runtime.loads_per_s;
     Settings {
-        change_over: Bounds {
-            serving_floor: place.workers.serving_floor,
-            loads_per_s,
-            drain_ms: DRAIN_TIMEOUT_MS,
+        version_rollout: RolloutLimits {
+            min_serving: place.workers.serving_floor,
+            max_loads_per_s: loads_per_s,
+            drain_timeout_ms: DRAIN_TIMEOUT_MS,
         },
         generation_ms,
-        begin_ms: START_TIMEOUT_MS + MAX_NETWORK_DELAY_MS,
+        begin_timeout_ms: START_TIMEOUT_MS + MAX_NETWORK_DELAY_MS,
         lease_ms: MAX_LEASE_DRIFT_MS,
-        serving_slots: place.serving_slots,
-        straggler_ms: STRAGGLER_TIMEOUT_MS,
-        silence_ms: WORKER_SILENCE_TIMEOUT_MS,
+        reserved_slots: place.serving_slots,
+        straggler_timeout_ms: STRAGGLER_TIMEOUT_MS,
+        silence_timeout_ms: WORKER_SILENCE_TIMEOUT_MS,
     }
 }
 
@@ -297,7 +299,7 @@
     WorkerReport {
         worker: server.instance.clone(),
         zone: server.zone.clone(),
-        holds: held.map(|held| held.version),
+        loaded_version: held.map(|held| held.version),
         busy: report.busy,
         sequence: report.sequence,
         active: report.active + report.queued,
--- a/crates/system/src/core/node/training/calls.rs
+++ b/crates/system/src/core/node/training/calls.rs
@@ -9,8 +9,8 @@
 use pathbank_control::result_code::ResultCode;
 use pathbank_control::state::Command;
 use pathbank_control::training::TrainingCommand;
-use pathbank_rollout::ledger::Command as StepCommand;
 use pathbank_rollout::step::Step;
+use pathbank_rollout::step_table::Command as StepCommand;
 use tokio::sync::oneshot;
 
 impl Node {
@@ -95,9 +95,9 @@
         }
     }
 
-    fn waits(&self, now: u64, step: &Step) -> Option<pathbank_rollout::conductor::Waits> {
+    fn waits(&self, now: u64, step: &Step) -> Option<pathbank_rollout::controller::WaitReason> {
         let training = self.leadership.training.models.get(&step.request.model)?;
-        training.conductor.waits(now, self.state.training().ledger(), step.number)
+        training.controller.wait_reason(now, self.state.training().ledger(), step.number)
     }
 
     pub(super) fn answer_watchers(&mut self, now: u64) {
@@ -118,7 +118,7 @@
         if refused {
             // What was proposed and is refused may be proposed again, on what stands then.
             for training in self.leadership.training.models.values_mut() {
-                training.conductor.proposal_lost();
+                training.controller.proposal_lost();
             }
         }
         if let TrainingCommand::Ledger(command) = command {
@@ -140,10 +140,10 @@
             tracing::info!(key = request.key, model = request.model, refused, "step announced");
         }
         StepCommand::FixVersion { step, version } => tracing::info!(step, version, refused, "step prepared"),
-        StepCommand::Begin { step, members } => {
+        StepCommand::Open { step, members } => {
             tracing::info!(step, workers = members.len(), refused, "step open");
         }
-        StepCommand::Leave { step, worker, reason } => {
+        StepCommand::RemoveWorker { step, worker, reason } => {
             tracing::warn!(step, worker, ?reason, refused, "worker left a step");
         }
         StepCommand::Close { step, .. } => tracing::info!(step, refused, "step closed"),
--- a/crates/system/src/core/node/training/generations.rs
+++ b/crates/system/src/core/node/training/generations.rs
@@ -9,16 +9,17 @@
     DrawEnding, DrawGrant, DrawId, DrawOffer, DrawRequest, DrawResult, DrawTask, Frame, ProcessRole,
 };
 use pathbank_rollout::StepNumber;
-use pathbank_rollout::conductor::{Action, Draw, DrawEnd, DrawOutcome};
+use pathbank_rollout::controller::{Action, Draw, DrawEnd, DrawOutcome};
 use pathbank_rollout::evidence::VersionTrail;
-use pathbank_rollout::ledger::Command as StepCommand;
+use pathbank_rollout::step_table::Command as StepCommand;
 
 impl Node {
     /// Tells edges that generations wait, as many as could begin, spread over all of them.
     pub(super) fn offer_generations(&mut self, now: u64, models: &[String]) {
         let ledger = self.state.training().ledger();
         let training = &self.leadership.training;
-        let of_model = |model: &String| Some(training.models.get(model)?.conductor.could_draw(now, ledger));
+        let of_model =
+            |model: &String| Some(training.models.get(model)?.controller.drawable_prompts(now, ledger));
         let waiting: usize = models.iter().filter_map(of_model).sum();
         if waiting == 0 {
             return;
@@ -127,7 +128,7 @@
     ) {
         let Some(training) = self.leadership.training.models.get_mut(model) else { return };
         let end = DrawEnd { draw, outcome, tokens };
-        let actions = training.conductor.ended(end, self.state.training().ledger());
+        let actions = training.controller.draw_ended(end, self.state.training().ledger());
         for action in actions {
             let Action::Propose(command) = action else { continue };
             let command = match command {
--- a/crates/system/src/core/training/call.rs
+++ b/crates/system/src/core/training/call.rs
@@ -4,7 +4,7 @@
 use pathbank_control::configuration::{Backend, Rejection};
 use pathbank_control::result_code::ResultCode;
 use pathbank_control::training::Prompt;
-use pathbank_rollout::step::{DEFAULT_GENERATION_MS, StepRequest, WantedVersion, WorkersWanted};
+use pathbank_rollout::step::{DEFAULT_GENERATION_MS, RequestedVersion, RequestedWorkers, StepRequest};
 use pathbank_rollout::{Millis, PromptId, StepNumber, Version};
 use serde::Deserialize;
 use std::collections::BTreeMap;
@@ -205,22 +205,22 @@
     }
 }
 
-fn wanted_version(version: Option<VersionJson>) -> Result<WantedVersion, Rejection> {
+fn wanted_version(version: Option<VersionJson>) -> Result<RequestedVersion, Rejection> {
     match version {
-        None => Ok(WantedVersion::Newest),
-        Some(VersionJson::Word(word)) if word == "newest" => Ok(WantedVersion::Newest),
-        Some(VersionJson::Number(version)) if version > 0 => Ok(WantedVersion::Exactly(version)),
+        None => Ok(RequestedVersion::Newest),
+        Some(VersionJson::Word(word)) if word == "newest" => Ok(RequestedVersion::Newest),
+        Some(VersionJson::Number(version)) if version > 0 => Ok(RequestedVersion::Exactly(version)),
         Some(_) => Err(bad("version: \"newest\" or a number above 0")),
     }
 }
 
-fn wanted_workers(workers: Option<WorkersJson>, share: Option<f64>) -> Result<WorkersWanted, Rejection> {
+fn wanted_workers(workers: Option<WorkersJson>, share: Option<f64>) -> Result<RequestedWorkers, Rejection> {
     match (workers, share) {
-        (None, None) => Ok(WorkersWanted::All),
-        (Some(WorkersJson::Word(word)), None) if word == "all" => Ok(WorkersWanted::All),
-        (Some(WorkersJson::Count(count)), None) if count > 0 => Ok(WorkersWanted::Count(count)),
+        (None, None) => Ok(RequestedWorkers::All),
+        (Some(WorkersJson::Word(word)), None) if word == "all" => Ok(RequestedWorkers::All),
+        (Some(WorkersJson::Count(count)), None) if count > 0 => Ok(RequestedWorkers::Count(count)),
         (None, Some(share)) if share > 0.0 && share <= 1.0 => {
-            Ok(WorkersWanted::Permille((share * 1_000.0).ceil() as u16))
+            Ok(RequestedWorkers::Permille((share * 1_000.0).ceil() as u16))
         }
         _ => Err(bad("workers: \"all\" or a number above 0; or share: above 0, 1 at most")),
     }
--- a/crates/system/src/core/training/lead.rs
+++ b/crates/system/src/core/training/lead.rs
@@ -5,7 +5,7 @@
 use pathbank_control::training::TrainingState;
 use pathbank_protocol::message::ModelVersions;
 use pathbank_rollout::StepNumber;
-use pathbank_rollout::conductor::Conductor;
+use pathbank_rollout::controller::StepController;
 use pathbank_rollout::step::StepState;
 use std::collections::{BTreeMap, BTreeSet};
 use tokio::sync::oneshot;
@@ -38,7 +38,7 @@
     /// The service.
     pub backend: String,
     /// What decides.
-    pub conductor: Conductor,
+    pub controller: StepController,
     /// Model servers that are workers.
     pub workers: BTreeSet<String>,
     /// Workers that get nothing new of the model, or load it.
@@ -49,10 +49,10 @@
 
 impl ModelTraining {
     /// One that knows of no worker.
-    pub fn new(backend: String, conductor: Conductor) -> ModelTraining {
+    pub fn new(backend: String, controller: StepController) -> ModelTraining {
         ModelTraining {
             backend,
-            conductor,
+            controller,
             workers: BTreeSet::new(),
             changing: BTreeMap::new(),
             ask_at: BTreeMap::new(),
--- a/crates/system/src/core/training/view.rs
+++ b/crates/system/src/core/training/view.rs
@@ -2,49 +2,51 @@
 
 use super::lead::ModelTraining;
 use pathbank_control::training::{TrainingState, state_name};
-use pathbank_rollout::conductor::Waits;
-use pathbank_rollout::step::{LeaveReason, Step, WantedVersion, WorkersWanted};
+use pathbank_rollout::controller::WaitReason;
+use pathbank_rollout::step::{RemovalReason, RequestedVersion, RequestedWorkers, Step};
 use pathbank_rollout::worker::{Worker, WorkerState};
 use pathbank_rollout::{Millis, PromptId, StepNumber};
 use serde_json::{Value, json};
 
-fn reason_name(reason: LeaveReason) -> &'static str {
+fn reason_name(reason: RemovalReason) -> &'static str {
     match reason {
-        LeaveReason::Gone => "gone",
-        LeaveReason::OtherVersion => "other_version",
-        LeaveReason::NoVersion => "no_version",
-        LeaveReason::Silent => "silent",
+        RemovalReason::Lost => "gone",
+        RemovalReason::VersionMismatch => "other_version",
+        RemovalReason::UnknownVersion => "no_version",
+        RemovalReason::Unresponsive => "silent",
     }
 }
 
-fn waits_text(waits: Waits) -> String {
+fn waits_text(waits: WaitReason) -> String {
     match waits {
-        Waits::EarlierStep => "for an earlier step of the model".to_owned(),
-        Waits::Workers { verified, known } => format!("for workers: {verified} of {known} hold the version"),
-        Waits::Floor => "for workers: fewer than the floor are left".to_owned(),
-        Waits::Generations => "for generations".to_owned(),
-        Waits::Deadlines => "for what an earlier leader may have begun".to_owned(),
-        Waits::Trainer => "for the trainer: more prompts, or the seal".to_owned(),
+        WaitReason::EarlierStep => "for an earlier step of the model".to_owned(),
+        WaitReason::Workers { verified, known } => {
+            format!("for workers: {verified} of {known} hold the version")
+        }
+        WaitReason::MinWorkers => "for workers: fewer than the floor are left".to_owned(),
+        WaitReason::Generations => "for generations".to_owned(),
+        WaitReason::EarlierGenerations => "for what an earlier leader may have begun".to_owned(),
+        WaitReason::Trainer => "for the trainer: more prompts, or the seal".to_owned(),
     }
 }
 
-fn wanted_version(version: WantedVersion) -> Value {
+fn wanted_version(version: RequestedVersion) -> Value {
     match version {
-        WantedVersion::Newest => json!("newest"),
-        WantedVersion::Exactly(version) => json!(version),
+        RequestedVersion::Newest => json!("newest"),
+        RequestedVersion::Exactly(version) => json!(version),
     }
 }
 
-fn wanted_workers(workers: WorkersWanted) -> Value {
+fn wanted_workers(workers: RequestedWorkers) -> Value {
     match workers {
-        WorkersWanted::All => json!("all"),
-        WorkersWanted::Count(count) => json!(count),
-        WorkersWanted::Permille(permille) => json!({ "share": f64::from(permille) / 1_000.0 }),
+        RequestedWorkers::All => json!("all"),
+        RequestedWorkers::Count(count) => json!(count),
+        RequestedWorkers::Permille(permille) => json!({ "share": f64::from(permille) / 1_000.0 }),
     }
 }
 
 /// One step. `waits`: why it does not go on, where that is known.
-pub fn step(state: &TrainingState, step: &Step, waits: Option<Waits>) -> Value {
+pub fn step(state: &TrainingState, step: &Step, waits: Option<WaitReason>) -> Value {
     let left = step.members.iter().filter_map(|(worker, left)| Some((worker, (*left)?)));
     let left: Vec<Value> =
         left.map(|(worker, reason)| json!({ "worker": worker, "reason": reason_name(reason) })).collect();
@@ -59,12 +61,12 @@
         "state": state_name(step.state()),
         "version": step.version,
         "epoch": step.epoch,
-        "workers": step.present().collect::<Vec<_>>(),
+        "workers": step.active_workers().collect::<Vec<_>>(),
         "left": left,
         "submitted": step.counts.submitted,
         "counted": step.counts.counted,
         "discarded": step.counts.discarded,
-        "lacking": step.counts.lacking,
+        "lacking": step.counts.missing,
         "revision": state.changed(step.number),
         "waits": waits.map(waits_text),
     })
@@ -101,7 +103,8 @@
     }
 }
 
-/// Why a step stands where it does: each worker that the leader knows, those that left, and what was drawn for again.
+/// Why a step stands where it does: each worker that the leader knows, those that left, and what was drawn
+/// for again.
 pub fn explain(
     state: &TrainingState,
     step: &Step,
@@ -109,27 +112,28 @@
     now: Millis,
     number: StepNumber,
 ) -> Value {
-    let conductor = training.map(|training| &training.conductor);
-    let waits = conductor.and_then(|conductor| conductor.waits(now, state.ledger(), number));
+    let controller = training.map(|training| &training.controller);
+    let waits = controller.and_then(|controller| controller.wait_reason(now, state.ledger(), number));
     let mut view = self::step(state, step, waits);
     let is_current = state.ledger().current(&step.request.model).is_some_and(|step| step.number == number);
-    let Some(conductor) = conductor.filter(|_| is_current) else { return view };
-    let workers = conductor.workers().iter().map(|(id, worker)| {
+    let Some(controller) = controller.filter(|_| is_current) else { return view };
+    let workers = controller.workers().iter().map(|(id, worker)| {
         json!({
             "worker": id,
             "zone": worker.report.zone,
-            "in_step": step.has(id),
+            "in_step": step.has_worker(id),
             "at": worker_state(worker, now),
-            "holds": worker.report.holds,
+            "holds": worker.report.loaded_version,
             "active": worker.report.active,
             "capacity": worker.report.capacity,
             "busy": worker.report.busy,
-            "heard_ms_ago": now.saturating_sub(worker.heard),
+            "heard_ms_ago": now.saturating_sub(worker.reported_at),
         })
     });
-    let again = conductor.drawn_again().map(|(prompt, times)| json!({ "prompt": prompt, "times": times }));
+    let again =
+        controller.redrawn_prompts().map(|(prompt, times)| json!({ "prompt": prompt, "times": times }));
     view["known_workers"] = workers.collect();
     view["drawn_again"] = again.collect();
-    view["under_way"] = json!(conductor.under_way());
+    view["under_way"] = json!(controller.in_flight());
     view
 }
--- a/crates/system/src/rehearsal/steps/mod.rs
+++ b/crates/system/src/rehearsal/steps/mod.rs
@@ -14,7 +14,7 @@
 use indicatif::{ProgressBar, ProgressStyle};
 use merchants::{Merchants, Served};
 use pathbank_rollout::audit::{Audit, Drawn, Told, audit};
-use pathbank_rollout::change_over::{Bounds, time_bound};
+use pathbank_rollout::version_rollout::{RolloutLimits, max_duration_ms};
 use serde::{Deserialize, Serialize};
 use stage::Stage;
 use std::collections::BTreeMap;
@@ -276,7 +276,11 @@
     let Seen { played: Played { sealed, given_up, struck }, drawn, audit, alone, beside } = seen;
     let workers = usize::from(plan.workers);
     let serving_floor = (SERVING_PART * workers as f64) as usize;
-    let bounds = Bounds { serving_floor, loads_per_s: stage::loads_per_s(plan), drain_ms: DRAIN_MS };
+    let bounds = RolloutLimits {
+        min_serving: serving_floor,
+        max_loads_per_s: stage::loads_per_s(plan),
+        drain_timeout_ms: DRAIN_MS,
+    };
     StepsRun {
         workers: plan.workers,
         edges: plan.edges,
@@ -293,7 +297,7 @@
         merchants_beside: beside.part(),
         first_piece_alone_p95_ms: alone.first_piece_p95_ms,
         first_piece_beside_p95_ms: beside.first_piece_p95_ms,
-        change_over_bound_ms: time_bound(&bounds, workers, workers, plan.load_ms),
+        change_over_bound_ms: max_duration_ms(&bounds, workers, workers, plan.load_ms),
         steps: sealed.iter().map(|step| step_figures(plan, step, &drawn)).collect(),
     }
 }
