--- a/crates/control/src/operator_calls.rs
+++ b/crates/control/src/operator_calls.rs
@@ -60,11 +60,11 @@
 impl Standing {
     /// How the head of a replica stands.
     pub fn of(replica: &Replica, now: Millis) -> Standing {
-        if replica.is_settled_leader() {
+        if replica.is_established_leader() {
             return Standing::Leads { lease_holds: replica.lease_until() > now };
         }
         // A leader that fell silent may lead no longer: its callers would be sent back and forth.
-        let leader = replica.live_leader(now, LEADER_SILENCE);
+        let leader = replica.leader_within(now, LEADER_SILENCE);
         match leader.filter(|leader| leader.id != replica.me().id) {
             Some(leader) => Standing::Follows(leader.control_address.clone()),
             None => Standing::Alone,
--- a/crates/control/tests/safety/world.rs
+++ b/crates/control/tests/safety/world.rs
@@ -238,7 +238,8 @@
                 continue;
             }
             let state = &mut self.fleet.machines[machine];
-            let Some(replica) = state.replica.as_ref().filter(|replica| replica.is_settled_leader()) else {
+            let Some(replica) = state.replica.as_ref().filter(|replica| replica.is_established_leader())
+            else {
                 continue;
             };
             let (term, lease) = (replica.term(), replica.lease_until());
--- a/crates/coordination/src/batch.rs
+++ b/crates/coordination/src/batch.rs
@@ -1,9 +1,10 @@
-//! Batches of records on disk. One batch is what one sync covers: the next one is written only once it is saved.
+//! Batches of records on disk. One batch is what one sync covers: the next one is written only once it is
+//! saved.
 //!
-//! A batch has a header with a checksum of its own (a mark, the format, the batch's number, the body's length and
-//! checksum) and a body. That tells two kinds of broken file apart. The last batch may be torn by a loss of power: it was
-//! never reported as saved, and is cut off. A broken batch with a later one behind it had been saved: the file is damaged,
-//! and what it held was promised to others.
+//! A batch has a header with a checksum of its own (a mark, the format, the batch's number, the body's length
+//! and checksum) and a body. That tells two kinds of broken file apart. The last batch may be torn by a loss
+//! of power: it was never reported as saved, and is cut off. A broken batch with a later one behind it had
+//! been saved: the file is damaged, and what it held was promised to others.
 
 use crate::record::Record;
 
@@ -19,9 +20,9 @@
 
 /// How a file ends.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Ending {
+pub enum TailState {
     /// With a whole batch.
-    Whole,
+    Complete,
     /// With a batch that was being written.
     Torn,
     /// Something that had been saved cannot be read.
@@ -30,17 +31,17 @@
 
 /// What a file holds.
 #[derive(Debug, PartialEq)]
-pub struct Contents {
+pub struct DecodedLog {
     /// The records of all whole batches at its start.
     pub records: Vec<Record>,
     /// The bytes that these take.
-    pub whole_bytes: usize,
+    pub intact_bytes: usize,
     /// The number of the batch that comes next.
     pub next_number: u64,
     /// How it ends.
-    pub ending: Ending,
+    pub tail: TailState,
     /// It was written by an earlier program, and should be written anew.
-    pub is_first_format: bool,
+    pub is_legacy_format: bool,
 }
 
 /// An intact file that this program cannot read. Nothing of it is touched.
@@ -101,38 +102,38 @@
 /// Reads a file.
 ///
 /// ```
-/// use pathbank_coordination::batch::{Ending, decode, encode};
+/// use pathbank_coordination::batch::{TailState, decode, encode};
 /// use pathbank_coordination::record::Record;
 ///
 /// let vote = Record::Vote { term: 3, voted_for: None };
 /// let mut bytes = encode(1, &[vote.clone()]);
 /// bytes.extend([1, 2, 3]);
 /// let contents = decode(&bytes)?;
-/// assert_eq!((contents.records, contents.ending), (vec![vote], Ending::Torn));
+/// assert_eq!((contents.records, contents.tail), (vec![vote], TailState::Torn));
 /// # Ok::<(), pathbank_coordination::batch::UnreadableLog>(())
 /// ```
-pub fn decode(bytes: &[u8]) -> Result<Contents, UnreadableLog> {
+pub fn decode(bytes: &[u8]) -> Result<DecodedLog, UnreadableLog> {
     if !bytes.is_empty() && !bytes.starts_with(&MARK) {
         let contents = decode_first_format(bytes);
         if !contents.records.is_empty() {
             return Ok(contents);
         }
     }
-    let mut contents = Contents {
+    let mut contents = DecodedLog {
         records: Vec::new(),
-        whole_bytes: 0,
+        intact_bytes: 0,
         next_number: 1,
-        ending: Ending::Whole,
-        is_first_format: false,
+        tail: TailState::Complete,
+        is_legacy_format: false,
     };
-    while contents.whole_bytes < bytes.len() {
-        let rest = &bytes[contents.whole_bytes..];
+    while contents.intact_bytes < bytes.len() {
+        let rest = &bytes[contents.intact_bytes..];
         let Some((records, length)) = decode_batch(rest, contents.next_number)? else {
-            contents.ending = ending_of(rest, contents.next_number);
+            contents.tail = classify_tail(rest, contents.next_number);
             break;
         };
         contents.records.extend(records);
-        contents.whole_bytes += length;
+        contents.intact_bytes += length;
         contents.next_number += 1;
     }
     Ok(contents)
@@ -153,26 +154,26 @@
     Ok(Some((records, length)))
 }
 
-/// What it means that the batch `number` at the start of `bytes` is not whole. The first batch of a file is always saved
-/// before the file has its name.
-fn ending_of(bytes: &[u8], number: u64) -> Ending {
+/// What it means that the batch `number` at the start of `bytes` is not whole. The first batch of a file is
+/// always saved before the file has its name.
+fn classify_tail(bytes: &[u8], number: u64) -> TailState {
     let marks = bytes.windows(MARK.len()).enumerate().skip(1).filter(|(_, window)| *window == MARK);
     let mut later = marks.filter_map(|(at, _)| Header::decode(&bytes[at..]));
     let was_saved = number == 1 || later.any(|header| header.number > number);
-    if was_saved { Ending::Damaged } else { Ending::Torn }
+    if was_saved { TailState::Damaged } else { TailState::Torn }
 }
 
-/// Reads a file of the first format: a length, a checksum and a body for each record. It cannot tell a torn end from
-/// damage.
-fn decode_first_format(bytes: &[u8]) -> Contents {
+/// Reads a file of the first format: a length, a checksum and a body for each record. It cannot tell a torn
+/// end from damage.
+fn decode_first_format(bytes: &[u8]) -> DecodedLog {
     let mut records = Vec::new();
-    let mut whole_bytes = 0;
-    while let Some((record, length)) = decode_first_format_record(&bytes[whole_bytes..]) {
+    let mut intact_bytes = 0;
+    while let Some((record, length)) = decode_first_format_record(&bytes[intact_bytes..]) {
         records.push(record);
-        whole_bytes += length;
+        intact_bytes += length;
     }
-    let ending = if whole_bytes == bytes.len() { Ending::Whole } else { Ending::Torn };
-    Contents { records, whole_bytes, next_number: 1, ending, is_first_format: true }
+    let tail = if intact_bytes == bytes.len() { TailState::Complete } else { TailState::Torn };
+    DecodedLog { records, intact_bytes, next_number: 1, tail, is_legacy_format: true }
 }
 
 fn decode_first_format_record(bytes: &[u8]) -> Option<(Record, usize)> {
--- a/crates/coordination/src/consensus/election.rs
+++ b/crates/coordination/src/consensus/election.rs
@@ -16,7 +16,8 @@
     Leader,
 }
 
-/// How far a log goes. Of two, the one whose last entry has the later term is the newer one, then the longer one.
+/// How far a log goes. Of two, the one whose last entry has the later term is the newer one, then the longer
+/// one.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord)]
 pub struct LogPosition {
     /// The last entry's term.
@@ -40,7 +41,7 @@
 
 /// How the voter that is asked stands.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Standing<Id> {
+pub struct VoterState<Id> {
     /// Its term.
     pub term: Term,
     /// Who got its vote in that term.
@@ -48,19 +49,19 @@
     /// Its role.
     pub role: Role,
     /// It leads, or hears a leader.
-    pub hears_leader: bool,
+    pub has_live_leader: bool,
     /// How far its log goes.
     pub log: LogPosition,
 }
 
-impl<Id: PartialEq> Standing<Id> {
+impl<Id: PartialEq> VoterState<Id> {
     /// Whether the candidate gets the vote. A binding request is judged once the voter has entered its term.
     ///
     /// ```
-    /// use pathbank_coordination::consensus::election::{LogPosition, Role, Standing, VoteRequest};
+    /// use pathbank_coordination::consensus::election::{LogPosition, Role, VoterState, VoteRequest};
     ///
     /// let log = LogPosition { term: 2, index: 9 };
-    /// let voter = Standing { term: 3, voted_for: Some(1), role: Role::Follower, hears_leader: false, log };
+    /// let voter = VoterState { term: 3, voted_for: Some(1), role: Role::Follower, has_live_leader: false, log };
     /// let request = VoteRequest { candidate: 2, term: 3, pre: false, log };
     /// assert!(!voter.grants(&request), "one vote a term");
     /// assert!(voter.grants(&VoteRequest { candidate: 1, ..request }), "the same vote again");
@@ -69,7 +70,7 @@
         let is_up_to_date = request.log >= self.log;
         if request.pre {
             // Whoever hears a leader wants no other, and whoever asks changes nothing by it.
-            return is_up_to_date && request.term > self.term && !self.hears_leader;
+            return is_up_to_date && request.term > self.term && !self.has_live_leader;
         }
         let is_free = self.voted_for.as_ref().is_none_or(|voted| *voted == request.candidate);
         is_up_to_date && is_free && request.term == self.term && self.role == Role::Follower
@@ -78,20 +79,20 @@
 
 /// The votes that a candidate has got.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Ballot<Id: Ord> {
+pub struct VoteTally<Id: Ord> {
     granted: BTreeSet<Id>,
 }
 
-impl<Id: Ord> Default for Ballot<Id> {
+impl<Id: Ord> Default for VoteTally<Id> {
     fn default() -> Self {
-        Ballot { granted: BTreeSet::new() }
+        VoteTally { granted: BTreeSet::new() }
     }
 }
 
-impl<Id: Ord> Ballot<Id> {
+impl<Id: Ord> VoteTally<Id> {
     /// A candidate's own vote comes first.
-    pub fn own(candidate: Id) -> Ballot<Id> {
-        Ballot { granted: BTreeSet::from([candidate]) }
+    pub fn own(candidate: Id) -> VoteTally<Id> {
+        VoteTally { granted: BTreeSet::from([candidate]) }
     }
 
     /// A voter gave its vote. Votes count for the role that asked for them: `pre` tells which it was.
--- a/crates/coordination/src/consensus/log_tail.rs
+++ b/crates/coordination/src/consensus/log_tail.rs
@@ -26,7 +26,7 @@
 /// log.put(9, Entry(3));
 /// assert_eq!((log.last_index(), log.term_at(7), log.term_at(9)), (9, Some(2), Some(3)));
 /// // A later leader has other entries behind 8.
-/// assert_eq!(log.known_prefix(7, 7, &[Entry(2), Entry(4)]), 1);
+/// assert_eq!(log.matching_prefix(7, 7, &[Entry(2), Entry(4)]), 1);
 /// ```
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct LogTail<Entry> {
@@ -67,7 +67,7 @@
     }
 
     /// Those behind an entry; behind the base, all of them.
-    pub fn entries_behind(&self, index: Index) -> &[Entry] {
+    pub fn entries_after(&self, index: Index) -> &[Entry] {
         let skipped = index.saturating_sub(self.base.index) as usize;
         self.entries.get(skipped..).unwrap_or_default()
     }
@@ -118,15 +118,15 @@
     }
 
     /// All up to that entry leaves; what is behind it stays. An index that is not in the log changes nothing.
-    pub fn drop_up_to(&mut self, index: Index) {
+    pub fn compact_to(&mut self, index: Index) {
         let Some(term) = self.term_at(index) else { return };
         self.entries.drain(..(index - self.base.index) as usize);
         self.base = LogPosition { term, index };
     }
 
-    /// How many of a leader's entries, which follow on `previous`, this log has as they are. What is committed is never
-    /// taken away, so it counts as known; a late message thus takes nothing away either.
-    pub fn known_prefix(&self, committed: Index, previous: Index, entries: &[Entry]) -> usize {
+    /// How many of a leader's entries, which follow on `previous`, this log has as they are. What is
+    /// committed is never taken away, so it counts as known; a late message thus takes nothing away either.
+    pub fn matching_prefix(&self, committed: Index, previous: Index, entries: &[Entry]) -> usize {
         let is_known = |(entry, index): &(&Entry, Index)| {
             *index <= committed || self.term_at(*index) == Some(entry.term())
         };
--- a/crates/coordination/src/group.rs
+++ b/crates/coordination/src/membership_changes.rs
@@ -1,21 +1,22 @@
-//! Which store joins, replaces or leaves the group of voters. Decided by the leader alone, one step at a time.
+//! Which store joins, replaces or leaves the group of voters. Decided by the leader alone, one step at a
+//! time.
 //!
-//! The group keeps an odd size. An even one needs one voter more for a majority and bears no more losses, so a voter that
-//! leaves while another one is lost would end it. Stores beyond the group follow the log without a vote, and take a
-//! voter's place in one joint change.
+//! The group keeps an odd size. An even one needs one voter more for a majority and bears no more losses, so
+//! a voter that leaves while another one is lost would end it. Stores beyond the group follow the log without
+//! a vote, and take a voter's place in one joint change.
 
 use crate::consensus::quorum;
 use crate::replica::{Effects, Replica};
 use crate::types::{Index, Member, Millis, StoreId};
 
 /// A voter that says nothing for so long is taken for gone, milliseconds.
-pub const VOTER_SILENCE: Millis = 2_500;
+pub const VOTER_TIMEOUT_MS: Millis = 2_500;
 /// A store has caught up when it lacks no more entries than this.
 const CAUGHT_UP_ENTRIES: Index = 2;
 
 /// The group that should follow the present one, if another one should.
-pub fn next_group(replica: &Replica, now: Millis) -> Option<Vec<Member>> {
-    if !replica.is_settled_leader() || replica.membership().is_joint() {
+pub fn next_voters(replica: &Replica, now: Millis) -> Option<Vec<Member>> {
+    if !replica.is_established_leader() || replica.membership().is_joint() {
         return None;
     }
     let survey = Survey::new(replica, now);
@@ -24,9 +25,9 @@
 }
 
 /// Takes the next step towards the group that should be, if there is one.
-pub fn step(replica: &mut Replica, now: Millis) -> Option<Effects> {
-    let voters = next_group(replica, now)?;
-    replica.change_group(now, voters).ok()
+pub fn reconcile(replica: &mut Replica, now: Millis) -> Option<Effects> {
+    let voters = next_voters(replica, now)?;
+    replica.propose_membership(now, voters).ok()
 }
 
 /// How voters and other stores stand, as the leader sees it.
@@ -42,15 +43,16 @@
     fn new(replica: &'a Replica, now: Millis) -> Survey<'a> {
         let caught_up = |matched: Index| matched > 0 && matched + CAUGHT_UP_ENTRIES >= replica.commit();
         let answering: Vec<StoreId> = replica.learners(now).collect();
-        let known = replica.others().filter(|(other, ..)| answering.contains(&other.id));
+        let known = replica.peers().filter(|(other, ..)| answering.contains(&other.id));
         let learners = known.filter(|(_, matched, _)| caught_up(*matched)).map(|(other, ..)| other).collect();
         Survey { replica, now, voters: &replica.membership().voters, learners }
     }
 
     fn is_silent(&self, id: StoreId) -> bool {
-        let heard =
-            |(other, _, heard): (&Member, Index, Millis)| other.id == id && self.now < heard + VOTER_SILENCE;
-        id != self.replica.me().id && !self.replica.others().any(heard)
+        let heard = |(other, _, heard): (&Member, Index, Millis)| {
+            other.id == id && self.now < heard + VOTER_TIMEOUT_MS
+        };
+        id != self.replica.me().id && !self.replica.peers().any(heard)
     }
 
     fn is_leaving(&self, id: StoreId) -> bool {
--- a/crates/coordination/src/callers.rs
+++ b/crates/coordination/src/recent_peers.rs
@@ -11,22 +11,22 @@
 /// Replicas that spoke lately, by address.
 ///
 /// ```
-/// use pathbank_coordination::callers::Callers;
+/// use pathbank_coordination::recent_peers::RecentPeers;
 ///
-/// let mut callers = Callers::default();
-/// assert!(callers.note(1_000, "10.0.0.4:7000"), "it is new");
-/// assert!(!callers.note(2_000, "10.0.0.4:7000"));
-/// callers.forget_silent(40_000);
-/// assert_eq!(callers.addresses().count(), 0);
+/// let mut recent_peers = RecentPeers::default();
+/// assert!(recent_peers.record(1_000, "10.0.0.4:7000"), "it is new");
+/// assert!(!recent_peers.record(2_000, "10.0.0.4:7000"));
+/// recent_peers.expire(40_000);
+/// assert_eq!(recent_peers.addresses().count(), 0);
 /// ```
 #[derive(Clone, Debug, Default)]
-pub struct Callers {
+pub struct RecentPeers {
     heard: BTreeMap<String, Millis>,
 }
 
-impl Callers {
+impl RecentPeers {
     /// A replica spoke. Returns whether it had not lately.
-    pub fn note(&mut self, now: Millis, address: &str) -> bool {
+    pub fn record(&mut self, now: Millis, address: &str) -> bool {
         if let Some(heard) = self.heard.get_mut(address) {
             *heard = now;
             return false;
@@ -41,7 +41,7 @@
     }
 
     /// Forgets those that fell silent.
-    pub fn forget_silent(&mut self, now: Millis) {
+    pub fn expire(&mut self, now: Millis) {
         self.heard.retain(|_, heard| now < *heard + FORGOTTEN_AFTER);
     }
 
--- a/crates/coordination/src/record.rs
+++ b/crates/coordination/src/record.rs
@@ -1,4 +1,5 @@
-//! What a replica must never forget, and the records of which it is made. [`crate::batch`] has their form on disk.
+//! What a replica must never forget, and the records of which it is made. [`crate::batch`] has their form on
+//! disk.
 
 use crate::consensus::election::LogPosition;
 use crate::consensus::log_tail::LogTail;
@@ -35,7 +36,7 @@
 
 /// All that a replica must never forget.
 #[derive(Clone, Debug, Default, PartialEq)]
-pub struct Durable {
+pub struct DurableState {
     /// Whose store it is.
     pub id: Option<StoreId>,
     /// The voters of the very first start.
@@ -50,7 +51,7 @@
     pub log: LogTail<Entry>,
 }
 
-impl Durable {
+impl DurableState {
     /// The one function that changes durable state; the disk holds the same records in the same order.
     pub fn apply(&mut self, record: Record) {
         match record {
@@ -63,7 +64,7 @@
             Record::Snapshot { snapshot, keep_tail } => {
                 let keeps = keep_tail && self.log.term_at(snapshot.index).is_some();
                 match keeps {
-                    true => self.log.drop_up_to(snapshot.index),
+                    true => self.log.compact_to(snapshot.index),
                     false => self.log.reset(snapshot.index, snapshot.term),
                 }
                 self.snapshot = snapshot;
--- a/crates/coordination/src/replica/departing.rs
+++ b/crates/coordination/src/replica/departing.rs
@@ -1,4 +1,5 @@
-//! Voters that end in order: they leave the group by agreement first, where another store can take their place.
+//! Voters that end in order: they leave the group by agreement first, where another store can take their
+//! place.
 
 use super::{Effects, Outgoing, Replica, Role};
 use crate::types::{Member, Message, Millis, StoreId, Term};
@@ -13,11 +14,11 @@
 pub enum Departure {
     /// Nobody has answered yet.
     #[default]
-    Unanswered,
+    AwaitingReply,
     /// Another store is about to take its place.
-    Replacing,
+    AwaitingReplacement,
     /// It is out of the group, or nobody could take its place: it may end.
-    Free,
+    Permitted,
 }
 
 impl Replica {
@@ -25,13 +26,16 @@
     pub fn leave(&mut self, now: Millis) -> Effects {
         let mut effects = Effects::default();
         if !self.membership.contains(self.me.id) {
-            self.departure = Departure::Free;
+            self.departure = Departure::Permitted;
             return effects;
         }
         if self.role == Role::Leader {
             self.leaving.insert(self.me.id, now);
-            self.departure =
-                if self.is_replacing(now, self.me.id) { Departure::Replacing } else { Departure::Free };
+            self.departure = if self.is_replacing(now, self.me.id) {
+                Departure::AwaitingReplacement
+            } else {
+                Departure::Permitted
+            };
         } else if let Some(leader) = self.leader.clone() {
             effects.messages.push(Outgoing { to: leader, message: Message::Leave, after_save: false });
         }
@@ -66,14 +70,14 @@
             return;
         }
         self.leaving.insert(from.id, now);
-        let waits = self.is_replacing(now, from.id);
-        let message = Message::LeaveReply { term: self.durable.term, waits };
+        let replacing = self.is_replacing(now, from.id);
+        let message = Message::LeaveReply { term: self.durable.term, replacing };
         effects.messages.push(Outgoing { to: from, message, after_save: false });
     }
 
-    pub(super) fn on_leave_reply(&mut self, term: Term, waits: bool) {
+    pub(super) fn on_leave_reply(&mut self, term: Term, replacing: bool) {
         if term == self.durable.term {
-            self.departure = if waits { Departure::Replacing } else { Departure::Free };
+            self.departure = if replacing { Departure::AwaitingReplacement } else { Departure::Permitted };
         }
     }
 }
--- a/crates/coordination/src/replica/following.rs
+++ b/crates/coordination/src/replica/following.rs
@@ -48,7 +48,7 @@
             return;
         }
         let last = previous_index + entries.len() as Index;
-        let known = self.durable.log.known_prefix(self.commit, previous_index, &entries);
+        let known = self.durable.log.matching_prefix(self.commit, previous_index, &entries);
         entries.into_iter().skip(known).for_each(|entry| self.save(Record::Entry(entry), effects));
         self.commit = self.commit.max(commit.min(last));
         self.reply(from, true, last, sent_at, effects);
--- a/crates/coordination/src/replica/leading.rs
+++ b/crates/coordination/src/replica/leading.rs
@@ -2,8 +2,8 @@
 
 use super::transfer::Transfer;
 use super::{Effects, Outgoing, Replica, Role};
-use crate::consensus::cursor::Cursor;
 use crate::consensus::quorum;
+use crate::consensus::replication_progress::ReplicationProgress;
 use crate::record::Record;
 use crate::types::{Entry, Index, Member, Membership, Message, Millis, Payload, StoreId, Term};
 
@@ -17,7 +17,7 @@
 pub(super) struct Progress {
     pub(super) member: Member,
     /// How far its log is known.
-    pub(super) cursor: Cursor,
+    pub(super) cursor: ReplicationProgress,
     /// When the newest message that it answered was sent.
     pub(super) answered: Millis,
     /// When it last joined or answered.
@@ -31,7 +31,7 @@
 impl Progress {
     /// Nothing is known of it yet but that it is there.
     fn new(member: Member, last: Index, now: Millis) -> Progress {
-        let cursor = Cursor::behind(last);
+        let cursor = ReplicationProgress::behind(last);
         Progress { member, cursor, answered: 0, heard: now, in_flight: None, transfer: None }
     }
 
@@ -68,8 +68,8 @@
         if now < self.heartbeat_at {
             return;
         }
-        self.heartbeat_at = now + self.timing.heartbeat;
-        let patience = 2 * self.timing.election;
+        self.heartbeat_at = now + self.timing.heartbeat_interval_ms;
+        let patience = 2 * self.timing.election_timeout_ms;
         let heard = |id| self.progress.get(&id).is_some_and(|other: &Progress| now < other.heard + patience);
         if !self.membership.has_quorum(|id| id == self.me.id || heard(id)) {
             self.step_down(now);
@@ -83,15 +83,15 @@
 
     /// Sends what a replica lacks, or nothing but a heartbeat.
     pub(super) fn send_append(&mut self, now: Millis, id: StoreId, heartbeat: bool, effects: &mut Effects) {
-        let patience = RESEND_HEARTBEATS * self.timing.heartbeat;
+        let patience = RESEND_HEARTBEATS * self.timing.heartbeat_interval_ms;
         let Some(other) = self.progress.get_mut(&id) else { return };
-        let waits = other.in_flight.is_some_and(|sent| now < sent + patience);
-        if other.in_flight.is_some() && !waits {
+        let awaits_reply = other.in_flight.is_some_and(|sent| now < sent + patience);
+        if other.in_flight.is_some() && !awaits_reply {
             other.cursor.go_back();
             other.in_flight = None;
         }
         let lacks = other.cursor.next <= self.durable.last_index();
-        if !heartbeat && (waits || !lacks) {
+        if !heartbeat && (awaits_reply || !lacks) {
             return;
         }
         let term = self.durable.term;
@@ -103,7 +103,7 @@
         let mut entries = Vec::new();
         let mut bytes = 0;
         while let Some(entry) =
-            self.durable.entry(other.cursor.next).filter(|_| !waits && bytes < MOST_APPEND_BYTES)
+            self.durable.entry(other.cursor.next).filter(|_| !awaits_reply && bytes < MOST_APPEND_BYTES)
         {
             bytes += entry.payload.size();
             entries.push(entry.clone());
@@ -152,7 +152,7 @@
         } else {
             match index < other.cursor.matched {
                 // It lacks what it had acknowledged: its disk lost it. It gets that again.
-                true => other.cursor = Cursor::behind(index),
+                true => other.cursor = ReplicationProgress::behind(index),
                 false => other.cursor.rejected(index + 1),
             }
             other.in_flight = None;
@@ -176,7 +176,7 @@
             true => self.saved,
             false => self.progress.get(&id).map_or(0, |other| other.cursor.matched),
         };
-        let reached = self.membership.reached_by_quorum(saved);
+        let reached = self.membership.quorum_match_index(saved);
         if !quorum::may_commit(reached, self.commit, self.durable.term_at(reached), self.durable.term) {
             return;
         }
@@ -195,7 +195,7 @@
             let voters = self.membership.voters.clone();
             self.append(now, Payload::Membership(Membership::of(voters)), effects);
         } else if !self.membership.contains(self.me.id) {
-            self.hand_over_to_best(now, effects);
+            self.transfer_to_best_voter(now, effects);
             self.step_down(now);
         }
     }
--- a/crates/coordination/src/replica/mod.rs
+++ b/crates/coordination/src/replica/mod.rs
@@ -2,7 +2,7 @@
 //! group.
 //!
 //! The caller saves [`Effects::records`] in order. A message with `after_save` leaves once they are on disk;
-//! the others may leave at once. [`Replica::saved`] tells the replica how far the disk is.
+//! the others may leave at once. [`Replica::on_persisted`] tells the replica how far the disk is.
 
 mod departing;
 mod following;
@@ -13,10 +13,10 @@
 
 pub use crate::consensus::election::Role;
 pub use departing::Departure;
-pub use transfer::PART_BYTES;
+pub use transfer::SNAPSHOT_CHUNK_BYTES;
 
-use crate::consensus::election::{Ballot, LogPosition};
-use crate::record::{Durable, Record};
+use crate::consensus::election::{LogPosition, VoteTally};
+use crate::record::{DurableState, Record};
 use crate::types::{Entry, Index, Member, Membership, Message, Millis, Payload, Snapshot, StoreId, Term};
 use leading::{AppendReply, Progress};
 use std::collections::BTreeMap;
@@ -27,17 +27,17 @@
 #[derive(Clone, Copy, Debug)]
 pub struct Timing {
     /// Between a leader's heartbeats.
-    pub heartbeat: Millis,
+    pub heartbeat_interval_ms: Millis,
     /// A follower that hears no leader for so long, and up to twice that, asks for votes; before, it gives
     /// none.
-    pub election: Millis,
+    pub election_timeout_ms: Millis,
     /// For how long a leader may act after it sent what a majority answered. Shorter than `election`.
-    pub lease: Millis,
+    pub lease_ms: Millis,
 }
 
 impl Default for Timing {
     fn default() -> Timing {
-        Timing { heartbeat: 80, election: 400, lease: 300 }
+        Timing { heartbeat_interval_ms: 80, election_timeout_ms: 400, lease_ms: 300 }
     }
 }
 
@@ -73,7 +73,7 @@
     NotLeader,
     /// A change of the group is under way, or the term has only begun.
     #[error("the group is changing")]
-    Unsettled,
+    MembershipChanging,
 }
 
 /// A replica of the log.
@@ -81,7 +81,7 @@
 pub struct Replica {
     me: Member,
     timing: Timing,
-    durable: Durable,
+    durable: DurableState,
     membership: Membership,
     /// Where the newest membership entry stands; 0: in the snapshot or from the start.
     membership_index: Index,
@@ -95,7 +95,7 @@
     election_at: Millis,
     heartbeat_at: Millis,
     join_at: Millis,
-    votes: Ballot<StoreId>,
+    votes: VoteTally<StoreId>,
     progress: BTreeMap<StoreId, Progress>,
     /// Voters that told this leader that they are about to end, and when.
     leaving: BTreeMap<StoreId, Millis>,
@@ -116,7 +116,7 @@
 
 impl Replica {
     /// Starts on what the disk held. `random`: any number, another one at each start.
-    pub fn new(me: Member, timing: Timing, durable: Durable, now: Millis, random: u64) -> Replica {
+    pub fn new(me: Member, timing: Timing, durable: DurableState, now: Millis, random: u64) -> Replica {
         let last = durable.last_index();
         let mut replica = Replica {
             me,
@@ -127,11 +127,11 @@
             leader: None,
             leader_heard: None,
             leader_commit: 0,
-            votes_from: now + if last > 0 || durable.term > 0 { timing.election } else { 0 },
+            votes_from: now + if last > 0 || durable.term > 0 { timing.election_timeout_ms } else { 0 },
             election_at: 0,
             heartbeat_at: 0,
             join_at: now,
-            votes: Ballot::default(),
+            votes: VoteTally::default(),
             progress: BTreeMap::new(),
             leaving: BTreeMap::new(),
             departure: Departure::default(),
@@ -180,16 +180,16 @@
         self.commit
     }
     /// Its durable state.
-    pub fn durable(&self) -> &Durable {
+    pub fn durable(&self) -> &DurableState {
         &self.durable
     }
     /// Leads, and has applied all that earlier leaders committed.
-    pub fn is_settled_leader(&self) -> bool {
+    pub fn is_established_leader(&self) -> bool {
         self.role == Role::Leader && self.applied >= self.term_start
     }
     /// Until when no other replica can lead: what this one answers or does before is the newest.
     pub fn lease_until(&self) -> Millis {
-        if !self.is_settled_leader() {
+        if !self.is_established_leader() {
             return 0;
         }
         let mut sent: Vec<Millis> = self.progress.values().map(|other| other.answered).collect();
@@ -201,10 +201,10 @@
             })
         };
         let newest = sent.into_iter().rev().find(|time| quorum_at(*time)).unwrap_or(0);
-        newest.saturating_add(if newest == 0 { 0 } else { self.timing.lease })
+        newest.saturating_add(if newest == 0 { 0 } else { self.timing.lease_ms })
     }
     /// The replicas that this leader speaks to: the member, all that it saved, and when it was last heard.
-    pub fn others(&self) -> impl Iterator<Item = (&Member, Index, Millis)> {
+    pub fn peers(&self) -> impl Iterator<Item = (&Member, Index, Millis)> {
         self.progress.values().map(|other| (&other.member, other.cursor.matched, other.heard))
     }
     /// Whether this replica has applied all that it could know to be committed: it leads within its lease, or
@@ -219,7 +219,7 @@
         heard && settled && self.applied >= self.leader_commit
     }
     /// Who leads, as far as was heard within `silence` milliseconds: one that fell silent may lead no longer.
-    pub fn live_leader(&self, now: Millis, silence: Millis) -> Option<&Member> {
+    pub fn leader_within(&self, now: Millis, silence: Millis) -> Option<&Member> {
         let heard = self.role == Role::Leader || self.leader_heard.is_some_and(|heard| now < heard + silence);
         self.leader().filter(|_| heard)
     }
@@ -239,7 +239,7 @@
             _ => {}
         }
         if self.role != Role::Leader && now >= self.join_at {
-            self.join_at = now + self.timing.election / 2;
+            self.join_at = now + self.timing.election_timeout_ms / 2;
         }
         self.finish(&mut effects);
         effects
@@ -248,11 +248,11 @@
     /// Whether this replica should ask others to let it take part: nobody has led it for a while.
     pub fn wants_to_join(&self, now: Millis) -> bool {
         let silence = self.leader_heard().map_or(Millis::MAX, |heard| now.saturating_sub(heard));
-        self.role != Role::Leader && silence > self.timing.election
+        self.role != Role::Leader && silence > self.timing.election_timeout_ms
     }
 
     /// All records handed out up to the entry `index` are on disk.
-    pub fn saved(&mut self, now: Millis, index: Index) -> Effects {
+    pub fn on_persisted(&mut self, now: Millis, index: Index) -> Effects {
         let mut effects = Effects::default();
         self.saved = index.min(self.durable.last_index());
         if self.role == Role::Leader {
@@ -285,13 +285,13 @@
     }
 
     /// Begins a change of the group; the leader ends it by itself.
-    pub fn change_group(&mut self, now: Millis, voters: Vec<Member>) -> Result<Effects, ProposeError> {
+    pub fn propose_membership(&mut self, now: Millis, voters: Vec<Member>) -> Result<Effects, ProposeError> {
         if self.role != Role::Leader {
             return Err(ProposeError::NotLeader);
         }
-        let settled = self.is_settled_leader() && self.commit >= self.membership_index;
+        let settled = self.is_established_leader() && self.commit >= self.membership_index;
         if !settled || self.membership.is_joint() || voters.is_empty() {
-            return Err(ProposeError::Unsettled);
+            return Err(ProposeError::MembershipChanging);
         }
         let mut effects = Effects::default();
         let outgoing = self.membership.voters.clone();
@@ -313,24 +313,29 @@
     }
 
     /// The leader hands over to the voter that has most of the log, and leads no more.
-    pub fn hand_over(&mut self, now: Millis) -> Effects {
+    pub fn transfer_leadership(&mut self, now: Millis) -> Effects {
         let mut effects = Effects::default();
         if self.role == Role::Leader {
-            self.hand_over_to_best(now, &mut effects);
+            self.transfer_to_best_voter(now, &mut effects);
         }
         effects
     }
 
     /// Another replica said something.
-    pub fn hear(&mut self, now: Millis, from: Member, message: Message) -> Effects {
+    pub fn step(&mut self, now: Millis, from: Member, message: Message) -> Effects {
         let mut effects = Effects::default();
         if from.id == self.me.id {
             return effects;
         }
         match message {
-            Message::VoteRequest { term, pre, handover, last_index, last_term } => {
+            Message::VoteRequest { term, pre, leadership_transfer, last_index, last_term } => {
                 let log = LogPosition { term: last_term, index: last_index };
-                self.on_vote_request(now, from, VoteQuestion { term, pre, handover, log }, &mut effects);
+                self.on_vote_request(
+                    now,
+                    from,
+                    VoteQuestion { term, pre, leadership_transfer, log },
+                    &mut effects,
+                );
             }
             Message::VoteReply { term, pre, granted } => {
                 self.on_vote_reply(now, from, VoteReply { term, pre, granted }, &mut effects);
@@ -347,7 +352,7 @@
                     );
                 }
             }
-            Message::SnapshotPart(part) => self.on_snapshot_part(now, from, part, &mut effects),
+            Message::SnapshotChunk(part) => self.on_snapshot_part(now, from, part, &mut effects),
             Message::SnapshotReply { term, index, received, sent_at } => {
                 self.on_snapshot_reply(now, &from, (term, index, received, sent_at), &mut effects);
             }
@@ -363,7 +368,7 @@
             }
             Message::Join => self.on_join(now, from, &mut effects),
             Message::Leave => self.on_leave(now, from, &mut effects),
-            Message::LeaveReply { term, waits } => self.on_leave_reply(term, waits),
+            Message::LeaveReply { term, replacing } => self.on_leave_reply(term, replacing),
         }
         self.finish(&mut effects);
         effects
--- a/crates/coordination/src/replica/transfer.rs
+++ b/crates/coordination/src/replica/transfer.rs
@@ -1,12 +1,14 @@
-//! Snapshots on their way to a follower: encoded once, sent in parts one after the other, resumed where they broke off.
+//! Snapshots on their way to a follower: encoded once, sent in parts one after the other, resumed where they
+//! broke off.
 
 use super::{Effects, Outgoing, Replica, Role};
 use crate::record::Record;
-use crate::types::{Member, Message, Millis, Snapshot, SnapshotId, SnapshotPart, StoreId, Term};
+use crate::types::{Member, Message, Millis, Snapshot, SnapshotChunk, SnapshotId, StoreId, Term};
 use std::sync::Arc;
 
-/// Bytes of one part: on a link of 10 Mbit/s a heartbeat behind it waits 0.1 s, well within an election's wait.
-pub const PART_BYTES: usize = 128 * 1024;
+/// Bytes of one part: on a link of 10 Mbit/s a heartbeat behind it waits 0.1 s, well within an election's
+/// wait.
+pub const SNAPSHOT_CHUNK_BYTES: usize = 128 * 1024;
 
 /// An encoded snapshot that a leader sends.
 #[derive(Clone, Debug)]
@@ -28,7 +30,7 @@
 
     fn part(&self, offset: u64) -> Vec<u8> {
         let start = (offset as usize).min(self.bytes.len());
-        let end = (start + PART_BYTES).min(self.bytes.len());
+        let end = (start + SNAPSHOT_CHUNK_BYTES).min(self.bytes.len());
         self.bytes[start..end].to_vec()
     }
 }
@@ -52,7 +54,7 @@
 
 impl PartialSnapshot {
     /// Takes the bytes that come next; others are left out.
-    fn take(&mut self, part: &SnapshotPart) {
+    fn take(&mut self, part: &SnapshotChunk) {
         let fits = self.bytes.len() + part.bytes.len() <= self.id.length as usize;
         if part.offset == self.bytes.len() as u64 && fits {
             self.bytes.extend_from_slice(&part.bytes);
@@ -75,7 +77,7 @@
 impl Replica {
     /// Whether a store that still answers is being sent a snapshot. A newer one would make it begin again.
     pub fn is_sending_snapshot(&self, now: Millis) -> bool {
-        let answers = |heard: Millis| now < heard + 2 * self.timing.election;
+        let answers = |heard: Millis| now < heard + 2 * self.timing.election_timeout_ms;
         self.progress.values().any(|other| other.transfer.is_some() && answers(other.heard))
     }
 
@@ -108,8 +110,8 @@
             None => encoded.part(offset),
         };
         transfer.part_sent.get_or_insert(now);
-        let part = SnapshotPart { term, id: encoded.id, offset, bytes, sent_at: now };
-        let message = Message::SnapshotPart(part);
+        let part = SnapshotChunk { term, id: encoded.id, offset, bytes, sent_at: now };
+        let message = Message::SnapshotChunk(part);
         effects.messages.push(Outgoing { to: other.member.clone(), message, after_save: false });
     }
 
@@ -132,7 +134,8 @@
         let Some(transfer) = other.transfer.as_mut().filter(|transfer| transfer.id.index == index) else {
             return;
         };
-        // Messages keep their order on a link: whoever answers a later heartbeat without the part has lost it.
+        // Messages keep their order on a link: whoever answers a later heartbeat without the part has lost
+        // it.
         let part_lost = transfer.part_sent.is_some_and(|sent| sent_at > sent);
         if received != transfer.received || part_lost {
             transfer.received = received;
@@ -149,7 +152,7 @@
         &mut self,
         now: Millis,
         from: Member,
-        part: SnapshotPart,
+        part: SnapshotChunk,
         effects: &mut Effects,
     ) {
         if !self.follow(now, &from, part.term, part.sent_at, effects) {
@@ -177,8 +180,8 @@
         effects.messages.push(Outgoing { to: from, message, after_save: true });
     }
 
-    /// Puts a snapshot in the place of the entries that it covers. Entries behind it that follow on it stay: this replica
-    /// may have acknowledged them.
+    /// Puts a snapshot in the place of the entries that it covers. Entries behind it that follow on it stay:
+    /// this replica may have acknowledged them.
     fn install(&mut self, from: Member, snapshot: Snapshot, sent_at: Millis, effects: &mut Effects) {
         let index = snapshot.index;
         let keep_tail = self.durable.term_at(index) == Some(snapshot.term);
--- a/crates/coordination/src/replica/voting.rs
+++ b/crates/coordination/src/replica/voting.rs
@@ -1,7 +1,7 @@
 //! Elections: who asks for votes, who gives them, and how a term begins and ends.
 
 use super::{Effects, Outgoing, Replica, Role};
-use crate::consensus::election::{Ballot, LogPosition, Standing, VoteRequest};
+use crate::consensus::election::{LogPosition, VoteRequest, VoteTally, VoterState};
 use crate::record::Record;
 use crate::types::{Member, Message, Millis, Payload, StoreId, Term};
 
@@ -12,7 +12,7 @@
     /// It asks whether it would be elected, and binds nobody.
     pub pre: bool,
     /// The leader asked it to stand: nobody has to wait for that leader's silence.
-    pub handover: bool,
+    pub leadership_transfer: bool,
     /// How far its log goes.
     pub log: LogPosition,
 }
@@ -35,8 +35,8 @@
     }
 
     pub(super) fn wait_for_leader(&mut self, now: Millis) {
-        let spread = self.draw() % self.timing.election;
-        self.election_at = now + self.timing.election + spread;
+        let spread = self.draw() % self.timing.election_timeout_ms;
+        self.election_at = now + self.timing.election_timeout_ms + spread;
     }
 
     pub(super) fn step_down(&mut self, now: Millis) {
@@ -49,9 +49,9 @@
     }
 
     /// Leads no more, and asks the voter that has most of the log to stand for election at once.
-    pub(super) fn hand_over_to_best(&mut self, now: Millis, effects: &mut Effects) {
+    pub(super) fn transfer_to_best_voter(&mut self, now: Millis, effects: &mut Effects) {
         let voters = self.progress.values().filter(|other| self.membership.contains(other.member.id));
-        let answers = |heard: Millis| now < heard + self.timing.election;
+        let answers = |heard: Millis| now < heard + self.timing.election_timeout_ms;
         let best = voters.max_by_key(|other| (answers(other.heard), other.cursor.matched, other.answered));
         let Some(to) = best.map(|best| best.member.clone()) else { return };
         let message = Message::CampaignNow { term: self.durable.term };
@@ -71,7 +71,13 @@
         self.save(Record::Vote { term, voted_for }, effects);
     }
 
-    pub(super) fn ask_for_votes(&mut self, now: Millis, pre: bool, handover: bool, effects: &mut Effects) {
+    pub(super) fn ask_for_votes(
+        &mut self,
+        now: Millis,
+        pre: bool,
+        leadership_transfer: bool,
+        effects: &mut Effects,
+    ) {
         self.wait_for_leader(now);
         if self.impaired || !self.membership.contains(self.me.id) {
             self.role = Role::Follower;
@@ -82,22 +88,22 @@
             self.enter_term(now, term, Some(self.me.id), effects);
         }
         self.role = if pre { Role::PreCandidate } else { Role::Candidate };
-        self.votes = Ballot::own(self.me.id);
+        self.votes = VoteTally::own(self.me.id);
         let LogPosition { term: last_term, index: last_index } = self.durable.position();
-        let message = Message::VoteRequest { term, pre, handover, last_index, last_term };
+        let message = Message::VoteRequest { term, pre, leadership_transfer, last_index, last_term };
         let others = self.membership.members().filter(|member| member.id != self.me.id);
         let requests =
             others.map(|to| Outgoing { to: to.clone(), message: message.clone(), after_save: true });
         effects.messages.extend(requests);
-        self.count_votes(now, handover, effects);
+        self.count_votes(now, leadership_transfer, effects);
     }
 
-    pub(super) fn count_votes(&mut self, now: Millis, handover: bool, effects: &mut Effects) {
+    pub(super) fn count_votes(&mut self, now: Millis, leadership_transfer: bool, effects: &mut Effects) {
         if !self.membership.has_quorum(|id| self.votes.has(&id)) {
             return;
         }
         match self.role {
-            Role::PreCandidate => self.ask_for_votes(now, false, handover, effects),
+            Role::PreCandidate => self.ask_for_votes(now, false, leadership_transfer, effects),
             Role::Candidate => self.become_leader(now, effects),
             Role::Follower | Role::Leader => {}
         }
@@ -110,20 +116,20 @@
         question: VoteQuestion,
         effects: &mut Effects,
     ) {
-        let VoteQuestion { term, pre, handover, log } = question;
+        let VoteQuestion { term, pre, leadership_transfer, log } = question;
         let request = VoteRequest { candidate: from.id, term, pre, log };
         let leader_lives = match self.role {
             Role::Leader => true,
-            _ => self.leader_heard.is_some_and(|heard| now < heard + self.timing.election),
+            _ => self.leader_heard.is_some_and(|heard| now < heard + self.timing.election_timeout_ms),
         };
-        let bound = !handover && (leader_lives || now < self.votes_from);
+        let bound = !leadership_transfer && (leader_lives || now < self.votes_from);
         if bound || term < self.durable.term {
             let reply = Message::VoteReply { term: self.durable.term, pre, granted: false };
             effects.messages.push(Outgoing { to: from, message: reply, after_save: true });
             return;
         }
         if pre {
-            let granted = self.standing(false).grants(&request);
+            let granted = self.voter_state(false).grants(&request);
             let reply =
                 Message::VoteReply { term: if granted { term } else { self.durable.term }, pre, granted };
             effects.messages.push(Outgoing { to: from, message: reply, after_save: true });
@@ -132,7 +138,7 @@
         if term > self.durable.term {
             self.enter_term(now, term, None, effects);
         }
-        let granted = self.standing(false).grants(&request);
+        let granted = self.voter_state(false).grants(&request);
         if granted {
             self.save(Record::Vote { term, voted_for: Some(from.id) }, effects);
             self.wait_for_leader(now);
@@ -141,12 +147,12 @@
         effects.messages.push(Outgoing { to: from, message: reply, after_save: true });
     }
 
-    fn standing(&self, hears_leader: bool) -> Standing<StoreId> {
-        Standing {
+    fn voter_state(&self, has_live_leader: bool) -> VoterState<StoreId> {
+        VoterState {
             term: self.durable.term,
             voted_for: self.durable.voted_for,
             role: self.role,
-            hears_leader,
+            has_live_leader,
             log: self.durable.position(),
         }
     }
--- a/crates/coordination/src/store.rs
+++ b/crates/coordination/src/store.rs
@@ -1,15 +1,15 @@
 //! The append-only file of a replica's records, in batches of one sync each ([`crate::batch`]).
 //!
-//! When the file is long, a new one is written beside it, synced, and renamed over it; the folder is synced behind. The
-//! first batch is written the same way, so a file with a name has a whole first batch. What a failed write left is cut off
-//! before the next one.
+//! When the file is long, a new one is written beside it, synced, and renamed over it; the folder is synced
+//! behind. The first batch is written the same way, so a file with a name has a whole first batch. What a
+//! failed write left is cut off before the next one.
 //!
 //! A file in which something that had been saved cannot be read is a lost disk: it is kept aside under
-//! [`DAMAGED_FILE`], and the store begins anew as another one. It must not go on under its number with less than it has
-//! acknowledged.
+//! [`DAMAGED_FILE`], and the store begins anew as another one. It must not go on under its number with less
+//! than it has acknowledged.
 
-use crate::batch::{self, Contents, Ending};
-use crate::record::{Durable, Record};
+use crate::batch::{self, DecodedLog, TailState};
+use crate::record::{DurableState, Record};
 use std::fs::{self, File, OpenOptions};
 use std::io::{self, Read, Seek, SeekFrom, Write};
 use std::path::{Path, PathBuf};
@@ -48,16 +48,17 @@
 
 /// What a folder held.
 #[derive(Debug, Default, PartialEq)]
-pub struct Opened {
+pub struct OpenedLog {
     /// The replica's state.
-    pub durable: Durable,
-    /// A store of this folder was damaged, now or before: whoever begins here is not the store that was here first.
-    pub lost_a_store: bool,
+    pub durable: DurableState,
+    /// A store of this folder was damaged, now or before: whoever begins here is not the store that was here
+    /// first.
+    pub previous_store_lost: bool,
 }
 
 impl LogFile {
     /// Opens the file of `folder`. Returns what it held.
-    pub fn open(folder: &Path) -> io::Result<(LogFile, Opened)> {
+    pub fn open(folder: &Path) -> io::Result<(LogFile, OpenedLog)> {
         fs::create_dir_all(folder)?;
         let mut log = LogFile {
             folder: folder.to_owned(),
@@ -67,16 +68,16 @@
             folder_unsynced: true,
         };
         let contents = log.read()?;
-        let mut durable = Durable::default();
+        let mut durable = DurableState::default();
         if let Some(contents) = contents {
             log.take_over(contents, &mut durable)?;
         }
-        let lost_a_store = folder.join(DAMAGED_FILE).try_exists()?;
-        Ok((log, Opened { durable, lost_a_store }))
+        let previous_store_lost = folder.join(DAMAGED_FILE).try_exists()?;
+        Ok((log, OpenedLog { durable, previous_store_lost }))
     }
 
     /// What the file holds; `None`: there is none, or nothing is in it.
-    fn read(&mut self) -> io::Result<Option<Contents>> {
+    fn read(&mut self) -> io::Result<Option<DecodedLog>> {
         let path = self.folder.join(LOG_FILE);
         if !path.try_exists()? {
             return Ok(None);
@@ -93,16 +94,16 @@
         Ok(Some(contents))
     }
 
-    fn take_over(&mut self, contents: Contents, durable: &mut Durable) -> io::Result<()> {
-        if contents.ending == Ending::Damaged {
-            return self.keep_aside(contents.whole_bytes);
+    fn take_over(&mut self, contents: DecodedLog, durable: &mut DurableState) -> io::Result<()> {
+        if contents.tail == TailState::Damaged {
+            return self.keep_aside(contents.intact_bytes);
         }
         contents.records.into_iter().for_each(|record| durable.apply(record));
-        (self.length, self.next_number) = (contents.whole_bytes as u64, contents.next_number);
-        if contents.is_first_format {
+        (self.length, self.next_number) = (contents.intact_bytes as u64, contents.next_number);
+        if contents.is_legacy_format {
             return self.rewrite(durable);
         }
-        if let Some(file) = self.file.as_ref().filter(|_| contents.ending == Ending::Torn) {
+        if let Some(file) = self.file.as_ref().filter(|_| contents.tail == TailState::Torn) {
             file.set_len(self.length)?;
             file.sync_all()?;
         }
@@ -126,7 +127,8 @@
         self.length
     }
 
-    /// Appends records and syncs them. After an error nothing of them counts, and the same call may be made again.
+    /// Appends records and syncs them. After an error nothing of them counts, and the same call may be made
+    /// again.
     pub fn append(&mut self, records: &[Record]) -> io::Result<()> {
         let bytes = batch::encode(self.next_number, records);
         let Some(file) = self.file.as_mut() else { return self.write_anew(&bytes) };
@@ -141,7 +143,7 @@
     }
 
     /// Replaces the file by the records of `durable`. After an error the call may be made again.
-    pub fn rewrite(&mut self, durable: &Durable) -> io::Result<()> {
+    pub fn rewrite(&mut self, durable: &DurableState) -> io::Result<()> {
         self.write_anew(&batch::encode(1, &durable.records()))
     }
 
@@ -158,7 +160,8 @@
         self.sync_folder()
     }
 
-    /// Until a renamed file's folder is synced, a loss of power may bring the old file back: nothing behind it counts.
+    /// Until a renamed file's folder is synced, a loss of power may bring the old file back: nothing behind
+    /// it counts.
     fn sync_folder(&mut self) -> io::Result<()> {
         if self.folder_unsynced {
             File::open(&self.folder)?.sync_all()?;
--- a/crates/coordination/src/types.rs
+++ b/crates/coordination/src/types.rs
@@ -8,7 +8,8 @@
 pub type Millis = u64;
 pub use crate::consensus::{Index, Term};
 
-/// Names one store: the data directory of one replica. A directory that was lost and made anew is another store.
+/// Names one store: the data directory of one replica. A directory that was lost and made anew is another
+/// store.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct StoreId(pub u64);
 
@@ -30,7 +31,13 @@
 /// ```
 /// use pathbank_coordination::types::{Member, Membership, StoreId};
 ///
-/// let member = |id| Member { id: StoreId(id), name: String::new(), address: String::new(), control_address: String::new() };
+/// let no_text = String::new;
+/// let member = |id| Member {
+///     id: StoreId(id),
+///     name: no_text(),
+///     address: no_text(),
+///     control_address: no_text(),
+/// };
 /// let old = vec![member(1), member(2), member(3)];
 /// let joint = Membership { voters: vec![member(1), member(2), member(9)], outgoing: old };
 /// assert!(joint.has_quorum(|id| id.0 < 3));
@@ -72,9 +79,9 @@
     }
 
     /// The highest index that a majority of every group has reached; `reached`: each store's.
-    pub fn reached_by_quorum(&self, reached: impl Fn(StoreId) -> Index) -> Index {
+    pub fn quorum_match_index(&self, reached: impl Fn(StoreId) -> Index) -> Index {
         let of_group =
-            |group: &[Member]| quorum::reached_by_majority(group.iter().map(|member| reached(member.id)));
+            |group: &[Member]| quorum::majority_match_index(group.iter().map(|member| reached(member.id)));
         self.groups().map(of_group).min().unwrap_or(0)
     }
 
@@ -149,7 +156,7 @@
         /// Only asks; changes nothing.
         pre: bool,
         /// The leader itself handed over: its lease does not stand in the way.
-        handover: bool,
+        leadership_transfer: bool,
         /// The candidate's last entry.
         last_index: Index,
         /// Its term.
@@ -190,10 +197,10 @@
         /// `sent_at` of the message that is answered.
         sent_at: Millis,
     },
-    /// A part of the state in place of entries that the leader no longer has. Without bytes it is a heartbeat that asks
-    /// how much has come.
-    SnapshotPart(SnapshotPart),
-    /// The answer to [`Message::SnapshotPart`].
+    /// A part of the state in place of entries that the leader no longer has. Without bytes it is a heartbeat
+    /// that asks how much has come.
+    SnapshotChunk(SnapshotChunk),
+    /// The answer to [`Message::SnapshotChunk`].
     SnapshotReply {
         /// The follower's term.
         term: Term,
@@ -218,13 +225,13 @@
         /// The leader's term.
         term: Term,
         /// Another store is about to take the voter's place: it should go on until it is out of the group.
-        waits: bool,
+        replacing: bool,
     },
 }
 
 /// A part of an encoded snapshot on its way to a follower.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct SnapshotPart {
+pub struct SnapshotChunk {
     /// The leader's term.
     pub term: Term,
     /// Which snapshot it is a part of.
--- a/crates/coordination/tests/common/mod.rs
+++ b/crates/coordination/tests/common/mod.rs
@@ -1,10 +1,11 @@
-//! Replicas in one process: virtual time, links that delay, lose and cut, disks that sync late and lose what they had not.
+//! Replicas in one process: virtual time, links that delay, lose and cut, disks that sync late and lose what
+//! they had not.
 
 #![allow(dead_code)]
 
-use pathbank_coordination::fencing::Fence;
-use pathbank_coordination::group;
-use pathbank_coordination::record::{Durable, Record};
+use pathbank_coordination::fencing::FencingGuard;
+use pathbank_coordination::membership_changes;
+use pathbank_coordination::record::{DurableState, Record};
 use pathbank_coordination::replica::{Departure, Effects, Outgoing, Replica, Role, Timing};
 use pathbank_coordination::types::{Entry, Index, Member, Membership, Message, Payload, StoreId};
 use std::collections::{BTreeMap, BTreeSet};
@@ -22,7 +23,7 @@
 
 pub struct Machine {
     pub replica: Option<Replica>,
-    pub disk: Durable,
+    pub disk: DurableState,
     writes: Vec<Pending>,
     /// Commands in the order in which they were applied.
     pub applied: Vec<(Index, Vec<u8>)>,
@@ -38,7 +39,7 @@
     /// Processor time that was used and is not a whole millisecond yet, microseconds.
     used_us: u64,
     /// Who led, as far as this machine has applied.
-    pub fence: Fence,
+    pub fence: FencingGuard,
     /// It got SIGTERM then, and ends as soon as it may.
     terminating: Option<u64>,
 }
@@ -74,7 +75,7 @@
 /// Bytes of a message, roughly.
 fn size(message: &Message) -> u64 {
     match message {
-        Message::SnapshotPart(part) => part.bytes.len() as u64 + 100,
+        Message::SnapshotChunk(part) => part.bytes.len() as u64 + 100,
         Message::Append { entries, .. } => {
             entries.iter().map(|entry| entry.payload.size() as u64 + 20).sum::<u64>() + 100
         }
@@ -96,8 +97,8 @@
 }
 
 impl Fleet {
-    /// `founders` machines that start as one group, and `others` with empty disks.
-    pub fn new(founders: usize, others: usize, seed: u64) -> Fleet {
+    /// `founders` machines that start as one group, and `joining` with empty disks.
+    pub fn new(founders: usize, joining: usize, seed: u64) -> Fleet {
         let voters: Vec<Member> = (0..founders).map(|machine| member(machine, machine as u64 + 1)).collect();
         let mut fleet = Fleet {
             now: 1_000,
@@ -116,11 +117,11 @@
             last_leader: None,
             leaders: BTreeMap::new(),
         };
-        for machine in 0..founders + others {
+        for machine in 0..founders + joining {
             let founder = machine < founders;
             let initial = if founder { Membership::of(voters.clone()) } else { Membership::default() };
             let id = if founder { StoreId(machine as u64 + 1) } else { StoreId(fleet.draw_store()) };
-            let disk = Durable { id: Some(id), initial, ..Durable::default() };
+            let disk = DurableState { id: Some(id), initial, ..DurableState::default() };
             fleet.machines.push(Machine {
                 replica: None,
                 disk,
@@ -132,7 +133,7 @@
                 entry_takes_us: 0,
                 busy_until: 0,
                 used_us: 0,
-                fence: Fence::default(),
+                fence: FencingGuard::default(),
                 terminating: None,
             });
             fleet.start(machine);
@@ -151,7 +152,7 @@
         let random = self.random.u64(..);
         let state = &mut self.machines[machine];
         state.applied = decode(&disk.snapshot.data);
-        state.fence = Fence::default();
+        state.fence = FencingGuard::default();
         state.fence.restore(disk.snapshot.leaders.clone());
         (state.frozen_until, state.busy_until) = (0, 0);
         state.replica = Some(Replica::new(me, Timing::default(), disk, self.now, random));
@@ -181,13 +182,13 @@
     pub fn wipe(&mut self, machine: usize) {
         self.stop(machine, 0);
         let id = StoreId(self.draw_store());
-        self.machines[machine].disk = Durable { id: Some(id), ..Durable::default() };
+        self.machines[machine].disk = DurableState { id: Some(id), ..DurableState::default() };
     }
 
     pub fn leader(&self) -> Option<usize> {
         let leaders = self.machines.iter().enumerate().filter(|(at, machine)| {
             !self.stands_still(*at)
-                && machine.replica.as_ref().is_some_and(|replica| replica.is_settled_leader())
+                && machine.replica.as_ref().is_some_and(|replica| replica.is_established_leader())
         });
         leaders.max_by_key(|(_, machine)| machine.replica.as_ref().map(Replica::term)).map(|(at, _)| at)
     }
@@ -261,7 +262,7 @@
 
     fn apply(&mut self, machine: usize, entry: Entry) {
         if let Payload::LeaderStart(name) = &entry.payload {
-            self.machines[machine].fence.led(name);
+            self.machines[machine].fence.record_leader(name);
         }
         let Payload::Command(command) = entry.payload else { return };
         self.machines[machine].applied.push((entry.index, command.clone()));
@@ -311,8 +312,8 @@
         self.flying.extend(came.into_iter().map(|((_, serial), message)| ((self.now + 1, serial), message)));
     }
 
-    /// Whether all of the group is there and has the leader's whole log, and no change of it is under way: another disk
-    /// may be lost.
+    /// Whether all of the group is there and has the leader's whole log, and no change of it is under way:
+    /// another disk may be lost.
     pub fn is_whole(&self) -> bool {
         let Some(leader) = self.leader() else { return false };
         let Some(replica) = self.machines[leader].replica.as_ref() else { return false };
@@ -356,12 +357,12 @@
         }
         let Some(replica) = self.machines[machine].replica.as_ref() else { return };
         let ends = match replica.departure() {
-            Departure::Free => true,
-            Departure::Replacing => self.now >= since + LEAVE_WITHIN,
-            Departure::Unanswered => self.now >= since + ANSWER_WITHIN,
+            Departure::Permitted => true,
+            Departure::AwaitingReplacement => self.now >= since + LEAVE_WITHIN,
+            Departure::AwaitingReply => self.now >= since + ANSWER_WITHIN,
         };
         if ends {
-            self.with(machine, |replica, now| replica.hand_over(now));
+            self.with(machine, |replica, now| replica.transfer_leadership(now));
             self.kill(machine);
         }
     }
@@ -405,7 +406,7 @@
                 self.flying.insert((self.runs_from(target), serial), (target, from, message));
                 continue;
             }
-            self.with(target, |replica, now| replica.hear(now, from, message));
+            self.with(target, |replica, now| replica.step(now, from, message));
         }
         for machine in 0..self.machines.len() {
             if self.is_frozen(machine) {
@@ -413,7 +414,9 @@
             }
             self.sync(machine);
             self.with(machine, |replica, now| replica.tick(now));
-            self.with(machine, |replica, now| group::step(replica, now).unwrap_or_default());
+            self.with(machine, |replica, now| {
+                membership_changes::reconcile(replica, now).unwrap_or_default()
+            });
             self.with(machine, |replica, _| replica.apply_more());
             if self.now.is_multiple_of(100) {
                 self.ask_to_join(machine);
@@ -442,7 +445,7 @@
             write.records.into_iter().for_each(|record| self.machines[machine].disk.apply(record));
             let me = member(machine, self.machines[machine].disk.id.unwrap().0);
             self.send(machine, &me, write.held);
-            self.with(machine, |replica, now| replica.saved(now, write.last_index));
+            self.with(machine, |replica, now| replica.on_persisted(now, write.last_index));
         }
     }
 
--- a/crates/coordination/tests/consensus.rs
+++ b/crates/coordination/tests/consensus.rs
@@ -1,10 +1,10 @@
 //! The rules of agreement, one by one.
 
-use pathbank_coordination::consensus::cursor::Cursor;
-use pathbank_coordination::consensus::election::{Ballot, LogPosition, Role, Standing, VoteRequest};
-use pathbank_coordination::consensus::lease::surely_over;
+use pathbank_coordination::consensus::election::{LogPosition, Role, VoteRequest, VoteTally, VoterState};
+use pathbank_coordination::consensus::lease::grantor_wait;
 use pathbank_coordination::consensus::log_tail::{LogEntry, LogTail};
-use pathbank_coordination::consensus::quorum::{has_majority, majority, may_commit, reached_by_majority};
+use pathbank_coordination::consensus::quorum::{has_majority, majority, majority_match_index, may_commit};
+use pathbank_coordination::consensus::replication_progress::ReplicationProgress;
 use pathbank_coordination::consensus::{Index, Term};
 use test_case::test_case;
 
@@ -23,12 +23,12 @@
     log
 }
 
-fn standing() -> Standing<u32> {
-    Standing {
+fn voter_state() -> VoterState<u32> {
+    VoterState {
         term: 5,
         voted_for: None,
         role: Role::Follower,
-        hears_leader: false,
+        has_live_leader: false,
         log: LogPosition { term: 4, index: 10 },
     }
 }
@@ -51,14 +51,14 @@
 #[test]
 fn nobody_agrees_on_nothing() {
     assert!(!has_majority(std::iter::empty::<u32>(), |_| true));
-    assert_eq!(reached_by_majority([]), 0);
+    assert_eq!(majority_match_index([]), 0);
 }
 
 #[test_case(&[5, 3, 9], 5; "the middle of three")]
 #[test_case(&[5, 3, 9, 7], 5; "what three of four have")]
 #[test_case(&[4], 4; "one alone")]
 fn an_index_is_reached_once_a_majority_has_it(reached: &[Index], expected: Index) {
-    assert_eq!(reached_by_majority(reached.iter().copied()), expected);
+    assert_eq!(majority_match_index(reached.iter().copied()), expected);
 }
 
 #[test_case(9, 8, Some(5), 5, true; "an entry of its own term")]
@@ -69,30 +69,30 @@
     assert_eq!(may_commit(reached, committed, term_of, term), may);
 }
 
-#[test_case(standing(), request(), true; "free and as new")]
-#[test_case(Standing { voted_for: Some(7), ..standing() }, request(), true; "the same vote again")]
-#[test_case(Standing { voted_for: Some(8), ..standing() }, request(), false; "voted for another one")]
-#[test_case(Standing { role: Role::Candidate, ..standing() }, request(), false; "stands itself")]
-#[test_case(Standing { term: 6, ..standing() }, request(), false; "a later term")]
-#[test_case(Standing { log: LogPosition { term: 4, index: 11 }, ..standing() }, request(), false; "a longer log")]
-#[test_case(Standing { log: LogPosition { term: 5, index: 1 }, ..standing() }, request(), false; "a later last entry")]
-#[test_case(Standing { log: LogPosition { term: 3, index: 99 }, ..standing() }, request(), true; "an older last entry")]
-#[test_case(Standing { hears_leader: true, ..standing() }, request(), true; "a leader does not bind here")]
-fn a_vote_is_given(standing: Standing<u32>, request: VoteRequest<u32>, granted: bool) {
-    assert_eq!(standing.grants(&request), granted);
+#[test_case(voter_state(), request(), true; "free and as new")]
+#[test_case(VoterState { voted_for: Some(7), ..voter_state() }, request(), true; "the same vote again")]
+#[test_case(VoterState { voted_for: Some(8), ..voter_state() }, request(), false; "voted for another one")]
+#[test_case(VoterState { role: Role::Candidate, ..voter_state() }, request(), false; "stands itself")]
+#[test_case(VoterState { term: 6, ..voter_state() }, request(), false; "a later term")]
+#[test_case(VoterState { log: LogPosition { term: 4, index: 11 }, ..voter_state() }, request(), false; "a longer log")]
+#[test_case(VoterState { log: LogPosition { term: 5, index: 1 }, ..voter_state() }, request(), false; "a later last entry")]
+#[test_case(VoterState { log: LogPosition { term: 3, index: 99 }, ..voter_state() }, request(), true; "an older last entry")]
+#[test_case(VoterState { has_live_leader: true, ..voter_state() }, request(), true; "a leader does not bind here")]
+fn a_vote_is_given(voter_state: VoterState<u32>, request: VoteRequest<u32>, granted: bool) {
+    assert_eq!(voter_state.grants(&request), granted);
 }
 
-#[test_case(standing(), 6, true; "a later term")]
-#[test_case(standing(), 5, false; "the term that it is in")]
-#[test_case(Standing { hears_leader: true, ..standing() }, 6, false; "it hears a leader")]
-#[test_case(Standing { voted_for: Some(8), ..standing() }, 6, true; "its vote in this term binds no question")]
-fn a_question_before_an_election_is_answered(standing: Standing<u32>, term: Term, granted: bool) {
-    assert_eq!(standing.grants(&VoteRequest { pre: true, term, ..request() }), granted);
+#[test_case(voter_state(), 6, true; "a later term")]
+#[test_case(voter_state(), 5, false; "the term that it is in")]
+#[test_case(VoterState { has_live_leader: true, ..voter_state() }, 6, false; "it hears a leader")]
+#[test_case(VoterState { voted_for: Some(8), ..voter_state() }, 6, true; "its vote in this term binds no question")]
+fn a_question_before_an_election_is_answered(voter_state: VoterState<u32>, term: Term, granted: bool) {
+    assert_eq!(voter_state.grants(&VoteRequest { pre: true, term, ..request() }), granted);
 }
 
 #[test]
 fn votes_count_for_the_role_that_asked() {
-    let mut ballot = Ballot::own(1);
+    let mut ballot = VoteTally::own(1);
     assert!(!ballot.grant(2, true, Role::Candidate), "an answer to the question before");
     assert!(!ballot.grant(2, false, Role::Leader));
     assert!(ballot.grant(2, false, Role::Candidate));
@@ -108,7 +108,7 @@
     assert_eq!(terms, [None, Some(1), Some(1), Some(2), None]);
     assert_eq!((log.entry(10), log.entry(11)), (None, Some(&Entry(1))));
     assert_eq!(
-        (log.entries_behind(11).len(), log.entries_behind(3).len(), log.entries_behind(99).len()),
+        (log.entries_after(11).len(), log.entries_after(3).len(), log.entries_after(99).len()),
         (1, 2, 0)
     );
 }
@@ -125,9 +125,9 @@
 #[test]
 fn what_is_dropped_keeps_its_last_term() {
     let mut log = log(0, &[1, 2, 3]);
-    log.drop_up_to(2);
+    log.compact_to(2);
     assert_eq!((log.base(), log.len()), (LogPosition { term: 2, index: 2 }, 1));
-    log.drop_up_to(99);
+    log.compact_to(99);
     assert_eq!(log.len(), 1, "an index that is not there changes nothing");
     log.reset(50, 9);
     assert_eq!((log.position(), log.is_empty()), (LogPosition { term: 9, index: 50 }, true));
@@ -139,24 +139,24 @@
 #[test_case(3, 1, &[9, 9], 2; "what is committed is never taken away")]
 fn of_a_leaders_entries_so_many_are_known(committed: Index, previous: Index, terms: &[Term], known: usize) {
     let entries: Vec<Entry> = terms.iter().map(|term| Entry(*term)).collect();
-    assert_eq!(log(0, &[1, 1, 2]).known_prefix(committed, previous, &entries), known);
+    assert_eq!(log(0, &[1, 1, 2]).matching_prefix(committed, previous, &entries), known);
 }
 
 #[test]
 fn a_leader_goes_back_no_further_than_what_matched() {
-    let mut cursor = Cursor::behind(20);
-    assert_eq!(cursor, Cursor { next: 21, matched: 0 });
+    let mut cursor = ReplicationProgress::behind(20);
+    assert_eq!(cursor, ReplicationProgress { next: 21, matched: 0 });
     cursor.rejected(11);
     assert_eq!(cursor.next, 11);
     cursor.accepted(12);
-    assert_eq!(cursor, Cursor { next: 13, matched: 12 });
+    assert_eq!(cursor, ReplicationProgress { next: 13, matched: 12 });
     cursor.rejected(5);
     assert_eq!(cursor.next, 13, "a late refusal");
     cursor.next = 30;
     cursor.accepted(11);
     assert_eq!(
         cursor,
-        Cursor { next: 30, matched: 12 },
+        ReplicationProgress { next: 30, matched: 12 },
         "a late answer; what was sent ahead is not sent again"
     );
     cursor.go_back();
@@ -167,5 +167,5 @@
 #[test_case(1_000, 100_000, 1_223; "a tenth fast and a tenth slow")]
 #[test_case(u64::MAX / 2, 10_000, u64::MAX / 2 / 99 * 101 + 102; "no overflow")]
 fn a_lease_is_surely_over(lease: u64, drift_ppm: u64, expected: u64) {
-    assert!(surely_over(lease, drift_ppm).abs_diff(expected) <= 1 + expected / 1_000_000);
+    assert!(grantor_wait(lease, drift_ppm).abs_diff(expected) <= 1 + expected / 1_000_000);
 }
--- a/crates/coordination/tests/disk.rs
+++ b/crates/coordination/tests/disk.rs
@@ -1,9 +1,9 @@
 //! The file of records: what a loss of power, a torn write or a refused one leaves.
 
-use pathbank_coordination::batch::{Ending, UnreadableLog, decode, encode};
-use pathbank_coordination::fencing::Fence;
-use pathbank_coordination::record::{Durable, Record};
-use pathbank_coordination::store::{DAMAGED_FILE, LogFile, Opened};
+use pathbank_coordination::batch::{TailState, UnreadableLog, decode, encode};
+use pathbank_coordination::fencing::FencingGuard;
+use pathbank_coordination::record::{DurableState, Record};
+use pathbank_coordination::store::{DAMAGED_FILE, LogFile, OpenedLog};
 use pathbank_coordination::types::{Entry, Membership, Payload, Snapshot, StoreId};
 use std::fs;
 use std::path::PathBuf;
@@ -41,7 +41,7 @@
 fn what_was_saved_is_read_back() {
     let folder = Folder::new("saved");
     let (mut log, empty) = LogFile::open(&folder.0).unwrap();
-    assert_eq!(empty, Opened::default());
+    assert_eq!(empty, OpenedLog::default());
     log.append(&[identity(), Record::Vote { term: 3, voted_for: Some(StoreId(5)) }]).unwrap();
     log.append(&[entry(1, 3), entry(2, 3), entry(2, 4)]).unwrap();
     drop(log);
@@ -63,8 +63,8 @@
     let length = log.length();
     drop(log);
     fs::OpenOptions::new().write(true).open(folder.log()).unwrap().set_len(length - torn).unwrap();
-    let (mut log, Opened { durable, lost_a_store }) = LogFile::open(&folder.0).unwrap();
-    assert!(!lost_a_store, "a torn end is no damage");
+    let (mut log, OpenedLog { durable, previous_store_lost }) = LogFile::open(&folder.0).unwrap();
+    assert!(!previous_store_lost, "a torn end is no damage");
     assert_eq!(durable.last_index(), 1);
     log.append(&[entry(2, 2)]).unwrap();
     drop(log);
@@ -91,7 +91,11 @@
         fs::write(folder.log(), &bytes).unwrap();
         let _ = fs::remove_file(folder.0.join(DAMAGED_FILE));
         let (_, opened) = LogFile::open(&folder.0).unwrap();
-        assert_eq!(opened, Opened { durable: Durable::default(), lost_a_store: true }, "byte {at}");
+        assert_eq!(
+            opened,
+            OpenedLog { durable: DurableState::default(), previous_store_lost: true },
+            "byte {at}"
+        );
         assert_eq!(fs::read(folder.0.join(DAMAGED_FILE)).unwrap(), bytes, "the file is kept aside");
     }
 }
@@ -104,7 +108,7 @@
     bytes[at] ^= 1;
     fs::write(folder.log(), &bytes).unwrap();
     let (_, opened) = LogFile::open(&folder.0).unwrap();
-    assert_eq!((opened.durable.last_index(), opened.lost_a_store), (8, false));
+    assert_eq!((opened.durable.last_index(), opened.previous_store_lost), (8, false));
 }
 
 #[test]
@@ -113,7 +117,7 @@
     let mut bytes = ten_batches(&folder);
     bytes[60..190].fill(0);
     fs::write(folder.log(), &bytes).unwrap();
-    assert!(LogFile::open(&folder.0).unwrap().1.lost_a_store);
+    assert!(LogFile::open(&folder.0).unwrap().1.previous_store_lost);
 }
 
 #[test]
@@ -129,7 +133,7 @@
     fs::write(folder.log(), &bytes).unwrap();
     let (_, opened) = LogFile::open(&folder.0).unwrap();
     assert_eq!((opened.durable.id, opened.durable.last_index()), (Some(StoreId(5)), 0));
-    assert!(!opened.lost_a_store);
+    assert!(!opened.previous_store_lost);
 }
 
 #[test]
@@ -139,11 +143,11 @@
     bytes[40] ^= 4;
     fs::write(folder.log(), &bytes).unwrap();
     let (mut log, opened) = LogFile::open(&folder.0).unwrap();
-    assert!(opened.lost_a_store);
+    assert!(opened.previous_store_lost);
     drop(LogFile::open(&folder.0).unwrap());
     log.append(&[Record::Identity { id: StoreId(9), initial: Membership::default() }]).unwrap();
     let (_, opened) = LogFile::open(&folder.0).unwrap();
-    assert_eq!((opened.durable.id, opened.lost_a_store), (Some(StoreId(9)), true));
+    assert_eq!((opened.durable.id, opened.previous_store_lost), (Some(StoreId(9)), true));
 }
 
 #[test]
@@ -177,14 +181,14 @@
     assert_eq!((opened.durable.id, opened.durable.last_index()), (Some(StoreId(5)), 2));
     log.append(&[entry(3, 1)]).unwrap();
     let contents = decode(&fs::read(folder.log()).unwrap()).unwrap();
-    assert_eq!((contents.ending, contents.is_first_format), (Ending::Whole, false));
+    assert_eq!((contents.tail, contents.is_legacy_format), (TailState::Complete, false));
     assert_eq!(LogFile::open(&folder.0).unwrap().1.durable.last_index(), 3);
 }
 
 #[test]
 fn a_rewritten_file_holds_the_state_and_takes_more() {
     let folder = Folder::new("rewrite");
-    let (mut log, Opened { mut durable, .. }) = LogFile::open(&folder.0).unwrap();
+    let (mut log, OpenedLog { mut durable, .. }) = LogFile::open(&folder.0).unwrap();
     let mut save = |log: &mut LogFile, records: Vec<Record>| {
         log.append(&records).unwrap();
         records.into_iter().for_each(|record| durable.apply(record));
@@ -216,7 +220,7 @@
 
 #[test]
 fn entries_replace_those_behind_them() {
-    let mut durable = Durable::default();
+    let mut durable = DurableState::default();
     (1..6).for_each(|index| durable.apply(entry(index, 1)));
     durable.apply(entry(3, 2));
     assert_eq!((durable.last_index(), durable.position().term), (3, 2));
@@ -226,8 +230,8 @@
 
 #[test]
 fn a_leader_acts_within_its_lease_with_its_term_as_token() {
-    let mut fence = Fence::default();
-    fence.led("a");
+    let mut fence = FencingGuard::default();
+    fence.record_leader("a");
     assert_eq!(fence.permit("a", 4, 900, 3_000, 1_000), None, "the lease is over");
     let permit = fence.permit("a", 4, 1_500, 3_000, 1_000).unwrap();
     assert_eq!((permit.fencing_token, permit.until), (4, 1_500));
@@ -235,8 +239,8 @@
 
 #[test]
 fn a_leader_that_comes_back_waits_until_turns_are_apart() {
-    let mut fence = Fence::default();
-    ["a", "b", "a"].iter().for_each(|name| fence.led(name));
+    let mut fence = FencingGuard::default();
+    ["a", "b", "a"].iter().for_each(|name| fence.record_leader(name));
     assert_eq!(fence.permit("a", 7, 9_000, 3_000, 1_000), None);
     assert_eq!(fence.permit("a", 7, 9_000, 3_000, 3_999), None);
     assert!(fence.permit("a", 7, 9_000, 3_000, 4_000).is_some());
@@ -244,9 +248,9 @@
 
 #[test]
 fn a_new_leader_acts_at_once_and_one_that_is_chosen_again_does_too() {
-    let mut fence = Fence::default();
-    ["a", "b"].iter().for_each(|name| fence.led(name));
+    let mut fence = FencingGuard::default();
+    ["a", "b"].iter().for_each(|name| fence.record_leader(name));
     assert!(fence.permit("b", 2, 9_000, 3_000, 1_000).is_some());
-    fence.led("b");
+    fence.record_leader("b");
     assert!(fence.permit("b", 3, 9_000, 3_000, 1_001).is_some(), "nobody acted in between");
 }
--- a/crates/coordination/tests/replacements.rs
+++ b/crates/coordination/tests/replacements.rs
@@ -1,5 +1,5 @@
-//! Members that come, leave and are replaced, with a further loss at every moment beside it: as long as no more is lost
-//! than a group bears, a leader comes back and nothing acknowledged is lost.
+//! Members that come, leave and are replaced, with a further loss at every moment beside it: as long as no
+//! more is lost than a group bears, a leader comes back and nothing acknowledged is lost.
 
 mod common;
 
@@ -60,7 +60,8 @@
     acknowledge(fleet, 1);
 }
 
-/// A planned replacement: the new machine first, then SIGTERM at the old one; behind it the loss of another voter.
+/// A planned replacement: the new machine first, then SIGTERM at the old one; behind it the loss of another
+/// voter.
 #[test_case(300; "0.3 s after the new one started")]
 #[test_case(1_000; "1 s after")]
 #[test_case(2_000; "2 s after")]
--- a/crates/coordination/tests/snapshots.rs
+++ b/crates/coordination/tests/snapshots.rs
@@ -1,12 +1,13 @@
-//! Snapshots on their way: in parts, resumed, one at a time, behind heartbeats; and what a follower keeps beside them.
+//! Snapshots on their way: in parts, resumed, one at a time, behind heartbeats; and what a follower keeps
+//! beside them.
 
 mod common;
 
 use common::{Fleet, member};
-use pathbank_coordination::record::{Durable, Record};
-use pathbank_coordination::replica::{Effects, PART_BYTES, Replica, Timing};
+use pathbank_coordination::record::{DurableState, Record};
+use pathbank_coordination::replica::{Effects, Replica, SNAPSHOT_CHUNK_BYTES, Timing};
 use pathbank_coordination::types::{
-    Entry, Member, Membership, Message, Payload, Snapshot, SnapshotId, SnapshotPart, StoreId,
+    Entry, Member, Membership, Message, Payload, Snapshot, SnapshotChunk, SnapshotId, StoreId,
 };
 use test_case::test_case;
 
@@ -15,7 +16,8 @@
 }
 
 fn follower() -> Replica {
-    let durable = Durable { id: Some(StoreId(1)), initial: Membership::of(voters()), ..Durable::default() };
+    let durable =
+        DurableState { id: Some(StoreId(1)), initial: Membership::of(voters()), ..DurableState::default() };
     Replica::new(member(0, 1), Timing::default(), durable, 0, 3)
 }
 
@@ -32,7 +34,7 @@
         commit,
         sent_at: 10,
     };
-    replica.hear(10, voters()[1].clone(), message)
+    replica.step(10, voters()[1].clone(), message)
 }
 
 fn encoded(index: u64, term: u64, size: usize) -> (SnapshotId, Vec<u8>) {
@@ -43,8 +45,8 @@
 }
 
 fn part(replica: &mut Replica, id: SnapshotId, offset: usize, bytes: &[u8]) -> Effects {
-    let part = SnapshotPart { term: 3, id, offset: offset as u64, bytes: bytes.to_vec(), sent_at: 20 };
-    replica.hear(20, voters()[1].clone(), Message::SnapshotPart(part))
+    let part = SnapshotChunk { term: 3, id, offset: offset as u64, bytes: bytes.to_vec(), sent_at: 20 };
+    replica.step(20, voters()[1].clone(), Message::SnapshotChunk(part))
 }
 
 fn received(effects: &Effects) -> Option<u64> {
@@ -142,7 +144,7 @@
     let behind = (0..3).find(|machine| Some(*machine) != fleet.leader()).unwrap();
     fleet.kill(behind);
     for _ in 0..16 {
-        assert!(fleet.propose(&vec![1; PART_BYTES]));
+        assert!(fleet.propose(&vec![1; SNAPSHOT_CHUNK_BYTES]));
         fleet.run(30);
     }
     (0..3).for_each(|machine| fleet.compact(machine));
--- a/crates/coordination/tests/stored_form.rs
+++ b/crates/coordination/tests/stored_form.rs
@@ -2,8 +2,8 @@
 
 use pathbank_coordination::gossip::datagram::{Datagram, Key, Say};
 use pathbank_coordination::gossip::{self, About, Incarnation, Number, State};
-use pathbank_coordination::record::{Durable, Record};
-use pathbank_coordination::store::{DAMAGED_FILE, LogFile, Opened};
+use pathbank_coordination::record::{DurableState, Record};
+use pathbank_coordination::store::{DAMAGED_FILE, LogFile, OpenedLog};
 use pathbank_coordination::types::{Entry, Member, Membership, Payload, Snapshot, StoreId};
 use std::fs;
 use std::path::{Path, PathBuf};
@@ -63,7 +63,7 @@
 }
 
 /// What the log was first written with: the state up to a snapshot, and one entry after it.
-fn compacted() -> Durable {
+fn compacted() -> DurableState {
     let initial = Membership::of(members([1, 2, 3]));
     let snapshot = Snapshot {
         index: 4,
@@ -72,7 +72,7 @@
         leaders: vec!["core-3".into(), "core-1".into()],
         data: b"state at 4".to_vec(),
     };
-    let mut durable = Durable { id: Some(StoreId(2)), initial, ..Durable::default() };
+    let mut durable = DurableState { id: Some(StoreId(2)), initial, ..DurableState::default() };
     durable.apply(Record::Vote { term: 3, voted_for: Some(StoreId(1)) });
     durable.apply(Record::Snapshot { snapshot, keep_tail: false });
     durable.apply(command(5, 3));
@@ -93,7 +93,7 @@
     ]
 }
 
-fn state_after(appended: usize) -> Durable {
+fn state_after(appended: usize) -> DurableState {
     let mut durable = compacted();
     batches().into_iter().take(appended).flatten().for_each(|record| durable.apply(record));
     durable
@@ -103,7 +103,7 @@
 fn a_log_of_an_earlier_release_is_read() {
     let directory = DataDirectory::with_log("replica.log");
     let (mut log, opened) = LogFile::open(&directory.0).unwrap();
-    assert_eq!(opened, Opened { durable: state_after(4), lost_a_store: false });
+    assert_eq!(opened, OpenedLog { durable: state_after(4), previous_store_lost: false });
     assert_eq!(opened.durable.last_index(), 9);
     log.append(&[command(10, 4)]).unwrap();
     assert_eq!(LogFile::open(&directory.0).unwrap().1.durable.last_index(), 10);
@@ -123,7 +123,7 @@
 fn a_log_that_is_damaged_at_its_tail_ends_before_the_last_batch(name: &str) {
     let directory = DataDirectory::with_log(name);
     let (log, opened) = LogFile::open(&directory.0).unwrap();
-    assert_eq!(opened, Opened { durable: state_after(3), lost_a_store: false });
+    assert_eq!(opened, OpenedLog { durable: state_after(3), previous_store_lost: false });
     let intact = log.length() as usize;
     assert_eq!(fs::read(directory.log()).unwrap(), fixture("replica.log")[..intact]);
 }
@@ -132,7 +132,7 @@
 fn a_log_that_is_damaged_before_its_tail_is_a_lost_store() {
     let directory = DataDirectory::with_log("damaged.log");
     let (_, opened) = LogFile::open(&directory.0).unwrap();
-    assert_eq!(opened, Opened { durable: Durable::default(), lost_a_store: true });
+    assert_eq!(opened, OpenedLog { durable: DurableState::default(), previous_store_lost: true });
     assert_eq!(fs::read(directory.0.join(DAMAGED_FILE)).unwrap(), fixture("damaged.log"));
 }
 
--- a/crates/coordination/tests/stories.rs
+++ b/crates/coordination/tests/stories.rs
@@ -5,8 +5,8 @@
 use common::Fleet;
 use test_case::test_case;
 
-fn given_a_led_group(founders: usize, others: usize, seed: u64) -> Fleet {
-    let mut fleet = Fleet::new(founders, others, seed);
+fn given_a_led_group(founders: usize, joining: usize, seed: u64) -> Fleet {
+    let mut fleet = Fleet::new(founders, joining, seed);
     assert!(fleet.run_until_led(4_000), "a leader");
     fleet.run(1_000);
     fleet
--- a/crates/coordination/tests/votes.rs
+++ b/crates/coordination/tests/votes.rs
@@ -3,7 +3,7 @@
 mod common;
 
 use common::member;
-use pathbank_coordination::record::{Durable, Record};
+use pathbank_coordination::record::{DurableState, Record};
 use pathbank_coordination::replica::{Effects, Replica, Role, Timing};
 use pathbank_coordination::types::{Entry, Member, Membership, Message, Payload, StoreId};
 
@@ -11,17 +11,18 @@
     (0..3).map(|machine| member(machine, machine as u64 + 1)).collect()
 }
 
-fn durable() -> Durable {
-    Durable { id: Some(StoreId(1)), initial: Membership::of(voters()), ..Durable::default() }
+fn durable() -> DurableState {
+    DurableState { id: Some(StoreId(1)), initial: Membership::of(voters()), ..DurableState::default() }
 }
 
-fn replica(durable: Durable, now: u64) -> Replica {
+fn replica(durable: DurableState, now: u64) -> Replica {
     Replica::new(member(0, 1), Timing::default(), durable, now, 3)
 }
 
 fn ask(replica: &mut Replica, now: u64, from: usize, term: u64) -> Effects {
-    let request = Message::VoteRequest { term, pre: false, handover: false, last_index: 0, last_term: 0 };
-    replica.hear(now, voters()[from].clone(), request)
+    let request =
+        Message::VoteRequest { term, pre: false, leadership_transfer: false, last_index: 0, last_term: 0 };
+    replica.step(now, voters()[from].clone(), request)
 }
 
 fn granted(effects: &Effects) -> bool {
@@ -51,11 +52,11 @@
 
 #[test]
 fn after_a_restart_no_vote_is_given_for_as_long_as_a_leader_may_hold_its_lease() {
-    let mut voter = replica(Durable { term: 4, ..durable() }, 1_000);
+    let mut voter = replica(DurableState { term: 4, ..durable() }, 1_000);
     let timing = Timing::default();
-    assert!(timing.lease < timing.election);
-    assert!(!granted(&ask(&mut voter, 1_000 + timing.election - 1, 1, 5)));
-    assert!(granted(&ask(&mut voter, 1_000 + timing.election, 1, 5)));
+    assert!(timing.lease_ms < timing.election_timeout_ms);
+    assert!(!granted(&ask(&mut voter, 1_000 + timing.election_timeout_ms - 1, 1, 5)));
+    assert!(granted(&ask(&mut voter, 1_000 + timing.election_timeout_ms, 1, 5)));
 }
 
 #[test]
@@ -69,21 +70,21 @@
         commit: 0,
         sent_at: 500,
     };
-    voter.hear(500, voters()[1].clone(), append);
-    assert!(!granted(&ask(&mut voter, 500 + Timing::default().election - 1, 2, 9)));
+    voter.step(500, voters()[1].clone(), append);
+    assert!(!granted(&ask(&mut voter, 500 + Timing::default().election_timeout_ms - 1, 2, 9)));
     assert_eq!(voter.term(), 3, "and its term stays");
 }
 
 #[test]
 fn a_replica_outside_the_group_never_stands_for_election() {
-    let mut joiner = replica(Durable { id: Some(StoreId(9)), ..Durable::default() }, 0);
+    let mut joiner = replica(DurableState { id: Some(StoreId(9)), ..DurableState::default() }, 0);
     (0..5_000).step_by(20).for_each(|now| assert!(joiner.tick(now).messages.is_empty()));
     assert_eq!(joiner.role(), Role::Follower);
 }
 
 #[test]
 fn a_replica_whose_disk_takes_nothing_leads_nobody() {
-    let mut alone = Durable { id: Some(StoreId(1)), ..Durable::default() };
+    let mut alone = DurableState { id: Some(StoreId(1)), ..DurableState::default() };
     alone.initial = Membership::of(vec![member(0, 1)]);
     let mut replica = replica(alone, 0);
     replica.tick(2_000);
@@ -117,19 +118,19 @@
         commit,
         sent_at: now,
     };
-    replica.hear(now, voters()[1].clone(), message);
+    replica.step(now, voters()[1].clone(), message);
 }
 
 fn restarted_with_two_entries() -> Replica {
-    let mut log = Durable { term: 4, ..durable() };
+    let mut log = DurableState { term: 4, ..durable() };
     for index in 1..=2 {
         log.apply(Record::Entry(Entry { index, term: 4, payload: Payload::Command(vec![1]) }));
     }
     replica(log, 0)
 }
 
-/// After a loss of power everywhere a new leader does not know yet how far the log was committed: a follower that has
-/// applied all that such a leader tells may still be behind what was acknowledged.
+/// After a loss of power everywhere a new leader does not know yet how far the log was committed: a follower
+/// that has applied all that such a leader tells may still be behind what was acknowledged.
 #[test]
 fn a_follower_of_a_leader_that_has_only_begun_is_not_current() {
     let silence = 1_500;
@@ -147,7 +148,7 @@
         commit: 3,
         sent_at: 1_100,
     };
-    follower.hear(1_100, voters()[1].clone(), message);
+    follower.step(1_100, voters()[1].clone(), message);
     assert!(follower.is_current(1_110, silence));
     assert!(!follower.is_current(1_100 + silence, silence), "nor is one that hears nobody any more");
 }
@@ -156,8 +157,8 @@
 fn a_leader_that_fell_silent_is_no_longer_named() {
     let mut follower = restarted_with_two_entries();
     heartbeat(&mut follower, 1_000, 5, 1);
-    assert_eq!(follower.live_leader(2_499, 1_500).map(|leader| leader.id), Some(StoreId(2)));
-    assert_eq!(follower.live_leader(2_500, 1_500), None);
+    assert_eq!(follower.leader_within(2_499, 1_500).map(|leader| leader.id), Some(StoreId(2)));
+    assert_eq!(follower.leader_within(2_500, 1_500), None);
 }
 
 #[test]
@@ -165,12 +166,12 @@
     let mut leader = replica(durable(), 0);
     leader.tick(2_000);
     let grant = |term, pre| Message::VoteReply { term, pre, granted: true };
-    leader.hear(2_010, voters()[1].clone(), grant(1, true));
-    leader.hear(2_020, voters()[1].clone(), grant(1, false));
-    leader.saved(2_025, 1);
+    leader.step(2_010, voters()[1].clone(), grant(1, true));
+    leader.step(2_020, voters()[1].clone(), grant(1, false));
+    leader.on_persisted(2_025, 1);
     let reply = Message::AppendReply { term: 1, accepted: true, index: 1, sent_at: 2_020 };
-    leader.hear(2_030, voters()[1].clone(), reply);
-    assert!(leader.is_settled_leader() && leader.is_current(2_319, 1_500));
+    leader.step(2_030, voters()[1].clone(), reply);
+    assert!(leader.is_established_leader() && leader.is_current(2_319, 1_500));
     assert!(!leader.is_current(2_320, 1_500), "0.3 s after what a majority answered was sent");
-    assert!(leader.is_settled_leader(), "although it has not stepped down yet");
+    assert!(leader.is_established_leader(), "although it has not stepped down yet");
 }
--- a/crates/protocol/src/read.rs
+++ b/crates/protocol/src/read.rs
@@ -9,7 +9,7 @@
 use capnp::message::ReaderOptions;
 use capnp::serialize;
 use pathbank_coordination::types::{
-    Entry, Member, Membership, Message, Payload, SnapshotId, SnapshotPart, StoreId, Term,
+    Entry, Member, Membership, Message, Payload, SnapshotChunk, SnapshotId, StoreId, Term,
 };
 
 type Read<T> = Result<T, DecodeError>;
@@ -162,9 +162,9 @@
 fn read_snapshot_part(
     term: Term,
     part: wire::replica_message::snapshot_part::Reader<'_>,
-) -> Read<SnapshotPart> {
+) -> Read<SnapshotChunk> {
     let id = part.get_id()?;
-    Ok(SnapshotPart {
+    Ok(SnapshotChunk {
         term,
         id: SnapshotId { index: id.get_index(), length: id.get_length(), checksum: id.get_checksum() },
         offset: part.get_offset(),
@@ -181,7 +181,7 @@
         Which::VoteRequest(request) => Message::VoteRequest {
             term,
             pre: request.get_pre(),
-            handover: request.get_handover(),
+            leadership_transfer: request.get_handover(),
             last_index: request.get_last_index(),
             last_term: request.get_last_term(),
         },
@@ -205,7 +205,7 @@
         Which::ObsoleteInstallSnapshot(_) => {
             return Err(capnp::Error::unimplemented("a whole snapshot in one message".into()).into());
         }
-        Which::SnapshotPart(part) => Message::SnapshotPart(read_snapshot_part(term, part)?),
+        Which::SnapshotPart(part) => Message::SnapshotChunk(read_snapshot_part(term, part)?),
         Which::SnapshotReply(reply) => Message::SnapshotReply {
             term,
             index: reply.get_index(),
@@ -215,7 +215,7 @@
         Which::CampaignNow(()) => Message::CampaignNow { term },
         Which::Join(()) => Message::Join,
         Which::Leave(()) => Message::Leave,
-        Which::LeaveReply(reply) => Message::LeaveReply { term, waits: reply.get_waits() },
+        Which::LeaveReply(reply) => Message::LeaveReply { term, replacing: reply.get_waits() },
     };
     Ok((from, message))
 }
--- a/crates/protocol/src/write.rs
+++ b/crates/protocol/src/write.rs
@@ -4,7 +4,7 @@
 
 use crate::internal_capnp as wire;
 use crate::message::*;
-use pathbank_coordination::types::{Entry, Member, Membership, Message, Payload, SnapshotPart};
+use pathbank_coordination::types::{Entry, Member, Membership, Message, Payload, SnapshotChunk};
 
 /// Writes each item of a slice into a list of the same length.
 macro_rules! write_list {
@@ -134,7 +134,7 @@
     }
 }
 
-fn write_snapshot_part(part: &SnapshotPart, mut out: wire::replica_message::snapshot_part::Builder<'_>) {
+fn write_snapshot_part(part: &SnapshotChunk, mut out: wire::replica_message::snapshot_part::Builder<'_>) {
     out.set_offset(part.offset);
     out.set_bytes(&part.bytes);
     out.set_sent_at(part.sent_at);
@@ -147,11 +147,11 @@
 fn write_replica(from: &Member, message: &Message, mut out: wire::replica_message::Builder<'_>) {
     write_member(from, out.reborrow().init_from());
     match message {
-        Message::VoteRequest { term, pre, handover, last_index, last_term } => {
+        Message::VoteRequest { term, pre, leadership_transfer, last_index, last_term } => {
             out.set_term(*term);
             let mut request = out.init_vote_request();
             request.set_pre(*pre);
-            request.set_handover(*handover);
+            request.set_handover(*leadership_transfer);
             request.set_last_index(*last_index);
             request.set_last_term(*last_term);
         }
@@ -177,7 +177,7 @@
             reply.set_index(*index);
             reply.set_sent_at(*sent_at);
         }
-        Message::SnapshotPart(part) => {
+        Message::SnapshotChunk(part) => {
             out.set_term(part.term);
             write_snapshot_part(part, out.init_snapshot_part());
         }
@@ -194,9 +194,9 @@
         }
         Message::Join => out.set_join(()),
         Message::Leave => out.set_leave(()),
-        Message::LeaveReply { term, waits } => {
+        Message::LeaveReply { term, replacing } => {
             out.set_term(*term);
-            out.init_leave_reply().set_waits(*waits);
+            out.init_leave_reply().set_waits(*replacing);
         }
     }
 }
--- a/crates/protocol/tests/common/mod.rs
+++ b/crates/protocol/tests/common/mod.rs
@@ -3,7 +3,7 @@
 #![allow(dead_code, reason = "each test file uses some of them")]
 
 use pathbank_coordination::types::{
-    Entry, Member, Membership, Message, Payload, SnapshotId, SnapshotPart, StoreId,
+    Entry, Member, Membership, Message, Payload, SnapshotChunk, SnapshotId, StoreId,
 };
 use pathbank_protocol::message::*;
 
@@ -136,7 +136,7 @@
 
 pub fn snapshot_part() -> Message {
     let id = SnapshotId { index: 5, length: 700, checksum: 0xdead_beef };
-    Message::SnapshotPart(SnapshotPart { term: 3, id, offset: 400, bytes: vec![9; 300], sent_at: 5 })
+    Message::SnapshotChunk(SnapshotChunk { term: 3, id, offset: 400, bytes: vec![9; 300], sent_at: 5 })
 }
 
 pub fn hello(reads_compressed: bool) -> Hello {
@@ -147,7 +147,7 @@
 pub fn samples() -> Vec<(&'static str, Frame)> {
     let core_hello = Hello { role: ProcessRole::Core, ..hello(false) };
     let vote_request =
-        Message::VoteRequest { term: 1, pre: true, handover: false, last_index: 2, last_term: 1 };
+        Message::VoteRequest { term: 1, pre: true, leadership_transfer: false, last_index: 2, last_term: 1 };
     let update = ConfigurationUpdate { index: 3, base_index: 2, document: b"{}".to_vec() };
     let ready = ModelServer { state: ModelServerState::Ready, busy: false, models: Vec::new(), ..server() };
     let removed = ModelServer { state: ModelServerState::Removed, ..ready.clone() };
@@ -165,7 +165,7 @@
         ("campaign_now", replica(Message::CampaignNow { term: 4 })),
         ("join", replica(Message::Join)),
         ("leave", replica(Message::Leave)),
-        ("leave_reply", replica(Message::LeaveReply { term: 3, waits: true })),
+        ("leave_reply", replica(Message::LeaveReply { term: 3, replacing: true })),
         ("core", Frame::Core(core_status())),
         ("configuration", Frame::Configuration(update)),
         ("model_servers", Frame::ModelServers(ModelServerUpdate { complete: true, servers })),
--- a/crates/system/src/core/disk.rs
+++ b/crates/system/src/core/disk.rs
@@ -5,8 +5,8 @@
 use crate::settings::Settings;
 use anyhow::{Context, Result};
 use pathbank_coordination::digest::digest;
-use pathbank_coordination::record::{Durable, Record};
-use pathbank_coordination::store::{LogFile, Opened};
+use pathbank_coordination::record::{DurableState, Record};
+use pathbank_coordination::store::{LogFile, OpenedLog};
 use pathbank_coordination::types::{Index, Member, Membership, StoreId};
 use std::net::SocketAddr;
 use std::sync::mpsc;
@@ -18,7 +18,7 @@
 
 enum Write {
     Append { records: Vec<Record>, ticket: u64, last_index: Index },
-    Rewrite { durable: Box<Durable>, ticket: u64 },
+    Rewrite { durable: Box<DurableState>, ticket: u64 },
 }
 
 /// The replica's disk.
@@ -26,7 +26,7 @@
     writes: mpsc::Sender<Write>,
     next_ticket: u64,
     /// What the disk held at the start.
-    pub durable: Durable,
+    pub durable: DurableState,
     /// This replica.
     pub me: Member,
 }
@@ -36,9 +36,9 @@
     pub fn open(settings: &Settings, control: SocketAddr, events: UnboundedSender<Event>) -> Result<Disk> {
         let folder = settings.data_dir.clone().context("data_dir is missing")?;
         let (mut log, opened) = LogFile::open(&folder).with_context(|| folder.display().to_string())?;
-        let Opened { mut durable, lost_a_store } = opened;
+        let OpenedLog { mut durable, previous_store_lost } = opened;
         if durable.id.is_none() {
-            let identity = first_identity(settings, control, lost_a_store);
+            let identity = first_identity(settings, control, previous_store_lost);
             log.append(std::slice::from_ref(&identity)).context("the first record cannot be saved")?;
             durable.apply(identity);
         }
@@ -62,7 +62,7 @@
     }
 
     /// Replaces the file by the whole state, which holds all that was handed over before.
-    pub fn rewrite(&mut self, durable: Durable) -> u64 {
+    pub fn rewrite(&mut self, durable: DurableState) -> u64 {
         let ticket = self.take_ticket();
         let _ = self.writes.send(Write::Rewrite { durable: Box::new(durable), ticket });
         ticket
@@ -76,10 +76,10 @@
 
 /// Whose store an empty disk becomes. At the very first start of the system the seeds are its voters, and
 /// each knows its number among them; any other store gets a number of its own, and joins. So does one that
-/// begins where another was lost (`lost_a_store`): under the founder's number it could vote a second time,
+/// begins where another was lost (`previous_store_lost`): under the founder's number it could vote a second time,
 /// with nothing of what it had acknowledged.
-fn first_identity(settings: &Settings, control: SocketAddr, lost_a_store: bool) -> Record {
-    let is_founder = settings.bootstrap && settings.seeds.contains(&control) && !lost_a_store;
+fn first_identity(settings: &Settings, control: SocketAddr, previous_store_lost: bool) -> Record {
+    let is_founder = settings.bootstrap && settings.seeds.contains(&control) && !previous_store_lost;
     if !is_founder {
         return Record::Identity { id: StoreId(clock::entropy() | 1), initial: Membership::default() };
     }
--- a/crates/system/src/core/node.rs
+++ b/crates/system/src/core/node.rs
@@ -29,8 +29,8 @@
 use pathbank_control::pending_changes::PendingChanges;
 use pathbank_control::state::{Command, ControlState, StateError};
 use pathbank_control::usage::UsageLedger;
-use pathbank_coordination::fencing::Fence;
-use pathbank_coordination::record::Durable;
+use pathbank_coordination::fencing::FencingGuard;
+use pathbank_coordination::record::DurableState;
 use pathbank_coordination::replica::{Departure, Replica, Timing};
 use pathbank_coordination::types::{Payload, StoreId};
 use pathbank_protocol::codec::SharedMessage;
@@ -122,7 +122,7 @@
 }
 
 /// Every command of the log has to be one that this program knows.
-fn check_commands(durable: &Durable) -> Result<()> {
+fn check_commands(durable: &DurableState) -> Result<()> {
     for entry in durable.log.entries() {
         if let Payload::Command(bytes) = &entry.payload {
             Command::decode(bytes).with_context(|| format!("entry {} of this disk's log", entry.index))?;
@@ -153,7 +153,7 @@
         let snapshot = disk.durable.snapshot.clone();
         let state = ControlState::decode(&snapshot.data).context("state of this disk's snapshot")?;
         check_commands(&disk.durable)?;
-        let mut fence = Fence::default();
+        let mut fence = FencingGuard::default();
         fence.restore(snapshot.leaders);
         let replica =
             Replica::new(disk.me.clone(), Timing::default(), disk.durable.clone(), now, incarnation);
@@ -203,11 +203,11 @@
     pub fn may_end(&self, now: u64) -> bool {
         let Some(since) = self.stopping_since else { return false };
         match self.replication.replica.departure() {
-            Departure::Free => true,
-            Departure::Replacing => {
+            Departure::Permitted => true,
+            Departure::AwaitingReplacement => {
                 now >= since + (self.settings.bounds.grace_ms / 2).min(REPLACEMENT_TIMEOUT_MS)
             }
-            Departure::Unanswered => now >= since + DEPARTURE_ACK_TIMEOUT_MS,
+            Departure::AwaitingReply => now >= since + DEPARTURE_ACK_TIMEOUT_MS,
         }
     }
 
@@ -215,7 +215,7 @@
     /// stands for election at once.
     pub fn end(&mut self, now: u64) {
         self.publish_server_changes(now);
-        let effects = self.replication.replica.hand_over(now);
+        let effects = self.replication.replica.transfer_leadership(now);
         self.carry_out(now, effects);
     }
 
@@ -318,7 +318,7 @@
             self.holders.tidy(now);
             self.leadership.admission.tidy(now);
             self.pool.tidy();
-            self.replication.callers.forget_silent(now);
+            self.replication.callers.expire(now);
         }
         if now >= self.due.order_updates {
             self.due.order_updates = now + ORDER_STATUS_INTERVAL_MS;
--- a/crates/system/src/core/node/leadership.rs
+++ b/crates/system/src/core/node/leadership.rs
@@ -16,7 +16,7 @@
 use pathbank_control::placement::{Operation, Order, Placer};
 use pathbank_control::state::Command;
 use pathbank_control::usage::{HEAR_FIRST_MS, SealRule};
-use pathbank_coordination::fencing::{Fence, Permit};
+use pathbank_coordination::fencing::{FencingGuard, Permit};
 use pathbank_coordination::types::Term;
 use pathbank_protocol::message::{Frame, ModelServer};
 use std::collections::{BTreeMap, BTreeSet};
@@ -41,7 +41,7 @@
 
 /// The state that one leadership needs.
 pub struct Leadership {
-    pub fence: Fence,
+    pub fence: FencingGuard,
     pub placer: Placer,
     pub autoscaler: Autoscaler,
     pub admission: AdmissionController,
@@ -70,7 +70,7 @@
 }
 
 impl Leadership {
-    pub fn new(fence: Fence) -> Leadership {
+    pub fn new(fence: FencingGuard) -> Leadership {
         Leadership {
             fence,
             placer: Placer::new(),
@@ -142,7 +142,7 @@
     /// The right to act now, if this head has it.
     pub(super) fn permit(&mut self, now: u64) -> Option<Permit> {
         let replica = &self.replication.replica;
-        if !replica.is_settled_leader() {
+        if !replica.is_established_leader() {
             return None;
         }
         let (term, lease) = (replica.term(), replica.lease_until().saturating_sub(LEASE_MARGIN_MS));
--- a/crates/system/src/core/node/links.rs
+++ b/crates/system/src/core/node/links.rs
@@ -15,7 +15,7 @@
     pub(super) fn open_links(&mut self) {
         let own = self.settings.own_internal_address();
         let members = self.replication.replica.membership().members().map(|member| &member.address);
-        let learners = self.replication.replica.others().map(|(member, ..)| &member.address);
+        let learners = self.replication.replica.peers().map(|(member, ..)| &member.address);
         let mut addresses: Vec<SocketAddr> =
             members.chain(learners).filter_map(|address| address.parse().ok()).collect();
         let callers = self.replication.callers.addresses();
@@ -89,7 +89,7 @@
             Frame::AdmissionRequest(request) => self.on_admission_request(now, id, &request),
             // A leader's own orders are what it knows best; one that led before may still tell of its last
             // ones.
-            Frame::OrderStatus(news) if !self.replication.replica.is_settled_leader() => {
+            Frame::OrderStatus(news) if !self.replication.replica.is_established_leader() => {
                 let server = self.directory.ordered(now, news);
                 self.publish_servers(server.into_iter().collect());
             }
--- a/crates/system/src/core/node/model_servers.rs
+++ b/crates/system/src/core/node/model_servers.rs
@@ -13,7 +13,7 @@
 impl Node {
     /// Only the leader grants, for a line in two places is none.
     pub(super) fn on_admission_request(&mut self, now: u64, id: LinkId, request: &AdmissionRequest) {
-        if !self.replication.replica.is_settled_leader() {
+        if !self.replication.replica.is_established_leader() {
             return;
         }
         let grant = self.leadership.admission.admit(now, request);
@@ -60,7 +60,7 @@
 
     /// What the other cores were told of withheld models holds only for a while.
     pub(super) fn repeat_order_updates(&self) {
-        if !self.replication.replica.is_settled_leader() {
+        if !self.replication.replica.is_established_leader() {
             return;
         }
         for news in self.directory.withheld().filter_map(|instance| self.directory.news(instance, false)) {
@@ -76,7 +76,7 @@
 
     /// The leader's line of prompts has to know which slots are taken.
     pub(super) fn count_slots(&mut self, now: u64) {
-        if self.replication.replica.is_settled_leader() {
+        if self.replication.replica.is_established_leader() {
             let ready: Vec<ModelServer> = self.directory.ready().collect();
             self.leadership.admission.note_slots(&ready, &self.demand.in_flight(now));
         }
@@ -85,7 +85,7 @@
     /// The leader hears from every edge what is out at model servers, and tells all what it comes to.
     /// Returns the message's bytes.
     pub(super) fn publish_loads(&mut self, now: u64) -> u64 {
-        if !self.replication.replica.is_settled_leader() {
+        if !self.replication.replica.is_established_leader() {
             return 0;
         }
         let loads = self.joint_loads(now);
--- a/crates/system/src/core/node/replication.rs
+++ b/crates/system/src/core/node/replication.rs
@@ -6,9 +6,9 @@
 use pathbank_control::operator_calls::{self, LEADER_SILENCE, Reply, Standing};
 use pathbank_control::result_code::ResultCode;
 use pathbank_control::state::{Change, Command, ControlState, StateError};
-use pathbank_coordination::callers::Callers;
 use pathbank_coordination::compaction::LogSize;
-use pathbank_coordination::group;
+use pathbank_coordination::membership_changes;
+use pathbank_coordination::recent_peers::RecentPeers;
 use pathbank_coordination::replica::{Effects, Outgoing, Replica, Role};
 use pathbank_coordination::types::{Entry, Index, Member, Message, Payload, Snapshot, Term};
 use pathbank_protocol::message::Frame;
@@ -42,7 +42,7 @@
     impaired: bool,
     waiting: BTreeMap<Index, Vec<PendingProposal>>,
     /// Addresses of replicas that spoke lately.
-    pub callers: Callers,
+    pub callers: RecentPeers,
     log_bytes: usize,
     applied: Index,
     /// The role and term that were told to the log last.
@@ -62,7 +62,7 @@
             refused: false,
             impaired: false,
             waiting: BTreeMap::new(),
-            callers: Callers::default(),
+            callers: RecentPeers::default(),
             log_bytes: 0,
             applied,
             logged_role: None,
@@ -148,10 +148,10 @@
     }
 
     pub(super) fn on_replica_message(&mut self, now: u64, from: Member, message: Message) {
-        if self.replication.callers.note(now, &from.address) {
+        if self.replication.callers.record(now, &from.address) {
             self.open_links();
         }
-        let effects = self.replication.replica.hear(now, from, message);
+        let effects = self.replication.replica.step(now, from, message);
         self.carry_out(now, effects);
     }
 
@@ -169,7 +169,7 @@
                 }
                 self.send_replica_messages(ready);
                 if let Some(last_index) = last_index {
-                    let effects = self.replication.replica.saved(now, last_index);
+                    let effects = self.replication.replica.on_persisted(now, last_index);
                     self.carry_out(now, effects);
                 }
             }
@@ -189,7 +189,7 @@
         replication.impaired = impaired;
         tracing::warn!(impaired, "disk");
         if impaired {
-            let effects = self.replication.replica.hand_over(now);
+            let effects = self.replication.replica.transfer_leadership(now);
             self.carry_out(now, effects);
         }
         let effects = self.replication.replica.set_impaired(now, impaired);
@@ -203,9 +203,9 @@
             entries: replication.applied.saturating_sub(snapshot.index),
             bytes: replication.log_bytes,
             snapshot_bytes: snapshot.data.len(),
-            is_awaited: replication.replica.is_sending_snapshot(now),
+            snapshot_in_transfer: replication.replica.is_sending_snapshot(now),
         };
-        if !log.is_long() {
+        if !log.needs_compaction() {
             return;
         }
         replication.log_bytes = 0;
@@ -244,7 +244,7 @@
         self.replication.log_bytes += entry.payload.size();
         let waiting = self.replication.waiting.remove(&entry.index).unwrap_or_default();
         match &entry.payload {
-            Payload::LeaderStart(name) => self.leadership.fence.led(name),
+            Payload::LeaderStart(name) => self.leadership.fence.record_leader(name),
             Payload::Membership(_) => self.open_links(),
             Payload::Command(bytes) => {
                 let command = match Command::decode(bytes) {
@@ -347,7 +347,7 @@
 
     /// Takes the next step towards the group that should be.
     pub(super) fn regroup(&mut self, now: u64) {
-        if let Some(effects) = group::step(&mut self.replication.replica, now) {
+        if let Some(effects) = membership_changes::reconcile(&mut self.replication.replica, now) {
             tracing::info!(voters = ?self.replication.replica.membership().voters, "the group changes");
             self.carry_out(now, effects);
             self.open_links();
--- a/crates/system/src/core/node/training/generations.rs
+++ b/crates/system/src/core/node/training/generations.rs
@@ -93,7 +93,7 @@
 
     /// An edge tells how a generation ended. Only the leader puts it into the log.
     pub(in crate::core::node) fn on_draw_result(&mut self, now: u64, result: DrawResult) {
-        if !self.replication.replica.is_settled_leader() {
+        if !self.replication.replica.is_established_leader() {
             return;
         }
         let DrawId { step, epoch, prompt, instance, version } = result.id;
--- a/crates/system/tests/links.rs
+++ b/crates/system/tests/links.rs
@@ -94,7 +94,7 @@
 /// reach the others hang, and what it says in their first election would be lost.
 #[test]
 fn a_link_that_hung_while_the_other_machine_was_down_is_tried_anew_before_an_election_is_due() {
-    let election = Duration::from_millis(Timing::default().election);
+    let election = Duration::from_millis(Timing::default().election_timeout_ms);
     assert!(mesh::CONNECT_WITHIN + mesh::RETRY_AFTER <= election);
 }
 
--- a/src/agree/mod.rs
+++ b/src/agree/mod.rs
@@ -101,7 +101,7 @@
 impl Times {
     /// How long whoever granted a lease has to wait, by its own clock, until it is surely over by its holder's.
     pub fn surely_over(&self, lease: Micros) -> Micros {
-        lease::surely_over(lease, self.drift_ppm)
+        lease::grantor_wait(lease, self.drift_ppm)
     }
 }
 
--- a/src/agree/voter/election.rs
+++ b/src/agree/voter/election.rs
@@ -2,7 +2,7 @@
 
 use super::{MOST_DOUBLED, Other, Output, SOON, Save, To, Voter};
 use crate::agree::{Message, Micros, Term, VoterId};
-use pathbank_coordination::consensus::election::{Ballot, LogPosition, Role, Standing, VoteRequest};
+use pathbank_coordination::consensus::election::{LogPosition, Role, VoteRequest, VoteTally, VoterState};
 use pathbank_coordination::consensus::quorum::has_majority;
 
 impl Voter {
@@ -39,7 +39,7 @@
     }
 
     pub(super) fn ask_for_votes(&mut self, pre: bool, term: Term, out: &mut Output) {
-        self.votes = Ballot::own(self.id);
+        self.votes = VoteTally::own(self.id);
         let LogPosition { term: last_term, index: last } = self.saved.log.position();
         let vote = Message::Vote { pre, term, last, last_term };
         out.send.extend(self.others().into_iter().map(|other| (To::Voter(other), vote.clone())));
@@ -82,13 +82,13 @@
         out.send.push((To::Voter(candidate), Message::Voted { pre, term: self.saved.term, yes }));
     }
 
-    fn standing(&self, now: Micros) -> Standing<VoterId> {
+    fn standing(&self, now: Micros) -> VoterState<VoterId> {
         let heard = self.led_at.is_some_and(|at| now.saturating_sub(at) < self.patience(now));
-        Standing {
+        VoterState {
             term: self.saved.term,
             voted_for: self.saved.voted,
             role: self.role,
-            hears_leader: heard || self.leads(),
+            has_live_leader: heard || self.leads(),
             log: self.saved.log.position(),
         }
     }
--- a/src/agree/voter/grants.rs
+++ b/src/agree/voter/grants.rs
@@ -39,7 +39,7 @@
             None => prepared.min(self.commit),
         };
         let counted = (self.commit - after) as usize;
-        let entries = at_once(self.saved.log.entries_behind(after).iter().take(counted));
+        let entries = at_once(self.saved.log.entries_after(after).iter().take(counted));
         let granted = Message::Granted { start: holder.start, asked, yes, after, snapshot, entries };
         Output { send: vec![(To::Holder(holder), granted)], ..Output::default() }
     }
--- a/src/agree/voter/mod.rs
+++ b/src/agree/voter/mod.rs
@@ -14,8 +14,8 @@
 use super::ledger::Ledger;
 use super::{Command, Entry, HolderId, Index, Message, Micros, Term, Times, VoterId};
 use crate::agree::document::Edit;
-use pathbank_coordination::consensus::cursor::Cursor;
-use pathbank_coordination::consensus::election::{Ballot, LogPosition, Role, VoteRequest};
+use pathbank_coordination::consensus::election::{LogPosition, Role, VoteRequest, VoteTally};
+use pathbank_coordination::consensus::replication_progress::ReplicationProgress;
 use replication::{Append, Appended};
 use saved::is_older;
 use std::collections::BTreeMap;
@@ -46,7 +46,7 @@
 /// What the leader knows of another voter.
 #[derive(Clone, Copy, Debug)]
 struct Other {
-    cursor: Cursor,
+    cursor: ReplicationProgress,
     cleared: Index,
     heard: Micros,
 }
@@ -84,7 +84,7 @@
     led_at: Option<Micros>,
     commit: Index,
     ledger: Ledger,
-    votes: Ballot<VoterId>,
+    votes: VoteTally<VoterId>,
     known: BTreeMap<VoterId, Other>,
     grants: BTreeMap<HolderId, Grant>,
     /// In this start it has seen all that counted for some leader: until then its disk may be an old one, which does not
@@ -114,7 +114,7 @@
             led_at: None,
             commit,
             ledger,
-            votes: Ballot::default(),
+            votes: VoteTally::default(),
             known: BTreeMap::new(),
             grants: BTreeMap::new(),
             caught_up: false,
@@ -187,7 +187,7 @@
             self.voters = told.clone();
         }
         if self.leads() {
-            let (cursor, now) = (Cursor::behind(self.last()), self.led_at.unwrap_or(0));
+            let (cursor, now) = (ReplicationProgress::behind(self.last()), self.led_at.unwrap_or(0));
             for other in self.others() {
                 self.known.entry(other).or_insert(Other { cursor, cleared: 0, heard: now });
             }
--- a/src/agree/voter/replication.rs
+++ b/src/agree/voter/replication.rs
@@ -4,7 +4,7 @@
 use crate::agree::ledger::Ledger;
 use crate::agree::{Command, Entry, Index, Message, Micros, Term, VoterId, at_once};
 use pathbank_coordination::consensus::election::Role;
-use pathbank_coordination::consensus::quorum::{may_commit, reached_by_majority};
+use pathbank_coordination::consensus::quorum::{majority_match_index, may_commit};
 
 /// Entries of a leader, as [`Message::Append`] has them.
 pub(super) struct Append {
@@ -76,7 +76,7 @@
         let (term, commit) = (self.saved.term, self.commit);
         let message = match self.saved.log.term_at(before) {
             Some(before_term) => {
-                let entries = at_once(self.saved.log.entries_behind(before).iter());
+                let entries = at_once(self.saved.log.entries_after(before).iter());
                 Message::Append { term, before, before_term, entries, commit }
             }
             None => {
@@ -90,7 +90,7 @@
     /// Takes what a leader has; what differs from it goes. A late message takes nothing away.
     pub(super) fn take(&mut self, before: Index, entries: Vec<Entry>, out: &mut Output) -> Index {
         let matched = before + entries.len() as Index;
-        let known = self.saved.log.known_prefix(self.commit, before, &entries);
+        let known = self.saved.log.matching_prefix(self.commit, before, &entries);
         for (entry, index) in entries.into_iter().zip(before + 1..).skip(known) {
             if index <= self.last() {
                 self.save(Save::Cut(index - 1), out);
@@ -107,7 +107,7 @@
             None if *id == self.id => own,
             None => 0,
         };
-        reached_by_majority(self.voters.keys().map(each))
+        majority_match_index(self.voters.keys().map(each))
     }
 
     /// Only what is of its own term counts by copies; what came before counts by that.
@@ -172,7 +172,7 @@
         self.save(Save::Snapshot { ledger, term, whole: None }, out);
         let gone = if bytes > KEPT_BYTES { counted } else { counted - self.times.kept.min(counted) };
         let base = self.saved.log.base().index + gone as Index;
-        self.saved.log.drop_up_to(base);
+        self.saved.log.compact_to(base);
     }
 
     /// Entries of a leader.
