--- a/src/ending.rs
+++ b/src/attempt_end.rs
@@ -1,9 +1,9 @@
 //! Every way in which a connection or an attempt can end, and what the module is told of it.
 
-use crate::interface::Ending;
+use crate::interface::AttemptResult;
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum End {
+pub enum AttemptEnd {
     /// A whole good answer.
     Answered,
     /// The node said that it failed, or answered in a way that promises nothing.
@@ -22,24 +22,25 @@
     TimedOut,
     /// The module called the attempt off.
     CalledOff,
-    /// Given up before a byte of it was written: its node leaves, its request is over, or it is too late for it.
+    /// Given up before a byte of it was written: its node leaves, its request is over, or it is too late for
+    /// it.
     Unsent,
     /// Never started: the request is over, has had its attempts, or the node is unknown.
     NotStarted,
 }
 
-impl End {
+impl AttemptEnd {
     /// The only place that says what an end means to the module.
-    pub fn ending(self) -> Ending {
+    pub fn result(self) -> AttemptResult {
         match self {
-            End::Answered => Ending::Served,
-            End::ErrorAnswer | End::BadAnswer => Ending::Error,
-            End::TurnedAway => Ending::Full,
-            End::NoConnection | End::BrokeUnsent => Ending::ConnectFailed,
-            End::Broke => Ending::Reset,
-            End::TimedOut => Ending::TimedOut,
-            End::CalledOff => Ending::Cancelled,
-            End::Unsent | End::NotStarted => Ending::Moot,
+            AttemptEnd::Answered => AttemptResult::Served,
+            AttemptEnd::ErrorAnswer | AttemptEnd::BadAnswer => AttemptResult::Error,
+            AttemptEnd::TurnedAway => AttemptResult::Overloaded,
+            AttemptEnd::NoConnection | AttemptEnd::BrokeUnsent => AttemptResult::ConnectFailed,
+            AttemptEnd::Broke => AttemptResult::Reset,
+            AttemptEnd::TimedOut => AttemptResult::TimedOut,
+            AttemptEnd::CalledOff => AttemptResult::Cancelled,
+            AttemptEnd::Unsent | AttemptEnd::NotStarted => AttemptResult::NotSent,
         }
     }
 }
--- a/src/classes/tests.rs
+++ b/src/classes/tests.rs
@@ -2,7 +2,7 @@
 use crate::interface::Repeats;
 
 fn class(deadline: Micros, repeats: Repeats) -> Class {
-    Class { target: deadline / 2, deadline, worth: 1.0, repeats, ..Class::default() }
+    Class { target: deadline / 2, deadline, value: 1.0, repeats, ..Class::default() }
 }
 
 fn given(classes: &[(&str, Class)], plans: &[(&str, f64)]) -> (Names, Settings) {
--- a/src/config/settings.rs
+++ b/src/config/settings.rs
@@ -130,8 +130,8 @@
         classes.push(Class {
             target: span(&key("target"))?,
             deadline: span(&key("hard_limit"))?,
-            worth: pairs.need(&key("worth"))?,
-            late_worth: pairs.number(&key("late_value"))?,
+            value: pairs.need(&key("worth"))?,
+            late_value: pairs.number(&key("late_value"))?,
             repeats,
             window: pairs.time(&key("window"))?,
             scope,
@@ -183,11 +183,16 @@
             true => Some(pairs.time("policy_limits.max_retry_after")?),
             false => None,
         },
-        cold_from: pairs.within("contract.cold_from", pairs.number("contract.cold_from")?, 0.0, 1.0)?,
+        slow_start_fraction: pairs.within(
+            "contract.cold_from",
+            pairs.number("contract.cold_from")?,
+            0.0,
+            1.0,
+        )?,
         cold: pairs.time("contract.cold")?,
         fall: pairs.time("contract.fall")?,
         fall_multiple: pairs.number("contract.fall_multiple")?,
-        cold_units: pairs.within(
+        slow_start_units: pairs.within(
             "domain.young_limit",
             pairs.number("domain.young_limit")?,
             0.0,
@@ -197,8 +202,8 @@
         budget,
         most_units: pairs.number("domain.max_units")?,
         mean_units: pairs.number("domain.usual_units")?,
-        share_worth: pairs.number("domain.share_worth")?,
-        spare_worth: pairs.number("domain.idle_worth")?,
+        share_value: pairs.number("domain.share_worth")?,
+        spare_value: pairs.number("domain.idle_worth")?,
         use_period: pairs.time("domain.use_period")?,
         reports: match pairs.0.get("report.how").map(String::as_str) {
             Some("piggyback") => Reports::Answers,
--- a/src/core/agreement.rs
+++ b/src/core/agreement.rs
@@ -37,7 +37,8 @@
 }
 
 impl Core {
-    /// Looks at what the heads agree on, and under which lease: what has changed the module is told before all else.
+    /// Looks at what the heads agree on, and under which lease: what has changed the module is told before
+    /// all else.
     pub(super) fn look(&mut self) -> Vec<Event> {
         let Some(agreed) = &mut self.agreed else { return Vec::new() };
         let view = agreed.view();
@@ -64,7 +65,7 @@
         }
         let mut events = vec![Event::Settings(Box::new(self.settings.clone()))];
         if !changed.is_empty() {
-            events.push(Event::Nodes { news: News::Changes, nodes: changed });
+            events.push(Event::Nodes { update: ListUpdate::Changes, nodes: changed });
         }
         events
     }
@@ -79,7 +80,8 @@
         }
     }
 
-    /// The look at the act itself: `None` where the attempt may not start, as things stand now; otherwise when it was.
+    /// The look at the act itself: `None` where the attempt may not start, as things stand now; otherwise
+    /// when it was.
     pub(super) fn may_start(&self, open: &Open, attempt: u32, node: NodeId) -> Option<Micros> {
         let Some(agreed) = &self.agreed else { return Some(0) };
         let (now, node) = (agreed.pace.now(), self.nodes.get(&node)?);
@@ -89,7 +91,8 @@
         (fresh && agreed.rules.allows(open.class, came, attempt, open.ran, &node.id)).then_some(now)
     }
 
-    /// An attempt has been started by the agreed rules: how long after the look at them, and for rehearsals what they were.
+    /// An attempt has been started by the agreed rules: how long after the look at them, and for rehearsals
+    /// what they were.
     pub(super) fn note_act(
         &self,
         request: RequestId,
--- a/src/core/attempt.rs
+++ b/src/core/attempt.rs
@@ -1,7 +1,7 @@
 //! Attempts at nodes: what a front wants done, and what an attempt tells of itself.
 
 use super::handle::{Handle, Input};
-use crate::ending::End;
+use crate::attempt_end::AttemptEnd;
 use crate::figures::{Count, Figures};
 use crate::interface::{Load, RequestId};
 use bytes::Bytes;
@@ -17,14 +17,14 @@
 /// What an attempt came to.
 #[derive(Debug)]
 pub struct Report {
-    pub end: End,
+    pub end: AttemptEnd,
     pub body: Bytes,
     pub load: Load,
     pub used: Option<f64>,
 }
 
-impl From<End> for Report {
-    fn from(end: End) -> Self {
+impl From<AttemptEnd> for Report {
+    fn from(end: AttemptEnd) -> Self {
         Report { end, body: Bytes::new(), load: Load::default(), used: None }
     }
 }
@@ -140,7 +140,7 @@
     std::future::poll_fn(|cx| {
         let whole = begun.whole.get().is_some();
         if !whole && (over.as_mut().poll(cx).is_ready() || Instant::now() >= by) {
-            let end = if begun.get() { End::CalledOff } else { End::Unsent };
+            let end = if begun.get() { AttemptEnd::CalledOff } else { AttemptEnd::Unsent };
             return Poll::Ready(end.into());
         }
         work.as_mut().poll(cx)
--- a/src/core/handle.rs
+++ b/src/core/handle.rs
@@ -7,7 +7,7 @@
 use crate::config::ListedNode;
 use crate::figures::{Count, Figures, InProgress};
 use crate::handover::Part;
-use crate::interface::{Load, Micros, News, NodeId, RequestId, Settings, VolumeId};
+use crate::interface::{ListUpdate, Load, Micros, NodeId, RequestId, Settings, VolumeId};
 use bytes::Bytes;
 use futures_util::FutureExt;
 use log::debug;
@@ -36,8 +36,8 @@
     pub coming: Option<Duration>,
 }
 
-/// What a client's time leaves for its request: what is kept back for the ways in and out is a part of it at most, or
-/// clients that wait for as long as that would never be served.
+/// What a client's time leaves for its request: what is kept back for the ways in and out is a part of it at
+/// most, or clients that wait for as long as that would never be served.
 pub fn less_margin(wait: Duration, margin: Duration) -> Duration {
     wait - margin.min(wait / MARGIN_PART)
 }
@@ -86,7 +86,7 @@
         id: RequestId,
     },
     Nodes {
-        news: News,
+        news: ListUpdate,
         nodes: Vec<ListedNode>,
     },
     /// Other settings, in the same numbers: what is open keeps the rules that it came under.
@@ -104,7 +104,7 @@
     /// A probe has ended.
     Probed {
         node: NodeId,
-        took: Micros,
+        latency: Micros,
         report: Report,
     },
     /// Another process of this head lives, or no longer does.
@@ -181,7 +181,8 @@
         Try { address, answer_by: Instant::now() + wait, begun: Arc::default(), binder }
     }
 
-    /// The same core with a bound of its own on open requests, for a front whose requests hold no descriptor each.
+    /// The same core with a bound of its own on open requests, for a front whose requests hold no descriptor
+    /// each.
     pub fn with_room_for(&self, max_open: usize) -> Handle {
         Handle { open: Arc::default(), max_open, no_room: Arc::default(), ..self.clone() }
     }
--- a/src/core/mod.rs
+++ b/src/core/mod.rs
@@ -1,5 +1,5 @@
-//! One task owns the module, its timers and the open requests; all else reaches it through a queue. It deals in
-//! requests, attempts and outcomes, whatever wire they come by.
+//! One task owns the module, its timers and the open requests; all else reaches it through a queue. It deals
+//! in requests, attempts and outcomes, whatever wire they come by.
 
 mod agreement;
 mod attempt;
@@ -13,8 +13,8 @@
 pub use attempt::{Attempt, Begun, Binder, Report, Try, Work};
 pub use handle::{Answer, Arrival, Handle, Input, Message, Mouth, Pending, Teller, less_margin};
 
+use crate::attempt_end::AttemptEnd;
 use crate::clock::Clock;
-use crate::ending::End;
 use crate::event;
 use crate::events::pressure::Pressure;
 use crate::events::requests::{Finish, Telling};
@@ -34,7 +34,8 @@
 
 /// A probe is answered beside the queue, or tells that the queue is long; later it tells nothing.
 const PROBE_TIME: Duration = Duration::from_secs(1);
-/// The module's view of nodes is copied into the figures so often at most, and so often where nothing happens.
+/// The module's view of nodes is copied into the figures so often at most, and so often where nothing
+/// happens.
 const COPY_APART: Micros = 50_000;
 const COPY_IDLE: Micros = 100_000;
 /// Longer than any request is open.
@@ -168,7 +169,7 @@
         let now = self.clock.now();
         if self.copied.is_some_and(|at| now >= at + COPY_APART) {
             self.copied = Some(now);
-            let (known, skipped) = self.policy.bricks(now);
+            let (known, skipped) = self.policy.node_counts(now);
             self.figures.bricks(known, skipped);
             self.figures.beat(Instant::now());
         }
@@ -230,12 +231,12 @@
             Input::Look => self.look_first(),
             Input::Part { halved } => {
                 self.part = if halved { 0.5 } else { 1.0 };
-                self.tell(Event::Part { part: self.part });
+                self.tell(Event::CapacityShare { share: self.part });
             }
             Input::Peer { from, bytes } => self.tell(Event::Peer { from, bytes }),
-            Input::Probed { node, took, report } => {
-                let (ending, load) = (report.end.ending(), report.load);
-                self.tell(Event::Probed { node, ending, took, load });
+            Input::Probed { node, latency, report } => {
+                let (result, load) = (report.end.result(), report.load);
+                self.tell(Event::Probed { node, result, latency, load });
             }
             Input::Finish => {
                 let open: Vec<RequestId> = self.requests.keys().copied().collect();
@@ -271,7 +272,8 @@
         (self.actions, self.told) = (actions, false);
     }
 
-    /// A module that panicked knows nothing for certain: all that it held fails, a new one starts from the list.
+    /// A module that panicked knows nothing for certain: all that it held fails, a new one starts from the
+    /// list.
     fn restart_module(&mut self) {
         event!(MODULE_PANIC, open = self.requests.len());
         self.policy = Policy::new(self.settings.clone(), self.seed);
@@ -286,8 +288,8 @@
         }
         (self.due, self.overdue) = (Wheel::new(self.clock.now()), None);
         self.nodes.values_mut().for_each(|node| node.out = 0);
-        self.events.push_back(Event::Part { part: self.part });
-        self.events.push_back(Event::Nodes { news: News::Cached, nodes: self.known.clone() });
+        self.events.push_back(Event::CapacityShare { share: self.part });
+        self.events.push_back(Event::Nodes { update: ListUpdate::Cached, nodes: self.known.clone() });
     }
 
     fn act(&mut self, now: Micros, action: Action) {
@@ -299,7 +301,7 @@
                 self.answer(request, Answer::Refused(Duration::from_micros(retry_in)));
             }
             Action::Fail { request } => self.answer(request, Answer::Failed),
-            Action::Cancel { request, attempt } => self.stop(request, attempt, End::CalledOff),
+            Action::Cancel { request, attempt } => self.stop(request, attempt, AttemptEnd::CalledOff),
             Action::Timer { after, token } => {
                 // The module never takes one back.
                 self.due.insert(now + after, Due::Timer(token));
@@ -309,7 +311,7 @@
             }
             Action::Log(text) => info!("{text}"),
             Action::Probe { node } => self.probe(node),
-            Action::Tell { peer, bytes } => match &self.mouth {
+            Action::SendToPeer { peer, bytes } => match &self.mouth {
                 Some(mouth) => mouth.say(peer, bytes),
                 None => debug!("there is nobody to tell"),
             },
--- a/src/core/nodes.rs
+++ b/src/core/nodes.rs
@@ -18,7 +18,8 @@
     pub(super) out: usize,
 }
 
-/// Node ids are texts in discovery and numbers in the module: the same number at every head for the same text.
+/// Node ids are texts in discovery and numbers in the module: the same number at every head for the same
+/// text.
 #[derive(Debug, Default)]
 pub(super) struct NodeIds {
     pub(super) texts: BTreeMap<NodeId, String>,
@@ -41,13 +42,16 @@
 }
 
 impl Core {
-    pub(super) fn on_nodes(&mut self, news: News, listed: Vec<ListedNode>) {
+    pub(super) fn on_nodes(&mut self, news: ListUpdate, listed: Vec<ListedNode>) {
         self.look_first();
-        if matches!(news, News::Watched | News::Beat | News::Silent | News::Moved) {
-            if news == News::Silent {
+        if matches!(
+            news,
+            ListUpdate::Subscribed | ListUpdate::Heartbeat | ListUpdate::TimedOut | ListUpdate::Moved
+        ) {
+            if news == ListUpdate::TimedOut {
                 self.figures.silence();
             }
-            self.tell(Event::Nodes { news, nodes: Vec::new() });
+            self.tell(Event::Nodes { update: news, nodes: Vec::new() });
             return self.watch_list();
         }
         let mut entries = Vec::with_capacity(listed.len());
@@ -66,7 +70,7 @@
             let started = node.started_ms.saturating_mul(1000);
             entries.push(NodeEntry { node: id, zone: zone as u16, shard: node.cell, state, started });
         }
-        if matches!(news, News::Full | News::Cached) {
+        if matches!(news, ListUpdate::Full | ListUpdate::Cached) {
             let off = |node: &mut Node| (node.listed, node.ready, node.gone) = (false, false, true);
             self.nodes.values_mut().for_each(off);
             self.known.clear();
@@ -83,7 +87,7 @@
                 self.known.push(*entry);
             }
         }
-        self.tell(Event::Nodes { news, nodes: entries });
+        self.tell(Event::Nodes { update: news, nodes: entries });
         self.copied = self.copied.map(|_| 0);
         self.drop_where_left();
         self.release_nodes();
--- a/src/core/open.rs
+++ b/src/core/open.rs
@@ -6,7 +6,7 @@
 use crate::clock::{Clock, micros};
 use crate::events::requests::{Tried, Why};
 use crate::index::wheel::Key;
-use crate::interface::{Ending, Micros, NodeId, VolumeId};
+use crate::interface::{AttemptResult, Micros, NodeId, VolumeId};
 use std::sync::Arc;
 use tokio::sync::oneshot;
 use tokio::task::AbortHandle;
@@ -19,8 +19,9 @@
 }
 
 impl Out {
-    /// A node begins a request with its last byte: what a slow client takes to send it is no part of the answer's time.
-    pub(super) fn took(&self, clock: Clock, coming: bool) -> Micros {
+    /// A node begins a request with its last byte: what a slow client takes to send it is no part of the
+    /// answer's time.
+    pub(super) fn latency(&self, clock: Clock, coming: bool) -> Micros {
         match self.begun.whole.get().filter(|_| coming) {
             Some(whole) => micros(whole.elapsed()),
             None => clock.now().saturating_sub(self.sent),
@@ -78,20 +79,20 @@
         self.answer.is_none()
     }
 
-    pub(super) fn note(&mut self, sent: Micros, attempt: u32, node: String, ending: Option<Ending>) {
+    pub(super) fn note(&mut self, sent: Micros, attempt: u32, node: String, result: Option<AttemptResult>) {
         let Some(noted) = &mut self.noted else { return };
         let why = match noted.tried.last() {
             None => Why::First,
             _ if self.attempts.iter().any(Option::is_some) => Why::Copy,
-            Some(before) => Why::Another(before.ending.unwrap_or(Ending::Moot)),
+            Some(before) => Why::Another(before.result.unwrap_or(AttemptResult::NotSent)),
         };
         noted.tried.resize_with(attempt as usize, || Tried {
             node: String::new(),
             why,
-            ending: Some(Ending::Moot),
+            result: Some(AttemptResult::NotSent),
             sent,
-            took: 0,
+            latency: 0,
         });
-        noted.tried.push(Tried { node, why, ending, sent, took: 0 });
+        noted.tried.push(Tried { node, why, result, sent, latency: 0 });
     }
 }
--- a/src/core/requests.rs
+++ b/src/core/requests.rs
@@ -4,10 +4,10 @@
 use super::handle::{Answer, Arrival};
 use super::open::{Ends, Noted, Open, Out};
 use super::{Core, DAY, Due, SUM_UP};
+use crate::attempt_end::AttemptEnd;
 use crate::clock::micros;
-use crate::ending::End;
 use crate::event;
-use crate::events::requests::{Finish, Tried, Volume, ending_name};
+use crate::events::requests::{Finish, Tried, Volume, result_name};
 use crate::figures::Count;
 use crate::interface::*;
 use bytes::Bytes;
@@ -80,7 +80,7 @@
         }
         self.finish(id, Finish::Left);
         if self.requests.get(&id).is_some_and(|open| open.passing) {
-            return self.stop_all(id, End::CalledOff);
+            return self.stop_all(id, AttemptEnd::CalledOff);
         }
         self.tell(Event::ClientLeft { request: id });
         self.drop_unfinished(id);
@@ -97,13 +97,15 @@
         if open.bound.replace(attempt).is_none() {
             let others = 0..open.attempts.len() as u32;
             self.tell(Event::AnswerBegan { request: id, attempt });
-            others.filter(|other| *other != attempt).for_each(|other| self.stop(id, other, End::CalledOff));
+            others
+                .filter(|other| *other != attempt)
+                .for_each(|other| self.stop(id, other, AttemptEnd::CalledOff));
         }
         true
     }
 
-    /// The module hears of a good answer with its beginning: what a slow client takes of the rest keeps no token and
-    /// tells nothing of the node.
+    /// The module hears of a good answer with its beginning: what a slow client takes of the rest keeps no
+    /// token and tells nothing of the node.
     pub(super) fn begin(&mut self, id: RequestId, attempt: u32, load: Load, used: Option<f64>) -> bool {
         if !self.bind(id, attempt) {
             return false;
@@ -111,12 +113,12 @@
         let Some(open) = self.requests.get_mut(&id).filter(|open| !open.passing) else { return false };
         let Some(Some(out)) = open.attempts.get(attempt as usize) else { return false };
         open.passing = true;
-        let (node, took) = (out.node, out.took(self.clock, open.came));
+        let (node, latency) = (out.node, out.latency(self.clock, open.came));
         if let Some(key) = open.deadline.take() {
             self.due.remove(key);
         }
-        let (ending, over) = (Ending::Served, true);
-        self.tell(Event::Outcome(Outcome { request: id, attempt, node, ending, took, over, used, load }));
+        let (result, over) = (AttemptResult::Served, true);
+        self.tell(Event::Outcome(Outcome { request: id, attempt, node, result, latency, over, used, load }));
         true
     }
 
@@ -129,19 +131,19 @@
     }
 
     /// The rest of an answer has come to its end, good or bad, or its client has gone.
-    pub(super) fn passed(&mut self, id: RequestId, attempt: u32, end: End) {
+    pub(super) fn passed(&mut self, id: RequestId, attempt: u32, end: AttemptEnd) {
         let Some(open) = self.requests.get_mut(&id) else { return };
         let Some(out) = open.attempts.get_mut(attempt as usize).and_then(Option::take) else { return };
         out.task.abort();
         if let Some(tried) = open.noted.as_mut().and_then(|noted| noted.tried.get_mut(attempt as usize)) {
-            (tried.ending, tried.took) = (Some(end.ending()), self.clock.now().saturating_sub(out.sent));
+            (tried.result, tried.latency) = (Some(end.result()), self.clock.now().saturating_sub(out.sent));
         }
         let answer = open.answer.take();
         if let Some(node) = self.nodes.get_mut(&out.node) {
             node.out -= 1;
         }
         if let Some(answer) = answer {
-            let good = end == End::Answered;
+            let good = end == AttemptEnd::Answered;
             let _ = answer.send(if good { Answer::Served(Bytes::new()) } else { Answer::Failed });
             self.finish(id, if good { Finish::Served } else { Finish::Failed });
         }
@@ -159,14 +161,17 @@
         if let Some(node) = self.nodes.get_mut(&out.node) {
             node.out -= 1;
         }
-        let took = out.took(self.clock, open.came);
-        debug!(request = id, attempt, node = out.node, took, end:? = report.end; "attempt ended");
-        let idle = matches!(report.end.ending(), Ending::Full | Ending::ConnectFailed | Ending::Moot);
+        let latency = out.latency(self.clock, open.came);
+        debug!(request = id, attempt, node = out.node, latency, end:? = report.end; "attempt ended");
+        let idle = matches!(
+            report.end.result(),
+            AttemptResult::Overloaded | AttemptResult::ConnectFailed | AttemptResult::NotSent
+        );
         open.ran |= !idle;
         if let Some(tried) = open.noted.as_mut().and_then(|noted| noted.tried.get_mut(attempt as usize)) {
-            (tried.ending, tried.took) = (Some(report.end.ending()), took);
+            (tried.result, tried.latency) = (Some(report.end.result()), latency);
         }
-        if report.end == End::Answered
+        if report.end == AttemptEnd::Answered
             && let Some(answer) = open.answer.take()
         {
             let _ = answer.send(Answer::Served(report.body));
@@ -177,8 +182,8 @@
             request: id,
             attempt,
             node: out.node,
-            ending: report.end.ending(),
-            took,
+            result: report.end.result(),
+            latency,
             over,
             used: report.used,
             load: report.load,
@@ -206,7 +211,7 @@
     }
 
     pub(super) fn deadline(&mut self, id: RequestId) {
-        self.stop_all(id, End::TimedOut);
+        self.stop_all(id, AttemptEnd::TimedOut);
         if self.requests.get(&id).is_some_and(|open| !open.over()) {
             // The module answers on the time-out; should it ever not, the client is not left without.
             event!(NO_ANSWER, request = id);
@@ -215,12 +220,12 @@
         }
     }
 
-    pub(super) fn stop_all(&mut self, id: RequestId, end: End) {
+    pub(super) fn stop_all(&mut self, id: RequestId, end: AttemptEnd) {
         let attempts = self.requests.get(&id).map_or(0, |open| open.attempts.len() as u32);
         (0..attempts).for_each(|attempt| self.stop(id, attempt, end));
     }
 
-    pub(super) fn stop(&mut self, id: RequestId, attempt: u32, end: End) {
+    pub(super) fn stop(&mut self, id: RequestId, attempt: u32, end: AttemptEnd) {
         let out = self.requests.get(&id).and_then(|open| open.attempts.get(attempt as usize)?.as_ref());
         if let Some(out) = out {
             out.task.abort();
@@ -238,7 +243,8 @@
         self.forget(id);
     }
 
-    /// A request has its end: counted, and told where that is wanted. Attempts that are out are told as they stand.
+    /// A request has its end: counted, and told where that is wanted. Attempts that are out are told as they
+    /// stand.
     pub(super) fn finish(&mut self, id: RequestId, finish: Finish) {
         let now = self.clock.now();
         self.count(finish, id);
@@ -250,12 +256,12 @@
         let late = finish == Finish::Served && now > arrived + target;
         let Some(one_in) = telling.told(plan, class, finish, tried.len(), late) else { return };
         let volume = Volume(volume);
-        for (attempt, Tried { node, why, ending, sent, took }) in tried.iter().enumerate() {
-            let (ending, took_us) = match ending {
-                Some(ending) => (ending_name(*ending), *took),
+        for (attempt, Tried { node, why, result, sent, latency }) in tried.iter().enumerate() {
+            let (result, took_us) = match result {
+                Some(result) => (result_name(*result), *latency),
                 None => ("out", now.saturating_sub(*sent)),
             };
-            event!(ATTEMPT, request = id, volume:%, attempt, why:%, node = node.as_str(), ending, took_us);
+            event!(ATTEMPT, request = id, volume:%, attempt, why:%, node = node.as_str(), ending = result, took_us);
         }
         let first = tried.first().map_or(now, |first| first.sent);
         let (held_us, out_us) = (first.saturating_sub(arrived), now.saturating_sub(first));
@@ -315,12 +321,13 @@
                 && !out.begun.get()
             {
                 out.task.abort();
-                self.outcome(id, attempt as u32, End::Unsent.into());
+                self.outcome(id, attempt as u32, AttemptEnd::Unsent.into());
             }
         }
     }
 
-    /// Nobody waits for it any more: a node begins with a request's last byte, and what has not come so far never does.
+    /// Nobody waits for it any more: a node begins with a request's last byte, and what has not come so far
+    /// never does.
     pub(super) fn drop_unfinished(&mut self, id: RequestId) {
         self.drop_unsent(id, |_| true);
         let Some(open) = self.requests.get(&id) else { return };
@@ -330,6 +337,6 @@
             .zip(0..)
             .filter(|(out, _)| out.as_ref().is_some_and(|out| out.begun.whole.get().is_none()));
         let unfinished: Vec<u32> = unfinished.map(|(_, attempt)| attempt).collect();
-        unfinished.into_iter().for_each(|attempt| self.stop(id, attempt, End::CalledOff));
+        unfinished.into_iter().for_each(|attempt| self.stop(id, attempt, AttemptEnd::CalledOff));
     }
 }
--- a/src/core/starting.rs
+++ b/src/core/starting.rs
@@ -4,8 +4,8 @@
 use super::handle::Input;
 use super::open::Out;
 use super::{Core, PROBE_TIME};
+use crate::attempt_end::AttemptEnd;
 use crate::clock::micros;
-use crate::ending::End;
 use crate::interface::*;
 use futures_util::FutureExt;
 use std::panic::AssertUnwindSafe;
@@ -27,10 +27,10 @@
             let done = tokio::time::timeout_at(answer_by, AssertUnwindSafe(work).catch_unwind()).await;
             let report = match done {
                 Ok(Ok(report)) => report,
-                Ok(Err(_)) => End::Broke.into(),
-                Err(_) => End::TimedOut.into(),
+                Ok(Err(_)) => AttemptEnd::Broke.into(),
+                Err(_) => AttemptEnd::TimedOut.into(),
             };
-            handle.send(Input::Probed { node, took: micros(begun.elapsed()), report });
+            handle.send(Input::Probed { node, latency: micros(begun.elapsed()), report });
         });
     }
 
@@ -52,9 +52,9 @@
         let (Some(looked), Some(address)) = (looked, address) else {
             let load = Load::default();
             let over = open.over();
-            let ending = End::NotStarted.ending();
-            let moot = Outcome { request: id, attempt, node, ending, took: 0, over, used: None, load };
-            open.note(now, attempt, String::new(), Some(ending));
+            let result = AttemptEnd::NotStarted.result();
+            let moot = Outcome { request: id, attempt, node, result, latency: 0, over, used: None, load };
+            open.note(now, attempt, String::new(), Some(result));
             open.attempts.push(None);
             return self.tell(Event::Outcome(moot));
         };
@@ -79,8 +79,8 @@
             };
             let report = match done {
                 Ok(Ok(report)) => report,
-                Ok(Err(_)) => End::Broke.into(),
-                Err(_) => End::TimedOut.into(),
+                Ok(Err(_)) => AttemptEnd::Broke.into(),
+                Err(_) => AttemptEnd::TimedOut.into(),
             };
             if written.refused() {
                 // The word of it is still on its way from the front.
--- a/src/core/tests.rs
+++ b/src/core/tests.rs
@@ -7,7 +7,7 @@
 
 /// Attempts that end as told, or never, and that note when they are dropped.
 struct Told {
-    end: Option<End>,
+    end: Option<AttemptEnd>,
     panics: bool,
     begins: bool,
     dropped: mpsc::UnboundedSender<()>,
@@ -44,7 +44,7 @@
 
 fn with_core_of<T>(settings: Settings, list: Input, play: impl AsyncFnOnce(Handle) -> T) -> T {
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build().unwrap();
-    let class = Class { target: 5_000_000, deadline: 10_000_000, worth: 1.0, ..Class::default() };
+    let class = Class { target: 5_000_000, deadline: 10_000_000, value: 1.0, ..Class::default() };
     let settings = Settings { hosts: 1, classes: vec![class], max_attempts: 3, ..settings };
     runtime.block_on(async {
         let (core, _wanted) = Core::new(settings, 7, 10, Clock::start());
@@ -67,7 +67,7 @@
 fn nodes(state: ListedState) -> Input {
     let (id, addr) = ("s-1".to_string(), "127.0.0.1:1".to_string());
     let node = ListedNode { id, addr, zone: "a".into(), cell: 0, state, started_ms: 0 };
-    Input::Nodes { news: News::Changes, nodes: vec![node] }
+    Input::Nodes { news: ListUpdate::Changes, nodes: vec![node] }
 }
 
 /// As where a connection to a node is still coming up when the list becomes overdue.
@@ -76,7 +76,7 @@
     let asked =
         Settings { must_subscribe: true, ask_within: 100_000, stop_within: 50_000, ..Settings::default() };
     let Input::Nodes { nodes: known, .. } = nodes(ListedState::InService) else { unreachable!() };
-    with_core_of(asked, Input::Nodes { news: News::Cached, nodes: known }, async |handle| {
+    with_core_of(asked, Input::Nodes { news: ListUpdate::Cached, nodes: known }, async |handle| {
         let (tell, mut dropped) = mpsc::unbounded_channel();
         let (begun_tell, mut begun_dropped) = mpsc::unbounded_channel();
         let work = |begins, dropped| Arc::new(Told { end: None, panics: false, begins, dropped });
@@ -95,7 +95,7 @@
 impl Work for Addressed {
     fn attempt(&self, a_try: Try) -> Attempt {
         let _ = self.0.send(a_try.address);
-        Box::pin(async { End::Answered.into() })
+        Box::pin(async { AttemptEnd::Answered.into() })
     }
 }
 
@@ -103,9 +103,11 @@
 fn a_node_under_a_new_address_without_a_new_start_is_reached_there_alone() {
     with_core(async |handle| {
         let (tell, mut told) = mpsc::unbounded_channel();
-        for (news, address) in
-            [(News::Changes, "127.0.0.1:2"), (News::Full, "127.0.0.1:3"), (News::Cached, "127.0.0.1:4")]
-        {
+        for (news, address) in [
+            (ListUpdate::Changes, "127.0.0.1:2"),
+            (ListUpdate::Full, "127.0.0.1:3"),
+            (ListUpdate::Cached, "127.0.0.1:4"),
+        ] {
             let Input::Nodes { mut nodes, .. } = nodes(ListedState::InService) else { unreachable!() };
             nodes[0].addr = address.to_string();
             handle.send(Input::Nodes { news, nodes });
@@ -137,7 +139,7 @@
 const LONG: Duration = Duration::from_secs(3600);
 
 /// The answer to a request whose attempts end so.
-fn answer_to(end: Option<End>, panics: bool, wait: Duration) -> Answer {
+fn answer_to(end: Option<AttemptEnd>, panics: bool, wait: Duration) -> Answer {
     with_core(async |handle| {
         let (dropped, _kept) = mpsc::unbounded_channel();
         let work = Arc::new(Told { end, panics, begins: true, dropped });
@@ -148,12 +150,12 @@
 #[test]
 fn every_request_gets_its_one_answer_whatever_becomes_of_its_attempt() {
     let served = Answer::Served(Bytes::new());
-    assert_eq!(answer_to(Some(End::Answered), false, LONG), served);
+    assert_eq!(answer_to(Some(AttemptEnd::Answered), false, LONG), served);
     // The class forbids a repeat: what may have run fails.
-    assert_eq!(answer_to(Some(End::Broke), false, LONG), Answer::Failed);
+    assert_eq!(answer_to(Some(AttemptEnd::Broke), false, LONG), Answer::Failed);
     assert_eq!(answer_to(None, true, LONG), Answer::Failed);
     assert_eq!(answer_to(None, false, Duration::from_millis(50)), Answer::Failed);
-    assert!(matches!(answer_to(Some(End::TurnedAway), false, LONG), Answer::Refused(_)));
+    assert!(matches!(answer_to(Some(AttemptEnd::TurnedAway), false, LONG), Answer::Refused(_)));
 }
 
 #[test]
@@ -176,7 +178,8 @@
     }
 }
 
-/// A node begins with a request's last byte: of a client that has gone, what is not whole by then goes no further.
+/// A node begins with a request's last byte: of a client that has gone, what is not whole by then goes no
+/// further.
 #[test]
 fn an_attempt_that_is_not_written_whole_goes_with_its_client_and_one_that_is_goes_on() {
     for whole in [false, true] {
@@ -238,7 +241,7 @@
             if !again {
                 a_try.begun.set();
                 a_try.begun.set_whole();
-                return End::Broke.into();
+                return AttemptEnd::Broke.into();
             }
             if !matches!(written, Written::Nothing) {
                 a_try.begun.set();
@@ -247,7 +250,7 @@
                 a_try.begun.set_whole();
             }
             tokio::time::sleep(WINDOW).await;
-            End::Answered.into()
+            AttemptEnd::Answered.into()
         })
     }
 }
@@ -261,7 +264,7 @@
             let class = Class {
                 target: 5_000_000,
                 deadline: 10_000_000,
-                worth: 1.0,
+                value: 1.0,
                 repeats: Repeats::Keyed,
                 window: micros(WINDOW),
                 ..Class::default()
@@ -299,7 +302,7 @@
 fn a_node_that_is_gone_is_released_with_its_number_once_nothing_is_out_there() {
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build().unwrap();
     runtime.block_on(async {
-        let class = Class { deadline: 10_000_000, worth: 1.0, ..Class::default() };
+        let class = Class { deadline: 10_000_000, value: 1.0, ..Class::default() };
         let settings = Settings { hosts: 1, classes: vec![class], max_attempts: 3, ..Settings::default() };
         let (mut core, _wanted) = Core::new(settings, 7, 10, Clock::start());
         let node = |i: u32, state| {
@@ -308,18 +311,18 @@
         };
         let (dropped, _kept) = mpsc::unbounded_channel();
         let work = Arc::new(Told { end: None, panics: false, begins: true, dropped });
-        core.take(Input::Nodes { news: News::Full, nodes: vec![node(0, ListedState::InService)] });
+        core.take(Input::Nodes { news: ListUpdate::Full, nodes: vec![node(0, ListedState::InService)] });
         core.request(1, arrival(LONG), work, oneshot::channel().0);
         for i in 1..100 {
             let nodes = vec![node(i - 1, ListedState::Terminated), node(i, ListedState::InService)];
-            core.take(Input::Nodes { news: News::Changes, nodes });
+            core.take(Input::Nodes { news: ListUpdate::Changes, nodes });
         }
         // The first one still has an attempt out, the last one is in service.
         let held = |core: &Core| (core.nodes.len(), core.ids.texts.len(), core.known.len());
         assert_eq!(held(&core), (2, 2, 1));
-        core.take(Input::Report { id: 1, attempt: 0, report: End::Broke.into() });
+        core.take(Input::Report { id: 1, attempt: 0, report: AttemptEnd::Broke.into() });
         assert_eq!(held(&core), (1, 1, 1));
-        core.take(Input::Nodes { news: News::Full, nodes: Vec::new() });
+        core.take(Input::Nodes { news: ListUpdate::Full, nodes: Vec::new() });
         assert_eq!(held(&core), (0, 0, 0));
     });
 }
@@ -330,7 +333,7 @@
     runtime.block_on(async {
         for probing in [true, false] {
             // Heads of a crowd: each sees too little of a node by itself.
-            let class = Class { target: 1_000_000, deadline: 10_000_000, worth: 1.0, ..Class::default() };
+            let class = Class { target: 1_000_000, deadline: 10_000_000, value: 1.0, ..Class::default() };
             let settings = Settings {
                 hosts: 40,
                 classes: vec![class],
@@ -353,11 +356,11 @@
                 let Some(Input::Probed { node, report, .. }) = core.inputs.recv().await else {
                     panic!("a probe tells its end")
                 };
-                core.take(Input::Probed { node, took: 1, report });
+                core.take(Input::Probed { node, latency: 1, report });
                 assert!(probed.try_recv().is_err(), "one is enough");
             } else {
                 assert!(probed.try_recv().is_err(), "the settings forbid it");
-                core.take(Input::Report { id: 1, attempt: 0, report: End::TurnedAway.into() });
+                core.take(Input::Report { id: 1, attempt: 0, report: AttemptEnd::TurnedAway.into() });
                 let Message { to, bytes } = said.try_recv().unwrap();
                 assert_eq!(to, None);
                 // It is heard as it was said; cut, repeated and foreign ones change nothing that shows.
@@ -373,7 +376,7 @@
 fn a_request_that_is_bound_to_its_attempt_goes_nowhere_else() {
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build().unwrap();
     runtime.block_on(async {
-        let class = Class { deadline: 10_000_000, worth: 1.0, repeats: Repeats::Safe, ..Class::default() };
+        let class = Class { deadline: 10_000_000, value: 1.0, repeats: Repeats::Safe, ..Class::default() };
         let settings = Settings { hosts: 1, classes: vec![class], max_attempts: 3, ..Settings::default() };
         let (mut core, _wanted) = Core::new(settings, 7, 10, Clock::start());
         let (dropped, _kept) = mpsc::unbounded_channel();
@@ -391,7 +394,7 @@
                 assert!(bind(0) && bind(0), "the same one may ask again");
                 assert!(!bind(1), "there is no such attempt");
             }
-            core.take(Input::Report { id, attempt: 0, report: End::Broke.into() });
+            core.take(Input::Report { id, attempt: 0, report: AttemptEnd::Broke.into() });
             // Its class allows a repeat, but some of the answer may be out.
             assert_eq!(answered.try_recv().is_ok(), binds);
             let (granted, mut answer) = oneshot::channel();
@@ -413,8 +416,8 @@
     assert_eq!((ids.of("s-2"), ids.of("s-5be2a07c")), (moved, first));
 }
 
-/// A client that goes at a stated point of its request, of which no word comes to the core. `tries` says what its
-/// attempts did: how many were made, and how many wrote.
+/// A client that goes at a stated point of its request, of which no word comes to the core. `tries` says what
+/// its attempts did: how many were made, and how many wrote.
 #[derive(Default)]
 struct Goes {
     left: Arc<AtomicBool>,
@@ -435,15 +438,15 @@
             if fails {
                 // It goes between this attempt and the next.
                 left.store(true, Ordering::Relaxed);
-                return End::NoConnection.into();
+                return AttemptEnd::NoConnection.into();
             }
             up.notified().await;
             if !a_try.begun.may_begin() {
-                return End::BrokeUnsent.into();
+                return AttemptEnd::BrokeUnsent.into();
             }
             a_try.begun.set();
             wrote.fetch_add(1, Ordering::Relaxed);
-            End::Answered.into()
+            AttemptEnd::Answered.into()
         })
     }
 
@@ -488,13 +491,14 @@
     }
 }
 
-/// Both are there when the core has its turn: its attempt's answer, and its time-out or the end of its client's time.
+/// Both are there when the core has its turn: its attempt's answer, and its time-out or the end of its
+/// client's time.
 #[test]
 fn an_answer_and_a_time_out_in_one_turn_are_one_answer_the_nodes_own() {
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build().unwrap();
     for (answers, late) in [(true, false), (true, true), (false, true)] {
         let got = runtime.block_on(async {
-            let class = Class { target: 5_000_000, deadline: 10_000_000, worth: 1.0, ..Class::default() };
+            let class = Class { target: 5_000_000, deadline: 10_000_000, value: 1.0, ..Class::default() };
             let settings =
                 Settings { hosts: 1, classes: vec![class], max_attempts: 3, ..Settings::default() };
             let (mut core, _wanted) = Core::new(settings, 7, 10, Clock::start());
@@ -508,11 +512,11 @@
                 tokio::time::sleep(wait * 2).await;
             }
             if answers {
-                core.handle().send(Input::Report { id: 1, attempt: 0, report: End::Answered.into() });
+                core.handle().send(Input::Report { id: 1, attempt: 0, report: AttemptEnd::Answered.into() });
             }
             // A second word on the same attempt changes nothing, nor does one on an attempt that never was.
-            core.handle().send(Input::Report { id: 1, attempt: 0, report: End::TimedOut.into() });
-            core.handle().send(Input::Report { id: 1, attempt: 1, report: End::Answered.into() });
+            core.handle().send(Input::Report { id: 1, attempt: 0, report: AttemptEnd::TimedOut.into() });
+            core.handle().send(Input::Report { id: 1, attempt: 1, report: AttemptEnd::Answered.into() });
             let running = tokio::spawn(core.run());
             let got = tokio::time::timeout(Duration::from_secs(20), answered).await.expect("stuck").unwrap();
             running.abort();
--- a/src/events/requests.rs
+++ b/src/events/requests.rs
@@ -1,10 +1,10 @@
 //! What is told of requests: which of them, and by which names.
 
-use crate::interface::{Ending, Micros, VolumeId};
+use crate::interface::{AttemptResult, Micros, VolumeId};
 use std::fmt;
 
-/// How many requests of a kind stand behind one that is told, for those that were served in time at their first
-/// attempt. 0: none of them is told. All others always are.
+/// How many requests of a kind stand behind one that is told, for those that were served in time at their
+/// first attempt. 0: none of them is told. All others always are.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Sampling {
     pub one_in: u32,
@@ -110,7 +110,7 @@
 pub enum Why {
     First,
     /// After one that ended so.
-    Another(Ending),
+    Another(AttemptResult),
     /// While another is out.
     Copy,
 }
@@ -119,22 +119,22 @@
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
             Why::First => f.write_str("first"),
-            Why::Another(ending) => write!(f, "another after {}", ending_name(*ending)),
+            Why::Another(result) => write!(f, "another after {}", result_name(*result)),
             Why::Copy => f.write_str("copy"),
         }
     }
 }
 
-pub fn ending_name(ending: Ending) -> &'static str {
-    match ending {
-        Ending::Served => "served",
-        Ending::Error => "error",
-        Ending::Full => "full",
-        Ending::TimedOut => "timed_out",
-        Ending::ConnectFailed => "connect_failed",
-        Ending::Reset => "reset",
-        Ending::Cancelled => "cancelled",
-        Ending::Moot => "moot",
+pub fn result_name(result: AttemptResult) -> &'static str {
+    match result {
+        AttemptResult::Served => "served",
+        AttemptResult::Error => "error",
+        AttemptResult::Overloaded => "full",
+        AttemptResult::TimedOut => "timed_out",
+        AttemptResult::ConnectFailed => "connect_failed",
+        AttemptResult::Reset => "reset",
+        AttemptResult::Cancelled => "cancelled",
+        AttemptResult::NotSent => "moot",
     }
 }
 
@@ -143,9 +143,9 @@
 pub struct Tried {
     pub node: String,
     pub why: Why,
-    pub ending: Option<Ending>,
+    pub result: Option<AttemptResult>,
     pub sent: Micros,
-    pub took: Micros,
+    pub latency: Micros,
 }
 
 #[cfg(test)]
--- a/src/grpc/status.rs
+++ b/src/grpc/status.rs
@@ -1,7 +1,7 @@
 //! The one table between gRPC's statuses and the ends of attempts and calls, both ways. `ending` then says what an
 //! end means to the module; `docs/operators/grpc.md` tells operators the same.
 
-use crate::ending::End;
+use crate::attempt_end::AttemptEnd;
 use std::time::Duration;
 
 pub const OK: u32 = 0;
@@ -26,13 +26,13 @@
 
 /// How an attempt ended at which the node gave this status. The program's own answers, whatever they say, have been
 /// given by a node that ran the call: they are served. `not_processed` is the node's word that it never ran.
-pub fn attempt(code: Option<u32>, not_processed: bool) -> End {
+pub fn attempt(code: Option<u32>, not_processed: bool) -> AttemptEnd {
     match code {
-        None => End::BadAnswer,
-        Some(UNAVAILABLE | RESOURCE_EXHAUSTED | DEADLINE_EXCEEDED) if not_processed => End::TurnedAway,
-        Some(CANCELLED | UNKNOWN | DEADLINE_EXCEEDED | RESOURCE_EXHAUSTED) => End::ErrorAnswer,
-        Some(INTERNAL | UNAVAILABLE | DATA_LOSS) => End::ErrorAnswer,
-        Some(_) => End::Answered,
+        None => AttemptEnd::BadAnswer,
+        Some(UNAVAILABLE | RESOURCE_EXHAUSTED | DEADLINE_EXCEEDED) if not_processed => AttemptEnd::TurnedAway,
+        Some(CANCELLED | UNKNOWN | DEADLINE_EXCEEDED | RESOURCE_EXHAUSTED) => AttemptEnd::ErrorAnswer,
+        Some(INTERNAL | UNAVAILABLE | DATA_LOSS) => AttemptEnd::ErrorAnswer,
+        Some(_) => AttemptEnd::Answered,
     }
 }
 
--- a/src/grpc/status/tests.rs
+++ b/src/grpc/status/tests.rs
@@ -1,34 +1,34 @@
 use super::*;
-use crate::interface::Ending;
+use crate::interface::AttemptResult;
 
 #[test]
 fn each_status_of_a_node_has_its_end_and_what_is_no_status_has_its_own() {
-    let full = Ending::Full;
+    let full = AttemptResult::Overloaded;
     for (text, not_processed, wanted) in [
-        ("0", false, Ending::Served),
-        ("5", false, Ending::Served),
-        ("12", false, Ending::Served),
-        ("16", false, Ending::Served),
-        ("1", false, Ending::Error),
-        ("2", true, Ending::Error),
-        ("4", false, Ending::Error),
+        ("0", false, AttemptResult::Served),
+        ("5", false, AttemptResult::Served),
+        ("12", false, AttemptResult::Served),
+        ("16", false, AttemptResult::Served),
+        ("1", false, AttemptResult::Error),
+        ("2", true, AttemptResult::Error),
+        ("4", false, AttemptResult::Error),
         ("4", true, full),
-        ("8", false, Ending::Error),
+        ("8", false, AttemptResult::Error),
         ("8", true, full),
-        ("13", false, Ending::Error),
-        ("14", false, Ending::Error),
+        ("13", false, AttemptResult::Error),
+        ("14", false, AttemptResult::Error),
         ("14", true, full),
-        ("15", false, Ending::Error),
-        ("17", false, Ending::Error),
-        ("-1", false, Ending::Error),
-        ("+1", false, Ending::Error),
-        ("007", false, Ending::Error),
-        ("", false, Ending::Error),
-        ("OK", false, Ending::Error),
+        ("15", false, AttemptResult::Error),
+        ("17", false, AttemptResult::Error),
+        ("-1", false, AttemptResult::Error),
+        ("+1", false, AttemptResult::Error),
+        ("007", false, AttemptResult::Error),
+        ("", false, AttemptResult::Error),
+        ("OK", false, AttemptResult::Error),
     ] {
-        assert_eq!(attempt(read(Some(text.as_bytes())), not_processed).ending(), wanted, "{text:?}");
+        assert_eq!(attempt(read(Some(text.as_bytes())), not_processed).result(), wanted, "{text:?}");
     }
-    assert_eq!(attempt(read(None), true), End::BadAnswer);
+    assert_eq!(attempt(read(None), true), AttemptEnd::BadAnswer);
 }
 
 #[test]
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -1,12 +1,12 @@
 #![doc = include_str!("../README.md")]
 
 pub mod agree;
+pub mod attempt_end;
 pub mod classes;
 pub mod clock;
 pub mod command_line;
 pub mod config;
 pub mod core;
-pub mod ending;
 pub mod events;
 pub mod figures;
 pub mod grpc;
--- a/src/life.rs
+++ b/src/life.rs
@@ -1,20 +1,22 @@
-//! What the program is doing: serving, draining and back, ending. Decides which phase that is at any time and when the
-//! next one begins; knows nothing of sockets, tasks or signals.
+//! What the program is doing: serving, draining and back, ending. Decides which phase that is at any time and
+//! when the next one begins; knows nothing of sockets, tasks or signals.
 
 use std::fmt;
 use std::time::{Duration, Instant};
 
-/// In a drain the front still sends new connections for 0.2 s after it heard that the head says no, and asks every 0.1 s.
+/// In a drain the front still sends new connections for 0.2 s after it heard that the head says no, and asks
+/// every 0.1 s.
 const KEEP_ON: Duration = Duration::from_millis(500);
-/// From then on idle connections are closed, and nobody new stays: 4 s after the call nothing of the last 2 s is there.
+/// From then on idle connections are closed, and nobody new stays: 4 s after the call nothing of the last 2 s
+/// is there.
 const EMPTY: Duration = Duration::from_millis(1_700);
 /// After SIGTERM: new connections keep coming for up to 0.4 s.
 const ACCEPT_ON: Duration = Duration::from_millis(600);
 /// SIGKILL comes no sooner than the longest deadline, 3 s at most, and 0.7 s: be gone well before.
 const LONGEST: Duration = Duration::from_secs(3);
 const LAST_ANSWERS: Duration = Duration::from_millis(500);
-/// So long before the last answers connections begin to close: until then their clients go on using them, and have
-/// nowhere else to go.
+/// So long before the last answers connections begin to close: until then their clients go on using them, and
+/// have nowhere else to go.
 const CLOSE: Duration = Duration::from_millis(250);
 
 /// What fronts go by.
@@ -41,7 +43,7 @@
 enum Doing {
     Serving,
     Draining { since: Instant },
-    Ending { since: Instant, shared: bool },
+    AttemptResult { since: Instant, shared: bool },
 }
 
 /// Why a call is turned down.
@@ -75,7 +77,7 @@
         match self.doing {
             Doing::Serving => self.doing = Doing::Draining { since: now },
             Doing::Draining { .. } => {}
-            Doing::Ending { .. } => return Err(Ends),
+            Doing::AttemptResult { .. } => return Err(Ends),
         }
         Ok(())
     }
@@ -83,16 +85,17 @@
     /// The drain is over, however far it has come; without one there is nothing to do.
     pub fn undrain(&mut self) -> Result<(), Ends> {
         match self.doing {
-            Doing::Ending { .. } => return Err(Ends),
+            Doing::AttemptResult { .. } => return Err(Ends),
             _ => self.doing = Doing::Serving,
         }
         Ok(())
     }
 
-    /// The program ends. `shared`: another process listens on the same socket, so that nobody is left at the door.
+    /// The program ends. `shared`: another process listens on the same socket, so that nobody is left at the
+    /// door.
     pub fn end(&mut self, now: Instant, shared: bool) {
-        if !matches!(self.doing, Doing::Ending { .. }) {
-            self.doing = Doing::Ending { since: now, shared };
+        if !matches!(self.doing, Doing::AttemptResult { .. }) {
+            self.doing = Doing::AttemptResult { since: now, shared };
         }
     }
 
@@ -102,7 +105,7 @@
             Doing::Draining { since } => {
                 Phase { up: false, last: now >= since + KEEP_ON, close: now >= since + EMPTY, ..SERVING }
             }
-            Doing::Ending { since, shared } => {
+            Doing::AttemptResult { since, shared } => {
                 let closing = now + CLOSE >= self.last_answers(since);
                 Phase {
                     up: !shared,
@@ -122,7 +125,7 @@
         let times = match self.doing {
             Doing::Serving => [None, None],
             Doing::Draining { since } => [Some(since + KEEP_ON), Some(since + EMPTY)],
-            Doing::Ending { since, .. } => {
+            Doing::AttemptResult { since, .. } => {
                 [Some(since + ACCEPT_ON), self.last_answers(since).checked_sub(CLOSE)]
             }
         };
@@ -132,7 +135,7 @@
     /// While the program ends: when what is still open has to fail.
     pub fn last(&self) -> Option<Instant> {
         match self.doing {
-            Doing::Ending { since, .. } => Some(self.last_answers(since)),
+            Doing::AttemptResult { since, .. } => Some(self.last_answers(since)),
             _ => None,
         }
     }
--- a/src/net/back.rs
+++ b/src/net/back.rs
@@ -7,9 +7,9 @@
 //! before it writes, and hands the connection back only when it is clean; giving an attempt up closes it at once,
 //! and nothing is ever sent again by itself.
 
+use crate::attempt_end::AttemptEnd;
 use crate::config::NodeLimits;
 use crate::core::{Attempt, Begun, Report, Try, Work};
-use crate::ending::End;
 use crate::handover::Part;
 use crate::interface::Load;
 use crate::net::inbound::Presence;
@@ -96,17 +96,17 @@
     async fn attempt(self, forward: Arc<Forward>, a_try: Try) -> Report {
         let a_try = Arc::new(a_try);
         self.asked.fetch_add(1, Ordering::Relaxed);
-        let Ok(address) = a_try.address.parse() else { return End::NotStarted.into() };
+        let Ok(address) = a_try.address.parse() else { return AttemptEnd::NotStarted.into() };
         let _in_use = self.pool.begin();
         while let Some(stream) = self.pool.latest(address) {
             let report = self.exchange(stream, address, &forward, &a_try).await;
-            if report.end != End::BrokeUnsent || a_try.begun.get() || a_try.begun.refused() {
+            if report.end != AttemptEnd::BrokeUnsent || a_try.begun.get() || a_try.begun.refused() {
                 return report;
             }
         }
         match self.connect(address).await {
             Some(stream) => self.exchange(stream, address, &forward, &a_try).await,
-            None => End::NoConnection.into(),
+            None => AttemptEnd::NoConnection.into(),
         }
     }
 
@@ -153,13 +153,13 @@
         a_try: &Arc<Try>,
     ) -> Report {
         let wire = Wire::new(a_try.begun.clone(), forward.payload.length());
-        let Some(mut request) = forward.request(a_try, &wire) else { return End::NotStarted.into() };
+        let Some(mut request) = forward.request(a_try, &wire) else { return AttemptEnd::NotStarted.into() };
         // A 1xx answer is none yet: the time for one begins anew behind it.
         let interim = wire.clone();
         hyper::ext::on_informational(&mut request, move |_| interim.with(|p| p.last_byte = None));
         let watched = Watched { io: TokioIo::new(stream), wire: wire.clone() };
         let handshake = http1::Builder::new().max_buf_size(MOST_HEAD).handshake(watched).await;
-        let Ok((mut sender, mut connection)) = handshake else { return End::BrokeUnsent.into() };
+        let Ok((mut sender, mut connection)) = handshake else { return AttemptEnd::BrokeUnsent.into() };
         let read = wire.clone();
         let unanswered = Unanswered { pool: &self.pool, address, wire: &wire };
         let mut ended = false;
@@ -196,12 +196,14 @@
         let whole = wire.with(|p| p.whole());
         let (report, reusable) = match got {
             // An answer before the request's last byte is not to this request, unless it turns it away unread.
-            Some(Ok((report, _))) if !whole && report.end == End::Answered => (End::BadAnswer.into(), false),
+            Some(Ok((report, _))) if !whole && report.end == AttemptEnd::Answered => {
+                (AttemptEnd::BadAnswer.into(), false)
+            }
             Some(Ok(done)) => done,
             Some(Err(spoilt)) => (wire.with(|p| spoilt.end(p)).into(), false),
-            None if wire.with(|p| p.whole()) => (End::BadAnswer.into(), false),
+            None if wire.with(|p| p.whole()) => (AttemptEnd::BadAnswer.into(), false),
             // Its node takes nothing of the request any more.
-            None => (End::BrokeUnsent.into(), false),
+            None => (AttemptEnd::BrokeUnsent.into(), false),
         };
         if reusable && whole && !ended {
             let parts = connection.into_parts();
@@ -238,18 +240,18 @@
     /// Its length is told in no way or in two, it is too long, or its chunks cannot be read.
     Framing,
     /// Some of it is with the client, and no more came, or no more was taken.
-    Stopped(End),
+    Stopped(AttemptEnd),
 }
 
 impl Spoilt {
-    fn end(&self, progress: &Progress) -> End {
+    fn end(&self, progress: &Progress) -> AttemptEnd {
         match self {
-            _ if progress.overrun => End::BadAnswer,
-            Spoilt::Framing => End::BadAnswer,
+            _ if progress.overrun => AttemptEnd::BadAnswer,
+            Spoilt::Framing => AttemptEnd::BadAnswer,
             Spoilt::Stopped(end) => *end,
-            Spoilt::Broken(error) if error.is_parse() || unreadable(error) => End::BadAnswer,
-            Spoilt::Broken(_) if progress.whole() => End::Broke,
-            Spoilt::Broken(_) => End::BrokeUnsent,
+            Spoilt::Broken(error) if error.is_parse() || unreadable(error) => AttemptEnd::BadAnswer,
+            Spoilt::Broken(_) if progress.whole() => AttemptEnd::Broke,
+            Spoilt::Broken(_) => AttemptEnd::BrokeUnsent,
         }
     }
 }
@@ -275,13 +277,13 @@
         return Err(Spoilt::Framing);
     }
     let end = match head.status {
-        StatusCode::OK => End::Answered,
+        StatusCode::OK => AttemptEnd::Answered,
         StatusCode::SERVICE_UNAVAILABLE | StatusCode::GATEWAY_TIMEOUT
             if head.headers.get(NOT_PROCESSED).is_some_and(|value| value == "1") =>
         {
-            End::TurnedAway
+            AttemptEnd::TurnedAway
         }
-        _ => End::ErrorAnswer,
+        _ => AttemptEnd::ErrorAnswer,
     };
     let (load, used) = (load(&head.headers), used(&head.headers));
     let length = body.size_hint().exact();
@@ -292,10 +294,12 @@
     let body = match held {
         Held::Whole(body) => body,
         // What is not to be passed on is of no use at that length.
-        Held::More(_) if end != End::Answered || !wire.with(|p| p.whole()) => return Err(Spoilt::Framing),
+        Held::More(_) if end != AttemptEnd::Answered || !wire.with(|p| p.whole()) => {
+            return Err(Spoilt::Framing);
+        }
         Held::More(pieces) => {
             if !a_try.binder.begin(load, used).await {
-                return Err(Spoilt::Stopped(End::CalledOff));
+                return Err(Spoilt::Stopped(AttemptEnd::CalledOff));
             }
             wire.with(|p| p.passing = true);
             pass(pieces, body, length, forward).await?;
@@ -346,10 +350,10 @@
     forward: &Forward,
 ) -> Result<(), Spoilt> {
     let Some(begins) = forward.begins.lock().unwrap_or_else(PoisonError::into_inner).take() else {
-        return Err(Spoilt::Stopped(End::CalledOff));
+        return Err(Spoilt::Stopped(AttemptEnd::CalledOff));
     };
     let (down, taken) = mpsc::channel(PIECES);
-    let gone = || Spoilt::Stopped(End::CalledOff);
+    let gone = || Spoilt::Stopped(AttemptEnd::CalledOff);
     begins.send(Passing { length, pieces: taken }).map_err(|_| gone())?;
     let mut bytes = 0;
     let mut pieces = VecDeque::from(pieces);
@@ -361,7 +365,7 @@
                     Some(piece) => piece,
                     None => return Ok(()),
                 },
-                Err(_) => return Err(Spoilt::Stopped(End::Broke)),
+                Err(_) => return Err(Spoilt::Stopped(AttemptEnd::Broke)),
             },
         };
         bytes += piece.len() as u64;
@@ -554,7 +558,9 @@
         Box::pin(async move {
             let report = back.attempt(Arc::new(forward), a_try).await;
             match std::str::from_utf8(&report.body) {
-                Ok(text) if load && report.end == End::Answered => Report { load: read_load(text), ..report },
+                Ok(text) if load && report.end == AttemptEnd::Answered => {
+                    Report { load: read_load(text), ..report }
+                }
                 _ => report,
             }
         })
--- a/src/net/back/tests.rs
+++ b/src/net/back/tests.rs
@@ -120,7 +120,7 @@
             let wrote = poll_fn(|cx| hyper::rt::Write::poll_write(Pin::new(&mut watched), cx, b"GET")).await;
             assert!(wrote.is_err(), "{what}");
             let report = back.exchange(watched.io.into_inner(), address, &get(), &a_try).await;
-            assert_eq!(report.end, End::BrokeUnsent, "{what}");
+            assert_eq!(report.end, AttemptEnd::BrokeUnsent, "{what}");
             assert!(!a_try.begun.get(), "{what}");
             let mut got = Vec::new();
             // It ends with a reset where something came that was not read.
--- a/src/net/discovery.rs
+++ b/src/net/discovery.rs
@@ -3,7 +3,7 @@
 use crate::config::{ListedState, NodeList};
 use crate::core::{Handle, Input};
 use crate::event;
-use crate::interface::News;
+use crate::interface::ListUpdate;
 use crate::staleness::{BEAT, TOLD};
 use bytes::{Buf, Bytes, BytesMut};
 use http_body_util::{BodyExt, Empty};
@@ -19,18 +19,20 @@
 use tokio::sync::{mpsc, watch};
 use tokio::time::{Duration, Instant, sleep, timeout, timeout_at};
 
-/// A watch that is silent for longer than its beat and a quarter of it is broken, though its connection stands.
+/// A watch that is silent for longer than its beat and a quarter of it is broken, though its connection
+/// stands.
 const SILENCE: Duration = Duration::from_micros(BEAT * 5 / 4);
-/// From the call to the watch's first list. The service works through its calls in turn and fails those that waited
-/// too long by itself: a call without any answer is taken to be a watch that has fallen silent.
+/// From the call to the watch's first list. The service works through its calls in turn and fails those that
+/// waited too long by itself: a call without any answer is taken to be a watch that has fallen silent.
 const CALL: Duration = Duration::from_micros(BEAT * 3 / 2);
 /// One on which something comes, but neither a list nor a beat is whole for so long, tells nothing either.
 const WHOLE: Duration = Duration::from_micros(TOLD);
 const CONNECT: Duration = Duration::from_secs(2);
 /// No list is longer; a head has little memory, and 1,024 nodes take 300 kB, indented.
 const MOST_LIST: usize = 1024 * 1024;
-/// Where lists are pushed, what the agent has counts as told at once, and the agent answers at once: a broken watch is
-/// renewed after a part of the time in which sends to a node have to end, and a call waits for its answer for another.
+/// Where lists are pushed, what the agent has counts as told at once, and the agent answers at once: a broken
+/// watch is renewed after a part of the time in which sends to a node have to end, and a call waits for its
+/// answer for another.
 const RENEW_PART: u32 = 10;
 const CALL_PARTS: u32 = 4;
 const RENEW_MOST: Duration = Duration::from_millis(700);
@@ -78,16 +80,17 @@
     pub async fn run(self, mut wanted: mpsc::UnboundedReceiver<()>) {
         let Discovery { address: mut place, known, handle, on_demand, stop_within } = self;
         let mut held = Held { version: known.version, ..Held::default() };
-        handle.send(Input::Nodes { news: News::Cached, nodes: known.servers });
+        handle.send(Input::Nodes { news: ListUpdate::Cached, nodes: known.servers });
         let tell = |news| handle.send(Input::Nodes { news, nodes: Vec::new() });
         if !on_demand {
             // The agent may know more from the first moment on.
-            tell(News::Failed);
+            tell(ListUpdate::Failed);
         }
         let renew = if stop_within.is_zero() { RENEW_MOST } else { RENEW_MOST.min(stop_within / RENEW_PART) };
         let call = if on_demand || stop_within.is_zero() { CALL } else { renew * CALL_PARTS };
         let mut address = *place.borrow_and_update();
-        // The watch that stands stays until the one at the new address does, so that no change is missed between.
+        // The watch that stands stays until the one at the new address does, so that no change is missed
+        // between.
         let (mut stands, mut moving): (Option<Watch>, bool) = (None, false);
         let mut told: Option<Broken> = None;
         let mut opening = (!on_demand).then(|| open(address, held.version, Duration::ZERO, call));
@@ -101,7 +104,7 @@
                     address = *place.borrow_and_update();
                     event!(WATCH_MOVES, address:%);
                     (moving, opening) = (true, (!on_demand).then(|| open(address, held.version, Duration::ZERO, call)));
-                    tell(News::Moved);
+                    tell(ListUpdate::Moved);
                     continue;
                 }
                 asked = wanted.recv() => match asked {
@@ -123,7 +126,7 @@
                             if let Some(news) = held.news(&mut list, true) {
                                 handle.send(Input::Nodes { news, nodes: list.servers });
                             }
-                            tell(News::Watched);
+                            tell(ListUpdate::Subscribed);
                             continue;
                         }
                         Some(Err(broken)) => broken,
@@ -138,7 +141,7 @@
                         continue;
                     }
                     Some(Ok(None)) => {
-                        tell(News::Beat);
+                        tell(ListUpdate::Heartbeat);
                         continue;
                     }
                     Some(Err(broken)) => {
@@ -164,7 +167,7 @@
                 while wanted.try_recv().is_ok() {}
             }
             if stands.is_none() || moving {
-                tell(if silent { News::Silent } else { News::Failed });
+                tell(if silent { ListUpdate::TimedOut } else { ListUpdate::Failed });
             }
         }
     }
@@ -249,10 +252,11 @@
 }
 
 impl Held {
-    /// What is news in a list. Changes that are no newer than what is held are none: a late one would undo a later one. A
-    /// whole list that is older is none on a watch that has told a newer one; as the first of another watch it may be all
-    /// that discovery has since it began anew, and stands, but brings back no node that is known to leave.
-    fn news(&mut self, list: &mut NodeList, first: bool) -> Option<News> {
+    /// What is news in a list. Changes that are no newer than what is held are none: a late one would undo a
+    /// later one. A whole list that is older is none on a watch that has told a newer one; as the first of
+    /// another watch it may be all that discovery has since it began anew, and stands, but brings back no
+    /// node that is known to leave.
+    fn news(&mut self, list: &mut NodeList, first: bool) -> Option<ListUpdate> {
         let older = list.version < self.version;
         if list.full && older && !first {
             return None;
@@ -277,15 +281,17 @@
             }
         }
         self.version = if list.full { list.version } else { list.version.max(self.version) };
-        Some(if list.full { News::Full } else { News::Changes })
+        Some(if list.full { ListUpdate::Full } else { ListUpdate::Changes })
     }
 }
 
-/// Cuts what comes into lists: JSON objects, on one line or over many, with empty lines between them as beats.
+/// Cuts what comes into lists: JSON objects, on one line or over many, with empty lines between them as
+/// beats.
 #[derive(Debug, Default)]
 struct ListReader {
     pending: BytesMut,
-    /// How far `pending` has been looked at; braces and brackets that are open there, and whether a string is.
+    /// How far `pending` has been looked at; braces and brackets that are open there, and whether a string
+    /// is.
     seen: usize,
     open: usize,
     string: bool,
--- a/src/net/discovery/tests.rs
+++ b/src/net/discovery/tests.rs
@@ -1,6 +1,6 @@
 use super::*;
 
-fn told(reader: &mut ListReader, held: &mut Held, text: &str) -> Vec<(News, u64, usize)> {
+fn told(reader: &mut ListReader, held: &mut Held, text: &str) -> Vec<(ListUpdate, u64, usize)> {
     reader.add(text.as_bytes()).unwrap();
     let mut all = Vec::new();
     loop {
@@ -14,7 +14,7 @@
     }
 }
 
-const BEAT: (News, u64, usize) = (News::Beat, 0, 0);
+const BEAT: (ListUpdate, u64, usize) = (ListUpdate::Heartbeat, 0, 0);
 
 #[test]
 fn changes_are_told_in_version_order_and_torn_lines_are_none() {
@@ -22,15 +22,18 @@
     let line = |version, full| format!("{{\"version\":{version},\"full\":{full},\"servers\":[{entry}]}}\n");
     let (mut reader, mut held) = (ListReader::default(), Held { version: 41, ..Held::default() });
     let mut news = |text: &str| told(&mut reader, &mut held, text);
-    assert_eq!(news(&format!("\n{}\r\n\n", line(42, false).trim())), [BEAT, (News::Changes, 42, 1), BEAT]);
+    assert_eq!(
+        news(&format!("\n{}\r\n\n", line(42, false).trim())),
+        [BEAT, (ListUpdate::Changes, 42, 1), BEAT]
+    );
     assert_eq!(news(&line(42, false)), []);
     assert_eq!(news(&line(41, false)), []);
     let (a, b) = (line(44, false), line(45, true));
     assert_eq!(news(&a[..30]), []);
     let rest = news(&format!("{}{b}", &a[30..]));
-    assert_eq!(rest, [(News::Changes, 44, 1), (News::Full, 45, 1)]);
+    assert_eq!(rest, [(ListUpdate::Changes, 44, 1), (ListUpdate::Full, 45, 1)]);
     assert_eq!(news(&line(3, true)), [], "on one watch an older list is none, whole or not");
-    assert_eq!(news(&line(45, true)), [(News::Full, 45, 1)]);
+    assert_eq!(news(&line(45, true)), [(ListUpdate::Full, 45, 1)]);
 }
 
 #[test]
@@ -47,7 +50,7 @@
             all.extend(told(&mut reader, &mut held, std::str::from_utf8(piece).unwrap()));
         }
         // The end of its own line may come by itself, and looks like a beat then: nothing has changed since.
-        assert_eq!(all[..2], [(News::Full, 7, 1024), BEAT], "{piece}");
+        assert_eq!(all[..2], [(ListUpdate::Full, 7, 1024), BEAT], "{piece}");
     }
 }
 
@@ -87,8 +90,11 @@
         ("newer changes", 44, false, false, 1, Some(InService)),
     ] {
         let mut held = Held::default();
-        assert_eq!(held.news(&mut list(42, true, &[("a", InService, 1)]), true), Some(News::Full));
-        assert_eq!(held.news(&mut list(43, false, &[("a", Terminating, 1)]), false), Some(News::Changes));
+        assert_eq!(held.news(&mut list(42, true, &[("a", InService, 1)]), true), Some(ListUpdate::Full));
+        assert_eq!(
+            held.news(&mut list(43, false, &[("a", Terminating, 1)]), false),
+            Some(ListUpdate::Changes)
+        );
         let mut later = list(version, full, &[("a", InService, started), ("b", InService, 0)]);
         let news = held.news(&mut later, first);
         assert_eq!(news.map(|_| later.servers[0].state), state, "{what}");
--- a/src/net/grpc/back.rs
+++ b/src/net/grpc/back.rs
@@ -5,9 +5,9 @@
 use super::call::{Call, Down};
 use super::tap::{Tap, Tapped};
 use super::{FOR_THE_HEAD, PREVIOUS, PUSHBACK, STATUS, TIMEOUT, passed_on};
+use crate::attempt_end::AttemptEnd;
 use crate::config::grpc::GrpcFront;
 use crate::core::{Attempt, Begun, Binder, Report, Try, Work};
-use crate::ending::End;
 use crate::event;
 use crate::grpc::channels::{ChannelId, Channels, Duty, Grant};
 use crate::grpc::frames::{Kind, PREFACE, Scanner, Seen};
@@ -134,7 +134,9 @@
 
     async fn attempt(self, call: Arc<Call>, a_try: Try) -> Report {
         self.hub.asked.fetch_add(1, Ordering::Relaxed);
-        let Ok(mut address) = a_try.address.parse::<SocketAddr>() else { return End::NotStarted.into() };
+        let Ok(mut address) = a_try.address.parse::<SocketAddr>() else {
+            return AttemptEnd::NotStarted.into();
+        };
         if let Some(port) = self.hub.port {
             address.set_port(port);
         }
@@ -144,7 +146,7 @@
                 Err(end) => return end.into(),
             };
             let first = exchange(lease, &call, &a_try).await;
-            if first.end != End::BrokeUnsent || a_try.begun.get() {
+            if first.end != AttemptEnd::BrokeUnsent || a_try.begun.get() {
                 return first;
             }
             // A channel that turns out gone before a byte went out is replaced once: that is no attempt yet.
@@ -156,7 +158,7 @@
         tokio::select! {
             biased;
             // The stream goes with its future, and its node hears of that in this turn.
-            () = call.left.cancelled() => End::CalledOff.into(),
+            () = call.left.cancelled() => AttemptEnd::CalledOff.into(),
             report = carried => report,
         }
     }
@@ -184,7 +186,7 @@
         self.with(|_, state| state.lines.remove(&id));
     }
 
-    async fn acquire(self: &Arc<Hub>, address: SocketAddr) -> Result<Lease, End> {
+    async fn acquire(self: &Arc<Hub>, address: SocketAddr) -> Result<Lease, AttemptEnd> {
         loop {
             let mut changed = std::pin::pin!(self.changed.notified());
             changed.as_mut().enable();
@@ -194,7 +196,7 @@
                         state.lines.get(&id).map(|line| (line.sender.clone(), line.watch.clone()))
                     });
                     // One whose line is gone has broken in this very turn.
-                    let Some((sender, watch)) = line else { return Err(End::NoConnection) };
+                    let Some((sender, watch)) = line else { return Err(AttemptEnd::NoConnection) };
                     return Ok(Lease { hub: self.clone(), id, sender, watch });
                 }
                 Grant::Open { id, close } => {
@@ -202,7 +204,7 @@
                     tokio::spawn(channel(self.clone(), id, address));
                 }
                 Grant::Wait => changed.await,
-                Grant::Refuse => return Err(End::NoConnection),
+                Grant::Refuse => return Err(AttemptEnd::NoConnection),
             }
         }
     }
@@ -500,17 +502,17 @@
 }
 
 async fn exchange(lease: Lease, call: &Call, a_try: &Try) -> Report {
-    let Ok(mut sender) = lease.sender.clone().ready().await else { return End::BrokeUnsent.into() };
+    let Ok(mut sender) = lease.sender.clone().ready().await else { return AttemptEnd::BrokeUnsent.into() };
     if lease.watch.with(|lines| lines.blocked) {
         let _blocked = Blocked::new(&lease);
         lease.watch.takes_bytes().await;
     }
     if !a_try.begun.may_begin() {
-        return End::Unsent.into();
+        return AttemptEnd::Unsent.into();
     }
-    let Some(request) = request(call, a_try) else { return End::NotStarted.into() };
+    let Some(request) = request(call, a_try) else { return AttemptEnd::NotStarted.into() };
     let Ok((response, upwards)) = sender.send_request(request, false) else {
-        return End::BrokeUnsent.into();
+        return AttemptEnd::BrokeUnsent.into();
     };
     let watched = Watched::new(&lease.watch, response.stream_id().as_u32(), a_try.begun.clone());
     let mut answer = Answer { call, binder: &a_try.binder, watched: &watched, ours: false, begun: false };
@@ -521,8 +523,8 @@
     };
     // The module must not send again what the client has some of, whatever the end would say otherwise.
     match report.end {
-        End::TurnedAway | End::NoConnection | End::BrokeUnsent if answer.begun => {
-            Report { end: End::Broke, ..report }
+        AttemptEnd::TurnedAway | AttemptEnd::NoConnection | AttemptEnd::BrokeUnsent if answer.begun => {
+            Report { end: AttemptEnd::Broke, ..report }
         }
         _ => report,
     }
@@ -530,7 +532,7 @@
 
 /// Sends the request as it comes. Returns only where the attempt cannot go on; how it ended otherwise is for the
 /// node's side to tell.
-async fn send(call: &Call, binder: &Binder, lease: &Lease, mut upwards: SendStream<Bytes>) -> End {
+async fn send(call: &Call, binder: &Binder, lease: &Lease, mut upwards: SendStream<Bytes>) -> AttemptEnd {
     let (attempt, mut sent) = (binder.attempt(), 0);
     loop {
         match call.next(attempt, sent).await {
@@ -551,19 +553,19 @@
             }
             Next::Bind => {
                 if !binder.bind().await {
-                    return End::CalledOff;
+                    return AttemptEnd::CalledOff;
                 }
                 call.bind(attempt, sent);
             }
-            Next::End(Over::Cut) => return End::CalledOff,
+            Next::End(Over::Cut) => return AttemptEnd::CalledOff,
             // Another attempt has the call, and what this one would begin with is gone.
-            Next::Lost => return End::NotStarted,
+            Next::Lost => return AttemptEnd::NotStarted,
             Next::Wait => {}
         }
     }
 }
 
-async fn keep(_upwards: SendStream<Bytes>) -> End {
+async fn keep(_upwards: SendStream<Bytes>) -> AttemptEnd {
     pending().await
 }
 
@@ -615,12 +617,12 @@
 
 /// Why an answer does not go on.
 enum Stop {
-    End(End),
+    End(AttemptEnd),
     Broken(h2::Error),
 }
 
-impl From<End> for Stop {
-    fn from(end: End) -> Stop {
+impl From<AttemptEnd> for Stop {
+    fn from(end: AttemptEnd) -> Stop {
         Stop::End(end)
     }
 }
@@ -651,12 +653,12 @@
         &mut self,
         response: ResponseFuture,
         note: &mut impl FnMut(&HeaderMap),
-    ) -> Result<End, Stop> {
+    ) -> Result<AttemptEnd, Stop> {
         let (head, mut body) = response.await?.into_parts();
         note(&head.headers);
         if head.status != StatusCode::OK {
             let unseen = head.status == StatusCode::SERVICE_UNAVAILABLE && not_processed(&head.headers);
-            return Ok(if unseen { End::TurnedAway } else { End::ErrorAnswer });
+            return Ok(if unseen { AttemptEnd::TurnedAway } else { AttemptEnd::ErrorAnswer });
         }
         // Trailers-only: the first metadata are the last.
         if body.is_end_stream() {
@@ -676,7 +678,7 @@
             // Only now may the node send as much again: its pace is the client's.
             let _ = body.flow_control().release_capacity(length);
         }
-        let trailers = body.trailers().await?.ok_or(End::BadAnswer)?;
+        let trailers = body.trailers().await?.ok_or(AttemptEnd::BadAnswer)?;
         note(&trailers);
         self.finish(headers, trailers).await
     }
@@ -685,7 +687,7 @@
     async fn begin(&mut self, headers: &mut Option<HeaderMap>) -> Result<(), Stop> {
         if !self.ours {
             if !self.binder.bind().await {
-                return Err(End::CalledOff.into());
+                return Err(AttemptEnd::CalledOff.into());
             }
             self.ours = true;
         }
@@ -698,17 +700,17 @@
 
     /// Waits until the client's task has room for it.
     async fn tell(&self, down: Down) -> Result<(), Stop> {
-        self.call.down.send(down).await.map_err(|_| End::CalledOff.into())
+        self.call.down.send(down).await.map_err(|_| AttemptEnd::CalledOff.into())
     }
 
-    async fn finish(&mut self, headers: Option<HeaderMap>, trailers: HeaderMap) -> Result<End, Stop> {
+    async fn finish(&mut self, headers: Option<HeaderMap>, trailers: HeaderMap) -> Result<AttemptEnd, Stop> {
         let mut statuses = trailers.get_all(STATUS).iter();
         let code = match (statuses.next(), statuses.next()) {
             (Some(code), None) => status::read(Some(code.as_bytes())),
             _ => None,
         };
         let end = status::attempt(code, not_processed(&trailers));
-        if end == End::Answered {
+        if end == AttemptEnd::Answered {
             let mut headers = headers;
             self.begin(&mut headers).await?;
             self.tell(Down::Trailers(passed_on(&trailers, &FOR_THE_HEAD))).await?;
@@ -724,25 +726,25 @@
     }
 
     /// What came of a stream that broke off.
-    fn end(&self, error: &h2::Error) -> End {
+    fn end(&self, error: &h2::Error) -> AttemptEnd {
         let whole = self.watched.progress(|progress| progress.whole).unwrap_or(true);
         let data = self.watched.progress(|progress| progress.data).unwrap_or(true);
         debug!(stream = self.watched.stream, whole; "a stream broke: {error}");
         if error.is_reset() && error.is_remote() {
             return match error.reason() {
-                Some(Reason::REFUSED_STREAM) => End::TurnedAway,
-                _ => End::ErrorAnswer,
+                Some(Reason::REFUSED_STREAM) => AttemptEnd::TurnedAway,
+                _ => AttemptEnd::ErrorAnswer,
             };
         }
         if self.watched.above_goaway() {
-            return End::TurnedAway;
+            return AttemptEnd::TurnedAway;
         }
         // What a node may begin with before it is whole may have run with its first piece.
         let may_have_begun = whole || self.call.route.streams && data;
         if !may_have_begun {
-            return End::BrokeUnsent;
+            return AttemptEnd::BrokeUnsent;
         }
-        if error.is_io() || error.is_go_away() { End::Broke } else { End::BadAnswer }
+        if error.is_io() || error.is_go_away() { AttemptEnd::Broke } else { AttemptEnd::BadAnswer }
     }
 }
 
--- a/src/net/sftp/back.rs
+++ b/src/net/sftp/back.rs
@@ -3,9 +3,9 @@
 //! leaves nothing open.
 
 use super::packet::{self, Attrs, Command, Encoded, Reply, Request, Response, Status, VERSION};
+use crate::attempt_end::AttemptEnd;
 use crate::config::{Config, NodeLimits};
 use crate::core::{Attempt, Begun, Report, Try, Work};
-use crate::ending::End;
 use crate::net::inbound::Presence;
 use crate::net::pool::{Pool, Quiet};
 use bytes::Bytes;
@@ -47,12 +47,12 @@
 
 /// How a step failed, and whether the command it led to may have run.
 enum Fault {
-    Before(End),
-    After(End),
+    Before(AttemptEnd),
+    After(AttemptEnd),
 }
 
 impl Fault {
-    fn end(self) -> End {
+    fn end(self) -> AttemptEnd {
         match self {
             Fault::Before(end) | Fault::After(end) => end,
         }
@@ -73,27 +73,27 @@
         Some(SocketAddr::new(listed.ip(), self.port.unwrap_or(listed.port())))
     }
 
-    async fn connect(&self, address: SocketAddr) -> Result<Connection, End> {
+    async fn connect(&self, address: SocketAddr) -> Result<Connection, AttemptEnd> {
         let until = Instant::now() + self.pool.limits.connect;
         let stream = timeout_at(until, TcpStream::connect(address)).await;
-        let Ok(Ok(stream)) = stream else { return Err(End::NoConnection) };
+        let Ok(Ok(stream)) = stream else { return Err(AttemptEnd::NoConnection) };
         let _ = stream.set_nodelay(true); // only a matter of speed
         let mut connection = Connection { packets: Framed::new(stream, packet::frames()), next_id: 0 };
-        connection.send(Request::Init { version: VERSION }).await.map_err(|()| End::NoConnection)?;
+        connection.send(Request::Init { version: VERSION }).await.map_err(|()| AttemptEnd::NoConnection)?;
         // It is not up before its version is known.
         match timeout_at(until, connection.receive()).await {
             Ok(Ok(Response::Version(VERSION))) => Ok(connection),
-            _ => Err(End::NoConnection),
+            _ => Err(AttemptEnd::NoConnection),
         }
     }
 
     async fn attempt(self, job: Job, a_try: Try) -> Report {
-        let Some(address) = self.address(&a_try.address) else { return End::NotStarted.into() };
+        let Some(address) = self.address(&a_try.address) else { return AttemptEnd::NotStarted.into() };
         let _in_use = self.pool.begin();
         if let Some(connection) = self.pool.take(address) {
             match self.on(address, connection, &job, &a_try).await {
                 // It had been closed in the meantime; what the command does was not begun.
-                Err(Fault::Before(End::BrokeUnsent)) => {}
+                Err(Fault::Before(AttemptEnd::BrokeUnsent)) => {}
                 Err(fault) => return fault.end().into(),
                 Ok(report) => return report,
             }
@@ -114,7 +114,7 @@
         a_try: &Try,
     ) -> Result<Report, Fault> {
         if !a_try.begun.may_begin() {
-            return Err(Fault::Before(End::Unsent));
+            return Err(Fault::Before(AttemptEnd::Unsent));
         }
         a_try.begun.set();
         let reply = connection.carry_out(job, &a_try.begun).await;
@@ -125,9 +125,9 @@
         let reply = reply?;
         self.pool.put(address, connection);
         let end = match &reply {
-            Reply::Status { code: Status::Failure, text } if text == NOT_PROCESSED => End::TurnedAway,
-            Reply::Status { code: Status::Failure | Status::BadMessage, .. } => End::ErrorAnswer,
-            _ => End::Answered,
+            Reply::Status { code: Status::Failure, text } if text == NOT_PROCESSED => AttemptEnd::TurnedAway,
+            Reply::Status { code: Status::Failure | Status::BadMessage, .. } => AttemptEnd::ErrorAnswer,
+            _ => AttemptEnd::Answered,
         };
         Ok(Report { body: Encoded::new(&reply).into_bytes(), ..end.into() })
     }
@@ -138,10 +138,10 @@
         self.packets.send(request.encode()).await.map_err(|_| ())
     }
 
-    async fn receive(&mut self) -> Result<Response, End> {
+    async fn receive(&mut self) -> Result<Response, AttemptEnd> {
         match self.packets.next().await {
-            Some(Ok(packet)) => Response::decode(packet.freeze()).map_err(|_| End::BadAnswer),
-            _ => Err(End::Broke),
+            Some(Ok(packet)) => Response::decode(packet.freeze()).map_err(|_| AttemptEnd::BadAnswer),
+            _ => Err(AttemptEnd::Broke),
         }
     }
 
@@ -150,11 +150,13 @@
         let id = self.next_id;
         self.next_id = self.next_id.wrapping_add(1);
         // A packet of which the last byte was not written is never carried out.
-        self.send(Request::Command { id, command }).await.map_err(|()| Fault::Before(End::BrokeUnsent))?;
+        self.send(Request::Command { id, command })
+            .await
+            .map_err(|()| Fault::Before(AttemptEnd::BrokeUnsent))?;
         begun.into_iter().for_each(Begun::set_whole);
         match self.receive().await {
             Ok(Response::Reply { id: answered, reply }) if answered == id => Ok(reply),
-            Ok(_) => Err(Fault::After(End::BadAnswer)),
+            Ok(_) => Err(Fault::After(AttemptEnd::BadAnswer)),
             Err(end) => Err(Fault::After(end)),
         }
     }
@@ -178,7 +180,7 @@
                 (Deed::Open { .. }, fault) => fault,
                 // The file was not touched yet: the command itself never ran.
                 (_, fault) => Fault::Before(match fault.end() {
-                    End::Broke => End::BrokeUnsent,
+                    AttemptEnd::Broke => AttemptEnd::BrokeUnsent,
                     end => end,
                 }),
             }
@@ -186,7 +188,7 @@
         let handle = match opened {
             Reply::Handle(handle) => handle,
             Reply::Status { code: Status::Ok, .. } | Reply::Data(_) | Reply::Attrs(_) => {
-                return Err(Fault::Before(End::BadAnswer));
+                return Err(Fault::Before(AttemptEnd::BadAnswer));
             }
             refusal => return Ok(refusal),
         };
@@ -204,9 +206,9 @@
         match self.ask(Command::Close { handle }, None).await {
             Ok(Reply::Status { code: Status::Ok, .. }) => Ok(reply),
             // What was written may not have been kept.
-            Ok(_) => Err(Fault::After(End::ErrorAnswer)),
+            Ok(_) => Err(Fault::After(AttemptEnd::ErrorAnswer)),
             Err(fault) => Err(Fault::After(match fault.end() {
-                End::BrokeUnsent => End::Broke,
+                AttemptEnd::BrokeUnsent => AttemptEnd::Broke,
                 end => end,
             })),
         }
--- a/src/staleness.rs
+++ b/src/staleness.rs
@@ -1,23 +1,25 @@
-//! Until when a host may rest on its list of nodes: one small value, told what came and when. It knows no clock and no
-//! sockets, and decides nothing; the module asks it.
+//! Until when a host may rest on its list of nodes: one small value, told what came and when. It knows no
+//! clock and no sockets, and decides nothing; the module asks it.
 
-use crate::interface::{Micros, News, Settings};
+use crate::interface::{ListUpdate, Micros, Settings};
 
 /// While nothing changes a watch says so this often.
 pub const BEAT: Micros = 2_000_000;
-/// A change counts as told so long after discovery had it and could be reached, whatever fell silent, failed, was refused
-/// or given up; and so long after discovery has moved.
+/// A change counts as told so long after discovery had it and could be reached, whatever fell silent, failed,
+/// was refused or given up; and so long after discovery has moved.
 pub const TOLD: Micros = 6_000_000;
 const TOLD_MOVED: Micros = 4_000_000;
-/// Discovery works through its calls in turn, each in about `CALL_TAKES` (7.2 s for 300 hosts, as measured), and fails those
-/// that wait for `CALL_WAITS`.
+/// Discovery works through its calls in turn, each in about `CALL_TAKES` (7.2 s for 300 hosts, as measured),
+/// and fails those that wait for `CALL_WAITS`.
 pub const CALL_TAKES: Micros = 24_000;
 const CALL_WAITS: Micros = 2_000_000;
-/// The part of the time in which sends have to end that is kept back: for a turn on a busy core, and the way out.
+/// The part of the time in which sends have to end that is kept back: for a turn on a busy core, and the way
+/// out.
 const KEPT: f64 = 0.2;
 
-/// Hosts draw their calls over the time in which their list is still good. While what is left in the queue at its end takes
-/// less than a call may wait, one that fails does so because discovery is down; of more hosts that cannot be said.
+/// Hosts draw their calls over the time in which their list is still good. While what is left in the queue at
+/// its end takes less than a call may wait, one that fails does so because discovery is down; of more hosts
+/// that cannot be said.
 fn failed_when_down(hosts: u32) -> bool {
     CALL_TAKES * u64::from(hosts) < TOLD + CALL_WAITS
 }
@@ -50,34 +52,35 @@
 }
 
 impl Staleness {
-    pub fn note(&mut self, now: Micros, news: News, settings: &Settings) {
+    pub fn note(&mut self, now: Micros, news: ListUpdate, settings: &Settings) {
         match news {
-            News::Beat if self.stand == Stand::Silent => {}
-            News::Beat => (self.stand, self.heard, self.beats) = (Stand::Watched, now, true),
-            News::Watched => {
+            ListUpdate::Heartbeat if self.stand == Stand::Silent => {}
+            ListUpdate::Heartbeat => (self.stand, self.heard, self.beats) = (Stand::Watched, now, true),
+            ListUpdate::Subscribed => {
                 *self = Staleness { stand: Stand::Watched, beats: true, heard: now, ..Staleness::default() };
             }
-            News::Changes | News::Full => {
+            ListUpdate::Changes | ListUpdate::Full => {
                 (self.heard, self.stand) = (now, Stand::Watched);
             }
-            News::Cached if settings.must_subscribe => {
+            ListUpdate::Cached if settings.must_subscribe => {
                 *self = Staleness { stand: Stand::Ended, heard: now, ..Staleness::default() };
             }
-            News::Cached => *self = Staleness::default(),
-            // So is a call without an answer: it may be a watch at the other end. What was missed before it counts too.
-            News::Silent => self.stand = Stand::Silent,
+            ListUpdate::Cached => *self = Staleness::default(),
+            // So is a call without an answer: it may be a watch at the other end. What was missed before it
+            // counts too.
+            ListUpdate::TimedOut => self.stand = Stand::Silent,
             // What the first of several places had is not told later for the second.
-            News::Moved => self.moved = self.moved.or(Some(now)),
-            // A call that fails tells nothing of what a silent watch missed. Where lists are pushed, an agent that
-            // gives no answer at once has none: it learns nothing while discovery is down.
-            News::Failed if self.stand == Stand::Silent && settings.must_subscribe => {}
-            News::Failed if settings.must_subscribe => {
+            ListUpdate::Moved => self.moved = self.moved.or(Some(now)),
+            // A call that fails tells nothing of what a silent watch missed. Where lists are pushed, an agent
+            // that gives no answer at once has none: it learns nothing while discovery is down.
+            ListUpdate::Failed if self.stand == Stand::Silent && settings.must_subscribe => {}
+            ListUpdate::Failed if settings.must_subscribe => {
                 (self.stand, self.asked) = (Stand::Ended, self.called);
                 if failed_when_down(settings.hosts) {
                     self.down = self.called;
                 }
             }
-            News::Failed => (self.stand, self.asked, self.moved) = (Stand::Ended, now, None),
+            ListUpdate::Failed => (self.stand, self.asked, self.moved) = (Stand::Ended, now, None),
         }
     }
 
@@ -86,8 +89,8 @@
         self.called = at;
     }
 
-    /// From then on a change may count as told that this host has not heard of, and the time is up in which sends to
-    /// the node that it is about have to end.
+    /// From then on a change may count as told that this host has not heard of, and the time is up in which
+    /// sends to the node that it is about have to end.
     pub fn good_until(&self, settings: &Settings) -> Micros {
         let told = match self.stand {
             Stand::Untold => Micros::MAX,
--- a/src/state.rs
+++ b/src/state.rs
@@ -1,30 +1,30 @@
-//! What the decision module keeps: flows, requests, nodes, and the stores and lists that they are made of. Plain
-//! state and its upkeep; what is decided on it stands in `policy`.
+//! The state of the scheduling policy: flows, pending requests, nodes, and the token buckets and queues that they are made
+//! of. Decisions on it are in `policy`.
 
 use crate::interface::*;
 use fair_queue::FlowState;
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 
 pub const SECOND: f64 = 1e6;
-/// Weight of one answer in a node's running means.
-pub const LEARN: f64 = 0.125;
+/// The weight of one answer in a node's moving averages.
+pub const EWMA_WEIGHT: f64 = 0.125;
 /// A queue of this many requests or more tells how long each of them takes; a shorter one is noise.
-const TELLING_QUEUE: f64 = 4.0;
+const MIN_TELLING_QUEUE: f64 = 4.0;
 /// How fast a queue of which nothing is heard is taken to shrink, in time worked off for each time passed.
-const QUEUE_FADES: f64 = 0.5;
+const QUEUE_DECAY: f64 = 0.5;
 
-pub type FlowIx = usize;
+pub type FlowIndex = usize;
 /// Where a request may be served: the node of a shard, or (`None`, a new object) any node.
-pub type Place = Option<u16>;
+pub type Destination = Option<u16>;
 
-/// A store of units that fills at a rate up to a cap.
+/// A token bucket: it fills at a rate up to a cap.
 #[derive(Debug, Default)]
-pub struct Store {
+pub struct TokenBucket {
     pub level: f64,
     pub at: Micros,
 }
 
-impl Store {
+impl TokenBucket {
     pub fn fill(&mut self, now: Micros, rate: f64, cap: f64) -> f64 {
         self.level = (self.level + rate * (now - self.at) as f64 / SECOND).min(cap);
         self.at = now;
@@ -66,8 +66,8 @@
     pub hosts: f64,
     /// Its virtual time and activity.
     pub fair: FlowState,
-    pub limit: Store,
-    pub reserve: Store,
+    pub limit: TokenBucket,
+    pub reserve: TokenBucket,
     /// Units a second served here, and by the reports elsewhere.
     pub own_use: f64,
     pub own_use_at: Micros,
@@ -75,14 +75,14 @@
 }
 
 impl Flow {
-    /// Weight of one report of use in the estimate of what the volume gets elsewhere, and the time over which this
-    /// host's own part is averaged, in use periods.
+    /// Weight of one report of use in the estimate of what the volume gets elsewhere, and the time over which
+    /// this host's own part is averaged, in use periods.
     const USE_LEARN: f64 = 0.3;
     const USE_PERIODS: f64 = 1.5;
 
     /// Units of the volume's limit that this host may draw now: it keeps an even part of rate and burst.
-    pub fn limit_room(&mut self, now: Micros, part: f64) -> f64 {
-        let hosts = self.hosts / part;
+    pub fn limit_available(&mut self, now: Micros, share: f64) -> f64 {
+        let hosts = self.hosts / share;
         self.limit.fill(now, self.plan.limit / hosts, self.plan.limit_burst / hosts)
     }
 
@@ -98,7 +98,7 @@
     }
 
     /// Notes what the volume got here and, where the answer tells its whole use, what it gets elsewhere.
-    pub fn note_use(&mut self, now: Micros, units: f64, used: Option<f64>, period: f64) {
+    pub fn observe_use(&mut self, now: Micros, units: f64, used: Option<f64>, period: f64) {
         let span = Self::USE_PERIODS * if period > 0.0 { period } else { SECOND };
         let faded = (-((now - self.own_use_at) as f64) / span).exp();
         self.own_use = self.own_use * faded + units * SECOND / span;
@@ -112,10 +112,10 @@
 }
 
 #[derive(Debug, PartialEq, Clone, Copy)]
-pub enum Fate {
-    Out,
-    NeverRan,
-    MayHaveRan,
+pub enum AttemptState {
+    InFlight,
+    NotRun,
+    MayHaveRun,
 }
 
 #[derive(Debug)]
@@ -125,13 +125,13 @@
     pub zone: u16,
     pub shard: u16,
     pub sent: Micros,
-    pub fate: Fate,
+    pub state: AttemptState,
 }
 
 #[derive(Debug)]
-pub struct Held {
-    pub flow: FlowIx,
-    pub place: Place,
+pub struct PendingRequest {
+    pub flow: FlowIndex,
+    pub destination: Destination,
     pub class: usize,
     pub key: u64,
     pub units: f64,
@@ -150,21 +150,21 @@
     pub attempts: Vec<Attempt>,
 }
 
-impl Held {
-    pub fn out(&self) -> bool {
-        self.attempts.iter().any(|a| a.fate == Fate::Out)
+impl PendingRequest {
+    pub fn has_attempt_in_flight(&self) -> bool {
+        self.attempts.iter().any(|a| a.state == AttemptState::InFlight)
     }
 
     pub fn first_that_may_have_run(&self) -> Option<&Attempt> {
-        self.attempts.iter().find(|a| a.fate != Fate::NeverRan)
+        self.attempts.iter().find(|a| a.state != AttemptState::NotRun)
     }
 }
 
 /// What became of later requests while one is out: how many were answered, and whether it was called off.
 #[derive(Debug, Default)]
-pub struct OutMark {
+pub struct InFlightMark {
     pub overtaken: u32,
-    pub called_off: bool,
+    pub cancelled: bool,
     /// Some of its request or answer is on its way: it may take as long as it does.
     pub streaming: bool,
 }
@@ -175,33 +175,33 @@
     pub shard: u16,
     pub ready: bool,
     /// Off the list: forgotten once nothing is out there.
-    pub gone: bool,
+    pub removed: bool,
     pub started: Micros,
     pub depth: f64,
     /// What is out, oldest first.
-    pub out: BTreeMap<(Micros, RequestId), OutMark>,
+    pub in_flight: BTreeMap<(Micros, RequestId), InFlightMark>,
     /// When the node last answered a request.
-    pub heard: Micros,
+    pub last_answer_at: Micros,
     /// Running means of an answer's time and units, and the best time for a unit.
-    pub took: f64,
+    pub latency: f64,
     pub units: f64,
     pub best: f64,
-    pub rest_until: Micros,
+    pub ejected_until: Micros,
     pub unresponsive_since: Option<Micros>,
     /// Connections that did not come up, and attempts that timed out, since its last answer.
-    pub breaks: u32,
-    pub cold_since: Option<Micros>,
-    pub cold_sends: VecDeque<(Micros, f64)>,
+    pub failures: u32,
+    pub slow_start_since: Option<Micros>,
+    pub slow_start_sends: VecDeque<(Micros, f64)>,
     /// What this host has saved up of its part of what a cold node bears.
-    pub cold_credit: Store,
+    pub slow_start_credit: TokenBucket,
     /// Time to work off the node's own queue as last told by the node or another host, when that was heard,
     /// when it was last passed on or asked for, and the time that each queued request takes.
-    pub wait: f64,
-    pub wait_at: Micros,
-    pub view_at: Micros,
-    pub drain: f64,
-    pub pace: f64,
-    pub pace_at: Micros,
+    pub queue_wait: f64,
+    pub queue_wait_at: Micros,
+    pub queue_view_at: Micros,
+    pub latency_per_queued: f64,
+    pub admitted_fraction: f64,
+    pub admitted_at: Micros,
     /// A probe is out since then.
     pub asked: Option<Micros>,
 }
@@ -213,26 +213,26 @@
             zone: entry.zone,
             shard: entry.shard,
             ready: false,
-            gone: false,
+            removed: false,
             started: entry.started,
             depth,
-            out: BTreeMap::new(),
-            heard: 0,
-            took: 0.0,
+            in_flight: BTreeMap::new(),
+            last_answer_at: 0,
+            latency: 0.0,
             units: 0.0,
             best: 0.0,
-            rest_until: 0,
+            ejected_until: 0,
             unresponsive_since: None,
-            breaks: 0,
-            cold_since: None,
-            cold_sends: VecDeque::new(),
-            cold_credit: Store::default(),
-            wait: 0.0,
-            wait_at: 0,
-            view_at: 0,
-            drain: 0.0,
-            pace: 1.0,
-            pace_at: now,
+            failures: 0,
+            slow_start_since: None,
+            slow_start_sends: VecDeque::new(),
+            slow_start_credit: TokenBucket::default(),
+            queue_wait: 0.0,
+            queue_wait_at: 0,
+            queue_view_at: 0,
+            latency_per_queued: 0.0,
+            admitted_fraction: 1.0,
+            admitted_at: now,
             asked: None,
         }
     }
@@ -240,42 +240,47 @@
 
 impl Node {
     /// How long a request sent now would wait in the node's own queue.
-    pub fn wait(&self, now: Micros) -> f64 {
-        (self.wait - QUEUE_FADES * (now - self.wait_at) as f64).max(0.0)
+    pub fn queue_wait(&self, now: Micros) -> f64 {
+        (self.queue_wait - QUEUE_DECAY * (now - self.queue_wait_at) as f64).max(0.0)
     }
 
     /// What a queue of so many requests tells, with the time that an answer behind it took.
-    pub fn note_queue(&mut self, now: Micros, queue: f64, took: Option<f64>, usual: f64) {
+    pub fn observe_queue(&mut self, now: Micros, queue: f64, latency: Option<f64>, usual: f64) {
         let idle = self.best * self.units;
-        if let Some(took) = took.filter(|_| queue >= TELLING_QUEUE) {
-            let each = (took - idle).max(0.0) / queue;
-            self.drain += if self.drain > 0.0 { LEARN * (each - self.drain) } else { each };
+        if let Some(latency) = latency.filter(|_| queue >= MIN_TELLING_QUEUE) {
+            let each = (latency - idle).max(0.0) / queue;
+            self.latency_per_queued += if self.latency_per_queued > 0.0 {
+                EWMA_WEIGHT * (each - self.latency_per_queued)
+            } else {
+                each
+            };
         }
-        let each = [self.drain, idle / 2.0, usual].into_iter().find(|each| *each > 0.0).unwrap_or(0.0);
-        (self.wait, self.wait_at) = (queue * each, now);
+        let each =
+            [self.latency_per_queued, idle / 2.0, usual].into_iter().find(|each| *each > 0.0).unwrap_or(0.0);
+        (self.queue_wait, self.queue_wait_at) = (queue * each, now);
     }
 
     /// It gets no work now, or one request at a time.
     pub fn avoided(&self, now: Micros) -> bool {
-        !self.ready || self.unresponsive_since.is_some() || self.rest_until > now
+        !self.ready || self.unresponsive_since.is_some() || self.ejected_until > now
     }
 }
 
 /// The flows' queues, one for each place; in each the requests by their order of arrival.
 #[derive(Debug, Default)]
-pub struct Queues(BTreeMap<(Place, FlowIx), BTreeSet<(u64, RequestId)>>);
+pub struct Queues(BTreeMap<(Destination, FlowIndex), BTreeSet<(u64, RequestId)>>);
 
 impl Queues {
-    pub fn insert(&mut self, place: Place, flow: FlowIx, request: (u64, RequestId)) {
-        self.0.entry((place, flow)).or_default().insert(request);
+    pub fn insert(&mut self, destination: Destination, flow: FlowIndex, request: (u64, RequestId)) {
+        self.0.entry((destination, flow)).or_default().insert(request);
     }
 
     /// Whether it was there.
-    pub fn remove(&mut self, place: Place, flow: FlowIx, request: (u64, RequestId)) -> bool {
-        let Some(queue) = self.0.get_mut(&(place, flow)) else { return false };
+    pub fn remove(&mut self, destination: Destination, flow: FlowIndex, request: (u64, RequestId)) -> bool {
+        let Some(queue) = self.0.get_mut(&(destination, flow)) else { return false };
         let removed = queue.remove(&request);
         if queue.is_empty() {
-            self.0.remove(&(place, flow));
+            self.0.remove(&(destination, flow));
         }
         removed
     }
@@ -284,25 +289,33 @@
         self.0.is_empty()
     }
 
-    pub fn iter(&self) -> impl Iterator<Item = (Place, FlowIx, &BTreeSet<(u64, RequestId)>)> {
-        self.0.iter().map(|((place, flow), queue)| (*place, *flow, queue))
+    pub fn iter(&self) -> impl Iterator<Item = (Destination, FlowIndex, &BTreeSet<(u64, RequestId)>)> {
+        self.0.iter().map(|((destination, flow), queue)| (*destination, *flow, queue))
     }
 
     /// What waits of one flow, at all places.
-    pub fn of(&self, flow: FlowIx) -> impl Iterator<Item = &RequestId> {
+    pub fn of(&self, flow: FlowIndex) -> impl Iterator<Item = &RequestId> {
         self.iter().filter(move |(_, of, _)| *of == flow).flat_map(|(.., queue)| queue).map(|(_, id)| id)
     }
 
     /// The queues at one place.
-    pub fn at(&self, place: Place) -> impl Iterator<Item = (FlowIx, &BTreeSet<(u64, RequestId)>)> {
-        self.0.range((place, 0)..=(place, FlowIx::MAX)).map(|((_, flow), queue)| (*flow, queue))
+    pub fn at(
+        &self,
+        destination: Destination,
+    ) -> impl Iterator<Item = (FlowIndex, &BTreeSet<(u64, RequestId)>)> {
+        self.0
+            .range((destination, 0)..=(destination, FlowIndex::MAX))
+            .map(|((_, flow), queue)| (*flow, queue))
     }
 }
 
+/// The pending requests of one key of an ordered class.
 #[derive(Debug, Default)]
-pub struct KeyLine {
-    pub line: VecDeque<RequestId>,
-    pub rest_until: Micros,
+pub struct KeyQueue {
+    /// Pending requests in order of arrival; only the first may be sent.
+    pub queue: VecDeque<RequestId>,
+    /// No request is sent before this: an earlier attempt may still run.
+    pub blocked_until: Micros,
 }
 
 pub fn forget(times: &mut VecDeque<Micros>, now: Micros, window: Micros) {
@@ -312,7 +325,7 @@
 }
 
 /// A number from 0 to 1 that looks random and differs by host and thing.
-pub fn share_of_one(seed: u64, thing: u64) -> f64 {
+pub fn hash_fraction(seed: u64, thing: u64) -> f64 {
     let mixed = (seed ^ thing.wrapping_mul(0x9e37_79b9_7f4a_7c15)).wrapping_mul(0xbf58_476d_1ce4_e5b9);
     ((mixed ^ (mixed >> 31)).wrapping_mul(0x94d0_49bb_1331_11eb) >> 11) as f64 / (1u64 << 53) as f64
 }
--- a/src/wire.rs
+++ b/src/wire.rs
@@ -151,18 +151,18 @@
             17 => {
                 let (_rev, list, form) = (r.u64()?, r.u16()?, r.u8()?);
                 let news = match form {
-                    1 => News::Cached,
-                    2 => News::Changes,
-                    3 => News::Failed,
-                    4 => News::Full,
+                    1 => ListUpdate::Cached,
+                    2 => ListUpdate::Changes,
+                    3 => ListUpdate::Failed,
+                    4 => ListUpdate::Full,
                     other => return r.fail(format!("unknown MEMBERSHIP form {other}")),
                 };
                 let nodes = match (news, self.lists.get(&list)) {
-                    (News::Failed, _) => Vec::new(),
+                    (ListUpdate::Failed, _) => Vec::new(),
                     (_, Some(nodes)) => nodes.clone(),
                     (_, None) => return r.fail(format!("list {list} was never given")),
                 };
-                Event::Nodes { news, nodes }
+                Event::Nodes { update: news, nodes }
             }
             18 => {
                 let (id, volume_hosts, volume, key) = (r.u64()?, r.f32()?, r.u64()?, r.u64()?);
@@ -187,18 +187,18 @@
                 Event::AnswerBegan { request, attempt }
             }
             20 => {
-                let (request, took, _elsewhere) = (r.u64()?, r.u32()?.into(), r.u16()?);
+                let (request, latency, _elsewhere) = (r.u64()?, r.u32()?.into(), r.u16()?);
                 let (attempt, over, used) = (r.u8()?.into(), r.u8()? != 0, r.u16()?);
-                let (ending, node) = (ending(r)?, r.u32()?);
+                let (result, node) = (result(r)?, r.u32()?);
                 let load = self.load(instance, r)?;
                 let used = (used > 0).then(|| f64::from(used - 1) / 100.0);
-                Event::Outcome(Outcome { request, attempt, node, ending, took, over, used, load })
+                Event::Outcome(Outcome { request, attempt, node, result, latency, over, used, load })
             }
             21 => Event::ClientLeft { request: r.u64()? },
             22 => Event::Timer { token: r.u64()? },
             23 => {
-                let (node, ending, took) = (r.u32()?, ending(r)?, r.u32()?.into());
-                Event::Probed { node, ending, took, load: self.load(instance, r)? }
+                let (node, result, latency) = (r.u32()?, result(r)?, r.u32()?.into());
+                Event::Probed { node, result, latency, load: self.load(instance, r)? }
             }
             _ => {
                 let (from, n) = (r.u16()?.into(), r.u16()? as usize);
@@ -207,7 +207,8 @@
         })
     }
 
-    /// A report of another length than announced tells nothing, nor does a value that is no number of requests.
+    /// A report of another length than announced tells nothing, nor does a value that is no number of
+    /// requests.
     fn load(&self, instance: u16, r: &mut Reader) -> Result<Load, FrameError> {
         let n = r.u8()? as usize;
         let mut values = Vec::with_capacity(n);
@@ -219,16 +220,16 @@
     }
 }
 
-fn ending(r: &mut Reader) -> Result<Ending, FrameError> {
+fn result(r: &mut Reader) -> Result<AttemptResult, FrameError> {
     Ok(match r.u8()? {
-        0 => Ending::Served,
-        255 => Ending::Error,
-        254 => Ending::Full,
-        253 => Ending::TimedOut,
-        252 => Ending::ConnectFailed,
-        251 => Ending::Reset,
-        250 => Ending::Cancelled,
-        249 => Ending::Moot,
+        0 => AttemptResult::Served,
+        255 => AttemptResult::Error,
+        254 => AttemptResult::Overloaded,
+        253 => AttemptResult::TimedOut,
+        252 => AttemptResult::ConnectFailed,
+        251 => AttemptResult::Reset,
+        250 => AttemptResult::Cancelled,
+        249 => AttemptResult::NotSent,
         other => return r.fail(format!("unknown ending {other}")),
     })
 }
@@ -304,7 +305,7 @@
                 out.extend(token.to_be_bytes());
             }
             Action::Probe { node } => self.record(instance, 21).extend(node.to_be_bytes()),
-            Action::Tell { peer, bytes } => {
+            Action::SendToPeer { peer, bytes } => {
                 let out = self.record(instance, 23);
                 out.extend(peer.map_or(u16::MAX, |p| p as u16).to_be_bytes());
                 out.extend((bytes.len() as u16).to_be_bytes());
--- a/tests/common/mod.rs
+++ b/tests/common/mod.rs
@@ -11,8 +11,8 @@
     Class {
         target: S,
         deadline: 4 * S,
-        worth: 2.0,
-        late_worth: 0.2,
+        value: 2.0,
+        late_value: 0.2,
         repeats,
         window: 3 * S,
         ..Class::default()
@@ -31,15 +31,15 @@
         answer_slack: 8 * MS,
         max_attempts: 3,
         cancel: true,
-        cold_from: 0.25,
+        slow_start_fraction: 0.25,
         cold: 16 * S,
         fall: 2 * S,
         fall_multiple: 3.0,
-        cold_units: 8.0,
+        slow_start_units: 8.0,
         most_units: 4.0,
         mean_units: 2.0,
-        share_worth: 0.3,
-        spare_worth: 0.05,
+        share_value: 0.3,
+        spare_value: 0.05,
         ..Settings::default()
     }
 }
@@ -59,7 +59,7 @@
     pub fn new(settings: Settings, nodes: Vec<NodeEntry>) -> Self {
         let policy = Policy::new(settings, 7);
         let mut host = Host { policy, now: 100 * S, actions: Vec::new() };
-        host.event(Event::Nodes { news: News::Cached, nodes });
+        host.event(Event::Nodes { update: ListUpdate::Cached, nodes });
         host
     }
 
@@ -95,15 +95,15 @@
         self.event(Event::Request(request));
     }
 
-    pub fn outcome(&mut self, request: RequestId, attempt: u32, node: NodeId, ending: Ending) {
-        let over = ending == Ending::Served;
-        let took = 50 * MS;
+    pub fn outcome(&mut self, request: RequestId, attempt: u32, node: NodeId, result: AttemptResult) {
+        let over = result == AttemptResult::Served;
+        let latency = 50 * MS;
         self.event(Event::Outcome(Outcome {
             request,
             attempt,
             node,
-            ending,
-            took,
+            result,
+            latency,
             over,
             used: None,
             load: Load::default(),
--- a/tests/crowd.rs
+++ b/tests/crowd.rs
@@ -33,7 +33,7 @@
         let settings = Settings { hosts, position, ..crowd_settings() };
         let policy = Policy::new(settings, u64::from(position).wrapping_mul(0x9e37_79b9_7f4a_7c15));
         let mut host = Host { policy, now: 100 * S, actions: Vec::new() };
-        host.event(Event::Nodes { news: News::Cached, nodes: nodes.to_vec() });
+        host.event(Event::Nodes { update: ListUpdate::Cached, nodes: nodes.to_vec() });
         host
     };
     (0..hosts).map(host).collect()
@@ -44,15 +44,15 @@
     vec![1, 0, shard, queue, high, low]
 }
 
-fn answer(host: &mut Host, request: RequestId, queue: f64, took: Micros) {
-    let (attempt, ending, over, used) = (0, Ending::Served, true, None);
+fn answer(host: &mut Host, request: RequestId, queue: f64, latency: Micros) {
+    let (attempt, result, over, used) = (0, AttemptResult::Served, true, None);
     let load = Load { queue: Some(queue) };
-    host.event(Event::Outcome(Outcome { request, attempt, node: 10, ending, took, over, used, load }));
+    host.event(Event::Outcome(Outcome { request, attempt, node: 10, result, latency, over, used, load }));
 }
 
 fn tells(host: &Host) -> Vec<&Vec<u8>> {
     let told = host.actions.iter().filter_map(|a| match a {
-        Action::Tell { peer: None, bytes } => Some(bytes),
+        Action::SendToPeer { peer: None, bytes } => Some(bytes),
         _ => None,
     });
     told.collect()
@@ -85,8 +85,8 @@
     assert!(sum(&crowd) > first + 16.0, "work still flows");
 }
 
-/// Hosts whose clients ask a warm node for 125 units a second, each one for 2 units in so many tenths of a second, then
-/// its shard's new node, cold. Units sent to that one by second.
+/// Hosts whose clients ask a warm node for 125 units a second, each one for 2 units in so many tenths of a
+/// second, then its shard's new node, cold. Units sent to that one by second.
 fn sent_to_the_cold_one_by_second(mut hosts: Vec<Host>, tenths: impl Fn(u64) -> u64) -> Vec<f64> {
     let mut by_second = vec![0.0; 12];
     for tick in 0..300u64 {
@@ -96,7 +96,7 @@
             if tick == restarted {
                 let (gone, cold) = (NodeState::Gone, NodeEntry { started: host.now, ..node(11, 1) });
                 let nodes = vec![NodeEntry { state: gone, ..node(10, 1) }, cold];
-                host.event(Event::Nodes { news: News::Changes, nodes });
+                host.event(Event::Nodes { update: ListUpdate::Changes, nodes });
             }
             let before = host.sends().len();
             let tenths = tenths(position);
@@ -108,7 +108,7 @@
                 if tick >= restarted {
                     by_second[(tick - restarted) as usize / 10] += 2.0;
                 }
-                host.outcome(request, 0, node, Ending::Served);
+                host.outcome(request, 0, node, AttemptResult::Served);
             }
         }
     }
@@ -120,8 +120,8 @@
     let (mut all, mut all_borne) = (0.0, 0.0);
     for (second, sent) in by_second.chunks(2).enumerate() {
         let sent: f64 = sent.iter().sum();
-        // The node can carry half as much again as it is asked when warm; cold, a quarter of that, growing evenly over
-        // 16 s, and it bears half as much again for a while.
+        // The node can carry half as much again as it is asked when warm; cold, a quarter of that, growing
+        // evenly over 16 s, and it bears half as much again for a while.
         let borne = 2.0 * 1.5 * 1.5 * 125.0 * (0.25 + 0.75 * (2.0 * second as f64 + 1.0) / 16.0);
         (all, all_borne) = (all + sent, all_borne + borne);
         // Turns are drawn: some more may meet by chance.
@@ -137,7 +137,8 @@
     is_borne(&sent_to_the_cold_one_by_second(hosts(&[node(10, 1)]), |_| 40));
 }
 
-/// One of them is asked for most of it. An even part of what a cold node bears in any case is 0.8 units in each fall.
+/// One of them is asked for most of it. An even part of what a cold node bears in any case is 0.8 units in
+/// each fall.
 #[test]
 fn few_hosts_give_a_cold_node_what_it_bears_of_what_their_clients_ask_and_no_more() {
     let tenths = |position| if position < 5 { 1 } else { 4 };
@@ -151,7 +152,7 @@
         let seed = u64::from(position).wrapping_mul(0x9e37_79b9_7f4a_7c15);
         let mut host = Host { policy: Policy::new(settings, seed), now: 100 * S, actions: Vec::new() };
         let mut next = |news| {
-            host.event(Event::Nodes { news, nodes: Vec::new() });
+            host.event(Event::Nodes { update: news, nodes: Vec::new() });
             let asked = host.actions.drain(..).rev().find_map(|a| match a {
                 Action::Timer { after, token } => Some((after, Some(token))),
                 Action::Subscribe => Some((0, None)),
@@ -163,8 +164,8 @@
             assert_eq!(host.actions.drain(..).filter(|a| *a == Action::Subscribe).count(), 1);
             after
         };
-        let first = next(News::Cached);
-        (0..failures).map(|_| next(News::Failed)).last().unwrap_or(first)
+        let first = next(ListUpdate::Cached);
+        (0..failures).map(|_| next(ListUpdate::Failed)).last().unwrap_or(first)
     };
     (0..hosts).map(ask).collect()
 }
@@ -261,11 +262,12 @@
         Action::Probe { node } => Some(*node),
         _ => None,
     });
-    let (node, ending, took, load) = (asked.unwrap(), Ending::Served, MS, Load { queue: Some(1.0) });
-    host.event(Event::Probed { node, ending, took, load });
+    let (node, result, latency, load) =
+        (asked.unwrap(), AttemptResult::Served, MS, Load { queue: Some(1.0) });
+    host.event(Event::Probed { node, result, latency, load });
     assert_eq!(host.sent(2), 1);
     let bad = Load { queue: None };
-    host.event(Event::Probed { node: 99, ending: Ending::TimedOut, took: 250 * MS, load: bad });
+    host.event(Event::Probed { node: 99, result: AttemptResult::TimedOut, latency: 250 * MS, load: bad });
 }
 
 #[test]
@@ -276,7 +278,7 @@
     for (host, id) in crowd.iter_mut().zip(1..) {
         // One node is known to each, and it is the slow one.
         host.arrive(1000 + id, |r| r.shard = Some(0));
-        host.outcome(1000 + id, 0, 10, Ending::Served);
+        host.outcome(1000 + id, 0, 10, AttemptResult::Served);
         host.arrive(id, |r| r.shard = None);
         let (_, node) = host.sends().into_iter().find(|(request, _)| *request == id).expect("sent");
         *at.entry(node).or_default() += 1;
@@ -286,14 +288,23 @@
 
 #[test]
 fn a_time_out_and_a_full_are_told_to_all_as_queue() {
-    for (ending, told) in [(Ending::TimedOut, 2000), (Ending::Full, 1000)] {
+    for (result, told) in [(AttemptResult::TimedOut, 2000), (AttemptResult::Overloaded, 1000)] {
         let mut host = crowded(|_| {}, vec![node(10, 1)]);
         host.arrive(1, |_| {});
         host.now += 3 * S;
         let (attempt, over, used, load) = (0, false, None, Load::default());
-        let took = 3 * S;
-        host.event(Event::Outcome(Outcome { request: 1, attempt, node: 10, ending, took, over, used, load }));
-        assert_eq!(tells(&host), [&view(1, 255, told)], "{ending:?}: two shortest targets at most, or one");
+        let latency = 3 * S;
+        host.event(Event::Outcome(Outcome {
+            request: 1,
+            attempt,
+            node: 10,
+            result,
+            latency,
+            over,
+            used,
+            load,
+        }));
+        assert_eq!(tells(&host), [&view(1, 255, told)], "{result:?}: two shortest targets at most, or one");
     }
 }
 
@@ -303,7 +314,7 @@
         let mut host = crowded(|s| s.hosts = hosts, vec![node(10, 1)]);
         host.arrive(1, |_| {});
         host.now += S;
-        host.outcome(1, 0, 10, Ending::TimedOut);
+        host.outcome(1, 0, 10, AttemptResult::TimedOut);
         host.wait(after);
         host.sent(1) > 1
     };
@@ -313,33 +324,40 @@
 
 #[test]
 fn a_crowd_survives_bad_news_and_absurd_figures() {
-    let full = |nodes: Vec<NodeEntry>| Event::Nodes { news: News::Full, nodes };
+    let full = |nodes: Vec<NodeEntry>| Event::Nodes { update: ListUpdate::Full, nodes };
     let mut host = crowded(|s| s.must_subscribe = true, vec![node(10, 1)]);
     host.event(full(Vec::new()));
     host.arrive(1, |_| {});
     assert_eq!(host.sent(1), 0, "an empty list has no node");
-    // The list goes back to what it was, with a start from the future: cold from now on, not warm by a wrapped time.
+    // The list goes back to what it was, with a start from the future: cold from now on, not warm by a
+    // wrapped time.
     host.event(full(vec![NodeEntry { started: host.now + 3600 * S, ..node(10, 1) }]));
     host.wait(10 * MS);
     assert_eq!(host.sent(1), 0, "cold, and nothing is known of what its shard is asked");
     host.event(full(vec![node(10, 1)]));
     for _ in 0..40 {
-        host.event(Event::Nodes { news: News::Failed, nodes: Vec::new() });
+        host.event(Event::Nodes { update: ListUpdate::Failed, nodes: Vec::new() });
     }
     host.arrive(2, |_| {});
-    host.outcome(1, 0, 10, Ending::Served);
+    host.outcome(1, 0, 10, AttemptResult::Served);
     assert!(host.actions.iter().all(|a| !matches!(a, Action::Timer { after, .. } if *after > 20 * S)));
-    // Figures that say nothing, or too much: one request at a time at a cold node, and a limit that still flows.
-    for (cold_units, cold_from, volume_hosts) in
+    // Figures that say nothing, or too much: one request at a time at a cold node, and a limit that still
+    // flows.
+    for (slow_start_units, slow_start_fraction, volume_hosts) in
         [(0.0, 0.25, 0.0), (8.0, 0.0, f64::NAN), (0.0, 0.0, 1e30), (0.0, 0.25, f64::INFINITY)]
     {
         let cold = NodeEntry { started: 100 * S, ..node(10, 1) };
-        let mut host =
-            crowded(|s| (s.cold_units, s.cold_from, s.fall) = (cold_units, cold_from, 0), vec![cold]);
+        let mut host = crowded(
+            |s| {
+                (s.slow_start_units, s.slow_start_fraction, s.fall) =
+                    (slow_start_units, slow_start_fraction, 0)
+            },
+            vec![cold],
+        );
         for id in 1..=5 {
             host.arrive(id, |r| r.volume_hosts = volume_hosts);
         }
-        assert_eq!(host.sends().len(), 1, "{cold_units} {cold_from}");
+        assert_eq!(host.sends().len(), 1, "{slow_start_units} {slow_start_fraction}");
         let mut warm = crowded(|_| {}, vec![node(10, 1)]);
         warm.arrive(1, |r| {
             (r.plan, r.units, r.volume_hosts, r.time_left) = (1, 0.05, volume_hosts, 20 * S);
@@ -353,18 +371,19 @@
     }
 }
 
-/// A crowd that has asked a node for 8 s, that node started anew after a silence, and then some last requests.
+/// A crowd that has asked a node for 8 s, that node started anew after a silence, and then some last
+/// requests.
 fn asked_then_cold(silence: Micros, last: impl Fn(&mut Host, RequestId)) -> Vec<Host> {
     let mut crowd = hosts(&[node(10, 1)]);
     for (host, id) in crowd.iter_mut().zip(1..) {
         for request in 0..8 {
             host.arrive(10 * id + request, |_| {});
-            host.outcome(10 * id + request, 0, 10, Ending::Served);
+            host.outcome(10 * id + request, 0, 10, AttemptResult::Served);
             host.now += S;
         }
         host.wait(silence);
         let nodes = vec![NodeEntry { started: host.now, ..node(10, 1) }];
-        host.event(Event::Nodes { news: News::Changes, nodes });
+        host.event(Event::Nodes { update: ListUpdate::Changes, nodes });
         last(host, 10 * id + 8);
     }
     crowd
--- a/tests/leaving.rs
+++ b/tests/leaving.rs
@@ -1,5 +1,5 @@
-//! Heads, each with a module of its own, and discovery, in virtual time: from the moment when a node's leaving counts as
-//! told to a head, by whatever way, no attempt begins there later than the settings allow.
+//! Heads, each with a module of its own, and discovery, in virtual time: from the moment when a node's
+//! leaving counts as told to a head, by whatever way, no attempt begins there later than the settings allow.
 
 mod common;
 
@@ -206,9 +206,9 @@
         }
     }
 
-    fn news(&mut self, n: usize, news: News, nodes: Vec<NodeEntry>) {
-        self.tell(n, Event::Nodes { news, nodes });
-        if matches!(news, News::Full | News::Changes) {
+    fn news(&mut self, n: usize, news: ListUpdate, nodes: Vec<NodeEntry>) {
+        self.tell(n, Event::Nodes { update: news, nodes });
+        if matches!(news, ListUpdate::Full | ListUpdate::Changes) {
             self.drop_unbegun(n, |head, node| node == 10 && head.heard);
         }
     }
@@ -223,13 +223,13 @@
         let unbegun: Vec<_> = unbegun.map(|(key, (node, _))| (*key, *node)).collect();
         for ((request, attempt), node) in unbegun {
             self.heads[n].out.remove(&(request, attempt));
-            self.outcome(n, request, attempt, node, Ending::ConnectFailed);
+            self.outcome(n, request, attempt, node, AttemptResult::ConnectFailed);
         }
     }
 
-    fn outcome(&mut self, n: usize, request: u64, attempt: u32, node: NodeId, ending: Ending) {
-        let (over, load) = (ending == Ending::Served, Load::default());
-        let done = Outcome { request, attempt, node, ending, took: 20 * MS, over, used: None, load };
+    fn outcome(&mut self, n: usize, request: u64, attempt: u32, node: NodeId, result: AttemptResult) {
+        let (over, load) = (result == AttemptResult::Served, Load::default());
+        let done = Outcome { request, attempt, node, result, latency: 20 * MS, over, used: None, load };
         self.tell(n, Event::Outcome(done));
     }
 
@@ -288,11 +288,11 @@
         (head.calling, head.watch, head.last, head.moving) = (None, Some(number), now, false);
         (head.silent, head.moved, head.heard, head.renewed) = (None, None, drained, now);
         let list = self.list();
-        self.news(n, News::Full, list);
+        self.news(n, ListUpdate::Full, list);
         if self.broken == Break::StaleLine {
-            self.news(n, News::Changes, vec![node(10, 1)]);
+            self.news(n, ListUpdate::Changes, vec![node(10, 1)]);
         }
-        self.news(n, News::Watched, Vec::new());
+        self.news(n, ListUpdate::Subscribed, Vec::new());
         self.at(BEAT, Ev::Beat(n, number));
         self.at(SILENCE, Ev::Quiet(n, number));
     }
@@ -302,7 +302,8 @@
             return;
         }
         self.failed += 1;
-        let news = if self.broken == Break::FailedCallIsNews { News::Watched } else { News::Failed };
+        let news =
+            if self.broken == Break::FailedCallIsNews { ListUpdate::Subscribed } else { ListUpdate::Failed };
         self.news(n, news, Vec::new());
         if self.pushed {
             self.heads[n].silent = None;
@@ -336,7 +337,7 @@
     fn run(&mut self, drain: Micros) -> &mut World {
         let all = 0..self.heads.len();
         for n in all.clone() {
-            self.news(n, News::Cached, vec![node(10, 1), node(11, 2)]);
+            self.news(n, ListUpdate::Cached, vec![node(10, 1), node(11, 2)]);
             if self.pushed {
                 self.call(n);
             }
@@ -364,14 +365,14 @@
             Ev::Gone(n, number) if self.heads[n].calling == Some(number) => {
                 self.heads[n].calling = None;
                 let ignored = self.broken == Break::UnansweredIsNews;
-                self.news(n, if ignored { News::Watched } else { News::Silent }, Vec::new());
+                self.news(n, if ignored { ListUpdate::Subscribed } else { ListUpdate::TimedOut }, Vec::new());
             }
             Ev::Beat(n, number)
                 if self.heads[n].watch == Some(number)
                     && (self.heads[n].silent.is_none() || self.broken == Break::SilenceUnseen) =>
             {
                 self.heads[n].last = self.now;
-                self.news(n, News::Beat, Vec::new());
+                self.news(n, ListUpdate::Heartbeat, Vec::new());
                 self.at(BEAT, Ev::Beat(n, number));
                 self.at(SILENCE, Ev::Quiet(n, number));
             }
@@ -380,7 +381,7 @@
                     return;
                 }
                 self.heads[n].watch = None;
-                self.news(n, News::Silent, Vec::new());
+                self.news(n, ListUpdate::TimedOut, Vec::new());
                 if self.pushed {
                     self.call(n);
                 }
@@ -402,7 +403,7 @@
             }
             Ev::Answer(n, request, attempt) => {
                 if let Some((node, _)) = self.heads[n].out.remove(&(request, attempt)) {
-                    self.outcome(n, request, attempt, node, Ending::Served);
+                    self.outcome(n, request, attempt, node, AttemptResult::Served);
                 }
             }
             Ev::Overdue(n) if self.heads[n].policy.list_good_until() <= self.now => {
@@ -413,7 +414,7 @@
             Ev::Trouble(from) => self.strike(from),
             Ev::OldGone(n, number) if self.heads[n].watch == Some(number) => {
                 self.heads[n].watch = None;
-                self.news(n, News::Failed, Vec::new());
+                self.news(n, ListUpdate::Failed, Vec::new());
             }
             Ev::Drain => {
                 self.drained = Some(self.now);
@@ -421,7 +422,7 @@
                     if self.heads[n].watch.is_some() && self.heads[n].silent.is_none() {
                         self.heads[n].heard = true;
                         let change = self.list()[..1].to_vec();
-                        self.news(n, News::Changes, change);
+                        self.news(n, ListUpdate::Changes, change);
                     }
                 }
             }
@@ -456,9 +457,9 @@
                     let mut head = self.head(all.len() as u32, n as u32, 2);
                     head.serial = 2 << 32;
                     self.heads[n] = head;
-                    self.news(n, News::Cached, vec![node(10, 1), node(11, 2)]);
+                    self.news(n, ListUpdate::Cached, vec![node(10, 1), node(11, 2)]);
                     if self.pushed {
-                        self.news(n, News::Failed, Vec::new());
+                        self.news(n, ListUpdate::Failed, Vec::new());
                         self.call(n);
                     }
                 }
@@ -470,7 +471,7 @@
                 if let Some(number) = head.watch {
                     self.at(1_500 * MS, Ev::OldGone(from, number));
                 }
-                self.news(from, News::Moved, Vec::new());
+                self.news(from, ListUpdate::Moved, Vec::new());
                 if self.pushed {
                     self.call(from);
                 }
@@ -483,15 +484,15 @@
 
     fn end(&mut self, n: usize) {
         if self.heads[n].watch.take().is_some() {
-            self.news(n, News::Failed, Vec::new());
+            self.news(n, ListUpdate::Failed, Vec::new());
             if self.pushed {
                 self.at(STOP / 10, Ev::Timer(n, u64::MAX - 1));
             }
         }
     }
 
-    /// When the last head had its list after what struck all, how many calls came in the fullest second, how many failed,
-    /// and for how long heads gave no work, in the mean.
+    /// When the last head had its list after what struck all, how many calls came in the fullest second, how
+    /// many failed, and for how long heads gave no work, in the mean.
     fn figures(&self, common: Micros) -> (Micros, usize, usize, Micros) {
         let still = |head: &Head| head.overdue_for + head.overdue.map_or(0, |since| self.now - since);
         let last = self.heads.iter().map(|head| head.renewed).max().unwrap_or(0).saturating_sub(common);
--- a/tests/mechanism.rs
+++ b/tests/mechanism.rs
@@ -39,7 +39,7 @@
     for id in 2..=4 {
         host.arrive(id, |r| r.volume = 3);
     }
-    host.outcome(1000, 0, 10, Ending::Served);
+    host.outcome(1000, 0, 10, AttemptResult::Served);
     assert_eq!(host.sends().last(), Some(&(2, 10)));
 }
 
@@ -53,14 +53,14 @@
     host.arrive(100, |r| r.volume = 2);
     while host.sent(100) == 0 {
         let (id, node) = host.sends()[served];
-        host.outcome(id, 0, node, Ending::Served);
+        host.outcome(id, 0, node, AttemptResult::Served);
         served += 1;
         assert!(served < 20, "the long queue is never throttled");
     }
     // Only the throttled flow is left: its work goes on all the same.
     while served < 30 {
         let (id, node) = host.sends()[served];
-        host.outcome(id, 0, node, Ending::Served);
+        host.outcome(id, 0, node, AttemptResult::Served);
         served += 1;
     }
 }
@@ -76,7 +76,7 @@
     }
     for turn in 0..120 {
         let (id, node) = host.sends()[turn];
-        host.outcome(id, 0, node, Ending::Served);
+        host.outcome(id, 0, node, AttemptResult::Served);
     }
     let heavy = host.sends().iter().take(120).filter(|(id, _)| id % 2 == 1).count();
     // Two thirds of 120 requests, give or take T (8 units, 4 requests at weight 1, 8 at weight 2).
@@ -88,7 +88,7 @@
     let patient = Class { target: 40 * S, ..class(Repeats::Safe) };
     let mut host = Host::new(settings(vec![patient]), vec![node(10, 1)]);
     host.arrive(1, |r| r.volume = 2);
-    host.outcome(1, 0, 10, Ending::Served);
+    host.outcome(1, 0, 10, AttemptResult::Served);
     for id in 10..=120 {
         host.arrive(id, |r| (r.volume, r.time_left) = (1, 40 * S));
     }
@@ -96,7 +96,7 @@
     host.now += S / 10;
     while served < 30 {
         let (id, node) = host.sends()[served];
-        host.outcome(id, 0, node, Ending::Served);
+        host.outcome(id, 0, node, AttemptResult::Served);
         served += 1;
     }
     host.now += S;
@@ -106,7 +106,7 @@
     let before = host.sends().len();
     while host.sends().len() < before + 24 {
         let (id, node) = host.sends()[served];
-        host.outcome(id, 0, node, Ending::Served);
+        host.outcome(id, 0, node, AttemptResult::Served);
         served += 1;
     }
     let back = host.sends()[before..].iter().filter(|(id, _)| *id >= 200).count();
@@ -124,21 +124,21 @@
 #[test]
 fn late_work_takes_a_token_of_an_idle_node_once_its_slowness_is_old_news() {
     let mut host = plain();
-    let served = |host: &mut Host, id, took| {
-        let ending = Ending::Served;
+    let served = |host: &mut Host, id, latency| {
+        let result = AttemptResult::Served;
         let (used, load) = (None, Load::default());
-        let done = Outcome { request: id, attempt: 0, node: 10, ending, took, over: true, used, load };
+        let done = Outcome { request: id, attempt: 0, node: 10, result, latency, over: true, used, load };
         host.event(Event::Outcome(done));
     };
     host.arrive(5, |_| {});
-    for (id, took) in [(1, 10 * MS), (2, 200 * MS), (3, 200 * MS)] {
+    for (id, latency) in [(1, 10 * MS), (2, 200 * MS), (3, 200 * MS)] {
         host.arrive(id, |_| {});
-        served(&mut host, id, took);
+        served(&mut host, id, latency);
     }
     host.now += 6 * S / 5;
     host.arrive(6, |_| {});
     served(&mut host, 6, 200 * MS);
-    host.outcome(5, 0, 10, Ending::Error);
+    host.outcome(5, 0, 10, AttemptResult::Error);
     assert_eq!(host.sent(5), 1, "a late repeat stands back from a node that has just answered slowly");
     host.wait(S / 2);
     assert_eq!(host.sent(5), 1, "and for the shortest target after that");
@@ -156,7 +156,7 @@
     host.wait(3 * S / 2);
     host.arrive(20, |r| r.volume = 4);
     for id in 0..filled {
-        host.outcome(1000 + id, 0, 10, Ending::Served);
+        host.outcome(1000 + id, 0, 10, AttemptResult::Served);
     }
     let after = host.sends()[filled as usize].0;
     assert_eq!(after, 20, "the late queue is longer, yet worth a hundredth");
@@ -167,14 +167,14 @@
     let mut host = Host::new(settings(vec![class(Repeats::Safe)]), vec![node(10, 1), node(11, 2)]);
     host.arrive(1, |r| r.shard = Some(1));
     host.arrive(2, |r| r.shard = Some(2));
-    for (request, node, took) in [(1, 10, 300 * MS), (2, 11, 50 * MS)] {
-        let (attempt, ending, over, used) = (0, Ending::Served, true, None);
+    for (request, node, latency) in [(1, 10, 300 * MS), (2, 11, 50 * MS)] {
+        let (attempt, result, over, used) = (0, AttemptResult::Served, true, None);
         host.event(Event::Outcome(Outcome {
             request,
             attempt,
             node,
-            ending,
-            took,
+            result,
+            latency,
             over,
             used,
             load: Load::default(),
@@ -190,11 +190,11 @@
     let mut sizes = Vec::new();
     for round in 0..40 {
         let (id, node_id) = (u64::from(round), round);
-        host.event(Event::Nodes { news: News::Full, nodes: vec![node(node_id, 1)] });
+        host.event(Event::Nodes { update: ListUpdate::Full, nodes: vec![node(node_id, 1)] });
         for (plan, request) in [(0, 2 * id), (1, 2 * id + 1)] {
             host.arrive(request, |r| (r.volume, r.key, r.plan) = (request, request + 1, plan));
             host.wait(S);
-            host.outcome(request, 0, node_id, Ending::Served);
+            host.outcome(request, 0, node_id, AttemptResult::Served);
         }
         host.wait(40 * S);
         sizes.push(format!("{:?}", host.policy).len());
@@ -211,7 +211,7 @@
     }
     for served in 0..20 {
         let (id, node) = host.sends()[served];
-        host.outcome(id, 0, node, Ending::Served);
+        host.outcome(id, 0, node, AttemptResult::Served);
     }
     let ahead = format!("{:?}", host.policy).contains("flow_of: {1: ");
     host.wait(40 * S);
@@ -234,34 +234,35 @@
     }
     assert_eq!(host.sent(1) + host.sent(2), 1, "one at a time goes on to a node that says nothing");
     let id = if host.sent(1) == 1 { 1 } else { 2 };
-    host.outcome(id, 0, 10, Ending::Served);
+    host.outcome(id, 0, 10, AttemptResult::Served);
     assert_eq!(host.sent(3 - id), 1);
 }
 
 #[test]
 fn broken_connections_do_not_rest_a_node_and_those_that_never_come_up_do() {
-    for (ending, rests) in [(Ending::Reset, false), (Ending::ConnectFailed, true)] {
+    for (result, rests) in [(AttemptResult::Reset, false), (AttemptResult::ConnectFailed, true)] {
         let mut host = plain();
         host.arrive(1, |_| {});
-        host.outcome(1, 0, 10, Ending::Served);
+        host.outcome(1, 0, 10, AttemptResult::Served);
         host.arrive(2, |_| {});
         for attempt in 0..3 {
-            host.outcome(2, attempt, 10, ending);
+            host.outcome(2, attempt, 10, result);
             host.wait(25 * MS);
         }
         host.arrive(3, |_| {});
-        assert_eq!(host.sent(3) == 0, rests, "{ending:?}");
+        assert_eq!(host.sent(3) == 0, rests, "{result:?}");
     }
 }
 
-/// A node says nothing to what fills its tokens, or refuses a connection: when it is tried again, in steps of 5 ms.
+/// A node says nothing to what fills its tokens, or refuses a connection: when it is tried again, in steps of
+/// 5 ms.
 fn tried_again_after(target: Micros, fall: Micros, refuses: bool) -> Micros {
     let class = Class { target, deadline: 4 * target, ..class(Repeats::Safe) };
     let mut host = Host::new(Settings { fall, ..settings(vec![class]) }, vec![node(10, 1)]);
     let time_left = 4 * target;
     if refuses {
         host.arrive(1, |r| r.time_left = time_left);
-        host.outcome(1, 0, 10, Ending::ConnectFailed);
+        host.outcome(1, 0, 10, AttemptResult::ConnectFailed);
     } else {
         for id in 1..=8 {
             host.arrive(id, |r| r.time_left = time_left);
@@ -321,8 +322,10 @@
     for step in 0..200 {
         // The old one's store is full when the new one comes, after 10 s; 3 s later the old one has gone.
         match step {
-            100 => [&mut old, &mut new].into_iter().for_each(|host| host.event(Event::Part { part: 0.5 })),
-            130 => new.event(Event::Part { part: 1.0 }),
+            100 => [&mut old, &mut new]
+                .into_iter()
+                .for_each(|host| host.event(Event::CapacityShare { share: 0.5 })),
+            130 => new.event(Event::CapacityShare { share: 1.0 }),
             _ => {}
         }
         for (host, lives) in [(&mut old, (95..130).contains(&step)), (&mut new, step >= 100)] {
@@ -331,7 +334,7 @@
                 limited(host, 10 * step..10 * step + 4);
                 let seen = host.sends();
                 for (request, node) in seen {
-                    host.outcome(request, 0, node, Ending::Served);
+                    host.outcome(request, 0, node, AttemptResult::Served);
                 }
             }
         }
@@ -355,7 +358,7 @@
     host.arrive(2, |r| (r.volume, r.class) = (2, 0));
     host.arrive(3, |r| (r.volume, r.class) = (3, 1));
     for (id, tries, refused, failed) in [(1, 2, false, false), (2, 1, true, false), (3, 1, false, true)] {
-        host.outcome(id, 0, 10, Ending::Error);
+        host.outcome(id, 0, 10, AttemptResult::Error);
         host.wait(S / 100);
         assert_eq!((host.sent(id), host.refused(id), host.failed(id)), (tries, refused, failed), "{id}");
     }
@@ -379,7 +382,7 @@
             host.event(Event::Settings(Box::new(settings(vec![class(Repeats::Safe)]))));
         }
         for id in 0..tokens {
-            host.outcome(1000 + id, 0, 10, Ending::Served);
+            host.outcome(1000 + id, 0, 10, AttemptResult::Served);
         }
         let sent: usize = (1..5).map(|id| host.sent(id)).sum();
         assert_eq!(sent as u64, if lowered { 0 } else { tokens });
@@ -402,6 +405,6 @@
             host.wait(40 * MS);
         }
         let mute = host.actions.iter().any(|a| matches!(a, Action::Log(text) if text.contains("mute")));
-        assert_eq!((mute, host.policy.bricks(host.now)), (!began, (1, usize::from(!began))));
+        assert_eq!((mute, host.policy.node_counts(host.now)), (!began, (1, usize::from(!began))));
     }
 }
--- a/tests/rules.rs
+++ b/tests/rules.rs
@@ -7,7 +7,7 @@
 
 fn draining(id: NodeId, shard: u16) -> Event {
     let nodes = vec![NodeEntry { state: NodeState::Draining, ..node(id, shard) }];
-    Event::Nodes { news: News::Changes, nodes }
+    Event::Nodes { update: ListUpdate::Changes, nodes }
 }
 
 #[test]
@@ -23,7 +23,7 @@
     host.now += after;
     host.event(Event::Timer { token: 1 });
     assert!(host.refused(1));
-    host.event(Event::Nodes { news: News::Full, nodes: vec![node(10, 1)] });
+    host.event(Event::Nodes { update: ListUpdate::Full, nodes: vec![node(10, 1)] });
     host.event(Event::Timer { token: 1 });
     assert_eq!(host.sent(1), 0);
     assert_eq!(host.actions.iter().filter(|a| matches!(a, Action::Refuse { .. })).count(), 1);
@@ -51,7 +51,7 @@
     host.now += 4 * S;
     host.event(Event::Timer { token: 1 });
     assert!(!host.failed(1) && !host.refused(1), "the time-out is still to come");
-    host.outcome(1, 0, 10, Ending::TimedOut);
+    host.outcome(1, 0, 10, AttemptResult::TimedOut);
     assert!(host.failed(1) && !host.refused(1));
 }
 
@@ -59,12 +59,12 @@
 fn an_unsafe_request_that_may_have_run_is_not_repeated_nor_refused() {
     let mut host = Host::new(settings(vec![class(Repeats::Unsafe)]), vec![node(10, 1)]);
     host.arrive(1, |_| {});
-    host.outcome(1, 0, 10, Ending::Reset);
+    host.outcome(1, 0, 10, AttemptResult::Reset);
     host.wait(3 * S);
     assert_eq!(host.sent(1), 1);
     assert!(host.failed(1) && !host.refused(1));
     host.arrive(2, |_| {});
-    host.outcome(2, 0, 10, Ending::Full);
+    host.outcome(2, 0, 10, AttemptResult::Overloaded);
     host.wait(3 * S);
     assert_eq!(host.sent(2), 2, "'full' proves that it never ran");
 }
@@ -77,14 +77,14 @@
         host.arrive(1, |r| r.shard = None);
         host.event(draining(10, 1));
         let elsewhere = NodeEntry { zone: 1, ..node(11, 2) };
-        host.event(Event::Nodes { news: News::Changes, nodes: vec![elsewhere] });
-        host.outcome(1, 0, 10, Ending::Error);
+        host.event(Event::Nodes { update: ListUpdate::Changes, nodes: vec![elsewhere] });
+        host.outcome(1, 0, 10, AttemptResult::Error);
         assert_eq!(host.sends().contains(&(1, 11)), stays, "{scope:?}");
     }
     let mut host = Host::new(settings(vec![class(Repeats::Keyed)]), vec![node(10, 1)]);
     host.arrive(1, |_| {});
     host.now += 3 * S;
-    host.outcome(1, 0, 10, Ending::Error);
+    host.outcome(1, 0, 10, AttemptResult::Error);
     assert_eq!(host.sent(1), 1, "the window has passed");
     assert!(host.failed(1) && !host.refused(1));
 }
@@ -93,7 +93,7 @@
 fn a_draining_or_missing_node_gets_nothing_new() {
     let mut host = Host::new(settings(vec![class(Repeats::Safe)]), vec![node(10, 1), node(11, 2)]);
     host.event(draining(10, 1));
-    host.event(Event::Nodes { news: News::Full, nodes: vec![node(12, 3)] });
+    host.event(Event::Nodes { update: ListUpdate::Full, nodes: vec![node(12, 3)] });
     host.arrive(1, |_| {});
     host.arrive(2, |r| r.shard = Some(2));
     assert!(host.sends().is_empty());
@@ -105,11 +105,11 @@
 fn a_cold_node_gets_no_more_than_this_hosts_part_of_what_it_bears() {
     let mut host = Host::new(settings(vec![class(Repeats::Safe)]), vec![]);
     let cold = NodeEntry { started: host.now, ..node(10, 1) };
-    host.event(Event::Nodes { news: News::Changes, nodes: vec![cold] });
+    host.event(Event::Nodes { update: ListUpdate::Changes, nodes: vec![cold] });
     for id in 1..=20 {
         host.arrive(id, |_| {});
         if host.sent(id) > 0 {
-            host.outcome(id, 0, 10, Ending::Served);
+            host.outcome(id, 0, 10, AttemptResult::Served);
         }
     }
     // 8 units within the window from two hosts: two requests of two units are this one's part.
@@ -123,15 +123,15 @@
     host.wait(3 * S);
     host.arrive(2, |_| {});
     if first_answered == 2 {
-        host.outcome(1, 0, 10, Ending::ConnectFailed);
+        host.outcome(1, 0, 10, AttemptResult::ConnectFailed);
         host.event(Event::ClientLeft { request: 1 });
         host.wait(S);
     }
-    host.outcome(first_answered, 0, 10, Ending::Served);
+    host.outcome(first_answered, 0, 10, AttemptResult::Served);
     for id in 3..=20 {
         host.arrive(id, |_| {});
         if host.sent(id) > 0 {
-            host.outcome(id, 0, 10, Ending::Served);
+            host.outcome(id, 0, 10, AttemptResult::Served);
         }
     }
     host.sends().iter().filter(|(id, _)| *id > 2).count()
@@ -154,7 +154,7 @@
     for id in 2..=10 {
         host.now += 40 * MS;
         host.arrive(id, |_| {});
-        host.outcome(id, 0, 10, Ending::Served);
+        host.outcome(id, 0, 10, AttemptResult::Served);
     }
     let calls = |host: &Host| host.actions.iter().filter(|a| matches!(a, Action::Cancel { .. })).count();
     host.arrive(11, |_| {});
@@ -162,9 +162,9 @@
     host.arrive(13, |_| {});
     host.wait(10 * MS);
     assert_eq!(calls(&host), 1);
-    host.outcome(1, 0, 10, Ending::Cancelled);
-    host.outcome(11, 0, 10, Ending::Served);
-    host.outcome(12, 0, 10, Ending::Served);
+    host.outcome(1, 0, 10, AttemptResult::Cancelled);
+    host.outcome(11, 0, 10, AttemptResult::Served);
+    host.outcome(12, 0, 10, AttemptResult::Served);
     host.wait(10 * MS);
     assert_eq!(host.sent(1), 2);
     assert!(!host.actions.iter().any(|a| matches!(a, Action::Log(_))), "the node is not mute");
@@ -190,11 +190,11 @@
         host.arrive(id, |r| r.key = 9);
     }
     assert_eq!(host.sends(), [(1, 10)]);
-    host.outcome(1, 0, 10, Ending::Served);
+    host.outcome(1, 0, 10, AttemptResult::Served);
     assert_eq!(host.sends(), [(1, 10), (2, 10)]);
     host.event(Event::ClientLeft { request: 2 });
     assert_eq!(host.sent(3), 0, "an attempt of the one before is out");
-    host.outcome(2, 0, 10, Ending::Cancelled);
+    host.outcome(2, 0, 10, AttemptResult::Cancelled);
     host.wait(400 * MS);
     assert_eq!(host.sent(3), 0, "the key rests");
     host.wait(200 * MS);
@@ -210,8 +210,8 @@
         host.arrive(id, |_| {});
     }
     for id in 1..=2 {
-        host.outcome(id, 0, 10, Ending::Error);
-        host.outcome(id, 1, 10, Ending::Error);
+        host.outcome(id, 0, 10, AttemptResult::Error);
+        host.outcome(id, 1, 10, AttemptResult::Error);
     }
     // Two requests taken allow 1 + 0.5 x 2 extra attempts.
     assert_eq!(host.sends().len(), 2 + 2);
@@ -230,7 +230,7 @@
         host.wait(10 * MS);
         host.arrive(id, |r| (r.volume, r.plan) = (5, 1));
         for (id, node) in host.sends() {
-            host.outcome(id, 0, node, Ending::Served);
+            host.outcome(id, 0, node, AttemptResult::Served);
         }
         // Half of 10 units a second, as two hosts share the volume.
         let units = 2.0 * host.sends().len() as f64;
@@ -239,8 +239,8 @@
     assert!(host.sends().len() >= 7);
 }
 
-/// A request takes its units once it is written whole, and an attempt whose connection does not come up never was: what it
-/// drew must not come on top of what has filled up by the time at which it is sent again.
+/// A request takes its units once it is written whole, and an attempt whose connection does not come up never
+/// was: what it drew must not come on top of what has filled up by the time at which it is sent again.
 #[test]
 fn a_limit_is_kept_where_connections_do_not_come_up_for_a_while() {
     for (limit, nodes, outage) in
@@ -253,7 +253,7 @@
         let (start, mut id, mut told) = (host.now, 0, 0);
         // What the operators' own store has: full at first, and never more than that.
         let (mut store, mut at, mut least) = (16.0_f64, start, 16.0_f64);
-        let mut due: Vec<(Micros, RequestId, u32, NodeId, Ending)> = Vec::new();
+        let mut due: Vec<(Micros, RequestId, u32, NodeId, AttemptResult)> = Vec::new();
         let mut attempts = std::collections::BTreeMap::<RequestId, u32>::new();
         let mut counted = std::collections::BTreeSet::new();
         while host.now < start + 12 * S {
@@ -270,8 +270,8 @@
             }
             let (over, later): (Vec<_>, Vec<_>) = due.into_iter().partition(|(at, ..)| *at <= host.now);
             due = later;
-            for (_, id, attempt, node, ending) in over {
-                host.outcome(id, attempt, node, ending);
+            for (_, id, attempt, node, result) in over {
+                host.outcome(id, attempt, node, result);
             }
             let sends = host.sends()[told..].to_vec();
             told += sends.len();
@@ -279,9 +279,12 @@
                 let attempt = attempts.entry(id).or_default();
                 // From its second second on nothing comes up for a while.
                 let out = (start + 2 * S..start + 2 * S + outage).contains(&host.now);
-                let (after, ending) =
-                    if out { (250 * MS, Ending::ConnectFailed) } else { (20 * MS, Ending::Served) };
-                due.push((host.now + after, id, *attempt, node, ending));
+                let (after, result) = if out {
+                    (250 * MS, AttemptResult::ConnectFailed)
+                } else {
+                    (20 * MS, AttemptResult::Served)
+                };
+                due.push((host.now + after, id, *attempt, node, result));
                 *attempt += 1;
                 if !out && counted.insert(id) {
                     store = (store + limit * (host.now - at) as f64 / S as f64).min(16.0) - 2.0;
@@ -301,7 +304,7 @@
     let asks = Settings { must_subscribe: true, ..settings(vec![class(Repeats::Safe)]) };
     let mut host = Host::new(asks, vec![node(10, 1)]);
     assert_eq!(host.actions, [Action::Subscribe]);
-    host.event(Event::Nodes { news: News::Failed, nodes: vec![] });
+    host.event(Event::Nodes { update: ListUpdate::Failed, nodes: vec![] });
     let Some(Action::Timer { after, token }) = host.actions.last().cloned() else { panic!("no timer") };
     assert!(after > 0 && after <= 2 * S);
     host.event(Event::Timer { token });
@@ -312,10 +315,10 @@
 fn odd_but_legal_events_change_nothing() {
     let mut host = Host::new(settings(vec![class(Repeats::Safe)]), vec![node(10, 1)]);
     host.arrive(1, |r| (r.units, r.volume_hosts) = (0.0, f64::NAN));
-    host.outcome(1, 0, 10, Ending::Served);
+    host.outcome(1, 0, 10, AttemptResult::Served);
     host.actions.clear();
-    host.outcome(1, 0, 10, Ending::TimedOut);
-    host.outcome(99, 3, 77, Ending::Served);
+    host.outcome(1, 0, 10, AttemptResult::TimedOut);
+    host.outcome(99, 3, 77, AttemptResult::Served);
     host.event(Event::ClientLeft { request: 1 });
     host.event(Event::Timer { token: 1 });
     host.event(Event::AnswerBegan { request: 99, attempt: 0 });
@@ -326,7 +329,7 @@
 fn a_node_that_refuses_connections_is_left_alone_for_a_while() {
     let mut host = Host::new(settings(vec![class(Repeats::Unsafe)]), vec![node(10, 1), node(11, 2)]);
     host.arrive(1, |_| {});
-    host.outcome(1, 0, 10, Ending::ConnectFailed);
+    host.outcome(1, 0, 10, AttemptResult::ConnectFailed);
     host.wait(10 * MS);
     for id in 2..=30 {
         host.arrive(id, |r| r.shard = None);
@@ -350,8 +353,8 @@
         request: 1,
         attempt: 0,
         node: 10,
-        ending: Ending::Reset,
-        took: 5 * S,
+        result: AttemptResult::Reset,
+        latency: 5 * S,
         over: true,
         used: None,
         load: Load::default(),
--- a/tests/wire.rs
+++ b/tests/wire.rs
@@ -82,17 +82,22 @@
         request: 0xd41b15d3a91c4,
         attempt: 0,
         node: 0x3124a07,
-        ending: Ending::Served,
-        took: 0x4844,
+        result: AttemptResult::Served,
+        latency: 0x4844,
         over: true,
         used: Some(0.85),
         load: Load::default(),
     };
     let events = [
-        Event::Nodes { news: News::Cached, nodes },
+        Event::Nodes { update: ListUpdate::Cached, nodes },
         Event::AnswerBegan { request: 0xd41b15d3a91c4, attempt: 0 },
         Event::Outcome(outcome),
-        Event::Probed { node: 0x2c9011f2, ending: Ending::Served, took: 0x578, load: Load::default() },
+        Event::Probed {
+            node: 0x2c9011f2,
+            result: AttemptResult::Served,
+            latency: 0x578,
+            load: Load::default(),
+        },
         Event::Peer { from: 2, bytes: b"hi 7".to_vec() },
     ];
     let mut expected: Vec<_> = events.into_iter().map(|event| Record::Event { instance: 3, event }).collect();
@@ -108,7 +113,7 @@
         (Action::Refuse { request: 0xbff440e6f2b19, retry_in: 250_000 }, "11 000bff440e6f2b19 0003d090"),
         (Action::Fail { request: id }, "12 000d41b15d3a91c4"),
         (Action::Probe { node: 0x2c9011f2 }, "15 2c9011f2"),
-        (Action::Tell { peer: None, bytes: b"hi 7".to_vec() }, "17 ffff 0004 68692037"),
+        (Action::SendToPeer { peer: None, bytes: b"hi 7".to_vec() }, "17 ffff 0004 68692037"),
         (Action::Subscribe, "1a 01"),
     ];
     for (action, expected) in cases {
@@ -137,7 +142,7 @@
     let read = settings(text).unwrap();
     assert_eq!((read.hosts, read.position, read.must_subscribe), (3, 1, true));
     assert_eq!((read.classes[0].repeats, read.classes[0].scope), (Repeats::Keyed, Scope::Shard));
-    assert_eq!((read.budget, read.plans.len(), read.cold_units), (None, 0, 0.0));
+    assert_eq!((read.budget, read.plans.len(), read.slow_start_units), (None, 0, 0.0));
     let missing = settings(&text.replace("balancers=3\n", "")).unwrap_err();
     assert_eq!(missing.to_string(), "settings: balancers is missing");
     let unreadable = settings(&text.replace("=4000000", "=soon")).unwrap_err();
