--- a/crates/control/src/admission.rs
+++ b/crates/control/src/admission.rs
@@ -94,7 +94,7 @@
         let begins = |option: &AdmissionOption| {
             let overfull = OVERFULL_MS * self.lacks(option, request.urgency);
             let line = self.wait(now, &option.instance);
-            line + overfull + f64::from(option.read_ms) + f64::from(option.extra_ms)
+            line + overfull + f64::from(option.prefill_ms) + f64::from(option.other_cost_ms)
         };
         let best = request
             .options
@@ -103,7 +103,7 @@
             .min_by(|(_, one), (_, other)| begins(one).total_cmp(&begins(other)));
         let (place, option) = best?;
         let wait = self.wait(now, &option.instance);
-        let reads = f64::from(option.read_ms);
+        let reads = f64::from(option.prefill_ms);
         let free_at = now as f64 + wait + reads * (1.0 + BREATH_PART) + BREATH_MS;
         self.free_at.insert(option.instance.clone(), free_at);
         if let Some(slots) = self.slots.get_mut(&option.instance) {
--- a/crates/control/src/demand.rs
+++ b/crates/control/src/demand.rs
@@ -33,7 +33,7 @@
     requests: f64,
     /// Requests, remembered for a short while.
     lately: f64,
-    read_ms: f64,
+    prefill_ms: f64,
     slot_time_ms: f64,
     at: Millis,
     waiting: f64,
@@ -47,7 +47,7 @@
     fn fade(&mut self, now: Millis) {
         let passed = now.saturating_sub(self.at) as f64;
         let faded = (-passed / SPAN).exp();
-        for mean in [&mut self.tokens, &mut self.requests, &mut self.read_ms, &mut self.slot_time_ms] {
+        for mean in [&mut self.tokens, &mut self.requests, &mut self.prefill_ms, &mut self.slot_time_ms] {
             *mean *= faded;
         }
         self.lately *= (-passed / SHORT_SPAN).exp();
@@ -99,7 +99,7 @@
         if demand.arrived > 0 {
             known.asked_at = now;
         }
-        known.read_ms += demand.read_ms as f64;
+        known.prefill_ms += demand.prefill_ms as f64;
         known.slot_time_ms += demand.slot_time_ms as f64;
         known.note_objective(now, demand.objective_ms);
         if demand.waiting > 0 {
@@ -143,7 +143,7 @@
 
     /// Time that model servers take a second to read prompts for a key, milliseconds.
     pub fn read_ms_per_s(&self, now: Millis, key: &ModelKey) -> f64 {
-        self.mean(now, key, |demand| demand.read_ms)
+        self.mean(now, key, |demand| demand.prefill_ms)
     }
 
     /// Slots that answers to a key take at a time, in milliseconds a second.
--- a/crates/control/tests/admission.rs
+++ b/crates/control/tests/admission.rs
@@ -30,10 +30,10 @@
     /// server and the wait.
     fn asked<'a>(&mut self, options: &[(&'a str, u32, u32)]) -> (&'a str, u32) {
         self.request += 1;
-        let option = |(instance, read_ms, extra_ms): &(&str, u32, u32)| AdmissionOption {
+        let option = |(instance, prefill_ms, other_cost_ms): &(&str, u32, u32)| AdmissionOption {
             instance: (*instance).into(),
-            read_ms: *read_ms,
-            extra_ms: *extra_ms,
+            prefill_ms: *prefill_ms,
+            other_cost_ms: *other_cost_ms,
         };
         let request = AdmissionRequest {
             request: self.request,
--- a/crates/control/tests/autoscaling.rs
+++ b/crates/control/tests/autoscaling.rs
@@ -84,7 +84,7 @@
             arrived,
             tokens: arrived * SIZE,
             waiting: 0,
-            read_ms: arrived * READ_MS,
+            prefill_ms: arrived * READ_MS,
             ..ModelDemand::default()
         };
         let report = EdgeReport { demand: vec![row], demand_span_ms, ..EdgeReport::default() };
--- a/crates/control/tests/placement.rs
+++ b/crates/control/tests/placement.rs
@@ -69,13 +69,13 @@
     ask_to_read(demand, now, (model, adapter), (arrived, waiting), READ_MS);
 }
 
-/// Requests come whose prompts a model server reads in `read_ms` each.
+/// Requests come whose prompts a model server reads in `prefill_ms` each.
 fn ask_to_read(
     demand: &mut DemandTable,
     now: u64,
     (model, adapter): (&str, &str),
     (arrived, waiting): (u64, u32),
-    read_ms: u64,
+    prefill_ms: u64,
 ) {
     let demand_of_model = ModelDemand {
         backend: "llm".into(),
@@ -84,7 +84,7 @@
         arrived,
         tokens: 1_500 * arrived,
         waiting,
-        read_ms: read_ms * arrived,
+        prefill_ms: prefill_ms * arrived,
         slot_time_ms: HELD_MS * arrived,
         objective_ms: OBJECTIVE_MS,
     };
@@ -102,7 +102,7 @@
     now: u64,
     orders: Vec<(u64, Order)>,
     /// What a model server takes to read a request's prompt, milliseconds.
-    read_ms: u64,
+    prefill_ms: u64,
 }
 
 impl Story {
@@ -122,7 +122,7 @@
             cached_weights,
             now: 100_000,
             orders: Vec::new(),
-            read_ms: READ_MS,
+            prefill_ms: READ_MS,
         }
     }
 
@@ -168,8 +168,8 @@
         for _ in 0..milliseconds / 100 {
             for (model, arrived) in rates {
                 let missing = u32::from(self.copies(model) == 0) * *arrived as u32;
-                let (now, read_ms) = (self.now, self.read_ms);
-                ask_to_read(&mut self.demand, now, (model, ""), (*arrived, missing), read_ms);
+                let (now, prefill_ms) = (self.now, self.prefill_ms);
+                ask_to_read(&mut self.demand, now, (model, ""), (*arrived, missing), prefill_ms);
             }
             self.look();
         }
@@ -225,7 +225,7 @@
     let held: &[&[&str]] =
         &[&["hot", "asked", "x"], &["hot", "y", "z"], &["hot", "x", "y"], &["hot", "z", "x"]];
     let mut story = in_two_zones(Story::given(&["hot", "asked", "x", "y", "z"], held));
-    story.read_ms = SHORT_READ_MS;
+    story.prefill_ms = SHORT_READ_MS;
     story.when_asked(8_000, &[("hot", 20), ("asked", 1)]);
     assert_eq!((story.copies("asked"), zones_of(&story, "asked")), (2, 2), "one zone may be lost");
 }
@@ -281,7 +281,7 @@
 fn a_model_whose_only_copy_is_on_a_failing_server_is_loaded_elsewhere() {
     let failing = [("i-0".to_owned(), 0.9)].into();
     let mut story = Story::given(&["a", "b", "c"], &[&["a"], &["b"], &["b"]]);
-    story.read_ms = SHORT_READ_MS;
+    story.prefill_ms = SHORT_READ_MS;
     story.when_asked(3_000, &[("a", 1), ("b", 1)]);
     assert_eq!(story.copies("a"), 1, "while the model server serves");
     story.placer.note_failing(&failing);
@@ -291,7 +291,7 @@
     // And one that fails now and then serves.
     let mut story = Story::given(&["a", "b"], &[&["a"], &["b"]]);
     story.placer.note_failing(&[("i-0".to_owned(), 0.3)].into());
-    story.read_ms = SHORT_READ_MS;
+    story.prefill_ms = SHORT_READ_MS;
     story.when_asked(3_000, &[("a", 1), ("b", 1)]);
     assert_eq!(story.copies("a"), 1);
 }
@@ -393,7 +393,7 @@
         let mut story = Story::given(&["a", "b"], &[&["b"], &["b"]]);
         let changing = holds.then(|| ("i-1".to_owned(), "a".to_owned())).into_iter().collect();
         story.placer.hold_for_training(TrainingHold { changing, ..TrainingHold::default() });
-        story.read_ms = SHORT_READ_MS;
+        story.prefill_ms = SHORT_READ_MS;
         story.when_asked(1_000, &[("a", 1), ("b", 20)]);
         story.copies("a")
     };
--- a/crates/protocol/schema/internal.capnp
+++ b/crates/protocol/schema/internal.capnp
@@ -98,7 +98,7 @@
   name @1 :Text;
   zone @2 :Text;
   incarnation @3 :UInt64;
-  readsCompressed @4 :Bool;
+  acceptsCompression @4 :Bool;
 }
 
 struct LoadedModel {
@@ -167,7 +167,7 @@
   tokens @4 :UInt64;
   waiting @5 :UInt32;
   # What model servers take to read their prompts, and for how long answers that ended meanwhile took a slot, by the edge's estimates.
-  readMs @6 :UInt64;
+  prefillMs @6 :UInt64;
   slotTimeMs @7 :UInt64;
   # The shortest time inside which an answer to one of them earns its full worth, milliseconds; 0: not told.
   objectiveMs @8 :UInt32;
@@ -227,9 +227,9 @@
 struct AdmissionOption {
   instance @0 :Text;
   # What it takes to read the prompt there, milliseconds.
-  readMs @1 :UInt32;
+  prefillMs @1 :UInt32;
   # What else speaks against it, in milliseconds until the answer begins.
-  extraMs @2 :UInt32;
+  otherCostMs @2 :UInt32;
 }
 
 struct AdmissionRequest {
@@ -254,7 +254,7 @@
 
 # An edge takes so many. Whatever it is given begins before so long after it asked, by the edge's own clock.
 struct DrawRequest {
-  askedAt @0 :UInt64;
+  requestedAt @0 :UInt64;
   count @1 :UInt32;
 }
 
@@ -277,29 +277,29 @@
   outputTokens @6 :UInt64;
   prefix @7 :Text;
   # It is over so long after it began, milliseconds.
-  withinMs @8 :UInt64;
+  timeoutMs @8 :UInt64;
   # Tokens that one event of the answer holds.
   eventTokens @9 :UInt32;
 }
 
 struct DrawGrant {
   # From the request.
-  askedAt @0 :UInt64;
+  requestedAt @0 :UInt64;
   # Nothing of it begins later than so long after the edge asked, milliseconds.
-  beginMs @1 :UInt64;
+  startTimeoutMs @1 :UInt64;
   tasks @2 :List(DrawTask);
 }
 
 struct DrawResult {
   id @0 :DrawId;
-  withinMs @1 :UInt64;
+  timeoutMs @1 :UInt64;
   union {
     complete :group {
-      # The version that the answer's head told; 0 with hasHead false: none.
-      head @2 :UInt64;
-      hasHead @3 :Bool;
+      # The version that the answer's head told; 0 with hasHeaderVersion false: none.
+      headerVersion @2 :UInt64;
+      hasHeaderVersion @3 :Bool;
       # Versions that events told, in order.
-      events @4 :List(UInt64);
+      eventVersions @4 :List(UInt64);
       tokens @5 :UInt64;
       text @6 :Text;
       truncated @7 :Bool;
--- a/crates/protocol/src/codec.rs
+++ b/crates/protocol/src/codec.rs
@@ -64,6 +64,6 @@
 
     /// The message for the process that said this hello.
     pub fn to(&self, receiver: &Hello) -> Bytes {
-        if receiver.reads_compressed { self.compressed.clone() } else { self.plain.clone() }
+        if receiver.accepts_compression { self.compressed.clone() } else { self.plain.clone() }
     }
 }
--- a/crates/protocol/src/compression.rs
+++ b/crates/protocol/src/compression.rs
@@ -1,7 +1,8 @@
-//! Compression of long messages by LZ4: of what operators write as JSON a tenth is left, at little cost for the receiver.
+//! Compression of long messages by LZ4: of what operators write as JSON a tenth is left, at little cost for
+//! the receiver.
 
 use crate::codec::DecodeError;
-use crate::framing::MOST_FRAME_BYTES;
+use crate::framing::MAX_FRAME_BYTES;
 use lz4_flex::block;
 
 /// Shorter messages gain nothing, bytes.
@@ -16,7 +17,7 @@
 pub fn decompress(compressed: &[u8]) -> Result<Vec<u8>, DecodeError> {
     let damaged = |_| DecodeError::Compressed("damaged");
     let (length, rest) = block::uncompressed_size(compressed).map_err(damaged)?;
-    if length > MOST_FRAME_BYTES {
+    if length > MAX_FRAME_BYTES {
         return Err(DecodeError::Compressed("longer than any message"));
     }
     block::decompress(rest, length).map_err(damaged)
--- a/crates/protocol/src/framing.rs
+++ b/crates/protocol/src/framing.rs
@@ -3,7 +3,7 @@
 /// Bytes of the length.
 pub const LENGTH_BYTES: usize = 4;
 /// No message is longer, bytes.
-pub const MOST_FRAME_BYTES: usize = 32 * 1024 * 1024;
+pub const MAX_FRAME_BYTES: usize = 32 * 1024 * 1024;
 
 /// A length that no message has.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
@@ -14,7 +14,7 @@
 pub fn take_body(buffer: &mut Vec<u8>) -> Result<Option<Vec<u8>>, FrameTooLong> {
     let Some(header) = buffer.get(..LENGTH_BYTES) else { return Ok(None) };
     let length = u32::from_le_bytes([header[0], header[1], header[2], header[3]]) as usize;
-    if length > MOST_FRAME_BYTES {
+    if length > MAX_FRAME_BYTES {
         return Err(FrameTooLong(length));
     }
     if buffer.len() < LENGTH_BYTES + length {
--- a/crates/protocol/src/message.rs
+++ b/crates/protocol/src/message.rs
@@ -76,7 +76,7 @@
     /// Another number at each start of the process.
     pub incarnation: u64,
     /// Long messages may come to it compressed.
-    pub reads_compressed: bool,
+    pub accepts_compression: bool,
 }
 
 /// What a model server says of itself, or a core of it.
@@ -226,7 +226,7 @@
     /// Requests that no model server could take, waiting or refused.
     pub waiting: u32,
     /// What model servers take to read the prompts of those that came, by the edge's estimates, milliseconds.
-    pub read_ms: u64,
+    pub prefill_ms: u64,
     /// For how long answers that ended since the last report took a slot, milliseconds.
     pub slot_time_ms: u64,
     /// The shortest objective among them, milliseconds; 0: not told.
@@ -295,9 +295,9 @@
     /// The model server's incarnation.
     pub instance: String,
     /// What it takes to read the prompt there, milliseconds.
-    pub read_ms: u32,
+    pub prefill_ms: u32,
     /// What else speaks against it, in milliseconds until the answer begins.
-    pub extra_ms: u32,
+    pub other_cost_ms: u32,
 }
 
 /// An edge's question at which model server a prompt should be read next, and when.
--- a/crates/protocol/src/message/draw.rs
+++ b/crates/protocol/src/message/draw.rs
@@ -1,4 +1,5 @@
-//! Generations of training steps: a leader offers them, an edge asks, is given some, and tells how each ended.
+//! Generations of training steps: a leader offers them, an edge asks, is given some, and tells how each
+//! ended.
 
 /// Generations wait: the edge may ask for so many.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -10,9 +11,9 @@
 /// An edge asks for generations.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct DrawRequest {
-    /// The edge's steady clock, milliseconds. What it is given begins within a bound of that, or not at all: an edge that
-    /// stood still meanwhile sees it by its own clock.
-    pub asked_at: u64,
+    /// The edge's steady clock, milliseconds. What it is given begins within a bound of that, or not at all:
+    /// an edge that stood still meanwhile sees it by its own clock.
+    pub requested_at: u64,
     /// How many it takes.
     pub count: u32,
 }
@@ -52,7 +53,7 @@
     /// The prompt's parts; empty: not told.
     pub prefix: String,
     /// It is over so long after it began, milliseconds.
-    pub within_ms: u64,
+    pub timeout_ms: u64,
     /// Tokens that one event of the answer holds.
     pub event_tokens: u32,
 }
@@ -61,9 +62,9 @@
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct DrawGrant {
     /// From the edge's request.
-    pub asked_at: u64,
+    pub requested_at: u64,
     /// Nothing of it begins later than so long after the edge asked, milliseconds.
-    pub begin_ms: u64,
+    pub start_timeout_ms: u64,
     /// The generations.
     pub tasks: Vec<DrawTask>,
 }
@@ -72,9 +73,9 @@
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct DrawnAnswer {
     /// The version that its head told.
-    pub head: Option<u64>,
+    pub header_version: Option<u64>,
     /// Versions that its events told, in order.
-    pub events: Vec<u64>,
+    pub event_versions: Vec<u64>,
     /// Tokens that came out.
     pub tokens: u64,
     /// The events' text.
@@ -100,7 +101,7 @@
     /// Its name.
     pub id: DrawId,
     /// The time that it had, milliseconds.
-    pub within_ms: u64,
+    pub timeout_ms: u64,
     /// What came of it.
     pub ending: DrawEnding,
 }
--- a/crates/protocol/src/read.rs
+++ b/crates/protocol/src/read.rs
@@ -85,8 +85,8 @@
         Which::DrawOffer(offer) => Frame::DrawOffer(DrawOffer { count: offer?.get_count() }),
         Which::DrawRequest(request) => {
             let request = request?;
-            let (asked_at, count) = (request.get_asked_at(), request.get_count());
-            Frame::DrawRequest(DrawRequest { asked_at, count })
+            let (requested_at, count) = (request.get_requested_at(), request.get_count());
+            Frame::DrawRequest(DrawRequest { requested_at, count })
         }
         Which::DrawGrant(grant) => Frame::DrawGrant(draw::grant(grant?)?),
         Which::DrawResult(result) => Frame::DrawResult(draw::result(result?)?),
@@ -118,7 +118,11 @@
 
 fn read_option(option: wire::admission_option::Reader<'_>) -> Read<AdmissionOption> {
     let instance = text(option.get_instance()?)?;
-    Ok(AdmissionOption { instance, read_ms: option.get_read_ms(), extra_ms: option.get_extra_ms() })
+    Ok(AdmissionOption {
+        instance,
+        prefill_ms: option.get_prefill_ms(),
+        other_cost_ms: option.get_other_cost_ms(),
+    })
 }
 
 fn read_hello(hello: wire::hello::Reader<'_>) -> Read<Hello> {
@@ -127,8 +131,8 @@
         wire::Role::Core => ProcessRole::Core,
     };
     let (name, zone) = (text(hello.get_name()?)?, text(hello.get_zone()?)?);
-    let reads_compressed = hello.get_reads_compressed();
-    Ok(Hello { role, name, zone, incarnation: hello.get_incarnation(), reads_compressed })
+    let accepts_compression = hello.get_accepts_compression();
+    Ok(Hello { role, name, zone, incarnation: hello.get_incarnation(), accepts_compression })
 }
 
 fn read_member(member: wire::member::Reader<'_>) -> Read<Member> {
@@ -276,7 +280,7 @@
         arrived: demand.get_arrived(),
         tokens: demand.get_tokens(),
         waiting: demand.get_waiting(),
-        read_ms: demand.get_read_ms(),
+        prefill_ms: demand.get_prefill_ms(),
         slot_time_ms: demand.get_slot_time_ms(),
         objective_ms: demand.get_objective_ms(),
     })
--- a/crates/protocol/src/read/draw.rs
+++ b/crates/protocol/src/read/draw.rs
@@ -24,20 +24,24 @@
         input_tokens: task.get_input_tokens(),
         output_tokens: task.get_output_tokens(),
         prefix: text(task.get_prefix()?)?,
-        within_ms: task.get_within_ms(),
+        timeout_ms: task.get_timeout_ms(),
         event_tokens: task.get_event_tokens(),
     })
 }
 
 pub fn grant(grant: wire::draw_grant::Reader<'_>) -> Read<DrawGrant> {
     let tasks = grant.get_tasks()?.iter().map(read_task).collect::<Read<_>>()?;
-    Ok(DrawGrant { asked_at: grant.get_asked_at(), begin_ms: grant.get_begin_ms(), tasks })
+    Ok(DrawGrant {
+        requested_at: grant.get_requested_at(),
+        start_timeout_ms: grant.get_start_timeout_ms(),
+        tasks,
+    })
 }
 
 fn read_answer(answer: wire::draw_result::complete::Reader<'_>) -> Read<DrawnAnswer> {
     Ok(DrawnAnswer {
-        head: answer.get_has_head().then_some(answer.get_head()),
-        events: answer.get_events()?.iter().collect(),
+        header_version: answer.get_has_header_version().then_some(answer.get_header_version()),
+        event_versions: answer.get_event_versions()?.iter().collect(),
         tokens: answer.get_tokens(),
         text: text(answer.get_text()?)?,
         truncated: answer.get_truncated(),
@@ -51,7 +55,7 @@
         Which::Over(()) => DrawEnding::Over,
         Which::Unknown(()) => DrawEnding::Unknown,
     };
-    Ok(DrawResult { id: read_id(result.get_id()?)?, within_ms: result.get_within_ms(), ending })
+    Ok(DrawResult { id: read_id(result.get_id()?)?, timeout_ms: result.get_timeout_ms(), ending })
 }
 
 /// No step has version 0: it stands for none.
--- a/crates/protocol/src/write.rs
+++ b/crates/protocol/src/write.rs
@@ -63,7 +63,7 @@
         Frame::DrawOffer(offer) => out.init_draw_offer().set_count(offer.count),
         Frame::DrawRequest(request) => {
             let mut out = out.init_draw_request();
-            out.set_asked_at(request.asked_at);
+            out.set_requested_at(request.requested_at);
             out.set_count(request.count);
         }
         Frame::DrawGrant(grant) => draw::grant(grant, out.init_draw_grant()),
@@ -96,8 +96,8 @@
 
 fn write_option(option: &AdmissionOption, mut out: wire::admission_option::Builder<'_>) {
     out.set_instance(&option.instance);
-    out.set_read_ms(option.read_ms);
-    out.set_extra_ms(option.extra_ms);
+    out.set_prefill_ms(option.prefill_ms);
+    out.set_other_cost_ms(option.other_cost_ms);
 }
 
 fn write_hello(hello: &Hello, mut out: wire::hello::Builder<'_>) {
@@ -108,7 +108,7 @@
     out.set_name(&hello.name);
     out.set_zone(&hello.zone);
     out.set_incarnation(hello.incarnation);
-    out.set_reads_compressed(hello.reads_compressed);
+    out.set_accepts_compression(hello.accepts_compression);
 }
 
 fn write_member(member: &Member, mut out: wire::member::Builder<'_>) {
@@ -258,7 +258,7 @@
     out.set_arrived(demand.arrived);
     out.set_tokens(demand.tokens);
     out.set_waiting(demand.waiting);
-    out.set_read_ms(demand.read_ms);
+    out.set_prefill_ms(demand.prefill_ms);
     out.set_slot_time_ms(demand.slot_time_ms);
     out.set_objective_ms(demand.objective_ms);
 }
--- a/crates/protocol/src/write/draw.rs
+++ b/crates/protocol/src/write/draw.rs
@@ -20,13 +20,13 @@
     out.set_input_tokens(task.input_tokens);
     out.set_output_tokens(task.output_tokens);
     out.set_prefix(&task.prefix);
-    out.set_within_ms(task.within_ms);
+    out.set_timeout_ms(task.timeout_ms);
     out.set_event_tokens(task.event_tokens);
 }
 
 pub fn grant(grant: &DrawGrant, mut out: wire::draw_grant::Builder<'_>) {
-    out.set_asked_at(grant.asked_at);
-    out.set_begin_ms(grant.begin_ms);
+    out.set_requested_at(grant.requested_at);
+    out.set_start_timeout_ms(grant.start_timeout_ms);
     let mut tasks = out.init_tasks(grant.tasks.len() as u32);
     for (position, task) in grant.tasks.iter().enumerate() {
         write_task(task, tasks.reborrow().get(position as u32));
@@ -34,20 +34,20 @@
 }
 
 fn write_answer(answer: &DrawnAnswer, mut out: wire::draw_result::complete::Builder<'_>) {
-    out.set_has_head(answer.head.is_some());
-    out.set_head(answer.head.unwrap_or_default());
+    out.set_has_header_version(answer.header_version.is_some());
+    out.set_header_version(answer.header_version.unwrap_or_default());
     out.set_tokens(answer.tokens);
     out.set_text(&answer.text);
     out.set_truncated(answer.truncated);
-    let mut events = out.init_events(answer.events.len() as u32);
-    for (position, version) in answer.events.iter().enumerate() {
+    let mut events = out.init_event_versions(answer.event_versions.len() as u32);
+    for (position, version) in answer.event_versions.iter().enumerate() {
         events.set(position as u32, *version);
     }
 }
 
 pub fn result(result: &DrawResult, mut out: wire::draw_result::Builder<'_>) {
     write_id(&result.id, out.reborrow().init_id());
-    out.set_within_ms(result.within_ms);
+    out.set_timeout_ms(result.timeout_ms);
     match &result.ending {
         DrawEnding::Complete(answer) => write_answer(answer, out.init_complete()),
         DrawEnding::Over => out.set_over(()),
--- a/crates/protocol/tests/common/mod.rs
+++ b/crates/protocol/tests/common/mod.rs
@@ -45,7 +45,7 @@
             arrived: 2,
             tokens: 900,
             waiting: 1,
-            read_ms: 140,
+            prefill_ms: 140,
             slot_time_ms: 2_600,
             objective_ms: 500,
         }],
@@ -62,8 +62,8 @@
 }
 
 pub fn admission() -> AdmissionRequest {
-    let option = AdmissionOption { instance: "i-1".into(), read_ms: 80, extra_ms: 30 };
-    let options = vec![option.clone(), AdmissionOption { read_ms: 9, ..option }];
+    let option = AdmissionOption { instance: "i-1".into(), prefill_ms: 80, other_cost_ms: 30 };
+    let options = vec![option.clone(), AdmissionOption { prefill_ms: 9, ..option }];
     AdmissionRequest { request: 7, options, urgency: 12 }
 }
 
@@ -81,19 +81,25 @@
         input_tokens: 20,
         output_tokens: 30,
         prefix: "aa:20".into(),
-        within_ms: 9_000,
+        timeout_ms: 9_000,
         event_tokens: 3,
     };
-    DrawGrant { asked_at: 12, begin_ms: 300, tasks: vec![task.clone(), task] }
+    DrawGrant { requested_at: 12, start_timeout_ms: 300, tasks: vec![task.clone(), task] }
 }
 
 pub fn draw_result(ending: DrawEnding) -> Frame {
-    Frame::DrawResult(DrawResult { id: draw_id(), within_ms: 9_000, ending })
+    Frame::DrawResult(DrawResult { id: draw_id(), timeout_ms: 9_000, ending })
 }
 
-pub fn drawn(head: Option<u64>) -> DrawEnding {
+pub fn drawn(header_version: Option<u64>) -> DrawEnding {
     let (text, truncated) = ("some text".into(), true);
-    DrawEnding::Complete(DrawnAnswer { head, events: vec![7, 8], tokens: 30, text, truncated })
+    DrawEnding::Complete(DrawnAnswer {
+        header_version,
+        event_versions: vec![7, 8],
+        tokens: 30,
+        text,
+        truncated,
+    })
 }
 
 pub fn model_versions() -> Frame {
@@ -139,8 +145,8 @@
     Message::SnapshotChunk(SnapshotChunk { term: 3, id, offset: 400, bytes: vec![9; 300], sent_at: 5 })
 }
 
-pub fn hello(reads_compressed: bool) -> Hello {
-    Hello { role: ProcessRole::Edge, name: "e".into(), zone: "z".into(), incarnation: 1, reads_compressed }
+pub fn hello(accepts_compression: bool) -> Hello {
+    Hello { role: ProcessRole::Edge, name: "e".into(), zone: "z".into(), incarnation: 1, accepts_compression }
 }
 
 /// A frame of each kind, by a name that says which.
@@ -179,7 +185,7 @@
         ("admission_request", Frame::AdmissionRequest(admission())),
         ("admission_grant", Frame::AdmissionGrant(AdmissionGrant { request: 7, option: 1, wait_ms: 30 })),
         ("draw_offer", Frame::DrawOffer(DrawOffer { count: 4 })),
-        ("draw_request", Frame::DrawRequest(DrawRequest { asked_at: 9, count: 3 })),
+        ("draw_request", Frame::DrawRequest(DrawRequest { requested_at: 9, count: 3 })),
         ("draw_grant", Frame::DrawGrant(draw_grant())),
         ("draw_result_complete", draw_result(drawn(Some(7)))),
         ("draw_result_without_a_version", draw_result(drawn(None))),
--- a/crates/protocol/tests/round_trip.rs
+++ b/crates/protocol/tests/round_trip.rs
@@ -9,7 +9,7 @@
 use pathbank_protocol::message::*;
 use test_case::test_case;
 
-#[test_case(Frame::Hello(Hello { role: ProcessRole::Edge, name: "e".into(), zone: "z".into(), incarnation: 1, reads_compressed: true }); "hello")]
+#[test_case(Frame::Hello(Hello { role: ProcessRole::Edge, name: "e".into(), zone: "z".into(), incarnation: 1, accepts_compression: true }); "hello")]
 #[test_case(replica(append()); "append")]
 #[test_case(replica(snapshot_part()); "snapshot part")]
 #[test_case(replica(Message::SnapshotReply { term: 3, index: 5, received: 700, sent_at: 5 }); "snapshot reply")]
@@ -32,7 +32,7 @@
 #[test_case(Frame::AdmissionRequest(admission()); "admission request")]
 #[test_case(Frame::AdmissionGrant(AdmissionGrant { request: 7, option: 1, wait_ms: 30 }); "admission grant")]
 #[test_case(Frame::DrawOffer(DrawOffer { count: 4 }); "draw offer")]
-#[test_case(Frame::DrawRequest(DrawRequest { asked_at: 9, count: 3 }); "draw request")]
+#[test_case(Frame::DrawRequest(DrawRequest { requested_at: 9, count: 3 }); "draw request")]
 #[test_case(Frame::DrawGrant(draw_grant()); "draw grant")]
 #[test_case(draw_result(drawn(Some(7))); "a whole generation")]
 #[test_case(draw_result(drawn(None)); "a whole generation without a version")]
--- a/crates/router/src/dispatcher.rs
+++ b/crates/router/src/dispatcher.rs
@@ -399,8 +399,8 @@
             Stage::Unplaced => (ResultCode::NoModelServer, self.ready_in(now, offer)),
             Stage::Queued(instance) => (ResultCode::Overloaded, self.slot_in(now, instance)),
         };
-        let read_ms = self.engines.typical_read_ms(now, &offer.name.model, offer.input_tokens);
-        let begins_in = read_ms as Millis;
+        let prefill_ms = self.engines.typical_read_ms(now, &offer.name.model, offer.input_tokens);
+        let begins_in = prefill_ms as Millis;
         refusal::judge(now, held, Outlook { code, ready_in, begins_in })
     }
 
--- a/crates/router/src/dispatcher/cost.rs
+++ b/crates/router/src/dispatcher/cost.rs
@@ -40,11 +40,11 @@
         let mut options: Vec<AdmissionOption> = open
             .map(|(instance, known)| AdmissionOption {
                 instance: instance.clone(),
-                read_ms: self.read_ms(now, offer, instance, self.own_tokens(offer, instance)) as u32,
-                extra_ms: self.extra_cost(now, offer, instance, known) as u32,
+                prefill_ms: self.prefill_ms(now, offer, instance, self.own_tokens(offer, instance)) as u32,
+                other_cost_ms: self.extra_cost(now, offer, instance, known) as u32,
             })
             .collect();
-        options.sort_by_key(|option| option.read_ms + option.extra_ms);
+        options.sort_by_key(|option| option.prefill_ms + option.other_cost_ms);
         options.truncate(MOST_OPTIONS);
         options
     }
@@ -59,15 +59,15 @@
         known: &KnownModelServer,
     ) -> f64 {
         let unread = self.own_tokens(offer, instance) + UNREAD_WEIGHT * known.unread_tokens();
-        let prefill = self.read_ms(now, offer, instance, unread);
+        let prefill = self.prefill_ms(now, offer, instance, unread);
         let full_ms = self.full_server_ms(now, offer);
         let preference = PREFERENCE_PART * full_ms * unit_draw(self.seed, instance);
         prefill + preference + self.extra_cost(now, offer, instance, known)
     }
 
     /// How long a model server takes to read so many tokens for a request, milliseconds.
-    pub(super) fn read_ms(&self, now: Millis, offer: &Offer, instance: &Instance, tokens: u64) -> f64 {
-        self.engines.read_ms(now, instance, &offer.name.model, tokens)
+    pub(super) fn prefill_ms(&self, now: Millis, offer: &Offer, instance: &Instance, tokens: u64) -> f64 {
+        self.engines.prefill_ms(now, instance, &offer.name.model, tokens)
     }
 
     /// Tokens of a request's prompt that a model server has to read.
@@ -95,7 +95,7 @@
     /// What it costs that the streams at a model server stand still while it reads a prompt, milliseconds.
     fn stall_cost(&self, now: Millis, offer: &Offer, instance: &Instance, known: &KnownModelServer) -> f64 {
         let tokens = self.own_tokens(offer, instance) + known.unread_tokens();
-        let stall_ms = self.read_ms(now, offer, instance, tokens);
+        let stall_ms = self.prefill_ms(now, offer, instance, tokens);
         if offer.gap_aim == 0 || stall_ms <= STALL_PART * offer.gap_aim as f64 {
             return 0.0;
         }
--- a/crates/router/src/dispatcher/reports.rs
+++ b/crates/router/src/dispatcher/reports.rs
@@ -35,12 +35,12 @@
         if offer.name.model.is_empty() {
             return;
         }
-        let read_ms = self.engines.typical_read_ms(now, &offer.name.model, offer.input_tokens) as u64;
+        let prefill_ms = self.engines.typical_read_ms(now, &offer.name.model, offer.input_tokens) as u64;
         let objective = offer.objective as u32;
         let demand = self.demand_of(offer);
         demand.arrived += 1;
         demand.tokens += offer.size;
-        demand.read_ms += read_ms;
+        demand.prefill_ms += prefill_ms;
         demand.objective_ms =
             if demand.objective_ms == 0 { objective } else { demand.objective_ms.min(objective) };
     }
--- a/crates/router/src/engine_estimates.rs
+++ b/crates/router/src/engine_estimates.rs
@@ -79,7 +79,7 @@
     }
 
     /// How long a model server takes to read tokens of a prompt, milliseconds.
-    pub fn read_ms(&self, now: Millis, instance: &Instance, model: &str, tokens: u64) -> f64 {
+    pub fn prefill_ms(&self, now: Millis, instance: &Instance, model: &str, tokens: u64) -> f64 {
         tokens as f64 / (self.read.value(now, model) * self.server.value(now, instance))
     }
 
--- a/crates/router/tests/dispatch.rs
+++ b/crates/router/tests/dispatch.rs
@@ -432,7 +432,7 @@
     let options = story.dispatcher.admission_options(story.now, &asked);
     let names: Vec<&str> = options.iter().map(|option| option.instance.as_str()).collect();
     assert_eq!(names, ["i-1", "i-3"], "the nearer one first");
-    assert!(options[0].read_ms > 0 && options[1].extra_ms > options[0].extra_ms);
+    assert!(options[0].prefill_ms > 0 && options[1].other_cost_ms > options[0].other_cost_ms);
     let without_prompt = Offer { input_tokens: 0, ..asked.clone() };
     assert!(story.dispatcher.admission_options(story.now, &without_prompt).is_empty());
     (1..=2).for_each(|id| drop(story.dispatcher.offer(story.now, granted(id, "i-1", story.now), true)));
@@ -450,7 +450,7 @@
     let again = Offer { parts, ..offer(2, "a", story.now) };
     let options = story.dispatcher.admission_options(story.now, &again);
     let read =
-        |name: &str| options.iter().find(|option| option.instance == name).map(|option| option.read_ms);
+        |name: &str| options.iter().find(|option| option.instance == name).map(|option| option.prefill_ms);
     assert!(read("i-2") < read("i-1"), "{options:?}");
 }
 
--- a/crates/system/src/core/node.rs
+++ b/crates/system/src/core/node.rs
@@ -145,7 +145,7 @@
             name: settings.node_name.clone(),
             zone: settings.zone.clone(),
             incarnation,
-            reads_compressed: true,
+            accepts_compression: true,
         };
         let mesh_events = events.clone();
         let mesh = Mesh::new(hello, move |event| drop(mesh_events.send(Event::Mesh(event))));
--- a/crates/system/src/core/node/training/generations.rs
+++ b/crates/system/src/core/node/training/generations.rs
@@ -56,7 +56,8 @@
             return;
         }
         let tasks: Vec<DrawTask> = draws.iter().filter_map(|(model, draw)| self.task(model, draw)).collect();
-        let grant = DrawGrant { asked_at: request.asked_at, begin_ms: START_TIMEOUT_MS, tasks };
+        let grant =
+            DrawGrant { requested_at: request.requested_at, start_timeout_ms: START_TIMEOUT_MS, tasks };
         let sent = self.peers.get(&id).is_some_and(|peer| peer.link.send(&Frame::DrawGrant(grant)));
         if !sent {
             draws.into_iter().for_each(|(model, draw)| {
@@ -86,7 +87,7 @@
             input_tokens: prompt.input_tokens,
             output_tokens: prompt.output_tokens,
             prefix: prompt.prefix.clone(),
-            within_ms: draw.within,
+            timeout_ms: draw.within,
             event_tokens: stride.max(1.0) as u32,
         })
     }
@@ -98,11 +99,11 @@
         }
         let DrawId { step, epoch, prompt, instance, version } = result.id;
         let Some(model) = self.model_of(step) else { return };
-        let draw = Draw { step, epoch, prompt, worker: instance, version, within: result.within_ms };
+        let draw = Draw { step, epoch, prompt, worker: instance, version, within: result.timeout_ms };
         let (outcome, tokens, output) = match result.ending {
             DrawEnding::Complete(answer) => {
-                let mut trail = VersionTrail::begin(answer.head);
-                answer.events.iter().for_each(|version| trail.event(*version));
+                let mut trail = VersionTrail::begin(answer.header_version);
+                answer.event_versions.iter().for_each(|version| trail.event(*version));
                 trail.finish();
                 let output = Output { text: answer.text, truncated: answer.truncated };
                 (DrawOutcome::Complete(trail), answer.tokens, output)
--- a/crates/system/src/edge/core_links.rs
+++ b/crates/system/src/edge/core_links.rs
@@ -19,7 +19,7 @@
         name: settings.node_name.clone(),
         zone: settings.zone.clone(),
         incarnation: shared.incarnation,
-        reads_compressed: true,
+        accepts_compression: true,
     };
     let weak: Weak<Shared> = Arc::downgrade(shared);
     let mesh = Mesh::new(hello, move |event| {
--- a/crates/system/src/edge/generation.rs
+++ b/crates/system/src/edge/generation.rs
@@ -59,7 +59,7 @@
     if count == 0 || shared.stopping.load(Ordering::Relaxed) {
         return;
     }
-    let request = Frame::DrawRequest(DrawRequest { asked_at: clock::now(), count });
+    let request = Frame::DrawRequest(DrawRequest { requested_at: clock::now(), count });
     if let Some(mesh) = shared.mesh.get() {
         mesh.send(leader, &request);
     }
@@ -67,12 +67,12 @@
 
 /// Begins what was given, as far as its time is not over.
 pub fn granted(shared: &Arc<Shared>, grant: DrawGrant) {
-    let begin_by = grant.asked_at + grant.begin_ms;
+    let begin_by = grant.requested_at + grant.start_timeout_ms;
     for task in grant.tasks {
         let running = Running::new(shared);
         tokio::spawn(async move {
             let ending = draw(&running.0, &task, begin_by).await;
-            tell(&running.0, DrawResult { id: task.id, within_ms: task.within_ms, ending });
+            tell(&running.0, DrawResult { id: task.id, timeout_ms: task.timeout_ms, ending });
         });
     }
 }
@@ -96,7 +96,7 @@
             Err(ExchangeError::Broken(_)) => DrawEnding::Unknown,
         }
     };
-    let latest = clock::until(begin_by + task.within_ms);
+    let latest = clock::until(begin_by + task.timeout_ms);
     tokio::time::timeout(latest, exchange).await.unwrap_or(DrawEnding::Unknown)
 }
 
@@ -120,7 +120,7 @@
     set(TARGET_INSTANCE, &task.id.instance)?;
     set(MODEL, &task.model)?;
     set(TOKEN_COUNT, &format!("{},{}", task.input_tokens, task.output_tokens))?;
-    set(DEADLINE, &task.within_ms.to_string())?;
+    set(DEADLINE, &task.timeout_ms.to_string())?;
     set(EXPECT_VERSION, &task.id.version.to_string())?;
     // Shops and riders go first.
     set(PRIORITY, &LOWEST_PRIORITY.to_string())?;
@@ -149,9 +149,11 @@
         return DrawEnding::Unknown;
     }
     let told = headers.get(VERSIONS).and_then(|value| value.to_str().ok());
-    let head = told.and_then(|value| value.trim().parse().ok());
-    let mut answer =
-        Reading { answer: DrawnAnswer { head, ..DrawnAnswer::default() }, tracker: EventTracker::default() };
+    let header_version = told.and_then(|value| value.trim().parse().ok());
+    let mut answer = Reading {
+        answer: DrawnAnswer { header_version, ..DrawnAnswer::default() },
+        tracker: EventTracker::default(),
+    };
     if !answer.read_all(response.into_body()).await {
         return DrawEnding::Unknown;
     }
@@ -181,7 +183,7 @@
     }
 
     fn note(&mut self, events: &[u8]) {
-        self.answer.events.extend(events::versions(events));
+        self.answer.event_versions.extend(events::versions(events));
         let room = MOST_TEXT_BYTES - self.answer.text.len();
         let text = String::from_utf8_lossy(events);
         let end = text.floor_char_boundary(room.min(text.len()));
--- a/crates/system/tests/common/listener.rs
+++ b/crates/system/tests/common/listener.rs
@@ -50,7 +50,7 @@
         name: "listener".into(),
         zone: "z1".into(),
         incarnation: 1,
-        reads_compressed: false,
+        accepts_compression: false,
     };
     link.send(&Frame::Hello(hello));
     link.send(&Frame::Subscribe(Subscription { wanted: true, known_index: 0 }));
--- a/crates/system/tests/common/slow_edge.rs
+++ b/crates/system/tests/common/slow_edge.rs
@@ -30,7 +30,7 @@
             name: name.into(),
             zone: "z1".into(),
             incarnation: 1,
-            reads_compressed: false,
+            accepts_compression: false,
         };
         edge.say(&Frame::Hello(hello));
         edge.say(&Frame::Subscribe(Subscription { wanted: true, known_index: 0 }));
--- a/crates/system/tests/configuration_updates.rs
+++ b/crates/system/tests/configuration_updates.rs
@@ -30,7 +30,7 @@
         name: "e".into(),
         zone: "z".into(),
         incarnation: 1,
-        reads_compressed: true,
+        accepts_compression: true,
     }
 }
 
--- a/crates/system/tests/late_generation.rs
+++ b/crates/system/tests/late_generation.rs
@@ -67,7 +67,7 @@
     (address, common::start_server(&system.runtime, settings, address))
 }
 
-fn grant(asked_at: u64, address: SocketAddr, version: u64) -> DrawGrant {
+fn grant(requested_at: u64, address: SocketAddr, version: u64) -> DrawGrant {
     let id = DrawId { step: 1, epoch: 5, prompt: 7, instance: "w0".into(), version };
     let task = DrawTask {
         id,
@@ -78,10 +78,10 @@
         input_tokens: 10,
         output_tokens: 15,
         prefix: String::new(),
-        within_ms: 2_000,
+        timeout_ms: 2_000,
         event_tokens: 3,
     };
-    DrawGrant { asked_at, begin_ms: BEGIN_MS, tasks: vec![task] }
+    DrawGrant { requested_at, start_timeout_ms: BEGIN_MS, tasks: vec![task] }
 }
 
 #[test_case(0, 1, true; "that comes in time")]
@@ -98,7 +98,7 @@
         _ => None,
     });
     std::thread::sleep(Duration::from_millis(late_ms));
-    leader.say(&Frame::DrawGrant(grant(request.asked_at, address, version)));
+    leader.say(&Frame::DrawGrant(grant(request.requested_at, address, version)));
     let result: DrawResult = leader.hear(|frame| match frame {
         Frame::DrawResult(result) => Some(result),
         _ => None,
@@ -107,7 +107,7 @@
     assert_eq!(state.runs().len(), usize::from(is_drawn));
     match result.ending {
         DrawEnding::Complete(answer) => {
-            assert!(is_drawn && answer.head == Some(1) && answer.text.contains("data: piece 5"));
+            assert!(is_drawn && answer.header_version == Some(1) && answer.text.contains("data: piece 5"));
             assert_eq!(answer.tokens, 15);
         }
         other => assert!(!is_drawn && other == DrawEnding::Over, "{other:?}"),
--- a/crates/system/tests/links.rs
+++ b/crates/system/tests/links.rs
@@ -109,7 +109,7 @@
         name: "e".into(),
         zone: "z".into(),
         incarnation: 1,
-        reads_compressed: true,
+        accepts_compression: true,
     };
     let (told, mut events) = tokio::sync::mpsc::unbounded_channel();
     let mesh = mesh::Mesh::new(hello, move |event| drop(told.send(event)));
