--- a/crates/control/src/admission.rs
+++ b/crates/control/src/admission.rs
@@ -70,7 +70,7 @@
 impl AdmissionController {
     /// The slots of the model servers that take requests, and the requests there by what all edges told.
     /// Other model servers are forgotten.
-    pub fn note_slots(&mut self, ready: &[ModelServer], in_flight: &BTreeMap<String, u32>) {
+    pub fn update_slots(&mut self, ready: &[ModelServer], in_flight: &BTreeMap<String, u32>) {
         let mut known = std::mem::take(&mut self.slots);
         for server in ready {
             let mut slots = known.remove(&server.instance).unwrap_or_default();
@@ -119,7 +119,7 @@
     }
 
     /// Forgets lines that have been empty for long.
-    pub fn tidy(&mut self, now: Millis) {
+    pub fn expire(&mut self, now: Millis) {
         self.free_at.retain(|_, free_at| *free_at + FORGET_AFTER as f64 > now as f64);
     }
 }
--- a/crates/control/src/autoscaling.rs
+++ b/crates/control/src/autoscaling.rs
@@ -89,7 +89,7 @@
         demand: &DemandTable,
     ) -> Vec<ScaleOrder> {
         let began = *self.began.get_or_insert(now);
-        let is_known = now >= began + OBSERVE_FIRST && demand.known_part(now) >= LEAST_KNOWN;
+        let is_known = now >= began + OBSERVE_FIRST && demand.known_fraction(now) >= LEAST_KNOWN;
         let mut orders = Vec::new();
         for backend in backends {
             let Some(bounds) = &backend.autoscaling else { continue };
@@ -113,7 +113,7 @@
     }
 
     /// The model servers that were ordered last, by service and zone.
-    pub fn ordered(&self) -> impl Iterator<Item = ScaleOrder> {
+    pub fn orders(&self) -> impl Iterator<Item = ScaleOrder> {
         self.services.iter().flat_map(|(backend, service)| {
             service.orders.iter().map(|(zone, order)| ScaleOrder {
                 backend: backend.clone(),
@@ -134,7 +134,7 @@
     let capacity = own.map(|server| server.capacity).max().unwrap_or(1).max(1);
     let reading = read_ms_per_s / 1_000.0 / READING_PART;
     let slots = slot_time_ms_per_s / 1_000.0 / (f64::from(capacity) * SLOTS_PART);
-    reading.max(slots) / demand.known_part(now).max(LEAST_KNOWN)
+    reading.max(slots) / demand.known_fraction(now).max(LEAST_KNOWN)
 }
 
 /// How a zone stands.
@@ -143,7 +143,7 @@
     /// Model servers that take requests there.
     present: u32,
     /// Model servers that were ordered, or those present where none were.
-    ordered: u32,
+    orders: u32,
     /// It does not get what was ordered.
     is_short: bool,
 }
@@ -170,7 +170,7 @@
         let views: Vec<ZoneView<'_>> =
             self.zones.iter().map(|zone| self.view(now, zone, bounds, present)).collect();
         let running: u32 =
-            views.iter().map(|view| if view.is_short { view.present } else { view.ordered }).sum();
+            views.iter().map(|view| if view.is_short { view.present } else { view.orders }).sum();
         let adds = wanted > f64::from(running) * (1.0 + WORTH_ADDING);
         let removes = wanted < f64::from(running) * (1.0 - SPARE_AFTER_REMOVAL);
         let target = if adds { wanted } else { wanted / (1.0 - SPARE_AFTER_REMOVAL) };
@@ -202,10 +202,10 @@
     ) -> ZoneView<'a> {
         let present = present.get(zone).copied().unwrap_or(0);
         let order = self.orders.get(zone);
-        let ordered = order.map_or(present, |order| order.count);
+        let orders = order.map_or(present, |order| order.count);
         let boot = (bounds.boot_s * 1_000.0) as Millis;
         let is_due = order.is_none_or(|order| order.is_due(now, boot));
-        ZoneView { zone, present, ordered, is_short: is_due && present < ordered }
+        ZoneView { zone, present, orders, is_short: is_due && present < orders }
     }
 }
 
--- a/crates/control/src/change_log.rs
+++ b/crates/control/src/change_log.rs
@@ -4,11 +4,11 @@
 use std::collections::{BTreeSet, VecDeque};
 
 /// Changes that are remembered: at 4,600 a day, those of one day and three quarters.
-pub const CHANGES_REMEMBERED: usize = 8_192;
+pub const MAX_RECORDED_CHANGES: usize = 8_192;
 
 /// A change that was taken.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
-struct TakenChange {
+struct AcceptedChange {
     digest: u128,
     /// The version on which it built.
     base: u64,
@@ -16,21 +16,21 @@
 
 /// What is known of a change that comes.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Recall {
-    /// It was taken.
-    Taken,
-    /// It was not.
-    New,
+pub enum ChangeLookup {
+    /// It was accepted.
+    Accepted,
+    /// It is not recorded, and would be if it had been accepted.
+    Unknown,
     /// It builds on a version so old that what was taken on it is forgotten: it may have been taken.
-    Forgotten,
+    Evicted,
 }
 
-/// The changes that were taken, the newest ones by their digests. Bases rise from change to change, so what is forgotten
-/// is known by its base.
+/// The changes that were taken, the newest ones by their digests. Bases rise from change to change, so what
+/// is forgotten is known by its base.
 #[derive(Clone, Debug, Default, Serialize, Deserialize)]
-#[serde(from = "StoredLog", into = "StoredLog")]
+#[serde(from = "StoredChangeLog", into = "StoredChangeLog")]
 pub struct ChangeLog {
-    taken: VecDeque<TakenChange>,
+    taken: VecDeque<AcceptedChange>,
     digests: BTreeSet<u128>,
     /// Changes on bases below this may be forgotten.
     remembered_from: u64,
@@ -38,21 +38,21 @@
 
 /// As it lies in a snapshot.
 #[derive(Clone, Serialize, Deserialize)]
-struct StoredLog {
-    taken: VecDeque<TakenChange>,
+struct StoredChangeLog {
+    taken: VecDeque<AcceptedChange>,
     remembered_from: u64,
 }
 
-impl From<StoredLog> for ChangeLog {
-    fn from(stored: StoredLog) -> ChangeLog {
+impl From<StoredChangeLog> for ChangeLog {
+    fn from(stored: StoredChangeLog) -> ChangeLog {
         let digests = stored.taken.iter().map(|change| change.digest).collect();
         ChangeLog { taken: stored.taken, digests, remembered_from: stored.remembered_from }
     }
 }
 
-impl From<ChangeLog> for StoredLog {
-    fn from(log: ChangeLog) -> StoredLog {
-        StoredLog { taken: log.taken, remembered_from: log.remembered_from }
+impl From<ChangeLog> for StoredChangeLog {
+    fn from(log: ChangeLog) -> StoredChangeLog {
+        StoredChangeLog { taken: log.taken, remembered_from: log.remembered_from }
     }
 }
 
@@ -63,19 +63,19 @@
     }
 
     /// What is known of a change.
-    pub fn recall(&self, digest: u128, base: u64) -> Recall {
+    pub fn lookup(&self, digest: u128, base: u64) -> ChangeLookup {
         match self.digests.contains(&digest) {
-            true => Recall::Taken,
-            false if base < self.remembered_from => Recall::Forgotten,
-            false => Recall::New,
+            true => ChangeLookup::Accepted,
+            false if base < self.remembered_from => ChangeLookup::Evicted,
+            false => ChangeLookup::Unknown,
         }
     }
 
     /// A change was taken. The oldest one is forgotten for it where there are too many.
-    pub fn note(&mut self, digest: u128, base: u64) {
-        self.taken.push_back(TakenChange { digest, base });
+    pub fn record(&mut self, digest: u128, base: u64) {
+        self.taken.push_back(AcceptedChange { digest, base });
         self.digests.insert(digest);
-        if self.taken.len() > CHANGES_REMEMBERED
+        if self.taken.len() > MAX_RECORDED_CHANGES
             && let Some(oldest) = self.taken.pop_front()
         {
             self.digests.remove(&oldest.digest);
--- a/crates/control/src/configuration.rs
+++ b/crates/control/src/configuration.rs
@@ -66,8 +66,8 @@
     #[facet(default)]
     pub resumable: bool,
     /// The longest pause between events of an answer in time, milliseconds.
-    #[facet(default)]
-    pub gap_aim_ms: Option<f64>,
+    #[facet(default, rename = "gap_aim_ms")]
+    pub target_gap_ms: Option<f64>,
     /// Which version of a model in training answers; left out: whichever the model server holds.
     #[facet(default)]
     pub model_version: Option<RouteVersion>,
--- a/crates/control/src/demand.rs
+++ b/crates/control/src/demand.rs
@@ -54,7 +54,7 @@
         self.at = now;
     }
 
-    fn note_objective(&mut self, now: Millis, told: u32) {
+    fn record_objective(&mut self, now: Millis, told: u32) {
         let holds = self.objective.filter(|(at, known)| now < at + OBJECTIVE_HOLDS && *known < told);
         if told > 0 && holds.is_none() {
             self.objective = Some((now, told));
@@ -76,16 +76,16 @@
 
 impl DemandTable {
     /// Takes an edge's report.
-    pub fn note(&mut self, now: Millis, report: &EdgeReport) {
+    pub fn record(&mut self, now: Millis, report: &EdgeReport) {
         if !report.demand.is_empty() {
             self.since.get_or_insert(now);
             self.remembered = self.remembered.max(report.demand_span_ms);
         }
-        report.demand.iter().for_each(|demand| self.note_demand(now, demand));
+        report.demand.iter().for_each(|demand| self.record_demand(now, demand));
         self.loads.insert(report.edge.clone(), (now, report.loads.clone()));
     }
 
-    fn note_demand(&mut self, now: Millis, demand: &ModelDemand) {
+    fn record_demand(&mut self, now: Millis, demand: &ModelDemand) {
         let key = ModelKey {
             backend: demand.backend.clone(),
             model: demand.model.clone(),
@@ -101,7 +101,7 @@
         }
         known.prefill_ms += demand.prefill_ms as f64;
         known.slot_time_ms += demand.slot_time_ms as f64;
-        known.note_objective(now, demand.objective_ms);
+        known.record_objective(now, demand.objective_ms);
         if demand.waiting > 0 {
             let still = now < known.waiting_at + WAITING_COUNTS;
             known.waiting = f64::from(demand.waiting) + if still { known.waiting / 2.0 } else { 0.0 };
@@ -110,16 +110,16 @@
     }
 
     /// The part of the demand that is not known yet: 1 before the first word, 0 after some time.
-    pub fn unknown_part(&self, now: Millis) -> f64 {
+    pub fn unknown_fraction(&self, now: Millis) -> f64 {
         let passed = self.since.map_or(0, |since| now.saturating_sub(since));
         (-(passed as f64) / SPAN).exp()
     }
 
     /// The part of the rates that is known, once all edges have said something: what they remembered from
     /// before the first word counts whole, as if it had just come.
-    pub fn known_part(&self, now: Millis) -> f64 {
+    pub fn known_fraction(&self, now: Millis) -> f64 {
         let not_remembered = (1.0 - self.remembered as f64 / SPAN).max(0.0);
-        1.0 - self.unknown_part(now) * not_remembered
+        1.0 - self.unknown_fraction(now) * not_remembered
     }
 
     /// Tokens a second asked of a key.
@@ -152,7 +152,7 @@
     }
 
     /// Whether a request for a key came within some time, milliseconds.
-    pub fn asked_within(&self, now: Millis, key: &ModelKey, within: Millis) -> bool {
+    pub fn requested_within(&self, now: Millis, key: &ModelKey, within: Millis) -> bool {
         self.by_key.get(key).is_some_and(|demand| demand.asked_at > 0 && now < demand.asked_at + within)
     }
 
@@ -209,7 +209,7 @@
     }
 
     /// Forgets what has faded.
-    pub fn tidy(&mut self, now: Millis) {
+    pub fn expire(&mut self, now: Millis) {
         self.by_key.retain(|_, demand| now < demand.at + 60_000);
         self.loads.retain(|_, (at, _)| now < *at + LOAD_COUNTS);
     }
--- a/crates/control/src/directory.rs
+++ b/crates/control/src/directory.rs
@@ -9,23 +9,23 @@
 
 /// A model server that says nothing for so many of its heartbeats, and never less than the time below, is
 /// taken for gone.
-const SILENT_HEARTBEATS: u64 = 5;
-const LEAST_SILENCE: Millis = 4_000;
+const MAX_MISSED_HEARTBEATS: u64 = 5;
+const MIN_HEARTBEAT_TIMEOUT_MS: Millis = 4_000;
 /// A model server that has gone is remembered for so long, so that a late heartbeat does not bring it back.
-const GONE_KEPT: Millis = 60_000;
+const REMOVED_RETENTION_MS: Millis = 60_000;
 /// What the leader said of a model server that drops something holds for so long without another word.
-const ORDER_STATUS_VALID_MS: Millis = 8_000;
+const ORDER_STATUS_TTL_MS: Millis = 8_000;
 /// What a model server says of its models may be as old as this: word of an order's end holds against it for
 /// so long.
-const WORD_LAG: Millis = 600;
+const HEARTBEAT_STALENESS_MS: Millis = 600;
 /// An unchanged model server is told to the other cores this often.
-const RELAY_EVERY: Millis = 2_000;
+const RELAY_INTERVAL_MS: Millis = 2_000;
 
 #[derive(Clone, Debug)]
-struct Known {
+struct ServerRecord {
     server: ModelServer,
-    heard: Millis,
-    relayed: Millis,
+    last_seen: Millis,
+    last_relayed_at: Millis,
     /// It said itself that it ended.
     deregistered: bool,
     /// Ended by the system's own orders; not to be used until an order's end is known.
@@ -43,14 +43,14 @@
 #[derive(Clone, Debug, Default)]
 pub struct Directory {
     cached_weights: CachedWeights,
-    known: BTreeMap<String, Known>,
+    known: BTreeMap<String, ServerRecord>,
     addresses: AddressIndex,
     heartbeat_ms: Millis,
 }
 
 /// What a heartbeat changed.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
-pub struct Heard {
+pub struct HeartbeatOutcome {
     /// Other incarnations at its address, which are gone by this.
     pub displaced: Vec<ModelServer>,
     /// Edges have to know.
@@ -67,7 +67,7 @@
 
     /// The model servers that edges should know, those that have gone among them.
     pub fn servers(&self) -> impl Iterator<Item = ModelServer> {
-        self.known.values().map(Known::told)
+        self.known.values().map(ServerRecord::published)
     }
 
     /// What model servers have held, by address.
@@ -75,7 +75,7 @@
         &self.cached_weights
     }
 
-    fn note_held(&mut self, address: &str, models: &[LoadedModel]) {
+    fn record_cached_weights(&mut self, address: &str, models: &[LoadedModel]) {
         if models.is_empty() {
             return;
         }
@@ -90,7 +90,7 @@
 
     /// One model server.
     pub fn server(&self, instance: &str) -> Option<ModelServer> {
-        self.known.get(instance).map(Known::told)
+        self.known.get(instance).map(ServerRecord::published)
     }
 
     /// The newest version of a model's weights that a model server holds; 0: none does.
@@ -105,19 +105,19 @@
     }
 
     /// A heartbeat, heard from the model server or from another core.
-    pub fn heard(&mut self, now: Millis, server: ModelServer) -> Heard {
-        self.note_held(&server.address, &server.models);
-        let Some(known) = self.known.get(&server.instance) else { return self.heard_first(now, server) };
+    pub fn observe_heartbeat(&mut self, now: Millis, server: ModelServer) -> HeartbeatOutcome {
+        self.record_cached_weights(&server.address, &server.models);
+        let Some(known) = self.known.get(&server.instance) else { return self.insert_first(now, server) };
         if server.sequence <= known.server.sequence || known.deregistered {
-            return Heard::default();
+            return HeartbeatOutcome::default();
         }
         self.addresses.change(&known.server.address, &server.address, &server.instance);
-        let Some(known) = self.known.get_mut(&server.instance) else { return Heard::default() };
-        known.heard = now;
-        let before = known.told();
+        let Some(known) = self.known.get_mut(&server.instance) else { return HeartbeatOutcome::default() };
+        known.last_seen = now;
+        let before = known.published();
         let draining =
             known.server.state == ModelServerState::Draining && server.state == ModelServerState::Ready;
-        let is_older = known.order_ended.is_some_and(|ended| now < ended + WORD_LAG);
+        let is_older = known.order_ended.is_some_and(|ended| now < ended + HEARTBEAT_STALENESS_MS);
         let models = std::mem::take(&mut known.server.models);
         known.server = server;
         if is_older {
@@ -127,23 +127,23 @@
             known.server.state = ModelServerState::Draining;
         }
         known.deregistered = known.server.state == ModelServerState::Removed;
-        let changed = !same_but_sequence(&before, &known.told());
-        let relay = changed || now >= known.relayed + RELAY_EVERY;
+        let changed = !same_but_sequence(&before, &known.published());
+        let relay = changed || now >= known.last_relayed_at + RELAY_INTERVAL_MS;
         if relay {
-            known.relayed = now;
+            known.last_relayed_at = now;
         }
-        Heard { displaced: Vec::new(), changed, relay }
+        HeartbeatOutcome { displaced: Vec::new(), changed, relay }
     }
 
     /// The first heartbeat of an instance, which ends any other one at its address.
-    fn heard_first(&mut self, now: Millis, server: ModelServer) -> Heard {
+    fn insert_first(&mut self, now: Millis, server: ModelServer) -> HeartbeatOutcome {
         let displaced = match server.state {
             ModelServerState::Removed => Vec::new(),
             ModelServerState::Ready | ModelServerState::Draining => self.displace(&server.address),
         };
         self.addresses.insert(&server.address, &server.instance);
-        self.known.insert(server.instance.clone(), Known::new(now, server));
-        Heard { displaced, changed: true, relay: true }
+        self.known.insert(server.instance.clone(), ServerRecord::new(now, server));
+        HeartbeatOutcome { displaced, changed: true, relay: true }
     }
 
     /// Whatever was at that address has ended.
@@ -157,7 +157,7 @@
             known.server.state = ModelServerState::Removed;
             known.server.sequence += 1;
             known.deregistered = true;
-            displaced.push(known.told());
+            displaced.push(known.published());
         }
         displaced
     }
@@ -167,12 +167,12 @@
         let known = self.known.get_mut(instance)?;
         known.server.state = ModelServerState::Removed;
         known.server.sequence += 1;
-        (known.deregistered, known.heard) = (true, now);
-        Some(known.told())
+        (known.deregistered, known.last_seen) = (true, now);
+        Some(known.published())
     }
 
     /// A model server's own report of what it holds, newer than its heartbeats.
-    pub fn reported(
+    pub fn observe_report(
         &mut self,
         now: Millis,
         instance: &str,
@@ -180,10 +180,10 @@
         busy: bool,
     ) -> Option<ModelServer> {
         let address = self.known.get(instance)?.server.address.clone();
-        self.note_held(&address, &models);
+        self.record_cached_weights(&address, &models);
         let known = self.known.get_mut(instance)?;
         (known.server.models, known.server.busy, known.order_ended) = (models, busy, Some(now));
-        Some(known.told())
+        Some(known.published())
     }
 
     /// An order to unload goes out: nobody is to use the model there any more. An empty adapter means the
@@ -192,17 +192,17 @@
         let known = self.known.get_mut(instance)?;
         known.withheld.push(WithheldModel { model: model.to_owned(), adapter: adapter.to_owned() });
         known.withheld_until = Millis::MAX;
-        Some(known.told())
+        Some(known.published())
     }
 
-    /// What the other cores should know of a model server by the leader's orders. `reported`: the model
+    /// What the other cores should know of a model server by the leader's orders. `observe_report`: the model
     /// server just said what it holds.
-    pub fn news(&self, instance: &str, reported: bool) -> Option<OrderStatus> {
+    pub fn order_status(&self, instance: &str, observe_report: bool) -> Option<OrderStatus> {
         let known = self.known.get(instance)?;
         Some(OrderStatus {
             instance: instance.to_owned(),
             withheld: known.withheld.clone(),
-            models: reported.then(|| known.server.models.clone()),
+            models: observe_report.then(|| known.server.models.clone()),
             busy: known.server.busy,
         })
     }
@@ -215,24 +215,25 @@
 
     /// The leader told what its orders have made of a model server. Returns the model server, if that is
     /// news.
-    pub fn ordered(&mut self, now: Millis, news: OrderStatus) -> Option<ModelServer> {
-        let known = self.known.get_mut(&news.instance)?;
-        let before = known.told();
-        (known.withheld, known.withheld_until) = (news.withheld, now + ORDER_STATUS_VALID_MS);
-        if let Some(models) = news.models {
-            (known.server.models, known.server.busy, known.order_ended) = (models, news.busy, Some(now));
+    pub fn apply_order_status(&mut self, now: Millis, order_status: OrderStatus) -> Option<ModelServer> {
+        let known = self.known.get_mut(&order_status.instance)?;
+        let before = known.published();
+        (known.withheld, known.withheld_until) = (order_status.withheld, now + ORDER_STATUS_TTL_MS);
+        if let Some(models) = order_status.models {
+            (known.server.models, known.server.busy, known.order_ended) =
+                (models, order_status.busy, Some(now));
         }
-        let after = known.told();
+        let after = known.published();
         (before != after).then_some(after)
     }
 
     /// Time has passed: model servers of which the leader said something that holds no more, as they are
     /// without it.
-    pub fn lapse(&mut self, now: Millis) -> Vec<ModelServer> {
-        let lapsed = |known: &&mut Known| !known.withheld.is_empty() && now >= known.withheld_until;
-        let release = |known: &mut Known| {
+    pub fn expire_withheld(&mut self, now: Millis) -> Vec<ModelServer> {
+        let lapsed = |known: &&mut ServerRecord| !known.withheld.is_empty() && now >= known.withheld_until;
+        let release = |known: &mut ServerRecord| {
             known.withheld.clear();
-            known.told()
+            known.published()
         };
         self.known.values_mut().filter(lapsed).map(release).collect()
     }
@@ -241,31 +242,33 @@
     pub fn release(&mut self, instance: &str) -> Option<ModelServer> {
         let known = self.known.get_mut(instance)?;
         known.withheld.clear();
-        Some(known.told())
+        Some(known.published())
     }
 
     /// This core was cut off: what it did not hear meanwhile says nothing of any model server.
-    pub fn forgive_silence(&mut self, now: Millis) {
+    pub fn reset_timeouts(&mut self, now: Millis) {
         for known in self.known.values_mut().filter(|known| known.server.state != ModelServerState::Removed) {
-            known.heard = now;
+            known.last_seen = now;
         }
     }
 
     /// Time has passed: the model servers that are taken for gone now. Only a core that is in touch with the
     /// others may say so.
     pub fn expire(&mut self, now: Millis) -> Vec<ModelServer> {
-        let silence = (SILENT_HEARTBEATS * self.heartbeat_ms).max(LEAST_SILENCE);
+        let silence = (MAX_MISSED_HEARTBEATS * self.heartbeat_ms).max(MIN_HEARTBEAT_TIMEOUT_MS);
         let mut gone = Vec::new();
         for known in self.known.values_mut() {
-            let silent = now >= known.heard + silence && known.server.state != ModelServerState::Removed;
+            let silent = now >= known.last_seen + silence && known.server.state != ModelServerState::Removed;
             if silent {
                 known.server.state = ModelServerState::Removed;
-                gone.push(known.told());
+                gone.push(known.published());
             }
         }
-        let is_over =
-            |known: &Known| known.server.state == ModelServerState::Removed && now >= known.heard + GONE_KEPT;
-        let forgotten: Vec<(String, Known)> = self.known.extract_if(.., |_, known| is_over(known)).collect();
+        let is_over = |known: &ServerRecord| {
+            known.server.state == ModelServerState::Removed && now >= known.last_seen + REMOVED_RETENTION_MS
+        };
+        let forgotten: Vec<(String, ServerRecord)> =
+            self.known.extract_if(.., |_, known| is_over(known)).collect();
         for (instance, known) in forgotten {
             self.addresses.remove(&known.server.address, &instance);
         }
@@ -273,12 +276,12 @@
     }
 }
 
-impl Known {
-    fn new(now: Millis, server: ModelServer) -> Known {
-        Known {
+impl ServerRecord {
+    fn new(now: Millis, server: ModelServer) -> ServerRecord {
+        ServerRecord {
             server,
-            heard: now,
-            relayed: now,
+            last_seen: now,
+            last_relayed_at: now,
             deregistered: false,
             withheld: Vec::new(),
             withheld_until: 0,
@@ -287,7 +290,7 @@
     }
 
     /// The model server as edges should see it.
-    fn told(&self) -> ModelServer {
+    fn published(&self) -> ModelServer {
         let mut server = self.server.clone();
         for WithheldModel { model, adapter } in &self.withheld {
             match adapter.is_empty() {
--- a/crates/control/src/document_history.rs
+++ b/crates/control/src/document_history.rs
@@ -27,7 +27,7 @@
 
 impl DocumentHistory {
     /// A document came into force, by a change of so many bytes. One that is known already changes nothing.
-    pub fn note(&mut self, index: Index, document: &Document, bytes: usize) {
+    pub fn record(&mut self, index: Index, document: &Document, bytes: usize) {
         if self.documents.back().is_some_and(|newest| index <= newest.index) {
             return;
         }
--- a/crates/control/src/edge_document.rs
+++ b/crates/control/src/edge_document.rs
@@ -12,7 +12,7 @@
 const LIMITS: &str = "limits";
 
 /// All that edges work with.
-pub fn whole(document: &Document) -> Value {
+pub fn full(document: &Document) -> Value {
     let mut told = Map::new();
     for section in SECTIONS {
         if let Some(list) = document.list(section) {
--- a/crates/control/src/edge_update.rs
+++ b/crates/control/src/edge_update.rs
@@ -28,7 +28,7 @@
 #[derive(Debug, Default)]
 pub struct EdgeUpdate {
     /// Nothing of the configuration before stays.
-    pub is_whole: bool,
+    pub is_full: bool,
     /// The configuration's version.
     pub version: u64,
     /// Which requests go to which service.
@@ -86,9 +86,9 @@
 }
 
 impl<'a> EdgeUpdateReader<'a> {
-    /// Cuts an update into its items; `is_whole`: it is a whole configuration, not a change.
-    pub fn new(bytes: &'a [u8], is_whole: bool) -> Result<EdgeUpdateReader<'a>, Rejection> {
-        let (version, sections, delete) = match is_whole {
+    /// Cuts an update into its items; `is_full`: it is a whole configuration, not a change.
+    pub fn new(bytes: &'a [u8], is_full: bool) -> Result<EdgeUpdateReader<'a>, Rejection> {
+        let (version, sections, delete) = match is_full {
             true => {
                 let named: RawVersion = serde_json::from_slice(bytes).map_err(unreadable)?;
                 let sections = serde_json::from_slice(bytes).map_err(unreadable)?;
@@ -99,7 +99,7 @@
                 (change.version, change.upsert, change.delete)
             }
         };
-        let mut update = EdgeUpdate { is_whole, version, ..EdgeUpdate::default() };
+        let mut update = EdgeUpdate { is_full, version, ..EdgeUpdate::default() };
         update.limits = sections.limits.map(read_item).transpose()?;
         update.routes.delete = delete.routes;
         update.backends.delete = delete.backends;
@@ -124,8 +124,8 @@
 
 impl EdgeUpdate {
     /// Reads an update at once.
-    pub fn read(bytes: &[u8], is_whole: bool) -> Result<EdgeUpdate, Rejection> {
-        let mut reader = EdgeUpdateReader::new(bytes, is_whole)?;
+    pub fn read(bytes: &[u8], is_full: bool) -> Result<EdgeUpdate, Rejection> {
+        let mut reader = EdgeUpdateReader::new(bytes, is_full)?;
         reader.read_some(usize::MAX)?;
         Ok(reader.finish())
     }
--- a/crates/control/src/estimate.rs
+++ b/crates/control/src/estimate.rs
@@ -23,17 +23,17 @@
 /// What was seen counts for less the older it is; the memory, milliseconds.
 const MEMORY: f64 = 60_000.0;
 /// Samples of its own that weigh as much as the start.
-const START_WEIGHT: f64 = 1.0;
+const PRIOR_WEIGHT: f64 = 1.0;
 
 /// What an estimate is before anything was seen, and within which bounds it stays.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Prior {
     /// The start.
-    pub start: f64,
+    pub initial: f64,
     /// Never less than this; above 0.
-    pub least: f64,
+    pub min: f64,
     /// Never more than this.
-    pub most: f64,
+    pub max: f64,
 }
 
 /// Samples in a row that were far off.
@@ -54,11 +54,11 @@
 
 impl Estimate {
     /// Takes a sample. What is no number, or not above 0, says nothing.
-    pub fn note(&mut self, now: Millis, prior: Prior, sample: f64) {
+    pub fn record(&mut self, now: Millis, prior: Prior, sample: f64) {
         if !sample.is_finite() || sample <= 0.0 {
             return;
         }
-        let log_sample = sample.clamp(prior.least, prior.most).ln();
+        let log_sample = sample.clamp(prior.min, prior.max).ln();
         self.weight = self.weight_at(now);
         self.noted = now;
         let off = log_sample - self.log_value;
@@ -80,9 +80,9 @@
     /// The estimate now, where `prior` holds what is known without it.
     pub fn value(&self, now: Millis, prior: Prior) -> f64 {
         let weight = self.weight_at(now);
-        let own = weight / (weight + START_WEIGHT);
-        let log_value = own * self.log_value + (1.0 - own) * prior.start.ln();
-        log_value.exp().clamp(prior.least, prior.most)
+        let own = weight / (weight + PRIOR_WEIGHT);
+        let log_value = own * self.log_value + (1.0 - own) * prior.initial.ln();
+        log_value.exp().clamp(prior.min, prior.max)
     }
 
     /// Samples that it rests on; old ones count for less.
@@ -108,10 +108,10 @@
     }
 
     /// Takes a sample of a key.
-    pub fn note(&mut self, now: Millis, key: &K, sample: f64) {
+    pub fn record(&mut self, now: Millis, key: &K, sample: f64) {
         let known = self.by_key.entry(key.clone()).or_default();
         let before = known.log_value;
-        known.note(now, self.prior, sample);
+        known.record(now, self.prior, sample);
         self.log_sum += known.log_value - before;
         if known.weight == 0.0 {
             self.by_key.remove(key);
@@ -123,8 +123,8 @@
     where
         K: Borrow<Q>,
     {
-        let prior = Prior { start: self.of_all(), ..self.prior };
-        self.by_key.get(key).map_or(prior.start, |estimate| estimate.value(now, prior))
+        let prior = Prior { initial: self.pooled(), ..self.prior };
+        self.by_key.get(key).map_or(prior.initial, |estimate| estimate.value(now, prior))
     }
 
     /// Whether something was seen of a key.
@@ -136,14 +136,14 @@
     }
 
     /// What all keys together say.
-    pub fn of_all(&self) -> f64 {
-        let start = START_WEIGHT * self.prior.start.ln();
-        ((start + self.log_sum) / (START_WEIGHT + self.by_key.len() as f64)).exp()
+    pub fn pooled(&self) -> f64 {
+        let initial = PRIOR_WEIGHT * self.prior.initial.ln();
+        ((initial + self.log_sum) / (PRIOR_WEIGHT + self.by_key.len() as f64)).exp()
     }
 
     /// Forgets keys of which nothing was seen for long.
-    pub fn tidy(&mut self, now: Millis) {
-        self.by_key.retain(|_, estimate| estimate.weight_at(now) >= START_WEIGHT / MOST_WEIGHT);
+    pub fn expire(&mut self, now: Millis) {
+        self.by_key.retain(|_, estimate| estimate.weight_at(now) >= PRIOR_WEIGHT / MOST_WEIGHT);
         self.log_sum = self.by_key.values().map(|estimate| estimate.log_value).sum();
     }
 
--- a/crates/control/src/lib.rs
+++ b/crates/control/src/lib.rs
@@ -2,7 +2,7 @@
 //!
 //! * [`address_index`]: which instances are at which address.
 //! * [`configuration`]: the typed view of the operators' document.
-//! * [`configuration_holders`]: which edge has which configuration in force.
+//! * [`edge_configurations`]: which edge has which configuration in force.
 //! * [`change_log`]: what is remembered of changes, for those that come again.
 //! * [`document`]: the document itself, and changes to it; [`item_list`]: its lists.
 //! * [`checked_document`]: a document with what its changes are checked against.
@@ -29,17 +29,20 @@
 pub mod autoscaling;
 pub mod change_log;
 pub mod checked_document;
+pub mod command_outcome;
 pub mod configuration;
-pub mod configuration_holders;
 pub mod demand;
 pub mod directory;
 pub mod document;
 pub mod document_history;
+pub mod edge_configurations;
 pub mod edge_document;
 pub mod edge_update;
 pub mod estimate;
 pub mod item_list;
 pub mod operator_calls;
+pub mod order;
+pub mod order_durations;
 pub mod order_progress;
 pub mod outliers;
 pub mod pending_changes;
--- a/crates/control/src/operator_calls.rs
+++ b/crates/control/src/operator_calls.rs
@@ -1,17 +1,19 @@
 //! What an operator's call gets at a head, by how the head stands in the group.
 //!
-//! Whatever is answered from the state (a refusal, an acknowledgement of what was taken before, a read) is answered within
-//! the leader's lease only: no other head can have changed the state meanwhile. A change is acknowledged once its entry is
-//! committed, with what the state machine made of it. All else is turned away, with nothing decided.
+//! Whatever is answered from the state (a refusal, an acknowledgement of what was taken before, a read) is
+//! answered within the leader's lease only: no other head can have changed the state meanwhile. A change is
+//! acknowledged once its entry is committed, with what the state machine made of it. All else is turned away,
+//! with nothing decided.
 
+use crate::command_outcome::CommandOutcome;
 use crate::configuration::Rejection;
 use crate::result_code::ResultCode;
-use crate::state::{Accepted, Change, ControlState, Judgement};
+use crate::state::{Change, ChangeEvaluation, ControlState};
 use pathbank_coordination::replica::Replica;
 use pathbank_coordination::types::Millis;
 
 /// A head that has heard no leader for so long does not know what is newest, milliseconds.
-pub const LEADER_SILENCE: Millis = 1_500;
+pub const LEADER_TIMEOUT_MS: Millis = 1_500;
 
 /// What a call to the control plane gets.
 #[derive(Clone, Debug, PartialEq)]
@@ -31,10 +33,12 @@
     }
 
     /// What came of a committed command.
-    pub fn of_result(result: &Result<Accepted, Rejection>) -> Reply {
+    pub fn from_outcome(result: &Result<CommandOutcome, Rejection>) -> Reply {
         match result {
-            Ok(Accepted::Now | Accepted::Before) => Reply::Result(ResultCode::Done, "taken".into()),
-            Ok(Accepted::Step(step)) => {
+            Ok(CommandOutcome::Applied | CommandOutcome::AlreadyApplied) => {
+                Reply::Result(ResultCode::Done, "taken".into())
+            }
+            Ok(CommandOutcome::StepAnnounced(step)) => {
                 let body = serde_json::json!({ "result_code": ResultCode::Done.number(), "step": step });
                 Reply::Json(body.to_string().into_bytes())
             }
@@ -45,68 +49,68 @@
 
 /// How a head stands in the group.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Standing {
+pub enum LeadershipStatus {
     /// It leads, and has applied all that was committed before.
-    Leads {
+    Leader {
         /// Nobody else can lead at this moment.
-        lease_holds: bool,
+        lease_valid: bool,
     },
     /// Another head was heard to lead a moment ago, with its control plane at this address.
-    Follows(String),
+    Follower(String),
     /// It knows of no leader.
-    Alone,
+    NoLeader,
 }
 
-impl Standing {
+impl LeadershipStatus {
     /// How the head of a replica stands.
-    pub fn of(replica: &Replica, now: Millis) -> Standing {
+    pub fn of(replica: &Replica, now: Millis) -> LeadershipStatus {
         if replica.is_established_leader() {
-            return Standing::Leads { lease_holds: replica.lease_until() > now };
+            return LeadershipStatus::Leader { lease_valid: replica.lease_until() > now };
         }
         // A leader that fell silent may lead no longer: its callers would be sent back and forth.
-        let leader = replica.leader_within(now, LEADER_SILENCE);
+        let leader = replica.leader_within(now, LEADER_TIMEOUT_MS);
         match leader.filter(|leader| leader.id != replica.me().id) {
-            Some(leader) => Standing::Follows(leader.control_address.clone()),
-            None => Standing::Alone,
+            Some(leader) => LeadershipStatus::Follower(leader.control_address.clone()),
+            None => LeadershipStatus::NoLeader,
         }
     }
 
     /// What a call for the leader gets at a head that does not lead; `None`: it leads.
-    pub fn turns_away(&self) -> Option<Reply> {
+    pub fn redirect(&self) -> Option<Reply> {
         match self {
-            Standing::Leads { .. } => None,
-            Standing::Follows(address) => Some(Reply::LeaderAt(address.clone())),
-            Standing::Alone => {
+            LeadershipStatus::Leader { .. } => None,
+            LeadershipStatus::Follower(address) => Some(Reply::LeaderAt(address.clone())),
+            LeadershipStatus::NoLeader => {
                 Some(Reply::Result(ResultCode::NoLeader, "no leader was heard of lately".into()))
             }
         }
     }
 
-    fn lease_holds(&self) -> bool {
-        matches!(self, Standing::Leads { lease_holds: true })
+    fn lease_valid(&self) -> bool {
+        matches!(self, LeadershipStatus::Leader { lease_valid: true })
     }
 }
 
 /// Whether a change is to be proposed; otherwise what it gets at once.
-pub fn receive_change(state: &ControlState, standing: &Standing, change: &Change) -> Result<(), Reply> {
-    if let Some(reply) = standing.turns_away() {
+pub fn check_change(state: &ControlState, status: &LeadershipStatus, change: &Change) -> Result<(), Reply> {
+    if let Some(reply) = status.redirect() {
         return Err(reply);
     }
-    match state.judge(change) {
-        Ok(Judgement::Takes { .. }) => Ok(()),
+    match state.evaluate(change) {
+        Ok(ChangeEvaluation::Applicable { .. }) => Ok(()),
         // What stands may have been changed by a later leader.
-        _ if !standing.lease_holds() => Err(Reply::unclear()),
-        Ok(Judgement::TakenBefore) => Err(Reply::of_result(&Ok(Accepted::Before))),
-        Err(rejection) => Err(Reply::of_result(&Err(rejection))),
+        _ if !status.lease_valid() => Err(Reply::unclear()),
+        Ok(ChangeEvaluation::AlreadyApplied) => Err(Reply::from_outcome(&Ok(CommandOutcome::AlreadyApplied))),
+        Err(rejection) => Err(Reply::from_outcome(&Err(rejection))),
     }
 }
 
 /// What a read of the configuration gets.
-pub fn read_configuration(state: &ControlState, standing: &Standing) -> Reply {
-    if let Some(reply) = standing.turns_away() {
+pub fn read_configuration(state: &ControlState, status: &LeadershipStatus) -> Reply {
+    if let Some(reply) = status.redirect() {
         return reply;
     }
-    match state.document().filter(|_| standing.lease_holds()) {
+    match state.document().filter(|_| status.lease_valid()) {
         Some((document, _)) => Reply::Json(document.to_json()),
         None => Reply::Result(ResultCode::NoLeader, "no configuration, or the lease is not certain".into()),
     }
--- a/crates/control/src/placement/order.rs
+++ b/crates/control/src/order.rs
@@ -2,7 +2,6 @@
 
 use crate::configuration::Runtime;
 use crate::directory::Millis;
-use crate::order_progress::OrderKind;
 use pathbank_protocol::message::LoadedModel;
 
 /// What a model server is ordered to do.
@@ -14,6 +13,19 @@
     Unload,
 }
 
+/// What an order does, as far as its time goes.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub enum OrderKind {
+    /// A model comes from the weight store.
+    Fetch,
+    /// A model comes from the model server's own disk.
+    Reload,
+    /// An adapter comes.
+    Adapter,
+    /// Something goes.
+    Unload,
+}
+
 /// An order to a model server.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Order {
@@ -32,7 +44,7 @@
     /// What it does, as far as its time goes.
     pub kind: OrderKind,
     /// What the configuration says of its time, milliseconds; 0: nothing.
-    pub told_ms: Millis,
+    pub configured_ms: Millis,
     /// How long it should take, milliseconds.
     pub expected_ms: Millis,
     /// The model server's own report has to tell of its end: more has to be known than that it is done.
--- a/crates/control/src/outliers.rs
+++ b/crates/control/src/outliers.rs
@@ -47,7 +47,7 @@
 
 impl OutlierTable {
     /// An edge's report of how requests ended.
-    pub fn note(&mut self, now: Millis, loads: &[ModelServerLoad]) {
+    pub fn record(&mut self, now: Millis, loads: &[ModelServerLoad]) {
         for load in loads.iter().filter(|load| load.failed + load.answered > 0) {
             let known = self.by_server.entry(load.instance.clone()).or_default();
             *known = known.at(now);
@@ -77,7 +77,7 @@
     }
 
     /// Forgets what has faded.
-    pub fn tidy(&mut self, now: Millis) {
+    pub fn expire(&mut self, now: Millis) {
         self.by_server.retain(|_, outcomes| {
             let outcomes = outcomes.at(now);
             outcomes.failed + outcomes.answered >= FORGET_BELOW
--- a/crates/control/src/placement.rs
+++ b/crates/control/src/placement.rs
@@ -7,7 +7,6 @@
 mod adapters;
 mod allowance;
 mod copies;
-mod order;
 mod rooms;
 mod training_hold;
 mod worth;
@@ -16,12 +15,12 @@
 use crate::configuration::{Backend, Model, Runtime};
 use crate::demand::{DemandTable, ModelKey};
 use crate::directory::{CachedWeights, Millis};
-use crate::order_progress::{OrderKind, OrderTimes};
+use crate::order::{Operation, Order, OrderKind};
+use crate::order_durations::OrderDurations;
 use allowance::LoadAllowance;
-pub use order::{Operation, Order};
 use pathbank_protocol::message::{ExpectedModel, LoadedModel, ModelServer};
 use std::collections::{BTreeMap, BTreeSet};
-pub use training_hold::TrainingHold;
+pub use training_hold::TrainingReservations;
 use worth::ModelLoad;
 use zones::ZoneCopies;
 
@@ -56,13 +55,13 @@
 /// Orders under way, and what may follow them.
 #[derive(Clone, Debug, Default)]
 pub struct Placer {
-    under_way: BTreeMap<String, Order>,
+    pending: BTreeMap<String, Order>,
     /// When each of them was given.
-    given: BTreeMap<String, Millis>,
+    ordered_at: BTreeMap<String, Millis>,
     reserved: BTreeMap<String, Reservation>,
     allowance: BTreeMap<String, LoadAllowance>,
-    training: TrainingHold,
-    times: OrderTimes,
+    training: TrainingReservations,
+    durations: OrderDurations,
     /// Model servers that fail most of their requests.
     failing: BTreeSet<String>,
 }
@@ -70,7 +69,7 @@
 /// Model servers that are not placed on as others are.
 #[derive(Clone, Debug, Default)]
 struct Exceptions {
-    training: TrainingHold,
+    training: TrainingReservations,
     failing: BTreeSet<String>,
 }
 
@@ -83,7 +82,7 @@
     demand: &'a DemandTable,
     cached_weights: &'a CachedWeights,
     /// What training steps do with model servers meanwhile.
-    training: &'a TrainingHold,
+    training: &'a TrainingReservations,
     /// Model servers that fail most of their requests.
     failing: &'a BTreeSet<String>,
     models: BTreeMap<&'a str, &'a Model>,
@@ -169,7 +168,7 @@
         // A model server that changes versions will hold the model again: no other copy has to take its
         // place.
         let back_soon = self.servers.iter().filter_map(|server| {
-            let model = self.training.changing.get(&server.instance)?;
+            let model = self.training.changing_version.get(&server.instance)?;
             loaded(server, model).is_none().then_some(model.as_str())
         });
         for model in back_soon.collect::<Vec<_>>() {
@@ -210,7 +209,7 @@
         let model = |order: &Order| match (order.kind, self.reserved.get(&order.instance)) {
             (OrderKind::Fetch | OrderKind::Reload, _) => Some((order.model.clone(), order.expected_ms)),
             (OrderKind::Unload, Some(reserved)) => {
-                let load_ms = self.times.expected(now, OrderKind::Fetch, reserved.load_ms);
+                let load_ms = self.durations.expected(now, OrderKind::Fetch, reserved.load_ms);
                 Some((reserved.model.clone(), order.expected_ms + load_ms))
             }
             (OrderKind::Unload | OrderKind::Adapter, _) => None,
@@ -228,53 +227,53 @@
     }
 
     /// How long orders take, by what was seen of them.
-    pub fn times(&self) -> &OrderTimes {
-        &self.times
+    pub fn durations(&self) -> &OrderDurations {
+        &self.durations
     }
 
     /// Orders under way.
-    pub fn under_way(&self) -> impl Iterator<Item = &Order> {
-        self.under_way.values()
+    pub fn pending_orders(&self) -> impl Iterator<Item = &Order> {
+        self.pending.values()
     }
 
     /// What training steps do with model servers from now on.
-    pub fn hold_for_training(&mut self, hold: TrainingHold) {
+    pub fn set_training_reservations(&mut self, hold: TrainingReservations) {
         self.training = hold;
     }
 
     /// The part of requests that failed at each model server that fails much. One that fails most of them
     /// counts as no copy of what it holds, and nothing is loaded there.
-    pub fn note_failing(&mut self, outliers: &BTreeMap<String, f64>) {
+    pub fn set_failing(&mut self, outliers: &BTreeMap<String, f64>) {
         let failing = outliers.iter().filter(|(_, errors)| **errors >= FAILS_MOST);
         self.failing = failing.map(|(instance, _)| instance.clone()).collect();
     }
 
     /// Takes a load of a training step out of the service's loads. Returns whether it may begin.
-    pub fn take_training_load(&mut self, now: Millis, backend: &str, loads_per_s: f64) -> bool {
+    pub fn try_take_training_load(&mut self, now: Millis, backend: &str, loads_per_s: f64) -> bool {
         let allowance = self.allowance.entry(backend.to_owned()).or_default();
         allowance.fill(now, loads_per_s);
         allowance.take(1.0)
     }
 
     /// Whether an order of placement is under way at a model server.
-    pub fn is_ordered(&self, instance: &str) -> bool {
-        self.under_way.contains_key(instance)
+    pub fn has_pending_order(&self, instance: &str) -> bool {
+        self.pending.contains_key(instance)
     }
 
     /// An order was seen to be done after so many milliseconds.
-    pub fn was_done(&mut self, now: Millis, order: &Order, took_ms: Millis) {
-        self.times.note(now, order.kind, order.told_ms, took_ms);
+    pub fn record_duration(&mut self, now: Millis, order: &Order, took_ms: Millis) {
+        self.durations.record(now, order.kind, order.configured_ms, took_ms);
     }
 
     /// The end of a model server's order is known, or nothing more will be heard of it.
-    pub fn finished(&mut self, instance: &str) {
-        self.under_way.remove(instance);
-        self.given.remove(instance);
+    pub fn clear_order(&mut self, instance: &str) {
+        self.pending.remove(instance);
+        self.ordered_at.remove(instance);
     }
 
     /// How long ago the order under way at a model server was given, milliseconds; 0: there is none.
-    pub fn took(&self, now: Millis, instance: &str) -> Millis {
-        self.given.get(instance).map_or(0, |given| now.saturating_sub(*given))
+    pub fn elapsed_ms(&self, now: Millis, instance: &str) -> Millis {
+        self.ordered_at.get(instance).map_or(0, |given| now.saturating_sub(*given))
     }
 
     /// The orders to give now; each counts as under way from now on.
@@ -343,8 +342,8 @@
     }
 
     fn is_free(&self, placer: &Placer, server: &ModelServer) -> bool {
-        let changes = self.training.changing.contains_key(&server.instance);
-        !server.busy && !changes && !placer.under_way.contains_key(&server.instance)
+        let changes = self.training.changing_version.contains_key(&server.instance);
+        !server.busy && !changes && !placer.pending.contains_key(&server.instance)
     }
 
     fn is_loading(&self, placer: &Placer, model: &str, adapter: &str) -> bool {
@@ -352,7 +351,7 @@
         let same = |order: &Order| {
             order.operation == Operation::Load && order.model == model && order.adapter == adapter
         };
-        placer.under_way.values().any(|order| same(order) && ours(order))
+        placer.pending.values().any(|order| same(order) && ours(order))
             || adapter.is_empty() && placer.reserved.values().any(|reservation| reservation.model == model)
     }
 
@@ -407,8 +406,8 @@
             model: key.model.clone(),
             adapter: key.adapter.clone(),
             kind,
-            told_ms: load_ms,
-            expected_ms: placer.times.expected(self.now, kind, load_ms),
+            configured_ms: load_ms,
+            expected_ms: placer.durations.expected(self.now, kind, load_ms),
             report_only: false,
         };
         if operation == Operation::Unload && key.adapter.is_empty() {
@@ -417,8 +416,8 @@
                 *holders = holders.saturating_sub(1);
             }
         }
-        placer.under_way.insert(server.instance.clone(), order.clone());
-        placer.given.insert(server.instance.clone(), self.now);
+        placer.pending.insert(server.instance.clone(), order.clone());
+        placer.ordered_at.insert(server.instance.clone(), self.now);
         self.orders.push(order);
     }
 }
--- a/crates/control/src/placement/adapters.rs
+++ b/crates/control/src/placement/adapters.rs
@@ -1,7 +1,8 @@
 //! Which adapters model servers that hold their models are ordered to take, and which make room for them.
 
-use super::{Operation, Placer, Plan, adapter_count, holds_adapter};
+use super::{Placer, Plan, adapter_count, holds_adapter};
 use crate::demand::ModelKey;
+use crate::order::Operation;
 use pathbank_protocol::message::ModelServer;
 
 /// An adapter is on so many times as many model servers as its demand alone would fill.
--- a/crates/control/src/placement/copies.rs
+++ b/crates/control/src/placement/copies.rs
@@ -2,8 +2,9 @@
 
 use super::allowance::LoadAllowance;
 use super::rooms::Rooms;
-use super::{Operation, Order, Placer, Plan, Reservation, loaded};
+use super::{Placer, Plan, Reservation, loaded};
 use crate::directory::Millis;
+use crate::order::{Operation, Order};
 use pathbank_protocol::message::ModelServer;
 use std::cmp::Ordering;
 use std::collections::{BTreeSet, BinaryHeap};
@@ -94,7 +95,7 @@
             order.operation == Operation::Load && order.model == name && order.adapter.is_empty()
         };
         let reserved = placer.reserved.values().filter(|reservation| reservation.model == name).count();
-        placer.under_way.values().filter(same).count() + reserved
+        placer.pending.values().filter(same).count() + reserved
     }
 
     /// Loads a model where the least has to go for it, or makes room there first. Returns whether it could.
--- a/crates/control/src/placement/rooms.rs
+++ b/crates/control/src/placement/rooms.rs
@@ -40,7 +40,7 @@
     /// What its models serve changes with the copies that other model servers hold.
     fn value_models(&mut self, plan: &Plan<'a>) {
         let server = self.server;
-        let may_go = server.models.iter().filter(|held| !plan.training.keeps(&server.instance, &held.name));
+        let may_go = server.models.iter().filter(|held| !plan.training.pins(&server.instance, &held.name));
         let evictable = may_go.map(|held| Evictable {
             model: &held.name,
             weights_mb: plan.model(&held.name).map_or(0.0, |model| model.weights_mb),
--- a/crates/control/src/placement/training_hold.rs
+++ b/crates/control/src/placement/training_hold.rs
@@ -4,16 +4,16 @@
 
 /// Model servers that placement leaves alone, wholly or in part.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
-pub struct TrainingHold {
+pub struct TrainingReservations {
     /// Model servers that change the version of a model, and the model: nothing else is ordered there.
-    pub changing: BTreeMap<String, String>,
+    pub changing_version: BTreeMap<String, String>,
     /// Models that model servers keep, by model server: they draw for a step.
-    pub kept: BTreeMap<String, BTreeSet<String>>,
+    pub pinned: BTreeMap<String, BTreeSet<String>>,
 }
 
-impl TrainingHold {
+impl TrainingReservations {
     /// Whether a model server may not be told to drop a model.
-    pub fn keeps(&self, instance: &str, model: &str) -> bool {
-        self.kept.get(instance).is_some_and(|models| models.contains(model))
+    pub fn pins(&self, instance: &str, model: &str) -> bool {
+        self.pinned.get(instance).is_some_and(|models| models.contains(model))
     }
 }
--- a/crates/control/src/placement/worth.rs
+++ b/crates/control/src/placement/worth.rs
@@ -85,17 +85,17 @@
         if rate >= RESERVED_RATE && self.zones.leaves_one_zone(model, zone) {
             return ONLY_COPY_FACTOR * rate + ONLY_COPY;
         }
-        let unknown_part = (self.demand.unknown_part(self.now) - UNKNOWN_PART_LEFT).max(0.0);
+        let unknown_fraction = (self.demand.unknown_fraction(self.now) - UNKNOWN_PART_LEFT).max(0.0);
         match copies {
             1 if self.can_wait(model) => {
-                let answers = self.demand.asked_within(self.now, &self.key(model, ""), ANSWERS_FOR);
+                let answers = self.demand.requested_within(self.now, &self.key(model, ""), ANSWERS_FOR);
                 let wait = if answers { UNLOAD_WAIT } else { 0.0 };
                 CAN_WAIT * rate + ONLY_COPY_THAT_CAN_WAIT + wait
             }
             1 => ONLY_COPY_FACTOR * rate + ONLY_COPY,
             _ => {
                 let served = self.harmed(model, copies - 1) - self.harmed(model, copies);
-                served.max(LEAST_VALUE * rate) + UNKNOWN_COPY * unknown_part
+                served.max(LEAST_VALUE * rate) + UNKNOWN_COPY * unknown_fraction
             }
         }
     }
--- a/crates/control/src/routes.rs
+++ b/crates/control/src/routes.rs
@@ -5,8 +5,8 @@
 use rpds::HashTrieMapSync;
 use std::sync::Arc;
 
-/// Routes by host and prefix, keys by tenant. What did not change is shared with the tables of earlier configurations, so that
-/// an update costs what it brings.
+/// Routes by host and prefix, keys by tenant. What did not change is shared with the tables of earlier
+/// configurations, so that an update costs what it brings.
 #[derive(Clone, Debug, Default)]
 pub struct RouteTable {
     /// The log's entry that brought this configuration.
@@ -39,14 +39,15 @@
 }
 
 impl RouteTable {
-    /// Whether an update leads on from this table: it is newer, and whole or one of what stands here. Nothing leads back.
-    pub fn leads_to(&self, index: u64, base_index: u64) -> bool {
+    /// Whether an update leads on from this table: it is newer, and whole or one of what stands here. Nothing
+    /// leads back.
+    pub fn accepts(&self, index: u64, base_index: u64) -> bool {
         index > self.index && (base_index == 0 || base_index == self.index)
     }
 
     /// The table that an update makes of this one. `index`: the log's entry that brought it.
-    pub fn changed(&self, index: u64, update: EdgeUpdate) -> RouteTable {
-        let mut table = if update.is_whole { RouteTable::default() } else { self.clone() };
+    pub fn with_update(&self, index: u64, update: EdgeUpdate) -> RouteTable {
+        let mut table = if update.is_full { RouteTable::default() } else { self.clone() };
         (table.index, table.version) = (index, update.version);
         if let Some(limits) = update.limits {
             table.limits = limits;
--- a/crates/control/src/state.rs
+++ b/crates/control/src/state.rs
@@ -1,20 +1,21 @@
-//! The replicated state machine. Every replica applies the same commands in the same order and comes to the same state.
+//! The replicated state machine. Every replica applies the same commands in the same order and comes to the
+//! same state.
 
-use crate::change_log::{ChangeLog, Recall};
+use crate::change_log::{ChangeLog, ChangeLookup};
 use crate::checked_document::CheckedDocument;
+use crate::command_outcome::CommandOutcome;
 use crate::configuration::{Backend, Rejection};
 use crate::document::{self, Document};
 use crate::result_code::ResultCode;
 use crate::training::{TrainingCommand, TrainingState};
 use pathbank_coordination::digest::digest;
-use pathbank_rollout::StepNumber;
 use serde::{Deserialize, Serialize};
 use serde_json::Value;
 use std::collections::BTreeMap;
 use std::sync::Arc;
 
 /// Sealed windows that are kept, so that a new leader can repeat them exactly.
-const SEALED_KEPT: usize = 8;
+const MAX_SEALED_WINDOWS: usize = 8;
 
 /// How an operator changes the configuration.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
@@ -36,8 +37,8 @@
     pub body: String,
 }
 
-/// What the log's commands are. A command whose meaning changes becomes another kind, which is proposed only once all
-/// members of the group know it: a replica that does not know a command stops.
+/// What the log's commands are. A command whose meaning changes becomes another kind, which is proposed only
+/// once all members of the group know it: a replica that does not know a command stops.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Command {
     /// An operator's change.
@@ -65,19 +66,8 @@
     }
 }
 
-/// What came of a change.
-#[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Accepted {
-    /// It is in force.
-    Now,
-    /// It was taken before.
-    Before,
-    /// It is this training step.
-    Step(StepNumber),
-}
-
 /// The format of snapshots that this program writes.
-const FORMAT: u32 = 2;
+const SNAPSHOT_FORMAT: u32 = 2;
 
 /// Why a replica cannot go on: what it would come to is not what the others come to.
 #[derive(Debug, thiserror::Error)]
@@ -86,7 +76,7 @@
     #[error("the snapshot cannot be read: {0}")]
     UnreadableSnapshot(serde_json::Error),
     /// A snapshot is of a newer program.
-    #[error("the snapshot has format {0}, and this program knows formats up to {FORMAT}")]
+    #[error("the snapshot has format {0}, and this program knows formats up to {SNAPSHOT_FORMAT}")]
     UnknownFormat(u32),
     /// A command does not decode: another program wrote it.
     #[error("a command of the log cannot be read: {0}")]
@@ -95,16 +85,16 @@
 
 /// What comes of a change on a state.
 #[derive(Clone, Debug)]
-pub enum Judgement {
+pub enum ChangeEvaluation {
     /// It is in force once it is committed: the document, and the change's digest.
-    Takes {
+    Applicable {
         /// The document that it makes.
         document: CheckedDocument,
         /// What it is known by if it comes again.
         digest: u128,
     },
     /// It was taken before.
-    TakenBefore,
+    AlreadyApplied,
 }
 
 /// The replicated state.
@@ -132,7 +122,7 @@
 impl Default for ControlState {
     fn default() -> ControlState {
         ControlState {
-            format: FORMAT,
+            format: SNAPSHOT_FORMAT,
             document: None,
             index: 0,
             version: 0,
@@ -152,11 +142,11 @@
         }
         let mut state: ControlState =
             serde_json::from_slice(bytes).map_err(StateError::UnreadableSnapshot)?;
-        if state.format > FORMAT {
+        if state.format > SNAPSHOT_FORMAT {
             return Err(StateError::UnknownFormat(state.format));
         }
-        if state.format < FORMAT {
-            state.format = FORMAT;
+        if state.format < SNAPSHOT_FORMAT {
+            state.format = SNAPSHOT_FORMAT;
             state.changes = ChangeLog::remembering_from(state.version);
         }
         Ok(state)
@@ -198,16 +188,16 @@
     }
 
     /// What would come of a change on this state, without making it.
-    pub fn judge(&self, change: &Change) -> Result<Judgement, Rejection> {
+    pub fn evaluate(&self, change: &Change) -> Result<ChangeEvaluation, Rejection> {
         let body = document::parse_object(change.body.as_bytes())?;
         let digest = digest_of(change, &body);
-        match self.changes.recall(digest, change.base) {
-            Recall::Taken => return Ok(Judgement::TakenBefore),
-            Recall::Forgotten => {
+        match self.changes.lookup(digest, change.base) {
+            ChangeLookup::Accepted => return Ok(ChangeEvaluation::AlreadyApplied),
+            ChangeLookup::Evicted => {
                 let message = format!("what was taken on version {} is forgotten", change.base);
                 return Err(Rejection::new(ResultCode::Unclear, message));
             }
-            Recall::New => {}
+            ChangeLookup::Unknown => {}
         }
         if change.base != self.version {
             let message = format!("version {} is current, not {}", self.version, change.base);
@@ -220,11 +210,11 @@
                 self.document.as_ref().unwrap_or(&empty).updated(&body, self.version)?
             }
         };
-        Ok(Judgement::Takes { document, digest })
+        Ok(ChangeEvaluation::Applicable { document, digest })
     }
 
     /// The one function that changes the state: applies the command of the entry `index`.
-    pub fn apply(&mut self, index: u64, command: &Command) -> Result<Accepted, Rejection> {
+    pub fn apply(&mut self, index: u64, command: &Command) -> Result<CommandOutcome, Rejection> {
         match command {
             Command::Change(change) => self.apply_change(index, change),
             Command::SealUsage { window, counts } => {
@@ -232,23 +222,23 @@
                     self.last_sealed = *window;
                     self.sealed.insert(*window, counts.clone());
                 }
-                while self.sealed.len() > SEALED_KEPT {
+                while self.sealed.len() > MAX_SEALED_WINDOWS {
                     self.sealed.pop_first();
                 }
-                Ok(Accepted::Now)
+                Ok(CommandOutcome::Applied)
             }
             Command::Training(command) => self.training.apply(index, command),
         }
     }
 
-    fn apply_change(&mut self, index: u64, change: &Change) -> Result<Accepted, Rejection> {
-        let Judgement::Takes { document, digest } = self.judge(change)? else {
-            return Ok(Accepted::Before);
+    fn apply_change(&mut self, index: u64, change: &Change) -> Result<CommandOutcome, Rejection> {
+        let ChangeEvaluation::Applicable { document, digest } = self.evaluate(change)? else {
+            return Ok(CommandOutcome::AlreadyApplied);
         };
         let version = document.version();
-        self.changes.note(digest, change.base);
+        self.changes.record(digest, change.base);
         (self.document, self.index, self.version) = (Some(document), index, version);
-        Ok(Accepted::Now)
+        Ok(CommandOutcome::Applied)
     }
 }
 
--- a/crates/control/src/training.rs
+++ b/crates/control/src/training.rs
@@ -1,10 +1,11 @@
-//! Training steps as part of the replicated state: the ledger, with what prompts and generations say, and the bounds of both.
+//! Training steps as part of the replicated state: the ledger, with what prompts and generations say, and the
+//! bounds of both.
 
 pub mod workers;
 
+use crate::command_outcome::CommandOutcome;
 use crate::configuration::Rejection;
 use crate::result_code::ResultCode;
-use crate::state::Accepted;
 use pathbank_rollout::step::{Step, StepState};
 use pathbank_rollout::step_table::{Applied, Command, Generation, StepError, StepTable};
 use pathbank_rollout::{PromptId, StepNumber};
@@ -12,15 +13,15 @@
 use std::collections::BTreeMap;
 
 /// Steps that are not over; a further one is not taken.
-pub const MOST_OPEN_STEPS: usize = 32;
+pub const MAX_OPEN_STEPS: usize = 32;
 /// Bytes of a step's prompts.
-pub const MOST_PROMPT_BYTES: usize = 4 * 1024 * 1024;
+pub const MAX_PROMPT_BYTES: usize = 4 * 1024 * 1024;
 /// Bytes of a step's generations; what comes beyond counts, and is kept without its text.
-pub const MOST_OUTPUT_BYTES: usize = 8 * 1024 * 1024;
+pub const MAX_OUTPUT_BYTES: usize = 8 * 1024 * 1024;
 /// Steps that are over and whose prompts and generations are kept.
-const CONTENTS_KEPT: usize = 4;
+const MAX_FINISHED_CONTENTS: usize = 4;
 /// Steps that are over and whose counts are kept.
-const STEPS_KEPT: usize = 128;
+const MAX_FINISHED_STEPS: usize = 128;
 
 /// What a trainer wants to have drawn.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
@@ -55,7 +56,8 @@
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum TrainingCommand {
     /// What needs no more than the ledger.
-    Ledger(Command),
+    #[serde(rename = "Ledger")]
+    Step(Command),
     /// A trainer submits prompts.
     Submit {
         /// The step.
@@ -84,21 +86,23 @@
 /// All training steps.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct TrainingState {
-    ledger: StepTable,
+    #[serde(rename = "ledger")]
+    steps: StepTable,
     contents: BTreeMap<StepNumber, Content>,
     /// The log's entry that changed a step last.
-    changed: BTreeMap<StepNumber, u64>,
+    #[serde(rename = "changed")]
+    last_changed: BTreeMap<StepNumber, u64>,
 }
 
 impl TrainingState {
     /// Where the steps stand.
-    pub fn ledger(&self) -> &StepTable {
-        &self.ledger
+    pub fn step_table(&self) -> &StepTable {
+        &self.steps
     }
 
     /// The log's entry that changed a step last; 0: none did.
-    pub fn changed(&self, step: StepNumber) -> u64 {
-        self.changed.get(&step).copied().unwrap_or(0)
+    pub fn last_changed(&self, step: StepNumber) -> u64 {
+        self.last_changed.get(&step).copied().unwrap_or(0)
     }
 
     /// A prompt of a step, for as long as it is kept.
@@ -116,35 +120,35 @@
     /// # Errors
     ///
     /// The command is refused, and nothing changes.
-    pub fn apply(&mut self, index: u64, command: &TrainingCommand) -> Result<Accepted, Rejection> {
+    pub fn apply(&mut self, index: u64, command: &TrainingCommand) -> Result<CommandOutcome, Rejection> {
         let (step, accepted) = match command {
-            TrainingCommand::Ledger(command) => self.apply_to_ledger(index, command)?,
+            TrainingCommand::Step(command) => self.apply_to_steps(index, command)?,
             TrainingCommand::Submit { step, prompts } => (*step, self.submit(index, *step, prompts)?),
             TrainingCommand::Record { generation, output } => {
                 (generation.step, self.record(index, generation, output)?)
             }
         };
-        if accepted != Accepted::Before {
-            self.changed.insert(step, index);
+        if accepted != CommandOutcome::AlreadyApplied {
+            self.last_changed.insert(step, index);
         }
         self.forget_old();
         Ok(accepted)
     }
 
-    fn apply_to_ledger(
+    fn apply_to_steps(
         &mut self,
         index: u64,
         command: &Command,
-    ) -> Result<(StepNumber, Accepted), Rejection> {
+    ) -> Result<(StepNumber, CommandOutcome), Rejection> {
         if let Command::Announce(request) = command {
-            let known = self.ledger.steps().any(|step| step.request.key == request.key);
-            let open = self.ledger.steps().filter(|step| !step.state().is_final()).count();
-            if !known && open >= MOST_OPEN_STEPS {
+            let known = self.steps.steps().any(|step| step.request.key == request.key);
+            let open = self.steps.steps().filter(|step| !step.state().is_final()).count();
+            if !known && open >= MAX_OPEN_STEPS {
                 let message = format!("{open} steps are not over");
                 return Err(Rejection::new(ResultCode::TooManySteps, message));
             }
         }
-        let applied = self.ledger.apply(index, command).map_err(rejection)?;
+        let applied = self.steps.apply(index, command).map_err(rejection)?;
         let step = match applied {
             Applied::Step(number) => number,
             Applied::Done | Applied::AlreadyApplied | Applied::Discarded(_) => step_of(command),
@@ -157,7 +161,7 @@
         index: u64,
         number: StepNumber,
         prompts: &BTreeMap<PromptId, Prompt>,
-    ) -> Result<Accepted, Rejection> {
+    ) -> Result<CommandOutcome, Rejection> {
         let known = self.contents.get(&number);
         let stands = |id: &PromptId| known.and_then(|content| content.prompts.get(id));
         let differs = |(id, prompt): &(&PromptId, &Prompt)| stands(id).is_some_and(|known| known != *prompt);
@@ -167,13 +171,13 @@
         let fresh = prompts.iter().filter(|(id, _)| stands(id).is_none());
         let bytes = known.map_or(0, |content| content.prompt_bytes)
             + fresh.map(|(_, prompt)| prompt.bytes()).sum::<usize>();
-        if bytes > MOST_PROMPT_BYTES {
-            let message = format!("{bytes} bytes of prompts, {MOST_PROMPT_BYTES} at most");
+        if bytes > MAX_PROMPT_BYTES {
+            let message = format!("{bytes} bytes of prompts, {MAX_PROMPT_BYTES} at most");
             return Err(Rejection::new(ResultCode::StepTooLarge, message));
         }
         let ids = prompts.keys().copied().collect();
         let applied =
-            self.ledger.apply(index, &Command::Submit { step: number, prompts: ids }).map_err(rejection)?;
+            self.steps.apply(index, &Command::Submit { step: number, prompts: ids }).map_err(rejection)?;
         let content = self.contents.entry(number).or_default();
         content.prompt_bytes = bytes;
         content.prompts.extend(prompts.iter().map(|(id, prompt)| (*id, prompt.clone())));
@@ -185,11 +189,11 @@
         index: u64,
         generation: &Generation,
         output: &Output,
-    ) -> Result<Accepted, Rejection> {
-        let applied = self.ledger.apply(index, &Command::Record(generation.clone())).map_err(rejection)?;
+    ) -> Result<CommandOutcome, Rejection> {
+        let applied = self.steps.apply(index, &Command::Record(generation.clone())).map_err(rejection)?;
         if applied == Applied::Done {
             let content = self.contents.entry(generation.step).or_default();
-            let fits = content.output_bytes + output.text.len() <= MOST_OUTPUT_BYTES;
+            let fits = content.output_bytes + output.text.len() <= MAX_OUTPUT_BYTES;
             let kept = if fits { output.clone() } else { Output { text: String::new(), truncated: true } };
             content.output_bytes += kept.text.len();
             content.outputs.insert(generation.prompt, kept);
@@ -199,15 +203,15 @@
 
     fn forget_old(&mut self) {
         let over = |step: &&Step| step.state().is_final();
-        let last_over = self.ledger.steps().rev().filter(over).map(|step| step.number);
-        let oldest_kept = last_over.take(CONTENTS_KEPT).last().unwrap_or(0);
-        let ledger = &self.ledger;
+        let last_over = self.steps.steps().rev().filter(over).map(|step| step.number);
+        let oldest_kept = last_over.take(MAX_FINISHED_CONTENTS).last().unwrap_or(0);
+        let steps = &self.steps;
         self.contents.retain(|number, _| {
-            *number >= oldest_kept || ledger.step(*number).is_some_and(|step| !step.state().is_final())
+            *number >= oldest_kept || steps.step(*number).is_some_and(|step| !step.state().is_final())
         });
-        self.ledger.forget_old(STEPS_KEPT);
-        let ledger = &self.ledger;
-        self.changed.retain(|number, _| ledger.step(*number).is_some());
+        self.steps.forget_old(MAX_FINISHED_STEPS);
+        let steps = &self.steps;
+        self.last_changed.retain(|number, _| steps.step(*number).is_some());
     }
 }
 
@@ -226,11 +230,11 @@
     }
 }
 
-fn accepted(applied: Applied) -> Accepted {
+fn accepted(applied: Applied) -> CommandOutcome {
     match applied {
-        Applied::Done | Applied::Discarded(_) => Accepted::Now,
-        Applied::AlreadyApplied => Accepted::Before,
-        Applied::Step(number) => Accepted::Step(number),
+        Applied::Done | Applied::Discarded(_) => CommandOutcome::Applied,
+        Applied::AlreadyApplied => CommandOutcome::AlreadyApplied,
+        Applied::Step(number) => CommandOutcome::StepAnnounced(number),
     }
 }
 
--- a/crates/control/src/training/workers.rs
+++ b/crates/control/src/training/workers.rs
@@ -1,8 +1,7 @@
 //! Which model servers are the workers of a training step, and how many of them have to go on serving.
 
 use crate::configuration::Runtime;
-use crate::order_progress::OrderKind;
-use crate::placement::{Operation, Order};
+use crate::order::{Operation, Order, OrderKind};
 use pathbank_protocol::message::ModelServer;
 use pathbank_rollout::step::StepRequest;
 use std::collections::BTreeSet;
@@ -78,7 +77,7 @@
         model: model.to_owned(),
         adapter: String::new(),
         kind,
-        told_ms: expected_ms,
+        configured_ms: expected_ms,
         expected_ms,
         report_only: true,
     }
--- a/crates/control/src/usage.rs
+++ b/crates/control/src/usage.rs
@@ -5,12 +5,12 @@
 
 /// A window is sealed so long after its end, milliseconds of true time: the edges' last reports are in by
 /// then.
-pub const SETTLE_MS: u64 = 3_000;
+pub const MIN_SEAL_DELAY_MS: u64 = 3_000;
 /// A leader that has just begun seals nothing for so long, milliseconds: the edges' links come up, and they
 /// tell it all again.
-pub const HEAR_FIRST_MS: u64 = 1_000;
+pub const LEADER_WARMUP_MS: u64 = 1_000;
 /// Windows that are followed; older ones are never reported.
-const WINDOWS_KEPT: u64 = 16;
+const MAX_OPEN_WINDOWS: u64 = 16;
 
 /// What decides when a window is sealed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -18,16 +18,17 @@
     /// The length of a window, milliseconds.
     pub window_ms: u64,
     /// Every edge in touch has told its counts to the leader of now.
-    pub all_told: bool,
+    pub all_reported: bool,
     /// So long after its end a window is sealed whoever has told, milliseconds.
-    pub latest_ms: u64,
+    pub max_delay_ms: u64,
 }
 
 impl SealRule {
     /// Whether a window may be sealed at a time of day.
     fn allows(&self, window: u64, wall_clock_ms: u64) -> bool {
         let end = (window + 1) * self.window_ms;
-        let wait = if self.all_told { SETTLE_MS } else { self.latest_ms.max(SETTLE_MS) };
+        let wait =
+            if self.all_reported { MIN_SEAL_DELAY_MS } else { self.max_delay_ms.max(MIN_SEAL_DELAY_MS) };
         end + wait <= wall_clock_ms
     }
 }
@@ -41,13 +42,13 @@
 
 /// Counts of the windows that are not sealed yet.
 #[derive(Clone, Debug, Default)]
-pub struct UsageLedger {
+pub struct UsageTable {
     windows: BTreeMap<u64, BTreeMap<Source, BTreeMap<String, u64>>>,
 }
 
-impl UsageLedger {
+impl UsageTable {
     /// Takes an edge's whole counts; an older report of the same incarnation never lowers a newer one.
-    pub fn note(&mut self, edge: &str, incarnation: u64, windows: &[UsageWindow], last_sealed: u64) {
+    pub fn record(&mut self, edge: &str, incarnation: u64, windows: &[UsageWindow], last_sealed: u64) {
         for window in windows.iter().filter(|window| window.window > last_sealed) {
             let sources = self.windows.entry(window.window).or_default();
             let counts = sources.entry(Source { edge: edge.to_owned(), incarnation }).or_default();
@@ -57,7 +58,7 @@
             }
         }
         let newest = self.windows.keys().next_back().copied().unwrap_or(0);
-        self.windows.retain(|window, _| *window > last_sealed && window + WINDOWS_KEPT > newest);
+        self.windows.retain(|window, _| *window > last_sealed && window + MAX_OPEN_WINDOWS > newest);
     }
 
     /// What is counted so far in windows that are not sealed, by tenant.
@@ -67,7 +68,7 @@
 
     /// The next window to seal at a time of day, with its counts. Windows without any request are passed
     /// over.
-    pub fn due(
+    pub fn next_to_seal(
         &self,
         wall_clock_ms: u64,
         rule: SealRule,
--- a/crates/control/tests/admission.rs
+++ b/crates/control/tests/admission.rs
@@ -23,7 +23,7 @@
             slots.iter().map(|(name, capacity, _)| server(name, *capacity)).collect();
         let in_flight: BTreeMap<String, u32> =
             slots.iter().map(|(name, _, in_flight)| ((*name).to_owned(), *in_flight)).collect();
-        self.controller.note_slots(&ready, &in_flight);
+        self.controller.update_slots(&ready, &in_flight);
     }
 
     /// Asks with options of model server, time to read, and what else speaks against it. Returns the model
@@ -164,9 +164,9 @@
     (0..8).for_each(|_| {
         story.asked(&[("a", 500, 0)]);
     });
-    story.controller.tidy(story.now);
+    story.controller.expire(story.now);
     assert!(story.asked(&[("a", 500, 0)]).1 > 0);
     story.now += 60_000;
-    story.controller.tidy(story.now);
+    story.controller.expire(story.now);
     assert_eq!(story.asked(&[("a", 80, 0)]).1, 0);
 }
--- a/crates/control/tests/autoscaling.rs
+++ b/crates/control/tests/autoscaling.rs
@@ -88,7 +88,7 @@
             ..ModelDemand::default()
         };
         let report = EdgeReport { demand: vec![row], demand_span_ms, ..EdgeReport::default() };
-        self.demand.note(self.now, &report);
+        self.demand.record(self.now, &report);
     }
 
     fn look(&mut self) {
@@ -102,7 +102,7 @@
 
     /// The platform runs what was ordered, but for these zones.
     fn when_started_but_in(&mut self, without: &[&str]) {
-        for order in self.autoscaler.ordered() {
+        for order in self.autoscaler.orders() {
             let able = !without.contains(&order.zone.as_str());
             let zone = self.running.iter_mut().find(|(zone, _)| *zone == order.zone && able);
             zone.into_iter().for_each(|(_, count)| *count = order.desired_count);
--- a/crates/control/tests/configuration.rs
+++ b/crates/control/tests/configuration.rs
@@ -1,13 +1,14 @@
 //! Changes of the configuration, as operators send them.
 
-use pathbank_control::change_log::CHANGES_REMEMBERED;
+use pathbank_control::change_log::MAX_RECORDED_CHANGES;
+use pathbank_control::command_outcome::CommandOutcome;
 use pathbank_control::configuration::Rejection;
 use pathbank_control::document::Document;
 use pathbank_control::edge_document;
 use pathbank_control::edge_update::{EdgeUpdate, EdgeUpdateReader};
 use pathbank_control::result_code::ResultCode;
 use pathbank_control::routes::RouteTable;
-use pathbank_control::state::{Accepted, Change, ChangeKind, Command, ControlState};
+use pathbank_control::state::{Change, ChangeKind, Command, ControlState};
 use serde_json::{Value, json};
 use test_case::test_case;
 
@@ -51,11 +52,11 @@
 impl Story {
     fn given_version_5() -> Story {
         let mut story = Story { state: ControlState::default(), index: 0 };
-        assert_eq!(story.when(replace(0, &document(5))), Ok(Accepted::Now));
+        assert_eq!(story.when(replace(0, &document(5))), Ok(CommandOutcome::Applied));
         story
     }
 
-    fn when(&mut self, change: Change) -> Result<Accepted, Rejection> {
+    fn when(&mut self, change: Change) -> Result<CommandOutcome, Rejection> {
         self.index += 1;
         self.state.apply(self.index, &Command::Change(change))
     }
@@ -77,7 +78,7 @@
 #[test]
 fn of_two_changes_on_one_base_the_first_wins() {
     let mut story = Story::given_version_5();
-    assert_eq!(story.when(replace(5, &document(8))), Ok(Accepted::Now));
+    assert_eq!(story.when(replace(5, &document(8))), Ok(CommandOutcome::Applied));
     let mut other = document(9);
     other["limits"]["max_body_bytes"] = json!(7);
     story.then_rejected(replace(5, &other), ResultCode::BaseMismatch);
@@ -87,10 +88,10 @@
 fn a_change_that_was_taken_is_taken_again_whatever_came_since() {
     let mut story = Story::given_version_5();
     let first = update(5, &json!({ "version": 7, "delete": { "routes": ["r1"] } }));
-    assert_eq!(story.when(first.clone()), Ok(Accepted::Now));
-    assert_eq!(story.when(first.clone()), Ok(Accepted::Before));
-    assert_eq!(story.when(replace(7, &document(9))), Ok(Accepted::Now));
-    assert_eq!(story.when(first), Ok(Accepted::Before));
+    assert_eq!(story.when(first.clone()), Ok(CommandOutcome::Applied));
+    assert_eq!(story.when(first.clone()), Ok(CommandOutcome::AlreadyApplied));
+    assert_eq!(story.when(replace(7, &document(9))), Ok(CommandOutcome::Applied));
+    assert_eq!(story.when(first), Ok(CommandOutcome::AlreadyApplied));
     assert_eq!(story.state.version(), 9, "and does not come into force again");
 }
 
@@ -100,7 +101,7 @@
     let change = replace(5, &document(6));
     story.when(change.clone()).unwrap();
     story.state = ControlState::decode(&story.state.encode()).unwrap();
-    assert_eq!(story.when(change), Ok(Accepted::Before));
+    assert_eq!(story.when(change), Ok(CommandOutcome::AlreadyApplied));
 }
 
 #[test]
@@ -148,7 +149,7 @@
         "routes": [route("r1", "/b/", "two"), route("r2", "/c/", "one")],
         "tenants": [{ "name": "t2", "api_keys": ["k3"] }],
         "limits": { "max_body_bytes": 200 } }, "delete": { "tenants": ["t1", "never there"] } });
-    assert_eq!(story.when(update(5, &changed)), Ok(Accepted::Now));
+    assert_eq!(story.when(update(5, &changed)), Ok(CommandOutcome::Applied));
     let document = story.state.document().unwrap().0.to_value();
     assert_eq!(document["version"], 6);
     assert_eq!(document["routes"][0]["path_prefix"], "/b/");
@@ -191,7 +192,7 @@
     let mut body = document(6);
     body["routes"] = json!([route("short", "/a/", "one"), route("long", "/a/b/", "two")]);
     let table =
-        RouteTable::default().changed(1, EdgeUpdate::read(body.to_string().as_bytes(), true).unwrap());
+        RouteTable::default().with_update(1, EdgeUpdate::read(body.to_string().as_bytes(), true).unwrap());
     let name = |host: &str, path: &str| table.route(host, path).map(|route| route.name.clone());
     assert_eq!(name("shop.example", "/a/b/c").as_deref(), Some("long"));
     assert_eq!(name("SHOP.example:8080", "/a/c").as_deref(), Some("short"));
@@ -229,7 +230,7 @@
     let mut body = document(5);
     body["backends"][0]["runtime"] = json!({ "capacity": 8, "weights_mb": 9.0, "models": [
         { "name": "m", "weights_mb": 3.0, "load_s": 4.5, "adapters": 3, "adapter_mb": 1.0 }] });
-    let reduced = edge_document::whole(&as_document(&body));
+    let reduced = edge_document::full(&as_document(&body));
     assert_eq!((&reduced["routes"], &reduced["tenants"]), (&body["routes"], &body["tenants"]));
     assert!(reduced.to_string().len() < body.to_string().len());
     let read = EdgeUpdate::read(reduced.to_string().as_bytes(), true).unwrap();
@@ -259,9 +260,10 @@
     after["tenants"] = json!([{ "name": "t1", "api_keys": ["k1"] }, { "name": "t2", "api_keys": ["k2"] }]);
     let change = difference(&before, &after).to_string();
     let read = |text: &str, is_whole| EdgeUpdate::read(text.as_bytes(), is_whole).unwrap();
-    let whole = RouteTable::default().changed(2, read(&after.to_string(), true));
-    let changed =
-        RouteTable::default().changed(1, read(&before.to_string(), true)).changed(2, read(&change, false));
+    let whole = RouteTable::default().with_update(2, read(&after.to_string(), true));
+    let changed = RouteTable::default()
+        .with_update(1, read(&before.to_string(), true))
+        .with_update(2, read(&change, false));
     for host in ["shop.example", "other.example"] {
         for number in 0..60 {
             let path = format!("/p{number}/x");
@@ -287,8 +289,8 @@
     after.as_object_mut().unwrap().remove(section);
     let change = difference(&before, &after).to_string();
     let table =
-        RouteTable::default().changed(1, EdgeUpdate::read(before.to_string().as_bytes(), true).unwrap());
-    let table = table.changed(2, EdgeUpdate::read(change.as_bytes(), false).unwrap());
+        RouteTable::default().with_update(1, EdgeUpdate::read(before.to_string().as_bytes(), true).unwrap());
+    let table = table.with_update(2, EdgeUpdate::read(change.as_bytes(), false).unwrap());
     let left = [
         ("routes", table.route("shop.example", "/a/").is_some()),
         ("tenants", table.has_tenants()),
@@ -346,8 +348,8 @@
 #[test_case(5, 5, 0, false; "the same again")]
 #[test_case(5, 4, 0, false; "an older one whole")]
 fn a_head_never_goes_back_to_an_older_configuration(known: u64, index: u64, base: u64, taken: bool) {
-    let table = RouteTable::default().changed(known, EdgeUpdate::default());
-    assert_eq!(table.leads_to(index, base), taken);
+    let table = RouteTable::default().with_update(known, EdgeUpdate::default());
+    assert_eq!(table.accepts(index, base), taken);
 }
 
 #[test]
@@ -355,7 +357,7 @@
     let before = EdgeUpdate::read(document(5).to_string().as_bytes(), true).unwrap();
     let lost = json!({ "version": 6, "upsert": { "tenants": [{ "name": "t1", "api_keys": ["k2"] }] }, "delete": {} });
     let lost = EdgeUpdate::read(lost.to_string().as_bytes(), false).unwrap();
-    let table = RouteTable::default().changed(1, before).changed(2, lost);
+    let table = RouteTable::default().with_update(1, before).with_update(2, lost);
     assert!(table.tenant("k1").is_none());
     assert!(table.tenant("k2").is_some());
 }
@@ -366,7 +368,7 @@
     next["routes"] = json!([route("r2", "/b/", "two")]);
     next["tenants"] = json!([{ "name": "t2", "api_keys": ["k9"] }]);
     let read = |body: &Value| EdgeUpdate::read(body.to_string().as_bytes(), true).unwrap();
-    let table = RouteTable::default().changed(1, read(&document(5))).changed(2, read(&next));
+    let table = RouteTable::default().with_update(1, read(&document(5))).with_update(2, read(&next));
     assert!(table.route("shop.example", "/a/").is_none());
     assert!(table.tenant("k1").is_none());
     assert!(table.route("shop.example", "/b/").is_some() && table.tenant("k9").is_some());
@@ -379,17 +381,17 @@
         let body = json!({ "version": version, "upsert": { "limits": { "max_body_bytes": version } } });
         update(version - 1, &body)
     };
-    let count = CHANGES_REMEMBERED as u64 + 10;
-    (1..=count).for_each(|version| assert_eq!(story.when(nth(version)), Ok(Accepted::Now)));
+    let count = MAX_RECORDED_CHANGES as u64 + 10;
+    (1..=count).for_each(|version| assert_eq!(story.when(nth(version)), Ok(CommandOutcome::Applied)));
     let after_a_restart = ControlState::decode(&story.state.encode()).unwrap();
     assert_eq!(after_a_restart.encode(), story.state.encode());
     story.state = after_a_restart;
-    (11..=count).for_each(|version| assert_eq!(story.when(nth(version)), Ok(Accepted::Before)));
+    (11..=count).for_each(|version| assert_eq!(story.when(nth(version)), Ok(CommandOutcome::AlreadyApplied)));
     story.then_rejected(nth(10), ResultCode::Unclear);
     let mut never_sent = nth(11);
     never_sent.body = json!({ "version": 11, "delete": { "routes": ["r"] } }).to_string();
     story.then_rejected(never_sent, ResultCode::BaseMismatch);
-    let bytes_a_change = story.state.encode().len() / CHANGES_REMEMBERED;
+    let bytes_a_change = story.state.encode().len() / MAX_RECORDED_CHANGES;
     assert!(bytes_a_change < 100, "{bytes_a_change} bytes a change in each snapshot");
 }
 
@@ -399,7 +401,7 @@
         "taken": [{ "version": 5, "digest": 77 }], "sealed": {}, "last_sealed": 0 });
     let mut story = Story { state: ControlState::decode(first.to_string().as_bytes()).unwrap(), index: 3 };
     story.then_rejected(replace(0, &document(5)), ResultCode::Unclear);
-    assert_eq!(story.when(replace(5, &document(6))), Ok(Accepted::Now));
+    assert_eq!(story.when(replace(5, &document(6))), Ok(CommandOutcome::Applied));
 }
 
 #[test_case(b"{\"document\":", "cannot be read"; "cut short")]
@@ -425,10 +427,10 @@
     update["version"] = json!(6);
     let after = updated(&before, &update);
     let read = |text: Value, is_whole| EdgeUpdate::read(text.to_string().as_bytes(), is_whole).unwrap();
-    let whole = |document: &Value| read(edge_document::whole(&as_document(document)), true);
+    let whole = |document: &Value| read(edge_document::full(&as_document(document)), true);
     let told = as_document(&before).updated(&update).unwrap().0;
     let told = edge_document::difference(&as_document(&before), &told).expect("all items have names");
-    let changed = RouteTable::default().changed(1, whole(&before)).changed(2, read(told, false));
+    let changed = RouteTable::default().with_update(1, whole(&before)).with_update(2, read(told, false));
     let expected = |list: &str, key: &str, wanted: &str| {
         let items = after[list].as_array().unwrap();
         items.iter().any(|item| {
--- a/crates/control/tests/directory.rs
+++ b/crates/control/tests/directory.rs
@@ -39,10 +39,13 @@
 #[test]
 fn a_server_that_drains_never_comes_back_ready() {
     let mut directory = Directory::new(HEARTBEAT);
-    directory.heard(0, server(1, &[]));
-    assert!(directory.heard(10, later(server(1, &[]), 5, ModelServerState::Draining)).changed);
-    assert!(!directory.heard(20, later(server(1, &[]), 4, ModelServerState::Ready)).changed, "an older word");
-    directory.heard(30, later(server(1, &[]), 6, ModelServerState::Ready));
+    directory.observe_heartbeat(0, server(1, &[]));
+    assert!(directory.observe_heartbeat(10, later(server(1, &[]), 5, ModelServerState::Draining)).changed);
+    assert!(
+        !directory.observe_heartbeat(20, later(server(1, &[]), 4, ModelServerState::Ready)).changed,
+        "an older word"
+    );
+    directory.observe_heartbeat(30, later(server(1, &[]), 6, ModelServerState::Ready));
     assert_eq!(state_of(&directory, "i-1"), ModelServerState::Draining);
     assert_eq!(directory.ready().count(), 0);
 }
@@ -50,8 +53,8 @@
 #[test]
 fn an_older_heartbeat_changes_nothing() {
     let mut directory = Directory::new(HEARTBEAT);
-    directory.heard(0, later(server(1, &["new"]), 7, ModelServerState::Ready));
-    let late = directory.heard(10, later(server(1, &["old"]), 6, ModelServerState::Ready));
+    directory.observe_heartbeat(0, later(server(1, &["new"]), 7, ModelServerState::Ready));
+    let late = directory.observe_heartbeat(10, later(server(1, &["old"]), 6, ModelServerState::Ready));
     assert!(!late.changed && !late.relay);
     assert_eq!(directory.server("i-1").unwrap().models[0].name, "new");
 }
@@ -59,27 +62,27 @@
 #[test]
 fn a_server_that_deregistered_is_gone_whatever_comes_late() {
     let mut directory = Directory::new(HEARTBEAT);
-    directory.heard(0, server(1, &[]));
+    directory.observe_heartbeat(0, server(1, &[]));
     assert_eq!(directory.deregister(10, "i-1").unwrap().state, ModelServerState::Removed);
-    directory.heard(20, later(server(1, &[]), 9, ModelServerState::Ready));
+    directory.observe_heartbeat(20, later(server(1, &[]), 9, ModelServerState::Ready));
     assert_eq!(state_of(&directory, "i-1"), ModelServerState::Removed);
 }
 
 #[test]
 fn a_silent_server_is_taken_for_gone_and_comes_back_when_it_speaks() {
     let mut directory = Directory::new(HEARTBEAT);
-    directory.heard(0, server(1, &[]));
+    directory.observe_heartbeat(0, server(1, &[]));
     assert!(directory.expire(5 * HEARTBEAT - 1).is_empty());
     assert_eq!(directory.expire(5 * HEARTBEAT).len(), 1);
-    assert!(directory.heard(9_000, later(server(1, &[]), 2, ModelServerState::Ready)).changed);
+    assert!(directory.observe_heartbeat(9_000, later(server(1, &[]), 2, ModelServerState::Ready)).changed);
     assert_eq!(directory.ready().count(), 1);
 }
 
 #[test]
 fn silence_while_this_core_was_cut_off_says_nothing() {
     let mut directory = Directory::new(HEARTBEAT);
-    directory.heard(0, server(1, &[]));
-    directory.forgive_silence(9_000);
+    directory.observe_heartbeat(0, server(1, &[]));
+    directory.reset_timeouts(9_000);
     assert!(directory.expire(9_100).is_empty());
     assert_eq!(directory.expire(9_000 + 5 * HEARTBEAT).len(), 1);
 }
@@ -87,10 +90,10 @@
 #[test]
 fn another_incarnation_at_the_address_ends_the_one_before() {
     let mut directory = Directory::new(HEARTBEAT);
-    directory.heard(0, server(1, &["m"]));
+    directory.observe_heartbeat(0, server(1, &["m"]));
     let mut next = server(1, &[]);
     next.instance = "i-next".into();
-    let heard = directory.heard(10, next);
+    let heard = directory.observe_heartbeat(10, next);
     assert_eq!(heard.displaced.len(), 1, "edges have to know of both");
     assert_eq!(heard.displaced[0].state, ModelServerState::Removed);
     assert_eq!(state_of(&directory, "i-1"), ModelServerState::Removed);
@@ -108,7 +111,7 @@
     let mut directory = Directory::new(HEARTBEAT);
     let begun = Instant::now();
     for number in 0..SERVERS {
-        assert!(directory.heard(0, server(number, &[])).changed);
+        assert!(directory.observe_heartbeat(0, server(number, &[])).changed);
         assert!(
             begun.elapsed() < FAR_MORE_THAN_NEEDED,
             "only {number} of {SERVERS} model servers were heard by then"
@@ -119,37 +122,39 @@
 #[test]
 fn a_server_is_displaced_at_the_address_where_it_is_now() {
     let mut directory = Directory::new(HEARTBEAT);
-    directory.heard(0, server(1, &[]));
+    directory.observe_heartbeat(0, server(1, &[]));
     let mut moved = later(server(1, &[]), 2, ModelServerState::Ready);
     moved.address = "10.0.0.2:80".into();
-    directory.heard(10, moved);
+    directory.observe_heartbeat(10, moved);
     let mut at_old_address = server(3, &[]);
     at_old_address.address = "10.0.0.1:80".into();
-    assert!(directory.heard(20, at_old_address).displaced.is_empty());
-    assert_eq!(directory.heard(30, server(2, &[])).displaced.len(), 1);
+    assert!(directory.observe_heartbeat(20, at_old_address).displaced.is_empty());
+    assert_eq!(directory.observe_heartbeat(30, server(2, &[])).displaced.len(), 1);
     assert_eq!(state_of(&directory, "i-1"), ModelServerState::Removed);
 }
 
 #[test]
 fn a_server_that_was_forgotten_is_displaced_by_nobody() {
     let mut directory = Directory::new(HEARTBEAT);
-    directory.heard(0, server(1, &[]));
+    directory.observe_heartbeat(0, server(1, &[]));
     directory.deregister(0, "i-1");
     directory.expire(1_000_000);
     assert!(directory.server("i-1").is_none());
     let mut next = server(1, &[]);
     next.instance = "i-next".into();
-    assert!(directory.heard(1_000_000, next).displaced.is_empty());
+    assert!(directory.observe_heartbeat(1_000_000, next).displaced.is_empty());
 }
 
 #[test]
 fn unchanged_heartbeats_are_relayed_seldom_and_never_told_to_edges() {
     let mut directory = Directory::new(HEARTBEAT);
-    directory.heard(0, server(1, &["m"]));
+    directory.observe_heartbeat(0, server(1, &["m"]));
     let mut relayed = 0;
     for round in 1..=10 {
-        let heard =
-            directory.heard(round * HEARTBEAT, later(server(1, &["m"]), round + 1, ModelServerState::Ready));
+        let heard = directory.observe_heartbeat(
+            round * HEARTBEAT,
+            later(server(1, &["m"]), round + 1, ModelServerState::Ready),
+        );
         assert!(!heard.changed);
         relayed += u64::from(heard.relay);
     }
@@ -159,9 +164,9 @@
 #[test]
 fn a_model_that_is_being_unloaded_is_told_to_nobody() {
     let mut directory = Directory::new(HEARTBEAT);
-    directory.heard(0, server(1, &["m", "n"]));
+    directory.observe_heartbeat(0, server(1, &["m", "n"]));
     assert_eq!(directory.withhold("i-1", "m", "").unwrap().models.len(), 1);
-    directory.heard(10, later(server(1, &["m", "n"]), 2, ModelServerState::Ready));
+    directory.observe_heartbeat(10, later(server(1, &["m", "n"]), 2, ModelServerState::Ready));
     assert_eq!(directory.server("i-1").unwrap().models.len(), 1, "nor by a heartbeat on its way");
     assert_eq!(directory.release("i-1").unwrap().models.len(), 2);
 }
@@ -170,7 +175,7 @@
 
 /// What the leader's directory says of a model server, as another core takes it.
 fn news(leader: &Directory, instance: &str, reported: bool) -> OrderStatus {
-    leader.news(instance, reported).expect("it is known")
+    leader.order_status(instance, reported).expect("it is known")
 }
 
 #[test]
@@ -179,17 +184,17 @@
     let mut other = Directory::new(HEARTBEAT);
     [&mut leader, &mut other]
         .into_iter()
-        .for_each(|directory| drop(directory.heard(0, server(1, &["m", "n"]))));
+        .for_each(|directory| drop(directory.observe_heartbeat(0, server(1, &["m", "n"]))));
     leader.withhold("i-1", "m", "");
-    assert_eq!(other.ordered(10, news(&leader, "i-1", false)).unwrap().models.len(), 1);
-    assert_eq!(other.ordered(20, news(&leader, "i-1", false)), None, "that is no news");
-    other.heard(30, later(server(1, &["m", "n"]), 2, ModelServerState::Ready));
+    assert_eq!(other.apply_order_status(10, news(&leader, "i-1", false)).unwrap().models.len(), 1);
+    assert_eq!(other.apply_order_status(20, news(&leader, "i-1", false)), None, "that is no news");
+    other.observe_heartbeat(30, later(server(1, &["m", "n"]), 2, ModelServerState::Ready));
     assert_eq!(other.server("i-1").unwrap().models.len(), 1, "a heartbeat from before the order's end");
     // The order has ended: the model server holds another model, and says so before its next heartbeat.
     leader.release("i-1");
     let held = |name: &str| LoadedModel { name: name.into(), version: 1, adapters: Vec::new() };
-    leader.reported(0, "i-1", vec![held("n"), held("o")], false);
-    let told = other.ordered(40, news(&leader, "i-1", true)).unwrap();
+    leader.observe_report(0, "i-1", vec![held("n"), held("o")], false);
+    let told = other.apply_order_status(40, news(&leader, "i-1", true)).unwrap();
     assert_eq!(told.models.iter().map(|held| held.name.as_str()).collect::<Vec<_>>(), ["n", "o"]);
 }
 
@@ -198,16 +203,16 @@
 #[test]
 fn a_heartbeat_as_old_as_the_end_of_an_order_does_not_undo_it() {
     let mut directory = Directory::new(HEARTBEAT);
-    directory.heard(0, server(1, &["a", "b"]));
+    directory.observe_heartbeat(0, server(1, &["a", "b"]));
     directory.withhold("i-1", "a", "");
-    directory.reported(1_000, "i-1", server(1, &["b"]).models, false);
+    directory.observe_report(1_000, "i-1", server(1, &["b"]).models, false);
     directory.release("i-1");
     let names = |directory: &Directory| -> Vec<String> {
         directory.server("i-1").unwrap().models.into_iter().map(|held| held.name).collect()
     };
-    directory.heard(1_100, later(server(1, &["a", "b"]), 2, ModelServerState::Ready));
+    directory.observe_heartbeat(1_100, later(server(1, &["a", "b"]), 2, ModelServerState::Ready));
     assert_eq!(names(&directory), ["b"]);
-    directory.heard(2_300, later(server(1, &["a", "b"]), 3, ModelServerState::Ready));
+    directory.observe_heartbeat(2_300, later(server(1, &["a", "b"]), 3, ModelServerState::Ready));
     assert_eq!(names(&directory), ["a", "b"], "its later word counts");
 }
 
@@ -215,14 +220,16 @@
 fn what_a_leader_withheld_that_is_gone_lapses() {
     let mut leader = Directory::new(HEARTBEAT);
     let mut other = Directory::new(HEARTBEAT);
-    [&mut leader, &mut other].into_iter().for_each(|directory| drop(directory.heard(0, server(1, &["m"]))));
+    [&mut leader, &mut other]
+        .into_iter()
+        .for_each(|directory| drop(directory.observe_heartbeat(0, server(1, &["m"]))));
     leader.withhold("i-1", "m", "");
-    other.ordered(10, news(&leader, "i-1", false));
+    other.apply_order_status(10, news(&leader, "i-1", false));
     assert_eq!(leader.withheld().collect::<Vec<_>>(), ["i-1"]);
-    assert!(other.lapse(8_009).is_empty());
-    assert_eq!(other.lapse(8_010).len(), 1);
+    assert!(other.expire_withheld(8_009).is_empty());
+    assert_eq!(other.expire_withheld(8_010).len(), 1);
     assert_eq!(other.server("i-1").unwrap().models.len(), 1);
-    assert!(leader.lapse(1_000_000).is_empty(), "the leader knows the end of its order");
+    assert!(leader.expire_withheld(1_000_000).is_empty(), "the leader knows the end of its order");
 }
 
 // ---- news of model servers ----
@@ -230,24 +237,24 @@
 #[test]
 fn of_many_servers_that_leave_the_first_is_told_at_once_and_the_others_together() {
     let mut news = PendingChanges::default();
-    news.note_changed("stays".into());
+    news.record_changed("stays".into());
     assert_eq!(news.take_urgent(0), None, "it waits for others");
     let mut told = Vec::new();
     for now in 0..100 {
-        news.note_leaving(format!("i-{now}"));
-        told.extend(news.take_urgent(now).map(|news| (now, news.leaving.len())));
+        news.record_unavailable(format!("i-{now}"));
+        told.extend(news.take_urgent(now).map(|news| (now, news.unavailable.len())));
     }
     assert_eq!(told, [(0, 1), (25, 25), (50, 25), (75, 25)]);
-    assert_eq!(news.take(100).leaving.len(), 24);
+    assert_eq!(news.take(100).unavailable.len(), 24);
 }
 
 #[test]
 fn a_server_that_leaves_is_told_so_whatever_else_changes() {
     let mut news = PendingChanges::default();
-    news.note_changed("i-1".into());
-    news.note_leaving("i-1".into());
-    news.note_changed("i-1".into());
+    news.record_changed("i-1".into());
+    news.record_unavailable("i-1".into());
+    news.record_changed("i-1".into());
     let told = news.take_urgent(0).unwrap();
-    assert_eq!((told.leaving.len(), told.changed.len()), (1, 0));
+    assert_eq!((told.unavailable.len(), told.changed.len()), (1, 0));
     assert_eq!(news.take(1), ServerChanges::default());
 }
--- a/crates/control/tests/document_history.rs
+++ b/crates/control/tests/document_history.rs
@@ -11,7 +11,7 @@
 fn the_latest_are_known_by_their_entries() {
     let mut history = DocumentHistory::default();
     for index in [3, 5, 5, 4, 9] {
-        history.note(index, &Document::default(), 100);
+        history.record(index, &Document::default(), 100);
     }
     assert_eq!(known(&history, 1..=10), [3, 5, 9]);
 }
@@ -19,7 +19,7 @@
 #[test]
 fn they_are_bounded_in_number() {
     let mut history = DocumentHistory::default();
-    (1..=1_000).for_each(|index| history.note(index, &Document::default(), 100));
+    (1..=1_000).for_each(|index| history.record(index, &Document::default(), 100));
     assert_eq!(known(&history, 1..=1_000), (745..=1_000).collect::<Vec<_>>());
 }
 
@@ -27,8 +27,8 @@
 #[test]
 fn they_are_bounded_by_what_their_changes_brought() {
     let mut history = DocumentHistory::default();
-    (1..=20).for_each(|index| history.note(index, &Document::default(), 300 * 1024));
+    (1..=20).for_each(|index| history.record(index, &Document::default(), 300 * 1024));
     assert_eq!(known(&history, 1..=20), [18, 19, 20]);
-    history.note(21, &Document::default(), 4 * 1024 * 1024);
+    history.record(21, &Document::default(), 4 * 1024 * 1024);
     assert_eq!(known(&history, 1..=21), [21], "the newest is always known");
 }
--- a/crates/control/tests/estimate.rs
+++ b/crates/control/tests/estimate.rs
@@ -3,14 +3,14 @@
 use pathbank_control::estimate::{Estimate, EstimateTable, Prior};
 use test_case::test_case;
 
-const PRIOR: Prior = Prior { start: 16.0, least: 1.0, most: 200.0 };
+const PRIOR: Prior = Prior { initial: 16.0, min: 1.0, max: 200.0 };
 const EVERY: u64 = 500;
 
 fn when_seen(estimate: &mut Estimate, from: u64, samples: &[f64]) -> u64 {
     let mut now = from;
     for sample in samples {
         now += EVERY;
-        estimate.note(now, PRIOR, *sample);
+        estimate.record(now, PRIOR, *sample);
     }
     now
 }
@@ -68,18 +68,18 @@
     let mut estimate = Estimate::default();
     let now = when_seen(&mut estimate, 0, &[told; 50]);
     let value = estimate.value(now, PRIOR);
-    assert!((PRIOR.least..=PRIOR.most).contains(&value), "{value}");
+    assert!((PRIOR.min..=PRIOR.max).contains(&value), "{value}");
 }
 
 #[test]
 fn a_server_of_which_little_was_seen_is_taken_to_be_like_the_others() {
     let mut table: EstimateTable<String> = EstimateTable::new(PRIOR);
     for number in 0..20 {
-        table.note(number * EVERY, &format!("i-{number}"), 60.0);
+        table.record(number * EVERY, &format!("i-{number}"), 60.0);
     }
     let now = 20 * EVERY;
     assert!(is_near(table.value(now, "i-new"), 60.0), "{}", table.value(now, "i-new"));
-    (0..10).for_each(|number| table.note(now + number * EVERY, &"i-slow".to_owned(), 20.0));
+    (0..10).for_each(|number| table.record(now + number * EVERY, &"i-slow".to_owned(), 20.0));
     assert!(is_near(table.value(now + 10 * EVERY, "i-slow"), 20.0));
     let halfway = (20.0_f64 * 60.0).sqrt();
     assert!(table.value(now + 10 * EVERY, "i-3") > halfway, "the others are as they were");
@@ -88,9 +88,9 @@
 #[test]
 fn what_was_not_seen_for_long_is_forgotten() {
     let mut table: EstimateTable<String> = EstimateTable::new(PRIOR);
-    table.note(0, &"i-1".to_owned(), 60.0);
-    table.tidy(1_000);
+    table.record(0, &"i-1".to_owned(), 60.0);
+    table.expire(1_000);
     assert_eq!(table.iter(1_000).count(), 1);
-    table.tidy(600_000);
+    table.expire(600_000);
     assert_eq!(table.iter(600_000).count(), 0);
 }
--- a/crates/control/tests/order_progress.rs
+++ b/crates/control/tests/order_progress.rs
@@ -1,9 +1,11 @@
 //! Stories of orders that model servers take, and of what they report meanwhile.
 
+use pathbank_control::order::OrderKind;
+use pathbank_control::order::{Operation, Order};
+use pathbank_control::order_durations::{OrderDurations, duration_at_first_check};
 use pathbank_control::order_progress::{
-    ModelServerContents, OrderKind, OrderTimes, Progress, after, earlier, holds, judge,
+    ModelServerContents, Progress, contents_after, is_satisfied, progress,
 };
-use pathbank_control::placement::{Operation, Order};
 use pathbank_protocol::message::LoadedModel;
 use test_case::test_case;
 
@@ -16,7 +18,7 @@
         model: model.into(),
         adapter: adapter.into(),
         kind: OrderKind::Unload,
-        told_ms: 0,
+        configured_ms: 0,
         expected_ms: 10,
         report_only: false,
     }
@@ -37,10 +39,10 @@
 #[test]
 fn a_report_that_is_older_than_the_order_tells_nothing_of_its_end() {
     let unload = order(Operation::Unload, "a", "");
-    assert_eq!(judge(&unload, 4, &contents(4, &[("a", &[])], false)), Progress::TooOld);
-    assert_eq!(judge(&unload, 4, &contents(5, &[("a", &[])], true)), Progress::UnderWay);
-    assert_eq!(judge(&unload, 4, &contents(5, &[], false)), Progress::Done);
-    assert_eq!(judge(&unload, 4, &contents(6, &[("a", &[])], false)), Progress::Undone);
+    assert_eq!(progress(&unload, 4, &contents(4, &[("a", &[])], false)), Progress::Stale);
+    assert_eq!(progress(&unload, 4, &contents(5, &[("a", &[])], true)), Progress::InProgress);
+    assert_eq!(progress(&unload, 4, &contents(5, &[], false)), Progress::Done);
+    assert_eq!(progress(&unload, 4, &contents(6, &[("a", &[])], false)), Progress::Failed);
 }
 
 #[test_case(Operation::Load, "b", "", &[("a", &["a1"]), ("b", &[])]; "a model comes")]
@@ -55,17 +57,17 @@
     expected: &[(&str, &[&str])],
 ) {
     let order = order(operation, model, adapter);
-    let done = after(&order, contents(4, &[("a", &["a1"])], true), 1);
+    let done = contents_after(&order, contents(4, &[("a", &["a1"])], true), 1);
     assert_eq!(done, contents(5, expected, false));
-    assert!(holds(&order, &done.models));
+    assert!(is_satisfied(&order, &done.models));
 }
 
 #[test]
 fn the_time_of_orders_is_learned_from_those_that_were_done() {
-    let mut times = OrderTimes::default();
+    let mut times = OrderDurations::default();
     let before = times.expected(0, OrderKind::Fetch, 4_000);
     assert!((4_000..=4_400).contains(&before), "what the configuration tells: {before}");
-    (0..10).for_each(|number| times.note(number * 5_000, OrderKind::Fetch, 4_000, 8_000));
+    (0..10).for_each(|number| times.record(number * 5_000, OrderKind::Fetch, 4_000, 8_000));
     let learned = times.expected(50_000, OrderKind::Fetch, 2_000);
     assert!((3_400..=4_400).contains(&learned), "twice as long as it tells: {learned}");
     assert!(times.expected(50_000, OrderKind::Adapter, 0) < 100, "others are as before");
@@ -73,12 +75,12 @@
 
 #[test]
 fn an_order_that_was_done_at_the_first_look_is_looked_at_a_little_earlier_next_time() {
-    let mut times = OrderTimes::default();
+    let mut times = OrderDurations::default();
     for number in 0..60 {
         let looked = times.expected(number * 100, OrderKind::Adapter, 0);
         // It takes 12 ms: what is looked at before is looked at again.
-        let took = if looked >= 12 { earlier(looked) } else { looked + 15 };
-        times.note(number * 100, OrderKind::Adapter, 0, took);
+        let took = if looked >= 12 { duration_at_first_check(looked) } else { looked + 15 };
+        times.record(number * 100, OrderKind::Adapter, 0, took);
     }
     let settled = times.expected(6_000, OrderKind::Adapter, 0);
     assert!((8..=22).contains(&settled), "{settled}");
--- a/crates/control/tests/outliers.rs
+++ b/crates/control/tests/outliers.rs
@@ -34,7 +34,7 @@
 #[test]
 fn a_server_that_fails_a_little_at_many_heads_is_known_to_fail() {
     let mut table = OutlierTable::default();
-    (0..20).for_each(|_| table.note(1_000, &[outcome(0, 1, 0), outcome(1, 0, 1)]));
+    (0..20).for_each(|_| table.record(1_000, &[outcome(0, 1, 0), outcome(1, 0, 1)]));
     let outliers = table.outliers(1_000, &servers(6));
     assert_eq!(names(&outliers), ["i-0"]);
     assert!(outliers["i-0"] > 0.8);
@@ -43,18 +43,18 @@
 #[test]
 fn one_failure_alone_says_little() {
     let mut table = OutlierTable::default();
-    table.note(1_000, &[outcome(0, 1, 9)]);
+    table.record(1_000, &[outcome(0, 1, 9)]);
     assert!(table.outliers(1_000, &servers(6)).is_empty());
 }
 
 #[test]
 fn a_server_that_is_left_alone_is_tried_again() {
     let mut table = OutlierTable::default();
-    table.note(1_000, &[outcome(0, 20, 0)]);
+    table.record(1_000, &[outcome(0, 20, 0)]);
     assert!(!table.outliers(1_000, &servers(6)).is_empty());
     assert!(table.outliers(20_000, &servers(6)).is_empty());
-    table.tidy(60_000);
-    table.note(60_000, &[outcome(0, 0, 5)]);
+    table.expire(60_000);
+    table.record(60_000, &[outcome(0, 0, 5)]);
     assert!(table.outliers(60_000, &servers(6)).is_empty(), "and is sound once it answers");
 }
 
@@ -62,7 +62,7 @@
 fn where_most_fail_only_the_worst_are_told() {
     let mut table = OutlierTable::default();
     let all: Vec<ModelServerLoad> = (0..9).map(|number| outcome(number, 10 + number as u32, 5)).collect();
-    table.note(1_000, &all);
+    table.record(1_000, &all);
     assert_eq!(names(&table.outliers(1_000, &servers(9))), ["i-6", "i-7", "i-8"]);
     assert!(table.outliers(1_000, &servers(2)).is_empty(), "a service of two is never halved");
 }
@@ -70,7 +70,7 @@
 #[test]
 fn a_server_that_is_gone_is_no_outlier() {
     let mut table = OutlierTable::default();
-    table.note(1_000, &[outcome(7, 20, 0)]);
+    table.record(1_000, &[outcome(7, 20, 0)]);
     assert!(table.outliers(1_000, &servers(6)).is_empty());
 }
 
@@ -79,7 +79,7 @@
     let mut demand = DemandTable::default();
     let out = ModelServerLoad { in_flight: 3, ..outcome(1, 0, 0) };
     let report = EdgeReport { edge: "e".into(), loads: vec![out], ..EdgeReport::default() };
-    demand.note(1_000, &report);
+    demand.record(1_000, &report);
     let outliers = BTreeMap::from([("i-0".to_owned(), 0.5), ("i-1".to_owned(), 0.25)]);
     let mut told = demand.joint_loads(1_000, outliers);
     told.sort_by(|one, other| one.instance.cmp(&other.instance));
--- a/crates/control/tests/placement.rs
+++ b/crates/control/tests/placement.rs
@@ -3,8 +3,9 @@
 use pathbank_control::configuration::{Backend, Model, Runtime};
 use pathbank_control::demand::{DemandTable, ModelKey};
 use pathbank_control::directory::CachedWeights;
-use pathbank_control::order_progress::OrderKind;
-use pathbank_control::placement::{Operation, Order, Placer, TrainingHold};
+use pathbank_control::order::OrderKind;
+use pathbank_control::order::{Operation, Order};
+use pathbank_control::placement::{Placer, TrainingReservations};
 use pathbank_protocol::message::{EdgeReport, LoadedModel, ModelDemand, ModelServer, ModelServerState};
 
 fn server(number: usize, models: &[&str]) -> ModelServer {
@@ -89,7 +90,7 @@
         objective_ms: OBJECTIVE_MS,
     };
     let report = EdgeReport { edge: "edge".into(), demand: vec![demand_of_model], ..EdgeReport::default() };
-    demand.note(now, &report);
+    demand.record(now, &report);
 }
 
 /// Model servers that carry orders out at once.
@@ -133,7 +134,7 @@
             self.placer.plan(self.now, &self.backends, &self.servers, &self.demand, &self.cached_weights);
         for order in orders {
             self.carry_out(&order);
-            self.placer.finished(&order.instance);
+            self.placer.clear_order(&order.instance);
             self.orders.push((self.now, order));
         }
     }
@@ -284,13 +285,13 @@
     story.prefill_ms = SHORT_READ_MS;
     story.when_asked(3_000, &[("a", 1), ("b", 1)]);
     assert_eq!(story.copies("a"), 1, "while the model server serves");
-    story.placer.note_failing(&failing);
+    story.placer.set_failing(&failing);
     story.when_asked(3_000, &[("a", 1), ("b", 1), ("c", 1)]);
     assert_eq!(story.copies("a"), 2);
     assert_eq!(story.servers[0].models.len(), 1, "nothing is loaded on a model server that fails");
     // And one that fails now and then serves.
     let mut story = Story::given(&["a", "b"], &[&["a"], &["b"]]);
-    story.placer.note_failing(&[("i-0".to_owned(), 0.3)].into());
+    story.placer.set_failing(&[("i-0".to_owned(), 0.3)].into());
     story.prefill_ms = SHORT_READ_MS;
     story.when_asked(3_000, &[("a", 1), ("b", 1)]);
     assert_eq!(story.copies("a"), 1);
@@ -351,7 +352,7 @@
         model: "d".into(),
         adapter: String::new(),
         kind: OrderKind::Fetch,
-        told_ms: 4_000,
+        configured_ms: 4_000,
         expected_ms: 4_000,
         report_only: false,
     };
@@ -384,15 +385,21 @@
     assert!(free.orders.iter().any(|(_, order)| order.instance == "i-1"), "the one with room loads it too");
     // then nothing is ordered there while it changes versions,
     let mut held = given();
-    let changing = [("i-1".to_owned(), "a".to_owned())].into();
-    held.placer.hold_for_training(TrainingHold { changing, ..TrainingHold::default() });
+    let changing_version = [("i-1".to_owned(), "a".to_owned())].into();
+    held.placer.set_training_reservations(TrainingReservations {
+        changing_version,
+        ..TrainingReservations::default()
+    });
     held.when_asked(3_000, &[("b", 1)]);
     assert!(held.orders.iter().all(|(_, order)| order.instance != "i-1"), "{:?}", held.orders);
     // and the model that it will hold again is loaded nowhere else for the little that is asked of it.
     let asked = |holds: bool| {
         let mut story = Story::given(&["a", "b"], &[&["b"], &["b"]]);
-        let changing = holds.then(|| ("i-1".to_owned(), "a".to_owned())).into_iter().collect();
-        story.placer.hold_for_training(TrainingHold { changing, ..TrainingHold::default() });
+        let changing_version = holds.then(|| ("i-1".to_owned(), "a".to_owned())).into_iter().collect();
+        story.placer.set_training_reservations(TrainingReservations {
+            changing_version,
+            ..TrainingReservations::default()
+        });
         story.prefill_ms = SHORT_READ_MS;
         story.when_asked(1_000, &[("a", 1), ("b", 20)]);
         story.copies("a")
@@ -404,8 +411,10 @@
 fn a_model_that_draws_for_a_step_makes_room_for_nothing() {
     // Given a model server full of models that nobody asks for, one of which draws for a step,
     let mut story = Story::given(&["a", "b", "c", "d"], &[&["a", "b", "c"]]);
-    let kept = [("i-0".to_owned(), ["a".to_owned()].into())].into();
-    story.placer.hold_for_training(TrainingHold { kept, ..TrainingHold::default() });
+    let pinned = [("i-0".to_owned(), ["a".to_owned()].into())].into();
+    story
+        .placer
+        .set_training_reservations(TrainingReservations { pinned, ..TrainingReservations::default() });
     // when another model is asked for, then one of the others goes for it.
     story.when_asked(3_000, &[("d", 4)]);
     assert_eq!((story.copies("a"), story.copies("d")), (1, 1), "{:?}", story.orders);
@@ -414,7 +423,7 @@
 #[test]
 fn loads_of_steps_and_of_placement_share_the_services_loads() {
     let mut placer = Placer::new();
-    let taken = (0..10_000).step_by(50).filter(|now| placer.take_training_load(*now, "llm", 2.0)).count();
+    let taken = (0..10_000).step_by(50).filter(|now| placer.try_take_training_load(*now, "llm", 2.0)).count();
     assert!((18..=22).contains(&taken), "two a second: {taken}");
 }
 
@@ -426,6 +435,6 @@
     story.when_asked(1_000, &rest);
     assert!(story.loads_between(0, u64::MAX) >= 2, "{:?}", story.orders);
     // then a step's load waits, and may begin once the store permits one more.
-    assert!(!story.placer.take_training_load(story.now, "llm", 4.0));
-    assert!(story.placer.take_training_load(story.now + 1_000, "llm", 4.0));
+    assert!(!story.placer.try_take_training_load(story.now, "llm", 4.0));
+    assert!(story.placer.try_take_training_load(story.now + 1_000, "llm", 4.0));
 }
--- a/crates/control/tests/placement_cost.rs
+++ b/crates/control/tests/placement_cost.rs
@@ -80,7 +80,7 @@
     };
     let mut table = DemandTable::default();
     let demand = (0..MODELS).map(of_model).collect();
-    table.note(now, &EdgeReport { edge: "edge".into(), demand, ..EdgeReport::default() });
+    table.record(now, &EdgeReport { edge: "edge".into(), demand, ..EdgeReport::default() });
     table
 }
 
--- a/crates/control/tests/recovery/main.rs
+++ b/crates/control/tests/recovery/main.rs
@@ -8,8 +8,9 @@
 mod common;
 
 use common::Fleet;
-use pathbank_control::operator_calls::LEADER_SILENCE;
-use pathbank_control::state::{Accepted, Change, ChangeKind, Command, ControlState};
+use pathbank_control::command_outcome::CommandOutcome;
+use pathbank_control::operator_calls::LEADER_TIMEOUT_MS;
+use pathbank_control::state::{Change, ChangeKind, Command, ControlState};
 use serde_json::{Value, json};
 use stats_alloc::{INSTRUMENTED_SYSTEM, Region, StatsAlloc};
 use std::alloc::System;
@@ -69,7 +70,7 @@
 fn apply(state: &mut ControlState, index: u64, bytes: &[u8]) -> u64 {
     let region = Region::new(ALLOCATOR);
     let command = Command::decode(bytes).expect("a command");
-    assert_eq!(state.apply(index, &command), Ok(Accepted::Now));
+    assert_eq!(state.apply(index, &command), Ok(CommandOutcome::Applied));
     let made = region.change();
     let allocations = (made.allocations + made.reallocations) as u64;
     LEAST_US.max(1_000 * allocations / ALLOCATIONS_PER_MS)
@@ -115,7 +116,7 @@
 
     fn hands_out(&self, head: usize, version: u64) -> bool {
         let replica = self.fleet.machines[head].replica.as_ref();
-        let is_current = replica.is_some_and(|replica| replica.is_current(self.fleet.now, LEADER_SILENCE));
+        let is_current = replica.is_some_and(|replica| replica.is_current(self.fleet.now, LEADER_TIMEOUT_MS));
         is_current && !self.fleet.is_frozen(head) && self.states[head].version() == version
     }
 }
--- a/crates/control/tests/safety/world.rs
+++ b/crates/control/tests/safety/world.rs
@@ -1,11 +1,13 @@
-//! The control path in virtual time: replicas with the state machine, operators, and what every head would hand out.
+//! The control path in virtual time: replicas with the state machine, operators, and what every head would
+//! hand out.
 
 use crate::common::{Fleet, member};
 use crate::faults::{Fault, Step};
 use crate::history::{self, Call};
 use crate::operators::{Operator, TRY_WITHIN};
-use pathbank_control::operator_calls::{self, LEADER_SILENCE, Reply, Standing};
-use pathbank_control::state::{Accepted, Change, Command, ControlState};
+use pathbank_control::command_outcome::CommandOutcome;
+use pathbank_control::operator_calls::{self, LEADER_TIMEOUT_MS, LeadershipStatus, Reply};
+use pathbank_control::state::{Change, Command, ControlState};
 use std::collections::BTreeMap;
 
 /// Founders, and machines that come later.
@@ -16,7 +18,7 @@
 /// How long turns of two leaders have to be apart, milliseconds.
 const TURN_WAIT: u64 = 3_000;
 /// A leader without contact leads for no longer than this, milliseconds, and a follower believes it for
-/// [`LEADER_SILENCE`] more.
+/// [`LEADER_TIMEOUT_MS`] more.
 const LEADER_STEPS_DOWN: u64 = 900;
 /// Within this after the last fault an operator's change is taken, milliseconds.
 const RECOVERS_WITHIN: u64 = 12_000;
@@ -149,7 +151,7 @@
             for (index, bytes) in &log[applied.entries..] {
                 let command = Command::decode(bytes).expect("a command");
                 let result = applied.state.apply(*index, &command);
-                applied.results.insert(*index, (bytes.clone(), Reply::of_result(&result)));
+                applied.results.insert(*index, (bytes.clone(), Reply::from_outcome(&result)));
             }
             (applied.entries, applied.last) = (log.len(), last);
         }
@@ -171,7 +173,7 @@
                     self.send_answer(waiting.operator, Some(reply));
                 }
                 Some(_) => self.send_answer(waiting.operator, Some(Reply::unclear())),
-                None if Standing::of(replica, self.fleet.now).turns_away().is_some() => {
+                None if LeadershipStatus::of(replica, self.fleet.now).redirect().is_some() => {
                     self.send_answer(waiting.operator, Some(Reply::unclear()));
                 }
                 None => self.waiting.push(waiting),
@@ -187,13 +189,13 @@
         else {
             return self.send_answer(operator, None);
         };
-        let (standing, term) = (Standing::of(replica, now), replica.term());
+        let (standing, term) = (LeadershipStatus::of(replica, now), replica.term());
         let state = &self.applied[machine].state;
         let Some(change) = change else {
             let reply = operator_calls::read_configuration(state, &standing);
             return self.send_answer(operator, Some(reply));
         };
-        match operator_calls::receive_change(state, &standing, &change) {
+        match operator_calls::check_change(state, &standing, &change) {
             Err(reply) => self.send_answer(operator, Some(reply)),
             Ok(()) => {
                 let command = Command::Change(change).encode();
@@ -205,16 +207,18 @@
         }
     }
 
-    /// A head in contact hands out nothing older than what contact allows, and a leader within its lease nothing old at all.
+    /// A head in contact hands out nothing older than what contact allows, and a leader within its lease
+    /// nothing old at all.
     fn check_heads(&self) -> Result<(), String> {
         let now = self.fleet.now;
         for (machine, applied) in self.applied.iter().enumerate() {
             let Some(replica) = self.fleet.machines[machine].replica.as_ref() else { continue };
-            if self.fleet.is_frozen(machine) || !replica.is_current(now, LEADER_SILENCE) {
+            if self.fleet.is_frozen(machine) || !replica.is_current(now, LEADER_TIMEOUT_MS) {
                 continue;
             }
-            let leads = matches!(Standing::of(replica, now), Standing::Leads { lease_holds: true });
-            let grace = if leads { 0 } else { LEADER_STEPS_DOWN + LEADER_SILENCE };
+            let leads =
+                matches!(LeadershipStatus::of(replica, now), LeadershipStatus::Leader { lease_valid: true });
+            let grace = if leads { 0 } else { LEADER_STEPS_DOWN + LEADER_TIMEOUT_MS };
             let due = self.acknowledged.iter().filter(|(_, at)| at + grace < now);
             let newest = due.map(|(version, _)| *version).max().unwrap_or(0);
             if applied.state.version() < newest {
@@ -343,8 +347,8 @@
         let machine = self.random.usize(0..MACHINES);
         let Some(change) = change else { return };
         let Some(replica) = self.fleet.machines[machine].replica.as_ref() else { return };
-        let standing = Standing::of(replica, self.fleet.now);
-        if operator_calls::receive_change(&self.applied[machine].state, &standing, &change).is_ok() {
+        let standing = LeadershipStatus::of(replica, self.fleet.now);
+        if operator_calls::check_change(&self.applied[machine].state, &standing, &change).is_ok() {
             self.fleet.propose_at(machine, &Command::Change(change).encode());
         }
     }
@@ -362,7 +366,7 @@
         let mut order = Vec::new();
         for (index, bytes) in &self.fleet.machines[leader].applied {
             let Command::Change(change) = Command::decode(bytes).expect("a command") else { continue };
-            if state.apply(*index, &Command::Change(change.clone())) == Ok(Accepted::Now) {
+            if state.apply(*index, &Command::Change(change.clone())) == Ok(CommandOutcome::Applied) {
                 let body: serde_json::Value = serde_json::from_str(&change.body).expect("JSON");
                 order.push(body["upsert"]["limits"]["max_body_bytes"].as_u64().expect("its number"));
             }
--- a/crates/control/tests/stored_formats.rs
+++ b/crates/control/tests/stored_formats.rs
@@ -56,7 +56,7 @@
     let training = |command: &Command| match command {
         Command::Training(TrainingCommand::Submit { .. }) => Some("submit with text"),
         Command::Training(TrainingCommand::Record { .. }) => Some("record with text"),
-        Command::Training(TrainingCommand::Ledger(command)) => Some(match command {
+        Command::Training(TrainingCommand::Step(command)) => Some(match command {
             StepCommand::Announce(_) => "announce",
             StepCommand::Submit { .. } => "submit",
             StepCommand::FixVersion { .. } => "fix version",
@@ -110,7 +110,7 @@
     let sealed = BTreeMap::from([(41, counts(&[("t1", 3), ("t2", 1)])), (43, counts(&[("t1", 12)]))]);
     assert_eq!(*state.sealed(), sealed);
     let training = state.training();
-    let steps: Vec<StepState> = training.ledger().steps().map(|step| step.state()).collect();
+    let steps: Vec<StepState> = training.step_table().steps().map(|step| step.state()).collect();
     let expected = [
         StepState::Sealed,
         StepState::Aborted,
@@ -123,7 +123,7 @@
     assert_eq!(training.prompt(1, 1).unwrap().prefix, "p/q");
     assert_eq!(training.output(1, 1).unwrap().text, "out one");
     assert!(training.output(1, 2).unwrap().truncated);
-    assert_eq!(training.changed(1), 14);
+    assert_eq!(training.last_changed(1), 14);
     assert_eq!(encoded(&state), json(STATE));
 }
 
--- a/crates/control/tests/training.rs
+++ b/crates/control/tests/training.rs
@@ -1,9 +1,10 @@
 //! Training steps as part of the replicated state: content, its bounds, and snapshots.
 
+use pathbank_control::command_outcome::CommandOutcome;
 use pathbank_control::result_code::ResultCode;
-use pathbank_control::state::{Accepted, Command, ControlState};
+use pathbank_control::state::{Command, ControlState};
 use pathbank_control::training::{
-    MOST_OPEN_STEPS, MOST_OUTPUT_BYTES, MOST_PROMPT_BYTES, Output, Prompt, TrainingCommand,
+    MAX_OPEN_STEPS, MAX_OUTPUT_BYTES, MAX_PROMPT_BYTES, Output, Prompt, TrainingCommand,
 };
 use pathbank_rollout::evidence::VersionTrail;
 use pathbank_rollout::step::{StepRequest, StepState};
@@ -23,22 +24,22 @@
 }
 
 impl World {
-    fn take(&mut self, command: TrainingCommand) -> Result<Accepted, ResultCode> {
+    fn take(&mut self, command: TrainingCommand) -> Result<CommandOutcome, ResultCode> {
         self.index += 1;
         let command =
             Command::decode(&Command::Training(command).encode()).expect("it is read as it was written");
         self.state.apply(self.index, &command).map_err(|rejection| rejection.code)
     }
 
-    fn ledger(&mut self, command: StepCommand) -> Result<Accepted, ResultCode> {
-        self.take(TrainingCommand::Ledger(command))
+    fn ledger(&mut self, command: StepCommand) -> Result<CommandOutcome, ResultCode> {
+        self.take(TrainingCommand::Step(command))
     }
 
-    fn announce(&mut self, key: &str) -> Result<Accepted, ResultCode> {
+    fn announce(&mut self, key: &str) -> Result<CommandOutcome, ResultCode> {
         self.ledger(StepCommand::Announce(StepRequest::new(key, "m", 1)))
     }
 
-    fn submit(&mut self, step: u64, prompts: &[(u64, &str)]) -> Result<Accepted, ResultCode> {
+    fn submit(&mut self, step: u64, prompts: &[(u64, &str)]) -> Result<CommandOutcome, ResultCode> {
         let prompts: BTreeMap<u64, Prompt> = prompts.iter().map(|(id, body)| (*id, prompt(body))).collect();
         self.take(TrainingCommand::Submit { step, prompts })
     }
@@ -48,8 +49,8 @@
         self.ledger(StepCommand::Open { step, members: BTreeSet::from(["w".into()]) }).unwrap();
     }
 
-    fn record(&mut self, step: u64, prompt: u64, text: String) -> Result<Accepted, ResultCode> {
-        let epoch = self.state.training().ledger().step(step).and_then(|step| step.epoch).unwrap_or(0);
+    fn record(&mut self, step: u64, prompt: u64, text: String) -> Result<CommandOutcome, ResultCode> {
+        let epoch = self.state.training().step_table().step(step).and_then(|step| step.epoch).unwrap_or(0);
         let mut versions = VersionTrail::begin(Some(7));
         versions.finish();
         let generation = Generation { step, epoch, prompt, worker: "w".into(), versions, tokens: 9 };
@@ -60,15 +61,15 @@
 #[test]
 fn a_step_keeps_its_prompts_and_what_was_drawn() {
     let mut world = World::default();
-    assert_eq!(world.announce("one"), Ok(Accepted::Step(1)));
-    assert_eq!(world.submit(1, &[(1, "a"), (2, "b")]), Ok(Accepted::Now));
-    assert_eq!(world.submit(1, &[(2, "b")]), Ok(Accepted::Before), "the same again");
+    assert_eq!(world.announce("one"), Ok(CommandOutcome::StepAnnounced(1)));
+    assert_eq!(world.submit(1, &[(1, "a"), (2, "b")]), Ok(CommandOutcome::Applied));
+    assert_eq!(world.submit(1, &[(2, "b")]), Ok(CommandOutcome::AlreadyApplied), "the same again");
     world.open(1);
-    assert_eq!(world.record(1, 2, "text".into()), Ok(Accepted::Now));
+    assert_eq!(world.record(1, 2, "text".into()), Ok(CommandOutcome::Applied));
     let training = world.state.training();
     assert_eq!(training.prompt(1, 1), Some(&prompt("a")));
     assert_eq!(training.output(1, 2).map(|output| output.text.as_str()), Some("text"));
-    assert_eq!(training.changed(1), world.index);
+    assert_eq!(training.last_changed(1), world.index);
     let back = ControlState::decode(&world.state.encode()).expect("a snapshot");
     assert_eq!(back.training(), world.state.training());
 }
@@ -77,7 +78,7 @@
 fn a_snapshot_of_an_earlier_program_has_no_steps() {
     let earlier = br#"{"document":null,"index":0,"version":0,"taken":[],"sealed":{},"last_sealed":4}"#;
     let state = ControlState::decode(earlier).expect("it is read");
-    assert_eq!((state.last_sealed(), state.training().ledger().steps().count()), (4, 0));
+    assert_eq!((state.last_sealed(), state.training().step_table().steps().count()), (4, 0));
 }
 
 #[test]
@@ -94,11 +95,11 @@
 fn prompts_beyond_a_steps_room_are_refused_whole() {
     let mut world = World::default();
     world.announce("one").unwrap();
-    let half = "x".repeat(MOST_PROMPT_BYTES / 2 + 1);
-    assert_eq!(world.submit(1, &[(1, &half)]), Ok(Accepted::Now));
+    let half = "x".repeat(MAX_PROMPT_BYTES / 2 + 1);
+    assert_eq!(world.submit(1, &[(1, &half)]), Ok(CommandOutcome::Applied));
     assert_eq!(world.submit(1, &[(2, &half), (3, "b")]), Err(ResultCode::StepTooLarge));
     assert_eq!(world.state.training().prompt(1, 3), None);
-    assert_eq!(world.submit(1, &[(3, "b")]), Ok(Accepted::Now));
+    assert_eq!(world.submit(1, &[(3, "b")]), Ok(CommandOutcome::Applied));
 }
 
 #[test]
@@ -107,23 +108,23 @@
     world.announce("one").unwrap();
     world.submit(1, &[(1, "a"), (2, "b")]).unwrap();
     world.open(1);
-    world.record(1, 1, "x".repeat(MOST_OUTPUT_BYTES)).unwrap();
+    world.record(1, 1, "x".repeat(MAX_OUTPUT_BYTES)).unwrap();
     world.record(1, 2, "y".into()).unwrap();
     let training = world.state.training();
     assert_eq!(training.output(1, 2), Some(&Output { text: String::new(), truncated: true }));
-    assert_eq!(training.ledger().step(1).map(|step| step.counts.counted), Some(2));
+    assert_eq!(training.step_table().step(1).map(|step| step.counts.counted), Some(2));
 }
 
 #[test]
 fn no_more_steps_than_that_are_taken_at_once() {
     let mut world = World::default();
-    for number in 0..MOST_OPEN_STEPS {
+    for number in 0..MAX_OPEN_STEPS {
         world.announce(&format!("{number}")).unwrap();
     }
     assert_eq!(world.announce("more"), Err(ResultCode::TooManySteps));
-    assert_eq!(world.announce("0"), Ok(Accepted::Step(1)), "one that stands is told again");
+    assert_eq!(world.announce("0"), Ok(CommandOutcome::StepAnnounced(1)), "one that stands is told again");
     world.ledger(StepCommand::Abort { step: 1 }).unwrap();
-    assert_eq!(world.announce("more"), Ok(Accepted::Step(MOST_OPEN_STEPS as u64 + 1)));
+    assert_eq!(world.announce("more"), Ok(CommandOutcome::StepAnnounced(MAX_OPEN_STEPS as u64 + 1)));
 }
 
 #[test]
@@ -137,7 +138,9 @@
     let training = world.state.training();
     let kept: Vec<u64> = (1..=6).filter(|step| training.prompt(*step, 1).is_some()).collect();
     assert_eq!(kept, [3, 4, 5, 6]);
-    assert!((1..=6).all(|step| training.ledger().step(step).is_some_and(|step| step.counts.submitted == 1)));
+    assert!(
+        (1..=6).all(|step| training.step_table().step(step).is_some_and(|step| step.counts.submitted == 1))
+    );
 }
 
 #[test]
@@ -153,7 +156,7 @@
     }
     let bytes = world.state.encode().len();
     assert!(bytes < 100_000, "{bytes} bytes of a snapshot");
-    let last = world.state.training().ledger().step(1_000).map(|step| step.state());
+    let last = world.state.training().step_table().step(1_000).map(|step| step.state());
     assert_eq!(last, Some(StepState::Sealed));
 }
 
--- a/crates/control/tests/whole_document.rs
+++ b/crates/control/tests/whole_document.rs
@@ -195,9 +195,9 @@
     let (after, index) = state.document().expect("a document");
     let read =
         |told: Value, is_whole| EdgeUpdate::read(told.to_string().as_bytes(), is_whole).expect("readable");
-    let whole = RouteTable::default().changed(index, read(edge_document::whole(after), true));
+    let whole = RouteTable::default().with_update(index, read(edge_document::full(after), true));
     let changed = match edge_document::difference(before, after) {
-        Some(difference) => table.changed(index, read(difference, false)),
+        Some(difference) => table.with_update(index, read(difference, false)),
         None => whole.clone(),
     };
     for (host, place) in ["host", "other"].into_iter().flat_map(|host| (0..6).map(move |place| (host, place)))
--- a/crates/router/src/dispatcher/arrivals.rs
+++ b/crates/router/src/dispatcher/arrivals.rs
@@ -9,9 +9,9 @@
 
 /// From a request for a model that no model server holds until one does, beyond the load itself,
 /// milliseconds.
-const MISS_OVERHEAD: Prior = Prior { start: 400.0, least: 20.0, most: 20_000.0 };
+const MISS_OVERHEAD: Prior = Prior { initial: 400.0, min: 20.0, max: 20_000.0 };
 /// The same for an adapter of a model that a model server holds: it arrives within milliseconds.
-const ADAPTER_MISS: Prior = Prior { start: 150.0, least: 10.0, most: 10_000.0 };
+const ADAPTER_MISS: Prior = Prior { initial: 150.0, min: 10.0, max: 10_000.0 };
 /// A load of which the configuration tells nothing, milliseconds.
 const UNTOLD_LOAD: Millis = 900;
 /// Word of a load's end comes so long after it, milliseconds.
@@ -50,11 +50,11 @@
         waited: Millis,
     ) {
         if model_held {
-            return self.adapter.note(now, ADAPTER_MISS, waited as f64);
+            return self.adapter.record(now, ADAPTER_MISS, waited as f64);
         }
         if !self.expected.keys().any(|(_, model)| *model == name.model) {
             let overhead = waited.saturating_sub(load_ms.unwrap_or(UNTOLD_LOAD));
-            self.model_overhead.note(now, MISS_OVERHEAD, (overhead as f64).max(MISS_OVERHEAD.least));
+            self.model_overhead.record(now, MISS_OVERHEAD, (overhead as f64).max(MISS_OVERHEAD.min));
         }
     }
 
--- a/crates/router/src/engine_estimates.rs
+++ b/crates/router/src/engine_estimates.rs
@@ -6,13 +6,13 @@
 use pathbank_control::estimate::{EstimateTable, Prior};
 
 /// Tokens of prompts that a model server reads in a millisecond.
-const TOKENS_PER_MS: Prior = Prior { start: 16.0, least: 0.05, most: 2_000.0 };
+const TOKENS_PER_MS: Prior = Prior { initial: 16.0, min: 0.05, max: 2_000.0 };
 /// A model server reads so many times as fast as others do.
-const SERVER_FACTOR: Prior = Prior { start: 1.0, least: 0.05, most: 20.0 };
+const SERVER_FACTOR: Prior = Prior { initial: 1.0, min: 0.05, max: 20.0 };
 /// Between two events of a stream that nothing holds up, milliseconds.
-const PACE_MS: Prior = Prior { start: 40.0, least: 0.5, most: 10_000.0 };
+const PACE_MS: Prior = Prior { initial: 40.0, min: 0.5, max: 10_000.0 };
 /// For how long an answer takes a slot, milliseconds.
-const ANSWER_MS: Prior = Prior { start: 1_500.0, least: 1.0, most: 120_000.0 };
+const ANSWER_MS: Prior = Prior { initial: 1_500.0, min: 1.0, max: 120_000.0 };
 /// A prompt with fewer tokens tells more of what comes beside reading it.
 const LEAST_TOKENS: u64 = 256;
 
@@ -61,21 +61,21 @@
         }
         let seen = sample.tokens as f64 / sample.took.max(1) as f64;
         let elsewhere = seen / self.server.value(now, sample.instance);
-        self.read.note(now, &sample.model.to_owned(), elsewhere);
+        self.read.record(now, &sample.model.to_owned(), elsewhere);
     }
 
     /// A stream was complete whose events came so many milliseconds apart while nothing held them up.
     pub fn note_pace(&mut self, now: Millis, instance: &Instance, model: &str, pace_ms: f64) {
         if self.pace.is_known(model) {
-            self.server.note(now, instance, self.pace.value(now, model) / pace_ms);
+            self.server.record(now, instance, self.pace.value(now, model) / pace_ms);
         }
         let elsewhere = pace_ms * self.server.value(now, instance);
-        self.pace.note(now, &model.to_owned(), elsewhere);
+        self.pace.record(now, &model.to_owned(), elsewhere);
     }
 
     /// An answer ended that took a slot for so long.
     pub fn note_answer(&mut self, now: Millis, model: &str, held: Millis) {
-        self.answer.note(now, &model.to_owned(), held as f64);
+        self.answer.record(now, &model.to_owned(), held as f64);
     }
 
     /// How long a model server takes to read tokens of a prompt, milliseconds.
@@ -95,7 +95,7 @@
 
     /// For how long an answer of any model takes a slot, milliseconds.
     pub fn any_answer_ms(&self) -> f64 {
-        self.answer.of_all()
+        self.answer.pooled()
     }
 
     /// Tokens of prompts that any model server reads in a millisecond, by model.
@@ -115,9 +115,9 @@
 
     /// Forgets what was not seen for long.
     pub fn tidy(&mut self, now: Millis) {
-        self.read.tidy(now);
-        self.pace.tidy(now);
-        self.server.tidy(now);
-        self.answer.tidy(now);
+        self.read.expire(now);
+        self.pace.expire(now);
+        self.server.expire(now);
+        self.answer.expire(now);
     }
 }
--- a/crates/system/src/core/configuration_updates.rs
+++ b/crates/system/src/core/configuration_updates.rs
@@ -71,7 +71,7 @@
 impl ConfigurationUpdates {
     /// A document was applied, brought by a change of so many bytes.
     pub fn note(&mut self, index: Index, document: &Document, bytes: usize) {
-        self.history.note(index, document, bytes);
+        self.history.record(index, document, bytes);
     }
 
     /// The entry of the document that edges were told last; 0: none.
@@ -119,7 +119,7 @@
             }
         }
         let Some((index, document)) = &self.newest else { return Vec::new() };
-        let message = encoded(*index, 0, &edge_document::whole(document));
+        let message = encoded(*index, 0, &edge_document::full(document));
         self.whole = Some(ReadyWhole { index: *index, made_at: now, message: message.clone() });
         vec![message]
     }
--- a/crates/system/src/core/node.rs
+++ b/crates/system/src/core/node.rs
@@ -21,14 +21,14 @@
 use crate::startup::{Milestone, Startup};
 use anyhow::{Context, Result};
 use leadership::Leadership;
-use pathbank_control::configuration_holders::ConfigurationHolders;
 use pathbank_control::demand::DemandTable;
 use pathbank_control::directory::Directory;
+use pathbank_control::edge_configurations::EdgeConfigurations;
 use pathbank_control::operator_calls::Reply;
 use pathbank_control::outliers::OutlierTable;
 use pathbank_control::pending_changes::PendingChanges;
 use pathbank_control::state::{Command, ControlState, StateError};
-use pathbank_control::usage::UsageLedger;
+use pathbank_control::usage::UsageTable;
 use pathbank_coordination::fencing::FencingGuard;
 use pathbank_coordination::record::DurableState;
 use pathbank_coordination::replica::{Departure, Replica, Timing};
@@ -101,8 +101,8 @@
     demand: DemandTable,
     outliers: OutlierTable,
     /// Which edges have which configuration in force.
-    holders: ConfigurationHolders,
-    usage: UsageLedger,
+    holders: EdgeConfigurations,
+    usage: UsageTable,
     wall_clock: WallClock,
     peers: BTreeMap<LinkId, Peer>,
     mesh: Mesh,
@@ -171,8 +171,8 @@
             state,
             demand: DemandTable::default(),
             outliers: OutlierTable::default(),
-            holders: ConfigurationHolders::default(),
-            usage: UsageLedger::default(),
+            holders: EdgeConfigurations::default(),
+            usage: UsageTable::default(),
             wall_clock: WallClock::default(),
             peers: BTreeMap::new(),
             mesh,
@@ -313,10 +313,10 @@
         if now >= self.due.expire {
             self.due.expire = now + EXPIRY_INTERVAL_MS;
             self.expire_servers(now);
-            self.demand.tidy(now);
-            self.outliers.tidy(now);
-            self.holders.tidy(now);
-            self.leadership.admission.tidy(now);
+            self.demand.expire(now);
+            self.outliers.expire(now);
+            self.holders.expire(now);
+            self.leadership.admission.expire(now);
             self.pool.tidy();
             self.replication.callers.expire(now);
         }
--- a/crates/system/src/core/node/leadership.rs
+++ b/crates/system/src/core/node/leadership.rs
@@ -12,10 +12,11 @@
 use pathbank_control::admission::AdmissionController;
 use pathbank_control::autoscaling::{Autoscaler, ScaleOrder};
 use pathbank_control::configuration::Runtime;
+use pathbank_control::order::{Operation, Order};
 use pathbank_control::order_progress::ModelServerContents;
-use pathbank_control::placement::{Operation, Order, Placer};
+use pathbank_control::placement::Placer;
 use pathbank_control::state::Command;
-use pathbank_control::usage::{HEAR_FIRST_MS, SealRule};
+use pathbank_control::usage::{LEADER_WARMUP_MS, SealRule};
 use pathbank_coordination::fencing::{FencingGuard, Permit};
 use pathbank_coordination::types::Term;
 use pathbank_protocol::message::{Frame, ModelServer};
@@ -119,7 +120,7 @@
     /// Whether each of these edges has told the leader of now, which leads for long enough to have heard of
     /// all.
     fn all_told<'a>(&self, now: u64, mut edges: impl Iterator<Item = &'a str>) -> bool {
-        now >= self.term_seen + HEAR_FIRST_MS && edges.all(|edge| self.told_by.contains(edge))
+        now >= self.term_seen + LEADER_WARMUP_MS && edges.all(|edge| self.told_by.contains(edge))
     }
 
     /// A new term begins without what the one before knew.
@@ -193,7 +194,7 @@
         let Some(permit) = self.permit(now) else { return };
         let Some(backends) = self.state.backends() else { return };
         let servers: Vec<ModelServer> = self.directory.ready().collect();
-        self.leadership.placer.note_failing(&self.outliers.outliers(now, &servers));
+        self.leadership.placer.set_failing(&self.outliers.outliers(now, &servers));
         let orders = self.leadership.placer.plan(
             now,
             backends,
@@ -219,7 +220,7 @@
             self.publish_order_update(&order.instance, false);
         }
         let Some(runtime) = self.runtime_of(&order.instance) else {
-            return self.leadership.placer.finished(&order.instance);
+            return self.leadership.placer.clear_order(&order.instance);
         };
         self.startup.reach(Milestone::Ordered);
         let (pool, events) = (self.pool.clone(), self.events.clone());
@@ -242,7 +243,7 @@
     pub(super) fn on_order_finished(&mut self, end: OrderOutcome) {
         let now = clock::now();
         let OrderOutcome { order, report, took_ms } = end;
-        let ended_after_ms = self.leadership.placer.took(now, &order.instance);
+        let ended_after_ms = self.leadership.placer.elapsed_ms(now, &order.instance);
         let Order { instance, operation, model, adapter, expected_ms, .. } = &order;
         let reported = report.is_some();
         tracing::debug!(
@@ -257,9 +258,9 @@
             "order ended"
         );
         if let Some(took_ms) = took_ms {
-            self.leadership.placer.was_done(now, &order, took_ms);
+            self.leadership.placer.record_duration(now, &order, took_ms);
         }
-        self.leadership.placer.finished(&order.instance);
+        self.leadership.placer.clear_order(&order.instance);
         if let Some(report) = &report {
             self.leadership.contents.insert(order.instance.clone(), report.contents());
         }
@@ -271,7 +272,7 @@
         self.directory.release(instance);
         let reported = report.is_some();
         if let Some(report) = report {
-            self.directory.reported(clock::now(), instance, report.models().collect(), report.busy);
+            self.directory.observe_report(clock::now(), instance, report.models().collect(), report.busy);
         }
         self.publish_order_update(instance, reported);
         self.place_soon(clock::now());
@@ -286,11 +287,11 @@
         let edges = self.edges().map(|edge| edge.hello.name.as_str());
         let rule = SealRule {
             window_ms: self.settings.bounds.report_window_ms,
-            all_told: self.leadership.all_told(now, edges),
-            latest_ms: self.settings.bounds.usage_delay_ms.saturating_sub(SEAL_MARGIN_MS),
+            all_reported: self.leadership.all_told(now, edges),
+            max_delay_ms: self.settings.bounds.usage_delay_ms.saturating_sub(SEAL_MARGIN_MS),
         };
         let last_sealed = self.state.last_sealed().max(self.leadership.sealing);
-        if let Some((window, counts)) = self.usage.due(wall_clock, rule, last_sealed) {
+        if let Some((window, counts)) = self.usage.next_to_seal(wall_clock, rule, last_sealed) {
             // Sealed before it is told: whoever reports it, now or after a change of leaders, reports the
             // same.
             self.leadership.sealing = window;
--- a/crates/system/src/core/node/links.rs
+++ b/crates/system/src/core/node/links.rs
@@ -67,10 +67,10 @@
                 servers.into_iter().for_each(|server| self.on_heartbeat(now, server, false));
             }
             Frame::Report(report) => {
-                self.usage.note(&report.edge, report.incarnation, &report.usage, self.state.last_sealed());
-                self.demand.note(now, &report);
-                self.holders.note(now, &report);
-                self.outliers.note(now, &report.loads);
+                self.usage.record(&report.edge, report.incarnation, &report.usage, self.state.last_sealed());
+                self.demand.record(now, &report);
+                self.holders.record(now, &report);
+                self.outliers.record(now, &report.loads);
                 if self.replication.replica.role() == Role::Leader {
                     self.leadership.told(now, self.replication.replica.term(), &report.edge);
                 }
@@ -90,7 +90,7 @@
             // A leader's own orders are what it knows best; one that led before may still tell of its last
             // ones.
             Frame::OrderStatus(news) if !self.replication.replica.is_established_leader() => {
-                let server = self.directory.ordered(now, news);
+                let server = self.directory.apply_order_status(now, news);
                 self.publish_servers(server.into_iter().collect());
             }
             Frame::DrawRequest(request) => self.on_draw_request(now, id, request),
--- a/crates/system/src/core/node/model_servers.rs
+++ b/crates/system/src/core/node/model_servers.rs
@@ -53,7 +53,7 @@
     /// cores hear of it. `reported`: the model server just said what it holds.
     pub(super) fn publish_order_update(&mut self, instance: &str, reported: bool) {
         self.publish_servers(self.directory.server(instance).into_iter().collect());
-        if let Some(news) = self.directory.news(instance, reported) {
+        if let Some(news) = self.directory.order_status(instance, reported) {
             self.mesh.send_to_all(&Frame::OrderStatus(news));
         }
     }
@@ -63,7 +63,9 @@
         if !self.replication.replica.is_established_leader() {
             return;
         }
-        for news in self.directory.withheld().filter_map(|instance| self.directory.news(instance, false)) {
+        for news in
+            self.directory.withheld().filter_map(|instance| self.directory.order_status(instance, false))
+        {
             self.mesh.send_to_all(&Frame::OrderStatus(news));
         }
     }
@@ -78,7 +80,7 @@
     pub(super) fn count_slots(&mut self, now: u64) {
         if self.replication.replica.is_established_leader() {
             let ready: Vec<ModelServer> = self.directory.ready().collect();
-            self.leadership.admission.note_slots(&ready, &self.demand.in_flight(now));
+            self.leadership.admission.update_slots(&ready, &self.demand.in_flight(now));
         }
     }
 
@@ -100,10 +102,10 @@
 
     /// Model servers that fell silent. Only edges that listen here are told: it is no more than a guess.
     pub(super) fn expire_servers(&mut self, now: u64) {
-        let lapsed = self.directory.lapse(now);
+        let lapsed = self.directory.expire_withheld(now);
         self.publish_servers(lapsed);
         if !self.is_current(now) {
-            return self.directory.forgive_silence(now);
+            return self.directory.reset_timeouts(now);
         }
         let servers = self.directory.expire(now);
         if !servers.is_empty() {
@@ -116,20 +118,23 @@
     pub(super) fn on_heartbeat(&mut self, now: u64, server: ModelServer, own: bool) {
         self.startup.reach(Milestone::ModelServerKnown);
         let instance = server.instance.clone();
-        let heard = self.directory.heard(now, server);
+        let heard = self.directory.observe_heartbeat(now, server);
         let Some(state) = self.directory.state(&instance) else { return };
         if heard.changed || !heard.displaced.is_empty() {
             self.all_servers = None;
         }
-        heard.displaced.into_iter().for_each(|server| self.pending_changes.note_leaving(server.instance));
+        heard
+            .displaced
+            .into_iter()
+            .for_each(|server| self.pending_changes.record_unavailable(server.instance));
         if heard.relay && own {
-            self.pending_changes.note_relayed(instance.clone());
+            self.pending_changes.record_relayed(instance.clone());
         }
         if heard.changed {
             match state {
-                ModelServerState::Ready => self.pending_changes.note_changed(instance),
+                ModelServerState::Ready => self.pending_changes.record_changed(instance),
                 ModelServerState::Draining | ModelServerState::Removed => {
-                    self.pending_changes.note_leaving(instance)
+                    self.pending_changes.record_unavailable(instance)
                 }
             }
         }
@@ -142,8 +147,8 @@
             return;
         }
         self.all_servers = None;
-        self.pending_changes.note_leaving(instance.to_owned());
-        self.pending_changes.note_relayed(instance.to_owned());
+        self.pending_changes.record_unavailable(instance.to_owned());
+        self.pending_changes.record_relayed(instance.to_owned());
         self.publish_urgent_news(now);
     }
 
@@ -167,7 +172,7 @@
             instances.iter().filter_map(|instance| self.directory.server(instance)).collect()
         };
         let update = |servers| Frame::ModelServers(ModelServerUpdate { complete: false, servers });
-        let [leaving, changed, relayed] = [news.leaving, news.changed, news.relayed].map(known);
+        let [leaving, changed, relayed] = [news.unavailable, news.changed, news.relayed].map(known);
         if !relayed.is_empty() {
             self.mesh.send_to_all(&Frame::Heartbeats(relayed));
         }
--- a/crates/system/src/core/node/overview.rs
+++ b/crates/system/src/core/node/overview.rs
@@ -2,10 +2,10 @@
 //! others lead on to it.
 
 use super::Node;
-use pathbank_control::configuration_holders::Holder;
 use pathbank_control::demand::ModelKey;
+use pathbank_control::edge_configurations::EdgeConfiguration;
 use pathbank_control::operator_calls::Reply;
-use pathbank_control::placement::Operation;
+use pathbank_control::order::Operation;
 use pathbank_coordination::types::Member;
 use pathbank_protocol::message::ModelServer;
 use serde_json::{Value, json};
@@ -21,13 +21,13 @@
             json!({ "store": format!("{:016x}", member.id.0), "control": member.control_address })
         });
         let edges = self.edges().map(|edge| edge.hello.name.clone());
-        let holder = |(edge, holder): (&str, &Holder)| {
+        let holder = |(edge, holder): (&str, &EdgeConfiguration)| {
             json!({
                 "edge": edge,
                 "version": holder.version,
                 "index": holder.index,
-                "for_ms": now.saturating_sub(holder.since),
-                "told_ms_ago": now.saturating_sub(holder.told),
+                "for_ms": now.saturating_sub(holder.in_force_since),
+                "told_ms_ago": now.saturating_sub(holder.reported_at),
             })
         };
         json!({
@@ -42,7 +42,7 @@
             "current": self.is_current(now),
             "configuration_version": self.state.version(),
             "published_index": self.publication.index(),
-            "holders": self.holders.holders().map(holder).collect::<Vec<_>>(),
+            "holders": self.holders.iter().map(holder).collect::<Vec<_>>(),
             "voters": voters.collect::<Vec<_>>(),
             "edges": edges.collect::<Vec<_>>(),
             "bricks": self.directory.ready().count(),
@@ -54,7 +54,7 @@
     pub(super) fn on_read_placement(&mut self, now: u64, reply: oneshot::Sender<Reply>) {
         let Some(reply) = self.as_leader(now, reply) else { return };
         let placer = &self.leadership.placer;
-        let orders = placer.under_way().map(|order| {
+        let orders = placer.pending_orders().map(|order| {
             let operation = match order.operation {
                 Operation::Load => "load",
                 Operation::Unload => "unload",
@@ -63,7 +63,7 @@
         });
         let reserved =
             placer.reserved().map(|(instance, model)| json!({ "instance": instance, "model": model }));
-        let [fetch, reload, adapter, unload] = placer.times().learned(now).map(|(_, learned)| learned);
+        let [fetch, reload, adapter, unload] = placer.durations().estimates(now).map(|(_, learned)| learned);
         let overview = json!({
             "order_times": {
                 "fetch_factor": fetch,
@@ -114,7 +114,7 @@
         let Some(reply) = self.as_leader(now, reply) else { return };
         let permit = self.permit(now);
         let leadership = &self.leadership;
-        let scale = leadership.autoscaler.ordered().map(|order| {
+        let scale = leadership.autoscaler.orders().map(|order| {
             json!({ "backend": order.backend, "zone": order.zone, "desired_count": order.desired_count })
         });
         let overview = json!({
--- a/crates/system/src/core/node/replication.rs
+++ b/crates/system/src/core/node/replication.rs
@@ -3,7 +3,7 @@
 use super::Node;
 use crate::core::disk::Disk;
 use crate::core::event::DiskEvent;
-use pathbank_control::operator_calls::{self, LEADER_SILENCE, Reply, Standing};
+use pathbank_control::operator_calls::{self, LEADER_TIMEOUT_MS, LeadershipStatus, Reply};
 use pathbank_control::result_code::ResultCode;
 use pathbank_control::state::{Change, Command, ControlState, StateError};
 use pathbank_coordination::compaction::LogSize;
@@ -258,7 +258,7 @@
                 }
                 for change in waiting {
                     let reply = match change.term == entry.term {
-                        true => Reply::of_result(&result),
+                        true => Reply::from_outcome(&result),
                         false => Reply::unclear(),
                     };
                     let _ = change.reply.send(reply);
@@ -289,7 +289,7 @@
 
     /// Whether what this head has applied is the newest that it could know of.
     pub(super) fn is_current(&self, now: u64) -> bool {
-        self.replication.replica.is_current(now, LEADER_SILENCE)
+        self.replication.replica.is_current(now, LEADER_TIMEOUT_MS)
     }
 
     // ---- operators ----
@@ -300,7 +300,7 @@
         now: u64,
         reply: oneshot::Sender<Reply>,
     ) -> Option<oneshot::Sender<Reply>> {
-        match Standing::of(&self.replication.replica, now).turns_away() {
+        match LeadershipStatus::of(&self.replication.replica, now).redirect() {
             None => Some(reply),
             Some(turned_away) => {
                 let _ = reply.send(turned_away);
@@ -310,8 +310,8 @@
     }
 
     pub(super) fn on_change(&mut self, now: u64, change: Change, reply: oneshot::Sender<Reply>) {
-        let standing = Standing::of(&self.replication.replica, now);
-        match operator_calls::receive_change(&self.state, &standing, &change) {
+        let standing = LeadershipStatus::of(&self.replication.replica, now);
+        match operator_calls::check_change(&self.state, &standing, &change) {
             Ok(()) => self.propose_for(now, &Command::Change(change), reply),
             Err(answer) => drop(reply.send(answer)),
         }
@@ -332,7 +332,7 @@
     }
 
     pub(super) fn on_read_configuration(&mut self, now: u64, reply: oneshot::Sender<Reply>) {
-        let standing = Standing::of(&self.replication.replica, now);
+        let standing = LeadershipStatus::of(&self.replication.replica, now);
         let _ = reply.send(operator_calls::read_configuration(&self.state, &standing));
     }
 
--- a/crates/system/src/core/node/training.rs
+++ b/crates/system/src/core/node/training.rs
@@ -13,7 +13,7 @@
     WORKER_POLL_INTERVAL_MS,
 };
 use pathbank_control::configuration::Runtime;
-use pathbank_control::placement::{Operation, Order};
+use pathbank_control::order::{Operation, Order};
 use pathbank_control::state::Command;
 use pathbank_control::training::TrainingCommand;
 use pathbank_control::training::workers::{self, Workers};
@@ -62,7 +62,7 @@
         }
         self.leadership.training.look_at = now + TRAINING_INTERVAL_MS;
         self.answer_watchers(now);
-        let open = self.state.training().ledger().models();
+        let open = self.state.training().step_table().models();
         let idle = open.is_empty() && self.leadership.training.models.is_empty();
         let models: Vec<String> = open.into_iter().map(str::to_owned).collect();
         if idle {
@@ -76,7 +76,7 @@
             self.act(now, model, 0, &guard);
         }
         let hold = self.leadership.training.hold(self.state.training());
-        self.leadership.placer.hold_for_training(hold);
+        self.leadership.placer.set_training_reservations(hold);
         self.offer_generations(now, &models);
     }
 
@@ -96,7 +96,7 @@
     /// Chooses a model's workers, forgets those that are gone, and asks each for its report when that is due.
     fn look_at_workers(&mut self, now: u64, model: &str) {
         let Some(place) = self.place_of(model) else { return };
-        let Some(step) = self.state.training().ledger().current(model) else { return };
+        let Some(step) = self.state.training().step_table().current(model) else { return };
         let settings = settings_of(&place, self.longest_generation(model));
         let backend = step.request.backend.clone();
         let training = self.leadership.training.models.entry(model.to_owned()).or_insert_with(|| {
@@ -125,7 +125,7 @@
     }
 
     fn place_of(&self, model: &str) -> Option<Place> {
-        let step = self.state.training().ledger().current(model)?;
+        let step = self.state.training().step_table().current(model)?;
         let request: &StepRequest = &step.request;
         let backend = self.state.backends()?.iter().find(|known| known.name == request.backend)?;
         let runtime = backend.runtime.clone()?;
@@ -144,7 +144,7 @@
 
     /// The longest time that a generation of a model's steps may take.
     fn longest_generation(&self, model: &str) -> Millis {
-        let steps = self.state.training().ledger().steps().filter(|step| step.request.model == model);
+        let steps = self.state.training().step_table().steps().filter(|step| step.request.model == model);
         steps.map(|step| step.request.generation_ms).max().unwrap_or(0)
     }
 
@@ -173,11 +173,12 @@
     /// Carries out what is due for a model. Returns the generations that begin, `most_draws` at the most.
     fn act(&mut self, now: u64, model: &str, most_draws: usize, guard: &LeaseGuard) -> Vec<Draw> {
         let Some(training) = self.leadership.training.models.get_mut(model) else { return Vec::new() };
-        let actions = training.controller.tick_with_limit(now, self.state.training().ledger(), most_draws);
+        let actions =
+            training.controller.tick_with_limit(now, self.state.training().step_table(), most_draws);
         let mut draws = Vec::new();
         for action in actions {
             match action {
-                Action::Propose(command) => self.propose_step(now, TrainingCommand::Ledger(command)),
+                Action::Propose(command) => self.propose_step(now, TrainingCommand::Step(command)),
                 Action::Drain(worker) => self.drain_worker(model, worker),
                 Action::Load { worker, .. } => self.change_worker(now, model, &worker, guard),
                 Action::Draw(draw) => draws.push(draw),
@@ -206,8 +207,8 @@
         let Some(runtime) = self.runtime_of(worker) else { return };
         let Some(training) = self.leadership.training.models.get_mut(model) else { return };
         let placer = &mut self.leadership.placer;
-        let may = !placer.is_ordered(worker)
-            && placer.take_training_load(now, &training.backend, runtime.loads_per_s);
+        let may = !placer.has_pending_order(worker)
+            && placer.try_take_training_load(now, &training.backend, runtime.loads_per_s);
         if !may {
             return training.controller.defer_load(now, worker);
         }
--- a/crates/system/src/core/node/training/calls.rs
+++ b/crates/system/src/core/node/training/calls.rs
@@ -38,7 +38,7 @@
 
     /// The command that a call asks for; `None`: it only reads.
     fn training_command(&mut self, call: &TrainingCall) -> Result<Option<TrainingCommand>, Rejection> {
-        let ledger = |command| Ok(Some(TrainingCommand::Ledger(command)));
+        let ledger = |command| Ok(Some(TrainingCommand::Step(command)));
         match call {
             TrainingCall::Open(body) => {
                 let Some(backends) = self.state.backends() else {
@@ -67,14 +67,14 @@
             TrainingCall::Explain(step) => step,
             _ => {
                 let steps: Vec<_> = state
-                    .ledger()
+                    .step_table()
                     .steps()
                     .map(|step| view::step(state, step, self.waits(now, step)))
                     .collect();
                 return send_json(reply, &serde_json::json!({ "steps": steps }));
             }
         };
-        let Some(step) = state.ledger().step(number) else {
+        let Some(step) = state.step_table().step(number) else {
             let message = format!("there is no step {number}");
             let _ = reply.send(Reply::Result(ResultCode::UnknownStep, message));
             return;
@@ -87,7 +87,7 @@
                 let training = self.leadership.training.models.get(&step.request.model);
                 send_json(reply, &view::explain(state, step, training, now, number));
             }
-            TrainingCall::Read { seen: Some(seen), .. } if state.changed(number) <= seen => {
+            TrainingCall::Read { seen: Some(seen), .. } if state.last_changed(number) <= seen => {
                 let until = now + WATCH_TIMEOUT_MS;
                 self.leadership.training.watchers.push(Watcher { step: number, seen, until, reply });
             }
@@ -97,7 +97,7 @@
 
     fn waits(&self, now: u64, step: &Step) -> Option<pathbank_rollout::controller::WaitReason> {
         let training = self.leadership.training.models.get(&step.request.model)?;
-        training.controller.wait_reason(now, self.state.training().ledger(), step.number)
+        training.controller.wait_reason(now, self.state.training().step_table(), step.number)
     }
 
     pub(super) fn answer_watchers(&mut self, now: u64) {
@@ -121,7 +121,7 @@
                 training.controller.proposal_lost();
             }
         }
-        if let TrainingCommand::Ledger(command) = command {
+        if let TrainingCommand::Step(command) = command {
             log_step(command, refused);
         }
         self.leadership.training.look_at = now;
--- a/crates/system/src/core/node/training/generations.rs
+++ b/crates/system/src/core/node/training/generations.rs
@@ -16,7 +16,7 @@
 impl Node {
     /// Tells edges that generations wait, as many as could begin, spread over all of them.
     pub(super) fn offer_generations(&mut self, now: u64, models: &[String]) {
-        let ledger = self.state.training().ledger();
+        let ledger = self.state.training().step_table();
         let training = &self.leadership.training;
         let of_model =
             |model: &String| Some(training.models.get(model)?.controller.drawable_prompts(now, ledger));
@@ -68,7 +68,7 @@
 
     fn task(&self, model: &str, draw: &Draw) -> Option<DrawTask> {
         let state = self.state.training();
-        let step = state.ledger().step(draw.step)?;
+        let step = state.step_table().step(draw.step)?;
         let prompt = state.prompt(draw.step, draw.prompt)?;
         let address = self.directory.server(&draw.worker)?.address;
         let stride = self.runtime_of(&draw.worker).map_or(1.0, |runtime| runtime.stride);
@@ -115,7 +115,7 @@
     }
 
     fn model_of(&self, step: StepNumber) -> Option<String> {
-        Some(self.state.training().ledger().step(step)?.request.model.clone())
+        Some(self.state.training().step_table().step(step)?.request.model.clone())
     }
 
     fn draw_ended(
@@ -129,14 +129,14 @@
     ) {
         let Some(training) = self.leadership.training.models.get_mut(model) else { return };
         let end = DrawEnd { draw, outcome, tokens };
-        let actions = training.controller.draw_ended(end, self.state.training().ledger());
+        let actions = training.controller.draw_ended(end, self.state.training().step_table());
         for action in actions {
             let Action::Propose(command) = action else { continue };
             let command = match command {
                 StepCommand::Record(generation) => {
                     TrainingCommand::Record { generation, output: output.clone() }
                 }
-                other => TrainingCommand::Ledger(other),
+                other => TrainingCommand::Step(other),
             };
             self.propose_step(now, command);
         }
--- a/crates/system/src/core/orders/call.rs
+++ b/crates/system/src/core/orders/call.rs
@@ -7,7 +7,7 @@
 use http_body_util::Full;
 use hyper::Request;
 use hyper::header::HeaderValue;
-use pathbank_control::placement::{Operation, Order};
+use pathbank_control::order::{Operation, Order};
 use std::net::SocketAddr;
 use std::time::Duration;
 
--- a/crates/system/src/core/orders/tracker.rs
+++ b/crates/system/src/core/orders/tracker.rs
@@ -6,8 +6,9 @@
 use crate::core::lease::LeaseGuard;
 use crate::core::model_server_json::ReportJson;
 use crate::net::client::ConnectionPool;
+use pathbank_control::order::Order;
+use pathbank_control::order_durations;
 use pathbank_control::order_progress::{self, ModelServerContents, Progress};
-use pathbank_control::placement::Order;
 use std::net::SocketAddr;
 use std::time::Duration;
 
@@ -83,7 +84,7 @@
     }
 
     fn contents_after(&self) -> ModelServerContents {
-        order_progress::after(&self.order, self.before.clone(), self.version)
+        order_progress::contents_after(&self.order, self.before.clone(), self.version)
     }
 
     /// Waits for the expected end, then repeats the order: the answer tells whether it is done. A repeat names
@@ -108,7 +109,8 @@
 
     fn completed(self, repeat: u32, elapsed_ms: u64) -> OrderOutcome {
         // Done at the first repeat: it may have been done for a while.
-        let took_ms = if repeat == 0 { order_progress::earlier(elapsed_ms) } else { elapsed_ms };
+        let took_ms =
+            if repeat == 0 { order_durations::duration_at_first_check(elapsed_ms) } else { elapsed_ms };
         let report = ReportJson::of(self.contents_after());
         OrderOutcome { report: Some(report), order: self.order, took_ms: Some(took_ms) }
     }
@@ -122,12 +124,12 @@
         let give_up_at = self.sent_at + self.order.expected_ms + COMPLETION_TIMEOUT_MS;
         while clock::now() < give_up_at {
             let Some(report) = self.fetch_report().await else { break };
-            match order_progress::judge(&self.order, self.before.sequence, &report.contents()) {
-                Progress::Done | Progress::Undone => return OrderOutcome::reported(self.order, report),
-                Progress::TooOld if acceptance == Acceptance::Unknown && self.has_timed_out() => {
+            match order_progress::progress(&self.order, self.before.sequence, &report.contents()) {
+                Progress::Done | Progress::Failed => return OrderOutcome::reported(self.order, report),
+                Progress::Stale if acceptance == Acceptance::Unknown && self.has_timed_out() => {
                     return OrderOutcome::reported(self.order, report);
                 }
-                Progress::TooOld | Progress::UnderWay => tokio::time::sleep(REPORT_POLL_INTERVAL).await,
+                Progress::Stale | Progress::InProgress => tokio::time::sleep(REPORT_POLL_INTERVAL).await,
             }
         }
         OrderOutcome::unknown(self.order)
--- a/crates/system/src/core/training/lead.rs
+++ b/crates/system/src/core/training/lead.rs
@@ -1,7 +1,7 @@
 //! What the leader of control knows of training steps that are under way; it is lost with the leadership.
 
 use pathbank_control::operator_calls::Reply;
-use pathbank_control::placement::TrainingHold;
+use pathbank_control::placement::TrainingReservations;
 use pathbank_control::training::TrainingState;
 use pathbank_protocol::message::ModelVersions;
 use pathbank_rollout::StepNumber;
@@ -88,15 +88,16 @@
 
 impl Training {
     /// What placement has to leave alone.
-    pub fn hold(&self, state: &TrainingState) -> TrainingHold {
-        let mut hold = TrainingHold::default();
+    pub fn hold(&self, state: &TrainingState) -> TrainingReservations {
+        let mut hold = TrainingReservations::default();
         for (model, training) in &self.models {
-            hold.changing.extend(training.changing.keys().map(|worker| (worker.clone(), model.clone())));
-            let Some(step) = state.ledger().current(model) else { continue };
+            hold.changing_version
+                .extend(training.changing.keys().map(|worker| (worker.clone(), model.clone())));
+            let Some(step) = state.step_table().current(model) else { continue };
             // From the first order on what workers hold is for the step.
             let kept = if step.state() < StepState::Preparing { &BTreeSet::new() } else { &training.workers };
             for worker in kept {
-                hold.kept.entry(worker.clone()).or_default().insert(model.clone());
+                hold.pinned.entry(worker.clone()).or_default().insert(model.clone());
             }
         }
         hold
@@ -106,8 +107,8 @@
     pub fn due_watchers(&mut self, now: u64, state: &TrainingState) -> Vec<Watcher> {
         let is_due = |watcher: &mut Watcher| {
             now >= watcher.until
-                || state.changed(watcher.step) > watcher.seen
-                || state.ledger().step(watcher.step).is_none()
+                || state.last_changed(watcher.step) > watcher.seen
+                || state.step_table().step(watcher.step).is_none()
         };
         self.watchers.extract_if(.., is_due).collect()
     }
@@ -116,7 +117,7 @@
 /// The versions of models in training, as edges should know them.
 pub fn model_versions(state: &TrainingState) -> Vec<ModelVersions> {
     let mut by_model: BTreeMap<&str, ModelVersions> = BTreeMap::new();
-    for step in state.ledger().steps() {
+    for step in state.step_table().steps() {
         let versions = by_model.entry(&step.request.model).or_default();
         (versions.backend, versions.model) = (step.request.backend.clone(), step.request.model.clone());
         match step.state() {
--- a/crates/system/src/core/training/view.rs
+++ b/crates/system/src/core/training/view.rs
@@ -67,7 +67,7 @@
         "counted": step.counts.counted,
         "discarded": step.counts.discarded,
         "lacking": step.counts.missing,
-        "revision": state.changed(step.number),
+        "revision": state.last_changed(step.number),
         "waits": waits.map(waits_text),
     })
 }
@@ -113,9 +113,10 @@
     number: StepNumber,
 ) -> Value {
     let controller = training.map(|training| &training.controller);
-    let waits = controller.and_then(|controller| controller.wait_reason(now, state.ledger(), number));
+    let waits = controller.and_then(|controller| controller.wait_reason(now, state.step_table(), number));
     let mut view = self::step(state, step, waits);
-    let is_current = state.ledger().current(&step.request.model).is_some_and(|step| step.number == number);
+    let is_current =
+        state.step_table().current(&step.request.model).is_some_and(|step| step.number == number);
     let Some(controller) = controller.filter(|_| is_current) else { return view };
     let workers = controller.workers().iter().map(|(id, worker)| {
         json!({
--- a/crates/system/src/edge/job.rs
+++ b/crates/system/src/edge/job.rs
@@ -290,7 +290,7 @@
             return self.deadline;
         }
         let objectives = (SILENCE_OBJECTIVES * self.route.target_latency_ms) as u64;
-        let pauses = (SILENCE_PAUSES * self.route.gap_aim_ms.unwrap_or(0.0)) as u64;
+        let pauses = (SILENCE_PAUSES * self.route.target_gap_ms.unwrap_or(0.0)) as u64;
         let silence = SILENCE_MS.max(objectives).max(pauses);
         self.deadline.min(self.arrived + silence.saturating_sub(ANSWER_MARGIN))
     }
@@ -308,7 +308,7 @@
             deadline: self.deadline,
             leaves_at: self.leaves_at(),
             objective: self.route.target_latency_ms as u64,
-            gap_aim: self.route.gap_aim_ms.unwrap_or(0.0) as u64,
+            gap_aim: self.route.target_gap_ms.unwrap_or(0.0) as u64,
             load_ms: self.load_ms,
             returned: self.returned,
             granted: None,
--- a/crates/system/src/edge/rollout.rs
+++ b/crates/system/src/edge/rollout.rs
@@ -59,7 +59,7 @@
 /// Takes a configuration over, unless the one in force is as new, or the update is not one of it.
 async fn take_over(shared: &Shared, update: &ConfigurationUpdate) -> Result<(), Rejection> {
     let known = shared.routes.load_full().unwrap_or_default();
-    if !known.leads_to(update.index, update.base_index) {
+    if !known.accepts(update.index, update.base_index) {
         // Differences of two cores do not lead on from one another: which one was missed, no later one makes
         // good.
         if update.index > known.index {
@@ -69,7 +69,7 @@
     }
     let is_whole = update.base_index == 0;
     let items = read(&update.document, is_whole).await?;
-    let table: RouteTable = known.changed(update.index, items);
+    let table: RouteTable = known.with_update(update.index, items);
     tracing::info!(version = table.version, index = update.index, is_whole, "configuration in force");
     shared.routes.store(Some(Arc::new(table)));
     shared.startup.reach(Milestone::Configured);
--- a/crates/system/tests/configuration_updates.rs
+++ b/crates/system/tests/configuration_updates.rs
@@ -39,10 +39,10 @@
     let mut bytes = message.to(&hello()).to_vec();
     let frame = codec::decode(&take_body(&mut bytes).unwrap().unwrap()).unwrap();
     let Frame::Configuration(update) = frame else { panic!("{frame:?}") };
-    if !table.leads_to(update.index, update.base_index) {
+    if !table.accepts(update.index, update.base_index) {
         return table.clone();
     }
-    table.changed(update.index, EdgeUpdate::read(&update.document, update.base_index == 0).unwrap())
+    table.with_update(update.index, EdgeUpdate::read(&update.document, update.base_index == 0).unwrap())
 }
 
 /// A head that has told edges of so many versions, and what edges got that had nothing at each of them.
--- a/crates/system/tests/fleet/world.rs
+++ b/crates/system/tests/fleet/world.rs
@@ -9,8 +9,9 @@
 use pathbank_control::configuration::{Backend, Model, Runtime};
 use pathbank_control::demand::DemandTable;
 use pathbank_control::directory::Directory;
+use pathbank_control::order::{Operation, Order};
 use pathbank_control::outliers::OutlierTable;
-use pathbank_control::placement::{Operation, Order, Placer};
+use pathbank_control::placement::Placer;
 use pathbank_protocol::message::{
     AdmissionRequest, EdgeReport, ModelServer, ModelServerLoad, ModelServerState, ModelServerUpdate,
 };
@@ -217,7 +218,7 @@
         if self.is_due(COUNT_SLOTS, 0) {
             let ready: Vec<ModelServer> = self.leader.directory.ready().collect();
             let in_flight = self.leader.demand.in_flight(self.now);
-            self.leader.admission.note_slots(&ready, &in_flight);
+            self.leader.admission.update_slots(&ready, &in_flight);
         }
         if self.is_due(PLACE, 0) {
             self.expire();
@@ -262,7 +263,7 @@
     // ---- what is told ----
 
     fn heartbeat(&mut self, number: usize) {
-        let heard = self.leader.directory.heard(self.now, self.servers[number].told.clone());
+        let heard = self.leader.directory.observe_heartbeat(self.now, self.servers[number].told.clone());
         if heard.changed {
             let told = self.leader.directory.server(&format!("i-{number}"));
             self.tell(told.into_iter().collect());
@@ -289,8 +290,8 @@
         let (demand, loads) = self.heads[head].dispatcher.take_report();
         let report =
             EdgeReport { edge: format!("e{head}"), incarnation: 1, demand, loads, ..EdgeReport::default() };
-        self.leader.demand.note(self.now, &report);
-        self.leader.outliers.note(self.now, &report.loads);
+        self.leader.demand.record(self.now, &report);
+        self.leader.outliers.record(self.now, &report.loads);
         let totals = self.joint_loads();
         self.heads[head].dispatcher.note_totals(self.now, &totals);
     }
--- a/crates/system/tests/fleet/world/placement.rs
+++ b/crates/system/tests/fleet/world/placement.rs
@@ -1,13 +1,13 @@
 //! The leader's orders, and model servers that carry them out.
 
 use super::*;
-use pathbank_control::order_progress::OrderKind;
+use pathbank_control::order::OrderKind;
 
 impl World {
     pub(super) fn place(&mut self) {
         let servers: Vec<ModelServer> = self.leader.directory.ready().collect();
         let Leader { placer, demand, directory, outliers, .. } = &mut self.leader;
-        placer.note_failing(&outliers.outliers(self.now, &servers));
+        placer.set_failing(&outliers.outliers(self.now, &servers));
         let orders = placer.plan(self.now, &self.backends, &servers, demand, directory.cached_weights());
         orders.into_iter().for_each(|order| self.carry_order_out(order));
     }
@@ -18,7 +18,7 @@
             return;
         };
         if self.servers[number].is_down() {
-            return self.leader.placer.finished(&order.instance);
+            return self.leader.placer.clear_order(&order.instance);
         }
         match order.operation {
             Operation::Load => {
@@ -56,9 +56,9 @@
     pub(super) fn order_ended(&mut self, number: usize) {
         let instance = format!("i-{number}");
         let models = self.servers[number].told.models.clone();
-        self.leader.placer.finished(&instance);
+        self.leader.placer.clear_order(&instance);
         self.leader.directory.release(&instance);
-        let told = self.leader.directory.reported(self.now, &instance, models, false);
+        let told = self.leader.directory.observe_report(self.now, &instance, models, false);
         self.tell(told.into_iter().collect());
     }
 }
--- a/crates/system/tests/orders.rs
+++ b/crates/system/tests/orders.rs
@@ -2,8 +2,8 @@
 //! while ago.
 
 use pathbank_control::configuration::{Model, Runtime};
-use pathbank_control::order_progress::OrderKind;
-use pathbank_control::placement::{Operation, Order};
+use pathbank_control::order::OrderKind;
+use pathbank_control::order::{Operation, Order};
 use pathbank_system::clock;
 use pathbank_system::core::lease::{LeaseExpiry, LeaseGuard};
 use pathbank_system::core::orders::{OrderOutcome, OrderTask, execute};
@@ -146,7 +146,7 @@
         model: model.into(),
         adapter: String::new(),
         kind,
-        told_ms: 300,
+        configured_ms: 300,
         expected_ms,
         report_only: false,
     }
