--- a/crates/protocol/schema/internal.capnp
+++ b/crates/protocol/schema/internal.capnp
@@ -1,5 +1,6 @@
 @0xd6a1c0f8f1b7e3a5;
-# What the processes of the system say to each other. Compiled with `capnp compile -orust`; the result is committed.
+# Messages between the processes of the system. Compiled with `capnp compile -orust`; the result is committed.
+# Ordinals stay: processes of two successive releases talk to each other.
 
 struct Member {
   id @0 :UInt64;
@@ -57,14 +58,14 @@
       index @14 :UInt64;
       sentAt @15 :UInt64;
     }
-    # A whole snapshot in one message; sent by programs before snapshots went in parts.
+    # A complete snapshot in one message; sent by programs before snapshots were split into chunks.
     obsoleteInstallSnapshot :group {
       snapshot @16 :Snapshot;
       sentAt @17 :UInt64;
     }
     campaignNow @18 :Void;
     join @19 :Void;
-    snapshotPart :group {
+    snapshotChunk :group {
       id @20 :SnapshotId;
       offset @21 :UInt64;
       bytes @22 :Data;
@@ -166,10 +167,10 @@
   arrived @3 :UInt64;
   tokens @4 :UInt64;
   waiting @5 :UInt32;
-  # What model servers take to read their prompts, and for how long answers that ended meanwhile took a slot, by the edge's estimates.
+  # Prefill time of the prompts that arrived, and slot time of the answers that ended, by the edge's estimates, milliseconds.
   prefillMs @6 :UInt64;
   slotTimeMs @7 :UInt64;
-  # The shortest time inside which an answer to one of them earns its full worth, milliseconds; 0: not told.
+  # The shortest latency target among them, milliseconds; 0: none was given.
   objectiveMs @8 :UInt32;
 }
 
@@ -177,7 +178,7 @@
 struct ExpectedModel {
   backend @0 :Text;
   model @1 :Text;
-  # It should be there after this, milliseconds.
+  # Time until it should be resident, milliseconds.
   readyInMs @2 :UInt32;
 }
 
@@ -188,10 +189,10 @@
 struct ModelServerLoad {
   instance @0 :Text;
   inFlight @1 :UInt32;
-  # From an edge: requests that failed there, and that it answered, since the last report.
+  # From an edge: requests that failed and that were answered there since the last report.
   failed @2 :UInt32;
   answered @3 :UInt32;
-  # From the leader: the part of all edges' requests that failed there lately, in thousandths.
+  # From the leader: the recent error rate over all edges, in thousandths.
   errorPermille @4 :UInt16;
 }
 
@@ -201,12 +202,12 @@
   usage @2 :List(UsageWindow);
   demand @3 :List(ModelDemand);
   loads @4 :List(ModelServerLoad);
-  # How far back the demand reaches, milliseconds before the report.
+  # In the first report to a leader: the time that the demand covers, milliseconds; otherwise 0.
   demandSpanMs @5 :UInt64;
   # The configuration in force at the edge; index 0: none.
   configurationIndex @6 :UInt64;
   configurationVersion @7 :UInt64;
-  # For how long it has been in force there, milliseconds.
+  # Time since it came into force there, milliseconds.
   configurationForMs @8 :UInt64;
 }
 
@@ -223,42 +224,42 @@
   loads @0 :List(ModelServerLoad);
 }
 
-# A model server that could answer a request.
+# A candidate for a request, with its cost.
 struct AdmissionOption {
   instance @0 :Text;
-  # What it takes to read the prompt there, milliseconds.
+  # Estimated prefill time of the prompt there, milliseconds.
   prefillMs @1 :UInt32;
-  # What else speaks against it, in milliseconds until the answer begins.
+  # Other cost, as milliseconds until the first token.
   otherCostMs @2 :UInt32;
 }
 
 struct AdmissionRequest {
   request @0 :UInt64;
   options @1 :List(AdmissionOption);
-  # How urgent the request is among all of its service; 0: the most urgent.
+  # Urgency class among the requests of the backend; 0: the most urgent.
   urgency @2 :UInt8;
 }
 
 struct AdmissionGrant {
   request @0 :UInt64;
-  # The chosen one of the request's options.
+  # The position of the chosen candidate in the request's options.
   option @1 :UInt32;
-  # The prompt should arrive there after this, milliseconds.
+  # Time after which the prompt should arrive there, milliseconds.
   waitMs @2 :UInt32;
 }
 
-# Generations of a training step wait: the edge may ask for so many.
+# Generations of a training step are queued at the leader: the edge may ask for so many.
 struct DrawOffer {
   count @0 :UInt32;
 }
 
-# An edge takes so many. Whatever it is given begins before so long after it asked, by the edge's own clock.
+# An edge asks for generations. requestedAt: its steady clock, milliseconds.
 struct DrawRequest {
   requestedAt @0 :UInt64;
   count @1 :UInt32;
 }
 
-# What names a generation.
+# Identifies a generation.
 struct DrawId {
   step @0 :UInt64;
   epoch @1 :UInt64;
@@ -276,16 +277,16 @@
   inputTokens @5 :UInt64;
   outputTokens @6 :UInt64;
   prefix @7 :Text;
-  # It is over so long after it began, milliseconds.
+  # Time-out from its start, milliseconds.
   timeoutMs @8 :UInt64;
-  # Tokens that one event of the answer holds.
+  # Tokens in one event of the answer.
   eventTokens @9 :UInt32;
 }
 
 struct DrawGrant {
-  # From the request.
+  # requestedAt of the request.
   requestedAt @0 :UInt64;
-  # Nothing of it begins later than so long after the edge asked, milliseconds.
+  # A generation that has not started within this time of requestedAt must not start, milliseconds.
   startTimeoutMs @1 :UInt64;
   tasks @2 :List(DrawTask);
 }
@@ -295,18 +296,18 @@
   timeoutMs @1 :UInt64;
   union {
     complete :group {
-      # The version that the answer's head told; 0 with hasHeaderVersion false: none.
+      # The version that the answer's headers name; 0 with hasHeaderVersion false: none.
       headerVersion @2 :UInt64;
       hasHeaderVersion @3 :Bool;
-      # Versions that events told, in order.
+      # Versions that events name, in order.
       eventVersions @4 :List(UInt64);
       tokens @5 :UInt64;
       text @6 :Text;
       truncated @7 :Bool;
     }
-    # It did not run, or runs no more.
+    # It did not run, or has ended, without a complete answer.
     over @8 :Void;
-    # The worker may draw on until its time is over.
+    # The worker may go on until the time-out.
     unknown @9 :Void;
   }
 }
@@ -325,17 +326,17 @@
   models @0 :List(ModelVersions);
 }
 
-# A model, or one adapter of it, that a model server is about to drop.
+# A model, or one adapter of it, that a model server is about to unload.
 struct WithheldModel {
   model @0 :Text;
   adapter @1 :Text;
 }
 
-# What the leader knows of a model server by the orders that it gave there.
+# What the leader knows of a model server by the orders that it sent there.
 struct OrderStatus {
   instance @0 :Text;
   withheld @1 :List(WithheldModel);
-  # The model server itself reported what it holds, at the end of an order.
+  # The model server itself reported its resident models, at the end of an order.
   reported @2 :Bool;
   models @3 :List(LoadedModel);
   busy @4 :Bool;
@@ -362,9 +363,9 @@
     drawResult @16 :DrawResult;
     modelVersions @17 :ModelVersionList;
     orderStatus @18 :OrderStatus;
-    # The configuration's entry that the edge has; 0: none.
+    # The log entry of the configuration that the edge has; 0: none.
     fetchDifference @19 :UInt64;
-    # The body of another frame, by LZ4 with its length in front. Only to processes that said in their hello that they read it.
+    # The body of another frame, LZ4 with the length in front. Only to processes whose hello has acceptsCompression.
     compressed @20 :Data;
     expectedModels @21 :ExpectedModelList;
   }
--- a/crates/protocol/src/framing.rs
+++ b/crates/protocol/src/framing.rs
@@ -1,16 +1,20 @@
-//! The length in front of each message.
+//! Framing: a length of four bytes, little endian, in front of each message's body.
 
 /// Bytes of the length.
 pub const LENGTH_BYTES: usize = 4;
-/// No message is longer, bytes.
+/// The longest body that is accepted, bytes.
 pub const MAX_FRAME_BYTES: usize = 32 * 1024 * 1024;
 
-/// A length that no message has.
+/// The announced length, in bytes, is over [`MAX_FRAME_BYTES`].
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 #[error("a frame of {0} bytes is over the limit")]
 pub struct FrameTooLong(pub usize);
 
-/// Takes the first whole message's body off the front of `buffer`, if there is one.
+/// Takes the first complete body off the front of `buffer`. `None`: more bytes have to come.
+///
+/// # Errors
+///
+/// The announced length is over the limit; the connection cannot go on.
 pub fn take_body(buffer: &mut Vec<u8>) -> Result<Option<Vec<u8>>, FrameTooLong> {
     let Some(header) = buffer.get(..LENGTH_BYTES) else { return Ok(None) };
     let length = u32::from_le_bytes([header[0], header[1], header[2], header[3]]) as usize;
--- a/crates/protocol/src/message/draw.rs
+++ b/crates/protocol/src/message/generations.rs
@@ -1,44 +1,44 @@
 //! Generations of training steps: a leader offers them, an edge asks, is given some, and tells how each
 //! ended.
 
-/// Generations wait: the edge may ask for so many.
+/// Announces that generations are queued at the leader.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct DrawOffer {
-    /// How many.
+    /// How many the edge may ask for.
     pub count: u32,
 }
 
-/// An edge asks for generations.
+/// Asks for generations.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct DrawRequest {
     /// The edge's steady clock, milliseconds. What it is given begins within a bound of that, or not at all:
     /// an edge that stood still meanwhile sees it by its own clock.
     pub requested_at: u64,
-    /// How many it takes.
+    /// How many the edge can run.
     pub count: u32,
 }
 
-/// What names a generation.
+/// Identifies a generation.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct DrawId {
-    /// The step.
+    /// The number of the training step.
     pub step: u64,
-    /// Its epoch.
+    /// The step's epoch (its fencing token).
     pub epoch: u64,
     /// The prompt.
     pub prompt: u64,
     /// The worker's incarnation.
     pub instance: String,
-    /// The version that it has to draw from.
+    /// The version of the weights that has to generate it.
     pub version: u64,
 }
 
-/// A generation to be drawn.
+/// A generation that an edge is to run.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct DrawTask {
-    /// Its name.
+    /// Its identity.
     pub id: DrawId,
-    /// Where the worker is reached, `ip:port`.
+    /// The worker's address, `ip:port`.
     pub address: String,
     /// The model.
     pub model: String,
@@ -46,63 +46,63 @@
     pub path: String,
     /// The request's body.
     pub body: String,
-    /// Tokens of the prompt.
+    /// Prompt tokens.
     pub input_tokens: u64,
-    /// Tokens that may come out.
+    /// The limit of output tokens.
     pub output_tokens: u64,
-    /// The prompt's parts; empty: not told.
+    /// The prompt's parts as `X-Pathbank-Prompt-Prefix` has them; empty: not known.
     pub prefix: String,
-    /// It is over so long after it began, milliseconds.
+    /// Time-out from its start, milliseconds.
     pub timeout_ms: u64,
-    /// Tokens that one event of the answer holds.
+    /// Tokens in one event of the answer.
     pub event_tokens: u32,
 }
 
-/// Generations that an edge is given.
+/// The answer to a [`DrawRequest`].
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct DrawGrant {
-    /// From the edge's request.
+    /// `requested_at` of the request.
     pub requested_at: u64,
-    /// Nothing of it begins later than so long after the edge asked, milliseconds.
+    /// A generation that has not started within this time of `requested_at` must not start, milliseconds.
     pub start_timeout_ms: u64,
     /// The generations.
     pub tasks: Vec<DrawTask>,
 }
 
-/// What an answer that came whole said.
+/// What a complete answer contained.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct DrawnAnswer {
-    /// The version that its head told.
+    /// The version that its headers name.
     pub header_version: Option<u64>,
-    /// Versions that its events told, in order.
+    /// Versions that its events name, in order.
     pub event_versions: Vec<u64>,
-    /// Tokens that came out.
+    /// Output tokens.
     pub tokens: u64,
-    /// The events' text.
+    /// The text of the events.
     pub text: String,
-    /// There was more text than is told.
+    /// `text` is cut off at a limit.
     pub truncated: bool,
 }
 
-/// What came of a generation.
+/// The outcome of a generation.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum DrawEnding {
-    /// The answer came whole.
+    /// The answer is complete.
     Complete(DrawnAnswer),
-    /// It did not run, or runs no more, and there is no whole answer.
+    /// It did not run, or has ended, without a complete answer.
     Over,
-    /// There is no whole answer, and the worker may draw on until the generation's time is over.
+    /// There is no complete answer, and the worker may go on until the generation's time-out.
     Unknown,
 }
 
 /// How a generation ended.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct DrawResult {
-    /// Its name.
+    /// Its identity.
     pub id: DrawId,
-    /// The time that it had, milliseconds.
+    /// Its time-out, milliseconds.
     pub timeout_ms: u64,
-    /// What came of it.
+    /// The outcome.
     pub ending: DrawEnding,
 }
 
@@ -113,8 +113,8 @@
     pub backend: String,
     /// The model.
     pub model: String,
-    /// Of the step that is open.
+    /// The version of the step that is open.
     pub open: Option<u64>,
-    /// Of the last step that was sealed.
+    /// The version of the last step that was sealed.
     pub sealed: Option<u64>,
 }
--- a/crates/protocol/src/read/draw.rs
+++ b/crates/protocol/src/read/generations.rs
@@ -1,10 +1,10 @@
 //! Generations of training steps, from Cap'n Proto.
 
-use super::{Read, text};
+use super::{Decoded, text};
 use crate::internal_capnp as wire;
 use crate::message::{DrawEnding, DrawGrant, DrawId, DrawResult, DrawTask, DrawnAnswer, ModelVersions};
 
-fn read_id(id: wire::draw_id::Reader<'_>) -> Read<DrawId> {
+fn read_id(id: wire::draw_id::Reader<'_>) -> Decoded<DrawId> {
     Ok(DrawId {
         step: id.get_step(),
         epoch: id.get_epoch(),
@@ -14,7 +14,7 @@
     })
 }
 
-fn read_task(task: wire::draw_task::Reader<'_>) -> Read<DrawTask> {
+fn read_task(task: wire::draw_task::Reader<'_>) -> Decoded<DrawTask> {
     Ok(DrawTask {
         id: read_id(task.get_id()?)?,
         address: text(task.get_address()?)?,
@@ -29,8 +29,8 @@
     })
 }
 
-pub fn grant(grant: wire::draw_grant::Reader<'_>) -> Read<DrawGrant> {
-    let tasks = grant.get_tasks()?.iter().map(read_task).collect::<Read<_>>()?;
+pub(super) fn read_grant(grant: wire::draw_grant::Reader<'_>) -> Decoded<DrawGrant> {
+    let tasks = grant.get_tasks()?.iter().map(read_task).collect::<Decoded<_>>()?;
     Ok(DrawGrant {
         requested_at: grant.get_requested_at(),
         start_timeout_ms: grant.get_start_timeout_ms(),
@@ -38,7 +38,7 @@
     })
 }
 
-fn read_answer(answer: wire::draw_result::complete::Reader<'_>) -> Read<DrawnAnswer> {
+fn read_answer(answer: wire::draw_result::complete::Reader<'_>) -> Decoded<DrawnAnswer> {
     Ok(DrawnAnswer {
         header_version: answer.get_has_header_version().then_some(answer.get_header_version()),
         event_versions: answer.get_event_versions()?.iter().collect(),
@@ -48,7 +48,7 @@
     })
 }
 
-pub fn result(result: wire::draw_result::Reader<'_>) -> Read<DrawResult> {
+pub(super) fn read_result(result: wire::draw_result::Reader<'_>) -> Decoded<DrawResult> {
     use wire::draw_result::Which;
     let ending = match result.which()? {
         Which::Complete(answer) => DrawEnding::Complete(read_answer(answer)?),
@@ -58,8 +58,8 @@
     Ok(DrawResult { id: read_id(result.get_id()?)?, timeout_ms: result.get_timeout_ms(), ending })
 }
 
-/// No step has version 0: it stands for none.
-pub fn model_versions(versions: wire::model_versions::Reader<'_>) -> Read<ModelVersions> {
+/// Version 0 stands for none: no step has it.
+pub(super) fn read_model_versions(versions: wire::model_versions::Reader<'_>) -> Decoded<ModelVersions> {
     let known = |version: u64| (version > 0).then_some(version);
     Ok(ModelVersions {
         backend: text(versions.get_backend()?)?,
--- a/crates/protocol/src/write/draw.rs
+++ b/crates/protocol/src/write/generations.rs
@@ -24,7 +24,7 @@
     out.set_event_tokens(task.event_tokens);
 }
 
-pub fn grant(grant: &DrawGrant, mut out: wire::draw_grant::Builder<'_>) {
+pub(super) fn write_grant(grant: &DrawGrant, mut out: wire::draw_grant::Builder<'_>) {
     out.set_requested_at(grant.requested_at);
     out.set_start_timeout_ms(grant.start_timeout_ms);
     let mut tasks = out.init_tasks(grant.tasks.len() as u32);
@@ -45,7 +45,7 @@
     }
 }
 
-pub fn result(result: &DrawResult, mut out: wire::draw_result::Builder<'_>) {
+pub(super) fn write_result(result: &DrawResult, mut out: wire::draw_result::Builder<'_>) {
     write_id(&result.id, out.reborrow().init_id());
     out.set_timeout_ms(result.timeout_ms);
     match &result.ending {
@@ -55,8 +55,8 @@
     }
 }
 
-/// No step has version 0: it stands for none.
-pub fn model_versions(versions: &ModelVersions, mut out: wire::model_versions::Builder<'_>) {
+/// Version 0 stands for none: no step has it.
+pub(super) fn write_model_versions(versions: &ModelVersions, mut out: wire::model_versions::Builder<'_>) {
     out.set_backend(&versions.backend);
     out.set_model(&versions.model);
     out.set_open(versions.open.unwrap_or_default());
--- a/crates/protocol/tests/common/mod.rs
+++ b/crates/protocol/tests/common/mod.rs
@@ -140,7 +140,7 @@
     Message::Append { term: 2, previous_index: 0, previous_term: 0, entries, commit: 1, sent_at: 77 }
 }
 
-pub fn snapshot_part() -> Message {
+pub fn snapshot_chunk() -> Message {
     let id = SnapshotId { index: 5, length: 700, checksum: 0xdead_beef };
     Message::SnapshotChunk(SnapshotChunk { term: 3, id, offset: 400, bytes: vec![9; 300], sent_at: 5 })
 }
@@ -166,7 +166,7 @@
         ("vote_reply", replica(Message::VoteReply { term: 1, pre: false, granted: true })),
         ("append", replica(append())),
         ("append_reply", replica(Message::AppendReply { term: 1, accepted: true, index: 4, sent_at: 3 })),
-        ("snapshot_chunk", replica(snapshot_part())),
+        ("snapshot_chunk", replica(snapshot_chunk())),
         ("snapshot_reply", replica(Message::SnapshotReply { term: 3, index: 5, received: 700, sent_at: 5 })),
         ("campaign_now", replica(Message::CampaignNow { term: 4 })),
         ("join", replica(Message::Join)),
--- a/crates/protocol/tests/round_trip.rs
+++ b/crates/protocol/tests/round_trip.rs
@@ -1,4 +1,4 @@
-//! Every kind of message comes back as it was sent.
+//! Encoding and decoding: round trips, framing, compression, damaged bytes.
 
 mod common;
 
@@ -11,7 +11,7 @@
 
 #[test_case(Frame::Hello(Hello { role: ProcessRole::Edge, name: "e".into(), zone: "z".into(), incarnation: 1, accepts_compression: true }); "hello")]
 #[test_case(replica(append()); "append")]
-#[test_case(replica(snapshot_part()); "snapshot part")]
+#[test_case(replica(snapshot_chunk()); "snapshot chunk")]
 #[test_case(replica(Message::SnapshotReply { term: 3, index: 5, received: 700, sent_at: 5 }); "snapshot reply")]
 #[test_case(replica(Message::Leave); "leave")]
 #[test_case(replica(Message::LeaveReply { term: 3, replacing: true }); "leave reply")]
@@ -34,16 +34,16 @@
 #[test_case(Frame::DrawOffer(DrawOffer { count: 4 }); "draw offer")]
 #[test_case(Frame::DrawRequest(DrawRequest { requested_at: 9, count: 3 }); "draw request")]
 #[test_case(Frame::DrawGrant(draw_grant()); "draw grant")]
-#[test_case(draw_result(drawn(Some(7))); "a whole generation")]
-#[test_case(draw_result(drawn(None)); "a whole generation without a version")]
-#[test_case(draw_result(DrawEnding::Over); "a generation that is over")]
-#[test_case(draw_result(DrawEnding::Unknown); "a generation that may go on")]
+#[test_case(draw_result(drawn(Some(7))); "a complete generation")]
+#[test_case(draw_result(drawn(None)); "a complete generation without a version")]
+#[test_case(draw_result(DrawEnding::Over); "a generation that ended without an answer")]
+#[test_case(draw_result(DrawEnding::Unknown); "a generation whose end is unknown")]
 #[test_case(model_versions(); "model versions")]
-#[test_case(order_status(None); "news of a model server")]
-#[test_case(order_status(Some(Vec::new())); "news of a model server that holds nothing")]
-#[test_case(order_status(Some(server().models)); "news of a model server that holds a model")]
+#[test_case(order_status(None); "order status")]
+#[test_case(order_status(Some(Vec::new())); "order status without resident models")]
+#[test_case(order_status(Some(server().models)); "order status with a resident model")]
 #[test_case(Frame::Ping(12); "ping")]
-fn a_message_comes_back_as_it_was_sent(frame: Frame) {
+fn a_message_survives_a_round_trip(frame: Frame) {
     let mut bytes = encode(&frame);
     let body = take_body(&mut bytes).unwrap().unwrap();
     assert!(bytes.is_empty());
@@ -51,7 +51,7 @@
 }
 
 #[test]
-fn messages_that_come_in_pieces_are_taken_when_whole() {
+fn a_body_is_taken_once_it_is_complete() {
     let frame = Frame::Report(report());
     let bytes = [encode(&frame), encode(&Frame::Ping(1))].concat();
     let mut buffer = Vec::new();
@@ -72,13 +72,13 @@
 }
 
 #[test]
-fn damaged_bytes_are_an_error_and_no_panic() {
-    let whole = encode(&replica(append()));
-    for at in LENGTH_BYTES..whole.len() {
-        let mut body = whole[LENGTH_BYTES..].to_vec();
+fn damaged_bytes_do_not_panic() {
+    let complete = encode(&replica(append()));
+    for at in LENGTH_BYTES..complete.len() {
+        let mut body = complete[LENGTH_BYTES..].to_vec();
         body[at - LENGTH_BYTES] ^= 0x55;
         let _ = decode(&body);
-        let _ = decode(&whole[LENGTH_BYTES..at]);
+        let _ = decode(&complete[LENGTH_BYTES..at]);
     }
 }
 
@@ -88,7 +88,7 @@
 }
 
 #[test]
-fn a_long_message_goes_compressed_to_those_that_read_it() {
+fn a_long_message_is_compressed_for_receivers_that_accept_it() {
     let document = br#"{"name":"route-1","path_prefix":"/one/"},"#.repeat(1_000);
     let frame = Frame::Configuration(ConfigurationUpdate { index: 3, base_index: 0, document });
     let message = SharedMessage::new(&frame);
@@ -98,19 +98,19 @@
 }
 
 #[test]
-fn a_message_that_gains_nothing_goes_as_it_is() {
+fn a_message_that_does_not_shrink_is_sent_plain() {
     let message = SharedMessage::new(&Frame::Ping(1));
     assert_eq!(message.to(&hello(true)), message.to(&hello(false)));
 }
 
 #[test]
-fn damaged_compressed_bytes_are_an_error_and_no_panic() {
+fn damaged_compressed_bytes_do_not_panic() {
     let document = br#"{"name":"route-1"},"#.repeat(300);
     let frame = Frame::Configuration(ConfigurationUpdate { index: 3, base_index: 0, document });
-    let whole = SharedMessage::new(&frame).to(&hello(true));
-    for at in LENGTH_BYTES..whole.len() {
+    let complete = SharedMessage::new(&frame).to(&hello(true));
+    for at in LENGTH_BYTES..complete.len() {
         for flipped in [0x01, 0x55, 0x80, 0xff] {
-            let mut body = whole[LENGTH_BYTES..].to_vec();
+            let mut body = complete[LENGTH_BYTES..].to_vec();
             body[at - LENGTH_BYTES] ^= flipped;
             let _ = decode(&body);
         }
