--- a/crates/coordination/src/gossip/datagram.rs
+++ b/crates/coordination/src/gossip/datagram.rs
@@ -1,207 +1,230 @@
-//! What heads say to each other about the fleet, and its bytes, big-endian: a form, a check, then the
-//! figures. Decoded once; whatever is cut, foreign, changed or of a later form is none.
+//! The messages between nodes and their bytes, big-endian: the format's byte, a checksum of all that follows,
+//! the header's fields, then records or digests. Each datagram is decoded once; one that is truncated, of another
+//! fleet, corrupted or of a later format is an error.
 
-use super::view::BLOCKS;
-use super::{About, Incarnation, Number, Record, State};
+use super::types::{Incarnation, NodeId, NodeRecord, NodeState, NodeStatus};
+use super::view::MAX_BLOCKS;
 use ring::digest;
 
 /// No datagram is longer.
-pub const MOST_BYTES: usize = 256;
-/// Its first byte, by which it is told from what the module says.
-pub const FORM: u8 = 0xf1;
-const HEAD: usize = 40;
-const ENTRY: usize = 9;
+pub const MAX_DATAGRAM_BYTES: usize = 256;
+/// The first byte of each datagram of this format; it tells them from other datagrams on the same socket.
+pub const FORMAT: u8 = 0xf1;
+const HEADER_BYTES: usize = 40;
+const RECORD_BYTES: usize = 9;
+const BLOCK_DIGEST_BYTES: usize = 3;
+const INCARNATION_BYTES: usize = Incarnation::BITS as usize / 8;
+const CHECKSUM_BYTES: usize = 4;
 /// Records in one datagram.
-pub const ENTRIES: usize = (MOST_BYTES - HEAD) / ENTRY;
-const CHECK: usize = 4;
+pub const MAX_RECORDS: usize = (MAX_DATAGRAM_BYTES - HEADER_BYTES) / RECORD_BYTES;
+/// In the place of a subject, where a message has none.
+const NO_SUBJECT: NodeId = NodeId::MAX;
 
-/// By which the heads of one fleet know each other: against accidents, not against whoever wants to be heard.
+/// The key of a fleet's checksums: nodes of different fleets do not take each other's datagrams. It guards against
+/// accidents, not against an attacker.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Key([u8; 16]);
+pub struct FleetKey([u8; 16]);
 
-impl Key {
-    /// Of what all heads of a fleet are given alike.
-    pub fn of(text: &str) -> Key {
+impl FleetKey {
+    /// The key of a text with which all nodes of a fleet are configured.
+    pub fn derive(text: &str) -> FleetKey {
         let mut key = [0; 16];
         key.copy_from_slice(&digest::digest(&digest::SHA256, text.as_bytes()).as_ref()[..16]);
-        Key(key)
+        FleetKey(key)
     }
 
-    fn check(&self, bytes: &[u8]) -> [u8; CHECK] {
+    fn checksum(&self, bytes: &[u8]) -> [u8; CHECKSUM_BYTES] {
         let mut context = digest::Context::new(&digest::SHA256);
         context.update(&self.0);
         context.update(bytes);
-        let mut check = [0; CHECK];
-        check.copy_from_slice(&context.finish().as_ref()[..CHECK]);
-        check
+        let mut checksum = [0; CHECKSUM_BYTES];
+        checksum.copy_from_slice(&context.finish().as_ref()[..CHECKSUM_BYTES]);
+        checksum
     }
 }
 
-/// What is said.
+/// The kinds of messages. The first three are SWIM's ping, ack and ping-req.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Say {
-    /// To be answered under the same serial.
-    Ask(Vec<(Number, Record)>),
-    /// `of`: who answered, maybe by way of the sender.
-    Answer {
-        /// Who answered.
-        of: Number,
-        /// Records that are passed on.
-        records: Vec<(Number, Record)>,
+pub enum Body {
+    /// To be acknowledged under the same sequence number.
+    Probe(Vec<(NodeId, NodeRecord)>),
+    /// Acknowledges a probe.
+    Ack {
+        /// The node that was probed; not the sender where the probe was an indirect one.
+        subject: NodeId,
+        /// Piggybacked records.
+        records: Vec<(NodeId, NodeRecord)>,
     },
-    /// To be passed on as a question of the sender's, and its answer back.
-    AskFor {
-        /// Who is to be asked.
-        whom: Number,
-        /// Records that are passed on.
-        records: Vec<(Number, Record)>,
+    /// Asks the receiver to probe another node and to pass its acknowledgement back.
+    IndirectProbe {
+        /// The node to be probed.
+        target: NodeId,
+        /// Piggybacked records.
+        records: Vec<(NodeId, NodeRecord)>,
     },
-    /// Digests of the parts of a view that differs from the receiver's.
-    Blocks(Vec<u32>),
-    /// Records of parts that differ.
-    Records(Vec<(Number, Record)>),
+    /// Digests of the blocks of a view that differs from the receiver's; asks for the records that differ.
+    BlockDigests(Vec<u32>),
+    /// Records of blocks that differ.
+    Repair(Vec<(NodeId, NodeRecord)>),
 }
 
-/// One head's word to another one.
+/// A message from one node to another.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Datagram {
     /// The sender.
-    pub from: Number,
+    pub from: NodeId,
     /// The receiver.
-    pub to: Number,
+    pub to: NodeId,
     /// The sender's incarnation.
     pub incarnation: Incarnation,
-    /// The sender has heard all that others know.
+    /// The sender's view was complete at some time since its start.
     pub joined: bool,
-    /// Of a question, and of the answer to it.
-    pub serial: u32,
-    /// Of the sender's whole view.
+    /// The number of a probe, and of its acknowledgement; 0 where none is expected.
+    pub sequence: u32,
+    /// The digest of the sender's whole view.
     pub digest: u64,
-    /// What the sender tells of itself.
-    pub about: About,
-    /// What is said.
-    pub say: Say,
+    /// What the sender reports of itself.
+    pub status: NodeStatus,
+    /// The message.
+    pub body: Body,
 }
 
-/// Why bytes are no datagram.
-#[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Bad {
-    /// Of a form that is not known here.
-    Form,
+/// Why bytes are not a datagram.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
+pub enum DecodeError {
+    /// The first byte is of no format that this version knows.
+    #[error("unknown format")]
+    UnknownFormat,
     /// Too short or too long.
-    Cut,
-    /// Of another fleet, or changed on the way.
-    Foreign,
-    /// Its figures fit nothing.
-    Figures,
+    #[error("too short or too long")]
+    Length,
+    /// Of another fleet, or corrupted.
+    #[error("the checksum does not match")]
+    Checksum,
+    /// The checksum matches, and a field has a value that this version does not know.
+    #[error("unknown kind, state or count")]
+    Malformed,
 }
 
 impl Datagram {
-    /// Its bytes, checked by the fleet's key.
-    pub fn bytes(&self, key: &Key) -> Vec<u8> {
-        let nobody = Number::MAX;
-        let (kind, subject) = match &self.say {
-            Say::Ask(_) => (1, nobody),
-            Say::Answer { of, .. } => (2, *of),
-            Say::AskFor { whom, .. } => (3, *whom),
-            Say::Blocks(_) => (4, nobody),
-            Say::Records(_) => (5, nobody),
+    /// The bytes, with the checksum by the fleet's key.
+    pub fn encode(&self, key: &FleetKey) -> Vec<u8> {
+        let (kind, subject) = match &self.body {
+            Body::Probe(_) => (1, NO_SUBJECT),
+            Body::Ack { subject, .. } => (2, *subject),
+            Body::IndirectProbe { target, .. } => (3, *target),
+            Body::BlockDigests(_) => (4, NO_SUBJECT),
+            Body::Repair(_) => (5, NO_SUBJECT),
         };
-        let mut out = vec![FORM, 0, 0, 0, 0, kind];
-        for number in [self.to, self.from, subject] {
-            out.extend(number.to_be_bytes());
+        let mut out = vec![FORMAT, 0, 0, 0, 0, kind];
+        for node in [self.to, self.from, subject] {
+            out.extend(node.to_be_bytes());
         }
-        out.extend(&self.incarnation.bits().to_be_bytes()[2..]);
-        out.extend(self.serial.to_be_bytes());
+        put_incarnation(&mut out, self.incarnation);
+        out.extend(self.sequence.to_be_bytes());
         out.extend(self.digest.to_be_bytes());
-        out.extend(self.about.list.to_be_bytes());
-        out.extend(self.about.revision.to_be_bytes());
+        out.extend(self.status.node_list_version.to_be_bytes());
+        out.extend(self.status.configuration_revision.to_be_bytes());
         out.push(
-            u8::from(self.about.draining) << 7 | u8::from(self.joined) << 6 | self.about.pressure.min(3),
+            u8::from(self.status.draining) << 7 | u8::from(self.joined) << 6 | self.status.pressure.min(3),
         );
-        match &self.say {
-            Say::Ask(records)
-            | Say::Answer { records, .. }
-            | Say::AskFor { records, .. }
-            | Say::Records(records) => {
-                let records = &records[..records.len().min(ENTRIES)];
+        match &self.body {
+            Body::Probe(records)
+            | Body::Ack { records, .. }
+            | Body::IndirectProbe { records, .. }
+            | Body::Repair(records) => {
+                let records = &records[..records.len().min(MAX_RECORDS)];
                 out.push(records.len() as u8);
-                for (member, record) in records {
-                    out.extend(member.to_be_bytes());
-                    out.extend(&record.incarnation.bits().to_be_bytes()[2..]);
+                for (node, record) in records {
+                    out.extend(node.to_be_bytes());
+                    put_incarnation(&mut out, record.incarnation);
                     out.push(record.state as u8);
                 }
             }
-            Say::Blocks(blocks) => {
-                let blocks = &blocks[..blocks.len().min(BLOCKS)];
-                out.push(blocks.len() as u8);
-                blocks.iter().for_each(|block| out.extend(&block.to_be_bytes()[1..]));
+            Body::BlockDigests(digests) => {
+                let digests = &digests[..digests.len().min(MAX_BLOCKS)];
+                out.push(digests.len() as u8);
+                digests.iter().for_each(|digest| out.extend(&digest.to_be_bytes()[1..]));
             }
         }
-        let check = key.check(&out[1 + CHECK..]);
-        out[1..=CHECK].copy_from_slice(&check);
+        let checksum = key.checksum(&out[1 + CHECKSUM_BYTES..]);
+        out[1..=CHECKSUM_BYTES].copy_from_slice(&checksum);
         out
     }
 
-    /// Reads bytes that came.
+    /// Reads the bytes of a datagram.
     ///
     /// # Errors
     ///
-    /// They are cut, foreign, changed, or of a form that is not known here.
-    pub fn read(bytes: &[u8], key: &Key) -> Result<Datagram, Bad> {
-        let (form, rest) = bytes.split_first().ok_or(Bad::Cut)?;
-        if *form != FORM {
-            return Err(Bad::Form);
+    /// The bytes are truncated, of another fleet, corrupted or of a format that this version does not know.
+    pub fn decode(bytes: &[u8], key: &FleetKey) -> Result<Datagram, DecodeError> {
+        let (format, rest) = bytes.split_first().ok_or(DecodeError::Length)?;
+        if *format != FORMAT {
+            return Err(DecodeError::UnknownFormat);
         }
-        if bytes.len() < HEAD || bytes.len() > MOST_BYTES {
-            return Err(Bad::Cut);
+        if bytes.len() < HEADER_BYTES || bytes.len() > MAX_DATAGRAM_BYTES {
+            return Err(DecodeError::Length);
         }
-        let (check, told) = rest.split_at(CHECK);
-        if check != key.check(told) {
-            return Err(Bad::Foreign);
+        let (checksum, checked) = rest.split_at(CHECKSUM_BYTES);
+        if checksum != key.checksum(checked) {
+            return Err(DecodeError::Checksum);
         }
-        let mut told = Figures(told);
-        let (kind, to, from, subject) =
-            (told.take(1) as u8, told.take(2) as Number, told.take(2) as Number, told.take(2) as Number);
-        let (incarnation, serial, digest) =
-            (Incarnation::of(told.take(6)), told.take(4) as u32, told.take(8));
-        let (list, revision, flags) = (told.take(4) as u32, told.take(4) as u32, told.take(1) as u8);
-        let about = About { list, revision, draining: flags >> 7 == 1, pressure: flags & 3 };
-        let joined = flags >> 6 & 1 == 1;
-        let count = told.take(1) as usize;
-        let size = if kind == 4 { 3 } else { ENTRY };
-        if told.0.len() != count * size || incarnation.none() {
-            return Err(Bad::Figures);
+        let mut fields = Fields(checked);
+        let kind = fields.take(1);
+        let (to, from, subject) = (fields.node(), fields.node(), fields.node());
+        let (incarnation, sequence, digest) = (fields.incarnation(), fields.take(4) as u32, fields.take(8));
+        let (node_list_version, configuration_revision) = (fields.take(4) as u32, fields.take(4) as u32);
+        let flags = fields.take(1) as u8;
+        let (draining, joined, pressure) = (flags >> 7 == 1, flags >> 6 & 1 == 1, flags & 3);
+        let status = NodeStatus { node_list_version, configuration_revision, draining, pressure };
+        let count = fields.take(1) as usize;
+        let item_bytes = if kind == 4 { BLOCK_DIGEST_BYTES } else { RECORD_BYTES };
+        if fields.0.len() != count * item_bytes || incarnation.is_unknown() {
+            return Err(DecodeError::Malformed);
         }
-        let say = if kind == 4 {
-            Say::Blocks((0..count).map(|_| told.take(3) as u32).collect())
+        let body = if kind == 4 {
+            Body::BlockDigests((0..count).map(|_| fields.take(BLOCK_DIGEST_BYTES) as u32).collect())
         } else {
-            let mut records = Vec::with_capacity(count);
-            for _ in 0..count {
-                let (member, incarnation) = (told.take(2) as Number, Incarnation::of(told.take(6)));
-                let state = State::ALL.get(told.take(1) as usize).copied().ok_or(Bad::Figures)?;
-                records.push((member, Record { incarnation, state }));
-            }
+            let records = (0..count).map(|_| fields.record()).collect::<Result<Vec<_>, _>>()?;
             match kind {
-                1 => Say::Ask(records),
-                2 => Say::Answer { of: subject, records },
-                3 => Say::AskFor { whom: subject, records },
-                5 => Say::Records(records),
-                _ => return Err(Bad::Figures),
+                1 => Body::Probe(records),
+                2 => Body::Ack { subject, records },
+                3 => Body::IndirectProbe { target: subject, records },
+                5 => Body::Repair(records),
+                _ => return Err(DecodeError::Malformed),
             }
         };
-        Ok(Datagram { from, to, incarnation, joined, serial, digest, about, say })
+        Ok(Datagram { from, to, incarnation, joined, sequence, digest, status, body })
     }
 }
 
-/// Bytes whose number was checked before; beyond their end there are zeroes.
-struct Figures<'a>(&'a [u8]);
+fn put_incarnation(out: &mut Vec<u8>, incarnation: Incarnation) {
+    let bytes = incarnation.bits().to_be_bytes();
+    out.extend(&bytes[bytes.len() - INCARNATION_BYTES..]);
+}
 
-impl Figures<'_> {
+/// Fields that are read one after another. Their length is checked by the caller; behind their end there are zeros.
+struct Fields<'a>(&'a [u8]);
+
+impl Fields<'_> {
     fn take(&mut self, bytes: usize) -> u64 {
-        let (these, rest) = self.0.split_at(bytes.min(self.0.len()));
+        let (taken, rest) = self.0.split_at(bytes.min(self.0.len()));
         self.0 = rest;
-        these.iter().fold(0, |all, byte| all << 8 | u64::from(*byte))
+        taken.iter().fold(0, |number, byte| number << 8 | u64::from(*byte))
+    }
+
+    fn node(&mut self) -> NodeId {
+        self.take(size_of::<NodeId>()) as NodeId
+    }
+
+    fn incarnation(&mut self) -> Incarnation {
+        Incarnation::from_bits(self.take(INCARNATION_BYTES))
+    }
+
+    fn record(&mut self) -> Result<(NodeId, NodeRecord), DecodeError> {
+        let (node, incarnation) = (self.node(), self.incarnation());
+        let state = NodeState::ALL.get(self.take(1) as usize).copied().ok_or(DecodeError::Malformed)?;
+        Ok((node, NodeRecord { incarnation, state }))
     }
 }
 
--- a/crates/coordination/src/gossip/view.rs
+++ b/crates/coordination/src/gossip/view.rs
@@ -1,75 +1,81 @@
-//! What is known of all heads, and its digest: over who runs, and since which start. Verdicts that are under
-//! way, and lives in which a head only spoke up, are no part of it: they come and go without anybody being in
-//! or out.
+//! What is known of all nodes, and its digests. A digest covers who runs, and since which start: suspicions and
+//! refutations come and go without a node being in or out, and are no part of it.
 
-use super::{Change, Incarnation, Micros, Number, Record, State, Why};
+use super::types::{Cause, Change, Micros, NodeId, NodeRecord};
 
-/// Digests of so many parts of a view fit into one datagram.
-pub const BLOCKS: usize = 64;
+/// A view is divided into at most this many blocks, so that the digests of all fit into one datagram.
+pub const MAX_BLOCKS: usize = 64;
+
+/// Since when a record has been known, and why.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub struct Evidence {
+    /// When it was taken.
+    pub since: Micros,
+    /// Why it was taken.
+    pub cause: Cause,
+}
 
 #[derive(Clone, Copy, Debug, Default)]
-struct Known {
-    record: Record,
-    /// When it came to be known, and why.
-    at: Micros,
-    why: Option<Why>,
+struct Entry {
+    record: NodeRecord,
+    evidence: Option<Evidence>,
 }
 
-/// What one head knows of all of them.
+/// What one node knows of all of them.
 #[derive(Clone, Debug)]
 pub struct View {
-    known: Vec<Known>,
+    entries: Vec<Entry>,
     digest: u64,
-    running: usize,
+    running_count: usize,
 }
 
 /// Spreads a record's bits: views that differ in one record differ in their digests.
-fn mixed(member: Number, record: Record) -> u64 {
-    if record.incarnation.none() {
+fn record_digest(node: NodeId, record: NodeRecord) -> u64 {
+    if record.incarnation.is_unknown() {
         return 0;
     }
     // The finalizer of splitmix64.
-    let mut bits = record.incarnation.start() << 32 | u64::from(member) << 1 | u64::from(record.state.runs());
+    let mut bits =
+        record.incarnation.start() << 32 | u64::from(node) << 1 | u64::from(record.state.is_running());
     bits = (bits ^ bits >> 30).wrapping_mul(0xbf58_476d_1ce4_e5b9);
     bits = (bits ^ bits >> 27).wrapping_mul(0x94d0_49bb_1331_11eb);
     bits ^ bits >> 31
 }
 
 impl View {
-    /// Nothing is known yet of so many heads.
-    pub fn new(heads: usize) -> View {
-        View { known: vec![Known::default(); heads], digest: 0, running: 0 }
+    /// A view of so many nodes, of which nothing is known yet.
+    pub fn new(node_count: usize) -> View {
+        View { entries: vec![Entry::default(); node_count], digest: 0, running_count: 0 }
     }
 
-    /// How many heads there are, running or not.
-    pub fn heads(&self) -> usize {
-        self.known.len()
+    /// How many nodes there are, running or not.
+    pub fn node_count(&self) -> usize {
+        self.entries.len()
     }
 
-    /// `None`: there is no such head.
-    pub fn record(&self, member: Number) -> Option<Record> {
-        self.known.get(usize::from(member)).map(|known| known.record)
+    /// The record of a node; `None`: there is no such node.
+    pub fn record(&self, node: NodeId) -> Option<NodeRecord> {
+        self.entries.get(usize::from(node)).map(|entry| entry.record)
     }
 
-    /// When it came to be known as it is, and why. `None`: nothing was ever heard of it.
-    pub fn evidence(&self, member: Number) -> Option<(Micros, Why)> {
-        let known = self.known.get(usize::from(member))?;
-        Some((known.at, known.why?))
+    /// Since when a node's record has been known, and why; `None`: nothing was ever heard of it.
+    pub fn evidence(&self, node: NodeId) -> Option<Evidence> {
+        self.entries.get(usize::from(node))?.evidence
     }
 
-    /// What is known of each head.
-    pub fn records(&self) -> impl Iterator<Item = (Number, Record)> {
-        (0..).zip(self.known.iter().map(|known| known.record))
+    /// The record of each node.
+    pub fn records(&self) -> impl Iterator<Item = (NodeId, NodeRecord)> {
+        (0..).zip(self.entries.iter().map(|entry| entry.record))
     }
 
-    /// Those that are thought to run.
-    pub fn running(&self) -> impl Iterator<Item = Number> {
-        self.records().filter(|(_, record)| runs(*record)).map(|(member, _)| member)
+    /// The nodes that are thought to run.
+    pub fn running(&self) -> impl Iterator<Item = NodeId> {
+        self.records().filter(|(_, record)| record.is_running()).map(|(node, _)| node)
     }
 
-    /// How many are thought to run.
-    pub fn count(&self) -> usize {
-        self.running
+    /// How many nodes are thought to run.
+    pub fn running_count(&self) -> usize {
+        self.running_count
     }
 
     /// The digest of the whole view.
@@ -77,51 +83,45 @@
         self.digest
     }
 
-    /// Heads in each part of which a digest is told.
-    fn block(&self) -> usize {
-        self.known.len().div_ceil(BLOCKS).max(1)
+    fn nodes_per_block(&self) -> usize {
+        self.entries.len().div_ceil(MAX_BLOCKS).max(1)
     }
 
-    /// Short digests of all parts, in order.
-    pub fn blocks(&self) -> Vec<u32> {
-        let digest = |(part, heads): (usize, &[Known])| {
-            let numbers = (part * self.block()) as Number..;
-            let all = numbers.zip(heads).fold(0, |all, (member, known)| all ^ mixed(member, known.record));
+    /// Digests of all blocks, in order, 24 bits each.
+    pub fn block_digests(&self) -> Vec<u32> {
+        let digest = |(block, entries): (usize, &[Entry])| {
+            let nodes = (block * self.nodes_per_block()) as NodeId..;
+            let all =
+                nodes.zip(entries).fold(0, |all, (node, entry)| all ^ record_digest(node, entry.record));
             (all >> 40) as u32
         };
-        self.known.chunks(self.block()).enumerate().map(digest).collect()
+        self.entries.chunks(self.nodes_per_block()).enumerate().map(digest).collect()
     }
 
-    /// Records of the parts whose digests differ from these.
-    pub fn differing(&self, blocks: &[u32]) -> Vec<(Number, Record)> {
-        let own = self.blocks();
-        let differs = |member: &Number| {
-            let part = usize::from(*member) / self.block();
-            own.get(part) != blocks.get(part)
+    /// The known records of blocks whose digests differ from these.
+    pub fn differing(&self, digests: &[u32]) -> Vec<(NodeId, NodeRecord)> {
+        let own = self.block_digests();
+        let differs = |node: &NodeId| {
+            let block = usize::from(*node) / self.nodes_per_block();
+            own.get(block) != digests.get(block)
         };
-        self.records().filter(|(member, record)| differs(member) && !record.incarnation.none()).collect()
+        self.records().filter(|(node, record)| differs(node) && !record.incarnation.is_unknown()).collect()
     }
 
-    /// Takes a record that is greater than the one that is known.
-    pub fn learn(&mut self, now: Micros, member: Number, record: Record, why: Why) -> Option<Change> {
-        let known = self.known.get_mut(usize::from(member))?;
-        let before = known.record;
-        if record <= before || record.incarnation.none() {
+    /// Takes a record if it is greater than the known one. Returns the change, if there is one.
+    pub fn merge(&mut self, now: Micros, node: NodeId, record: NodeRecord, cause: Cause) -> Option<Change> {
+        let entry = self.entries.get_mut(usize::from(node))?;
+        let before = entry.record;
+        if record <= before || record.incarnation.is_unknown() {
             return None;
         }
-        *known = Known { record, at: now, why: Some(why) };
-        self.digest ^= mixed(member, before) ^ mixed(member, record);
-        self.running = self.running + usize::from(runs(record)) - usize::from(runs(before));
-        Some(Change { member, before, now: record, why })
+        *entry = Entry { record, evidence: Some(Evidence { since: now, cause }) };
+        self.digest ^= record_digest(node, before) ^ record_digest(node, record);
+        self.running_count =
+            self.running_count + usize::from(record.is_running()) - usize::from(before.is_running());
+        Some(Change { node, before, after: record, cause })
     }
 }
 
-fn runs(record: Record) -> bool {
-    !record.incarnation.none() && record.state.runs()
-}
-
-/// What a head that was never heard of is known as.
-pub const UNKNOWN: Record = Record { incarnation: Incarnation(0), state: State::Joining };
-
 #[cfg(test)]
 mod tests;
--- a/crates/coordination/src/gossip/view/tests.rs
+++ b/crates/coordination/src/gossip/view/tests.rs
@@ -1,32 +1,33 @@
 use super::*;
+use crate::gossip::{Incarnation, NodeState};
 
-fn record(incarnation: u64, state: State) -> Record {
-    Record { incarnation: Incarnation::of(incarnation), state }
+fn record(incarnation: u64, state: NodeState) -> NodeRecord {
+    NodeRecord { incarnation: Incarnation::from_bits(incarnation), state }
 }
 
 #[test]
-fn the_same_records_in_any_order_are_the_same_view() {
-    let mut draw = fastrand::Rng::with_seed(7);
-    let mut rumours: Vec<(Number, Record)> =
-        (0..400).map(|_| (draw.u16(..70), record(draw.u64(1..9), State::ALL[draw.usize(..5)]))).collect();
-    let told = |rumours: &[(Number, Record)]| {
+fn records_merged_in_any_order_lead_to_the_same_view() {
+    let mut rng = fastrand::Rng::with_seed(7);
+    let mut records: Vec<(NodeId, NodeRecord)> =
+        (0..400).map(|_| (rng.u16(..70), record(rng.u64(1..9), NodeState::ALL[rng.usize(..5)]))).collect();
+    let merged = |records: &[(NodeId, NodeRecord)]| {
         let mut view = View::new(70);
-        for (member, record) in rumours {
-            view.learn(0, *member, *record, Why::Heard);
+        for (node, record) in records {
+            view.merge(0, *node, *record, Cause::DirectContact);
         }
-        (view.digest(), view.blocks(), view.records().collect::<Vec<_>>(), view.count())
+        (view.digest(), view.block_digests(), view.records().collect::<Vec<_>>(), view.running_count())
     };
-    let first = told(&rumours);
+    let first = merged(&records);
     for _ in 0..20 {
-        draw.shuffle(&mut rumours);
-        assert_eq!(told(&rumours), first);
+        rng.shuffle(&mut records);
+        assert_eq!(merged(&records), first);
     }
-    assert_eq!(first.3, first.2.iter().filter(|(_, record)| runs(*record)).count());
+    assert_eq!(first.3, first.2.iter().filter(|(_, record)| record.is_running()).count());
 }
 
 #[test]
-fn a_later_life_counts_more_than_any_verdict_and_a_verdict_more_than_the_same_life() {
-    use State::*;
+fn a_later_incarnation_overrides_any_state_and_a_later_state_the_same_incarnation() {
+    use NodeState::*;
     let (mut view, rows) = (
         View::new(3),
         [
@@ -41,30 +42,30 @@
             (record(2, Suspect), false),
             (record(2, Left), true),
             (record(3, Joining), true),
-            (UNKNOWN, false),
+            (NodeRecord::UNKNOWN, false),
         ],
     );
-    for (record, taken) in rows {
-        assert_eq!(view.learn(0, 1, record, Why::Told(2)).is_some(), taken, "{record:?}");
+    for (record, is_accepted) in rows {
+        assert_eq!(view.merge(0, 1, record, Cause::GossipFrom(2)).is_some(), is_accepted, "{record:?}");
     }
-    assert_eq!(view.learn(0, 3, record(1, Alive), Why::Heard), None, "there is no such head");
+    assert_eq!(view.merge(0, 3, record(1, Alive), Cause::DirectContact), None, "there is no such node");
 }
 
 #[test]
-fn parts_that_differ_are_told_and_no_others() {
-    for heads in [1, 2, 64, 65, 300, 1_024] {
-        let mut view = View::new(heads);
-        for member in 0..heads as Number {
-            view.learn(0, member, record(u64::from(member) + 1, State::Alive), Why::Heard);
+fn only_the_records_of_differing_blocks_are_returned() {
+    for node_count in [1, 2, 64, 65, 300, 1_024] {
+        let mut view = View::new(node_count);
+        for node in 0..node_count as NodeId {
+            view.merge(0, node, record(u64::from(node) + 1, NodeState::Alive), Cause::DirectContact);
         }
-        assert!(view.blocks().len() <= BLOCKS, "{heads}");
-        assert_eq!(view.differing(&view.blocks()), []);
-        let (mut other, last) = (view.clone(), heads as Number - 1);
-        other.learn(0, last, record(u64::from(last) + 1, State::Dead), Why::Silent);
-        let differing = view.differing(&other.blocks());
-        assert!(differing.iter().any(|(member, _)| *member == last));
-        assert!(differing.len() <= heads.div_ceil(BLOCKS), "{heads}: {differing:?}");
+        assert!(view.block_digests().len() <= MAX_BLOCKS, "{node_count}");
+        assert_eq!(view.differing(&view.block_digests()), []);
+        let (mut other, last) = (view.clone(), node_count as NodeId - 1);
+        other.merge(0, last, record(u64::from(last) + 1, NodeState::Dead), Cause::SuspicionTimeout);
+        let differing = view.differing(&other.block_digests());
+        assert!(differing.iter().any(|(node, _)| *node == last));
+        assert!(differing.len() <= node_count.div_ceil(MAX_BLOCKS), "{node_count}: {differing:?}");
         // Of a fleet of another size: all.
-        assert_eq!(view.differing(&[]).len(), heads);
+        assert_eq!(view.differing(&[]).len(), node_count);
     }
 }
--- a/crates/coordination/tests/stored_form.rs
+++ b/crates/coordination/tests/stored_form.rs
@@ -1,7 +1,7 @@
 //! Files and datagrams of an earlier release are read, and written byte for byte as it wrote them.
 
-use pathbank_coordination::gossip::datagram::{Datagram, Key, Say};
-use pathbank_coordination::gossip::{self, About, Incarnation, Number, State};
+use pathbank_coordination::gossip::datagram::{Body, Datagram, FleetKey};
+use pathbank_coordination::gossip::{Incarnation, NodeId, NodeRecord, NodeState, NodeStatus};
 use pathbank_coordination::record::{DurableState, Record};
 use pathbank_coordination::store::{DAMAGED_FILE, LogFile, OpenedLog};
 use pathbank_coordination::types::{Entry, Member, Membership, Payload, Snapshot, StoreId};
@@ -139,34 +139,35 @@
 /// One datagram of each kind.
 fn datagrams() -> Vec<Datagram> {
     let record = |number: u64| {
-        let incarnation = Incarnation::of(number << 20 | 7);
-        (number as Number, gossip::Record { incarnation, state: State::ALL[number as usize % 5] })
+        let incarnation = Incarnation::from_bits(number << 20 | 7);
+        (number as NodeId, NodeRecord { incarnation, state: NodeState::ALL[number as usize % 5] })
     };
     let records: Vec<_> = (1..6).map(record).collect();
-    let says = [
-        Say::Ask(records.clone()),
-        Say::Answer { of: 9, records: records.clone() },
-        Say::AskFor { whom: 1_023, records: records.clone() },
-        Say::Blocks((0..6).map(|number| number * 0x03_0201).collect()),
-        Say::Records(records),
+    let bodies = [
+        Body::Probe(records.clone()),
+        Body::Ack { subject: 9, records: records.clone() },
+        Body::IndirectProbe { target: 1_023, records: records.clone() },
+        Body::BlockDigests((0..6).map(|number| number * 0x03_0201).collect()),
+        Body::Repair(records),
     ];
-    let about = About { list: 77, revision: 1 << 30, draining: true, pressure: 3 };
-    let datagram = |say| Datagram {
+    let status =
+        NodeStatus { node_list_version: 77, configuration_revision: 1 << 30, draining: true, pressure: 3 };
+    let datagram = |body| Datagram {
         from: 5,
         to: 1_000,
-        incarnation: Incarnation::began(1_700_000_000),
+        incarnation: Incarnation::started_at(1_700_000_000),
         joined: true,
-        serial: u32::MAX - 1,
+        sequence: u32::MAX - 1,
         digest: u64::MAX / 3,
-        about,
-        say,
+        status,
+        body,
     };
-    says.into_iter().map(datagram).collect()
+    bodies.into_iter().map(datagram).collect()
 }
 
 #[test]
 fn datagrams_of_an_earlier_release_are_read_and_written_alike() {
-    let key = Key::of("fleet-a");
+    let key = FleetKey::derive("fleet-a");
     let hex = String::from_utf8(fixture("datagrams.hex")).unwrap();
     let byte = |digits: &[u8]| u8::from_str_radix(std::str::from_utf8(digits).unwrap(), 16).unwrap();
     let stored: Vec<Vec<u8>> =
@@ -174,7 +175,7 @@
     let datagrams = datagrams();
     assert_eq!(stored.len(), datagrams.len());
     for (bytes, datagram) in stored.iter().zip(datagrams) {
-        assert_eq!(Datagram::read(bytes, &key), Ok(datagram.clone()));
-        assert_eq!(datagram.bytes(&key), *bytes);
+        assert_eq!(Datagram::decode(bytes, &key), Ok(datagram.clone()));
+        assert_eq!(datagram.encode(&key), *bytes);
     }
 }
--- a/src/bin/pathbank.rs
+++ b/src/bin/pathbank.rs
@@ -71,7 +71,7 @@
     let own = config.settings.position;
     let fleet = Fleet::new(&view, own, heads, config.seed ^ u64::from(std::process::id()));
     match &fleet {
-        Some(_) => event!(FLEET, own, heads, period_ms = view.times.period / 1_000),
+        Some(_) => event!(FLEET, own, heads, period_ms = view.timing.probe_interval_us / 1_000),
         None => event!(
             FLEET_OFF,
             problem = format!("head {own} of {heads} `peers` with which the settings let it talk")
--- a/src/config/fleet.rs
+++ b/src/config/fleet.rs
@@ -1,7 +1,7 @@
 //! The fleet's file: whether this head takes part in the view that the heads keep, and by which times. Errors name the key.
 
 use super::{ConfigError, operators_file, unreadable};
-use pathbank_coordination::gossip::member::Times;
+use pathbank_coordination::gossip::timing::GossipTiming;
 use serde::Deserialize;
 
 const PATH: &str = "deploy/fleet.toml";
@@ -10,7 +10,7 @@
 pub struct FleetView {
     /// Only heads of one name hear each other.
     pub fleet: String,
-    pub times: Times,
+    pub timing: GossipTiming,
 }
 
 #[derive(Deserialize)]
@@ -38,9 +38,9 @@
         if !file.enabled {
             return Ok(None);
         }
-        let usual = Times::default();
-        let period = file.period_ms.map_or(usual.period, |ms| ms.saturating_mul(1_000));
-        let helpers = file.helpers.unwrap_or(usual.helpers);
+        let usual = GossipTiming::default();
+        let period = file.period_ms.map_or(usual.probe_interval_us, |ms| ms.saturating_mul(1_000));
+        let helpers = file.helpers.unwrap_or(usual.indirect_probes);
         for (key, good, why) in [
             ("fleet", !file.fleet.is_empty(), "a name is due"),
             ("period_ms", (20_000..=10_000_000).contains(&period), "20 to 10000 are due"),
@@ -50,7 +50,10 @@
                 return Err(unreadable(format!("fleet: {key}"), why));
             }
         }
-        Ok(Some(FleetView { fleet: file.fleet, times: Times { period, helpers } }))
+        Ok(Some(FleetView {
+            fleet: file.fleet,
+            timing: GossipTiming { probe_interval_us: period, indirect_probes: helpers },
+        }))
     }
 }
 
--- a/src/config/fleet/tests.rs
+++ b/src/config/fleet/tests.rs
@@ -6,10 +6,10 @@
         assert_eq!(FleetView::read(off).unwrap(), None);
     }
     let read = |text: &str| FleetView::read(&format!("enabled = true\n{text}"));
-    let usual = FleetView { fleet: "a".into(), times: Times::default() };
+    let usual = FleetView { fleet: "a".into(), timing: GossipTiming::default() };
     assert_eq!(read("fleet = \"a\"\n").unwrap(), Some(usual));
     let set = read("fleet = \"a\"\nperiod_ms = 500\nhelpers = 0\n").unwrap().unwrap();
-    assert_eq!(set.times, Times { period: 500_000, helpers: 0 });
+    assert_eq!(set.timing, GossipTiming { probe_interval_us: 500_000, indirect_probes: 0 });
     for (text, key) in [
         ("", "fleet"),
         ("fleet = \"a\"\nperiod_ms = 19\n", "period_ms"),
--- a/src/rehearsal/fleet/view.rs
+++ b/src/rehearsal/fleet/view.rs
@@ -6,7 +6,7 @@
 use crate::net::fleet::command::ask;
 use crate::rehearsal::stage::{Head, Setup, Site};
 use crate::rehearsal::{Failure, Outcome};
-use pathbank_coordination::gossip::member::Times;
+use pathbank_coordination::gossip::timing::GossipTiming;
 use std::net::{Ipv4Addr, SocketAddr, SocketAddrV4};
 use std::path::Path;
 use std::thread;
@@ -45,7 +45,7 @@
 
 /// So long after its last fault a view is promised to be settled.
 pub fn promised(heads: usize) -> Duration {
-    Duration::from_micros(Times::default().settled_within(heads))
+    Duration::from_micros(GossipTiming::default().convergence_bound(heads))
 }
 
 struct Heads<'a> {
--- a/tests/fleet_view.rs
+++ b/tests/fleet_view.rs
@@ -1,9 +1,10 @@
 //! The heads' view of the fleet in virtual time: a network that loses, delays, repeats and cuts, heads that
 //! end, stand still and come back, and a look at every head's view. The same seed plays the same run.
 
-use pathbank_coordination::gossip::datagram::{Datagram, Key, MOST_BYTES, Say};
-use pathbank_coordination::gossip::member::{Member, Output, Times};
-use pathbank_coordination::gossip::{Incarnation, Micros, Number, Record, State};
+use pathbank_coordination::gossip::datagram::{Body, Datagram, FleetKey, MAX_DATAGRAM_BYTES};
+use pathbank_coordination::gossip::node::{GossipNode, Output};
+use pathbank_coordination::gossip::timing::GossipTiming;
+use pathbank_coordination::gossip::{Incarnation, Micros, NodeId, NodeRecord, NodeState};
 use std::collections::{BTreeMap, BTreeSet};
 
 const MS: Micros = 1_000;
@@ -37,14 +38,14 @@
     now: Micros,
     serial: u64,
     events: BTreeMap<(Micros, u64), Event>,
-    heads: Vec<Option<Member>>,
+    heads: Vec<Option<GossipNode>>,
     /// What each one's clock of the day shows more than another's, in seconds.
     days: Vec<i64>,
     stopped: BTreeMap<usize, Micros>,
     /// From one to another, nothing arrives.
     cut: BTreeSet<(usize, usize)>,
     loss: u32,
-    key: Key,
+    key: FleetKey,
     bytes: u64,
     longest: usize,
     /// Since when a head that runs and answers has been thought dead by another, and for how long at the
@@ -94,7 +95,7 @@
             stopped: BTreeMap::new(),
             cut: BTreeSet::new(),
             loss,
-            key: Key::of("a fleet"),
+            key: FleetKey::derive("a fleet"),
             bytes: 0,
             longest: 0,
             wronged: BTreeMap::new(),
@@ -123,52 +124,52 @@
     fn start(&mut self, head: usize) {
         let seconds = (1_700_000_000 + (self.now / S) as i64 + self.days[head]) as u64;
         let times = match self.brk {
-            Break::Hasty => Times { period: MS, ..Times::default() },
-            _ => Times::default(),
+            Break::Hasty => GossipTiming { probe_interval_us: MS, ..GossipTiming::default() },
+            _ => GossipTiming::default(),
         };
         let seed = self.draw.u64(..);
         let heads = self.heads.len();
-        self.heads[head] = Some(Member::new(head as Number, heads, times, self.now, seconds, seed));
+        self.heads[head] = Some(GossipNode::new(head as NodeId, heads, times, self.now, seconds, seed));
         self.after(0, Event::Tick(head));
     }
 
     /// What a broken head says in place of what it should.
     fn broken(&self, mut said: Datagram) -> Option<Datagram> {
-        let first = |incarnation: Incarnation| Incarnation::of(incarnation.bits() >> 16 << 16);
-        let dead = |member: Number| {
-            let known = |head: &Option<Member>| head.as_ref()?.view().record(member);
+        let first = |incarnation: Incarnation| Incarnation::from_bits(incarnation.bits() >> 16 << 16);
+        let dead = |member: NodeId| {
+            let known = |head: &Option<GossipNode>| head.as_ref()?.view().record(member);
             known(&self.heads[usize::from(said.from)])
-                .is_none_or(|known| known.incarnation.none() || !known.state.runs())
+                .is_none_or(|known| known.incarnation.is_unknown() || !known.state.is_running())
         };
-        match (self.brk, &mut said.say) {
-            (Break::NoKnocks, Say::Ask(_)) if dead(said.to) => return None,
-            (Break::NoRepairs, Say::Blocks(_) | Say::Records(_)) => return None,
-            (Break::NoHelp, Say::AskFor { .. }) => return None,
+        match (self.brk, &mut said.body) {
+            (Break::NoKnocks, Body::Probe(_)) if dead(said.to) => return None,
+            (Break::NoRepairs, Body::BlockDigests(_) | Body::Repair(_)) => return None,
+            (Break::NoHelp, Body::IndirectProbe { .. }) => return None,
             (
                 Break::NoTells,
-                Say::Ask(records) | Say::Answer { records, .. } | Say::AskFor { records, .. },
+                Body::Probe(records) | Body::Ack { records, .. } | Body::IndirectProbe { records, .. },
             ) => {
                 records.clear();
             }
             (Break::NoLives, _) => said.incarnation = first(said.incarnation),
             (
                 Break::OldRumours,
-                Say::Ask(records)
-                | Say::Answer { records, .. }
-                | Say::AskFor { records, .. }
-                | Say::Records(records),
-            ) => records.iter_mut().filter(|(_, record)| record.state == State::Dead).for_each(
+                Body::Probe(records)
+                | Body::Ack { records, .. }
+                | Body::IndirectProbe { records, .. }
+                | Body::Repair(records),
+            ) => records.iter_mut().filter(|(_, record)| record.state == NodeState::Dead).for_each(
                 |(_, record)| {
-                    *record = Record { incarnation: record.incarnation.next(), state: State::Alive };
+                    *record = NodeRecord { incarnation: record.incarnation.next(), state: NodeState::Alive };
                 },
             ),
             _ => {}
         }
         if self.brk == Break::NoLives
-            && let Say::Ask(records)
-            | Say::Answer { records, .. }
-            | Say::AskFor { records, .. }
-            | Say::Records(records) = &mut said.say
+            && let Body::Probe(records)
+            | Body::Ack { records, .. }
+            | Body::IndirectProbe { records, .. }
+            | Body::Repair(records) = &mut said.body
         {
             records.iter_mut().for_each(|(_, record)| record.incarnation = first(record.incarnation));
         }
@@ -176,9 +177,9 @@
     }
 
     fn carry_out(&mut self, head: usize, out: Output) {
-        for said in out.send {
+        for said in out.datagrams {
             let Some(said) = self.broken(said) else { continue };
-            let (to, bytes) = (usize::from(said.to), said.bytes(&self.key));
+            let (to, bytes) = (usize::from(said.to), said.encode(&self.key));
             self.bytes += bytes.len() as u64;
             self.longest = self.longest.max(bytes.len());
             let lost = self.draw.u32(..100) < self.loss || self.cut.contains(&(head, to));
@@ -207,15 +208,15 @@
                 let now = self.now;
                 let Some(member) = &mut self.heads[head] else { return };
                 let out = member.tick(now);
-                let wait = member.next().saturating_sub(now).clamp(MS, 500 * MS);
+                let wait = member.next_tick_at().saturating_sub(now).clamp(MS, 500 * MS);
                 self.carry_out(head, out);
                 self.after(wait, Event::Tick(head));
             }
             Event::Deliver(head, bytes) => {
                 let now = self.now;
                 let Some(member) = &mut self.heads[head] else { return };
-                if let Ok(said) = Datagram::read(&bytes, &self.key) {
-                    let out = member.hear(now, said);
+                if let Ok(said) = Datagram::decode(&bytes, &self.key) {
+                    let out = member.step(now, said);
                     self.carry_out(head, out);
                 }
             }
@@ -287,7 +288,7 @@
 
     /// Every head that runs holds the same view, and it is true.
     fn settled(&self) -> bool {
-        let running: BTreeSet<Number> =
+        let running: BTreeSet<NodeId> =
             (0..).zip(&self.heads).filter(|(_, head)| head.is_some()).map(|(number, _)| number).collect();
         let mut digests = BTreeSet::new();
         self.heads.iter().flatten().all(|member| {
@@ -309,8 +310,8 @@
                 };
                 let excused = self.excused.get(&by).is_some_and(|at| self.now < at.saturating_add(grace));
                 let answers = self.heads[of].is_some() && !trouble(&of) && !excused;
-                doubts += u64::from(answers && record.state == State::Suspect);
-                if answers && record.state == State::Dead {
+                doubts += u64::from(answers && record.state == NodeState::Suspect);
+                if answers && record.state == NodeState::Dead {
                     wronged.insert((by, of), *self.wronged.get(&(by, of)).unwrap_or(&self.now));
                 }
             }
@@ -351,7 +352,7 @@
 
 /// The promise: so long after the last fault, by the number of heads.
 fn promised(heads: usize) -> Micros {
-    Times::default().settled_within(heads)
+    GossipTiming::default().convergence_bound(heads)
 }
 
 /// All heads start at one moment; then the faults; then rest. How long until the view has settled.
@@ -399,19 +400,20 @@
     let ids = all(heads);
     let three = [&ids[..third], &ids[third..2 * third], &ids[2 * third..]];
     let old = |to: usize| {
-        let record = Record { incarnation: Incarnation::began(1_600_000_000), state: State::Dead };
+        let record =
+            NodeRecord { incarnation: Incarnation::started_at(1_600_000_000), state: NodeState::Dead };
         Datagram {
-            from: last as Number,
-            to: to as Number,
-            incarnation: Incarnation::began(1_600_000_000),
+            from: last as NodeId,
+            to: to as NodeId,
+            incarnation: Incarnation::started_at(1_600_000_000),
             joined: true,
-            serial: 1,
+            sequence: 1,
             digest: 9,
-            about: Default::default(),
-            say: Say::Records((0..heads.min(20) as Number).map(|member| (member, record)).collect()),
+            status: Default::default(),
+            body: Body::Repair((0..heads.min(20) as NodeId).map(|member| (member, record)).collect()),
         }
     };
-    let key = Key::of("a fleet");
+    let key = FleetKey::derive("a fleet");
     let mut cases = vec![
         ("all start at one moment", vec![]),
         ("one dies", vec![at(0, Kill(last))]),
@@ -434,10 +436,10 @@
         (
             "what is foreign, cut, old or for another head",
             vec![
-                at(0, Raw(0, old(0).bytes(&Key::of("another fleet")))),
-                at(0, Raw(0, old(0).bytes(&key)[..50].to_vec())),
-                at(0, Raw(0, old(0).bytes(&key))),
-                at(0, Raw(0, old(heads).bytes(&key))),
+                at(0, Raw(0, old(0).encode(&FleetKey::derive("another fleet")))),
+                at(0, Raw(0, old(0).encode(&key)[..50].to_vec())),
+                at(0, Raw(0, old(0).encode(&key))),
+                at(0, Raw(0, old(heads).encode(&key))),
             ],
         ),
         ("two halves", [between(SETTLED, &ids[..half], &ids[half..]), vec![at(LONG, Heal)]].concat()),
@@ -482,7 +484,7 @@
         _ if world.loss == 0 && world.wrongs + world.doubts > 0 => {
             Some(format!("{} were wronged and {} doubted", world.wrongs, world.doubts))
         }
-        _ if world.longest > MOST_BYTES => Some(format!("a datagram had {} bytes", world.longest)),
+        _ if world.longest > MAX_DATAGRAM_BYTES => Some(format!("a datagram had {} bytes", world.longest)),
         _ => None,
     }
 }
