--- a/benches/agree.rs
+++ b/benches/agree.rs
@@ -1,23 +1,23 @@
-//! What agreement costs on disk: so many revisions (1,000,000 by default; `AGREE_REVISIONS`), their size, a start on them, a
-//! check of them all; and documents: 10,000 made and changed by one edit each.
+//! What agreement costs on disk: so many revisions (1,000,000 by default; `AGREE_REVISIONS`), their size, a
+//! start on them, a check of them all; and documents: 10,000 made and changed by one edit each.
 //!
 //! `cargo bench --bench agree`
 
-use pathbank::agree::archive::Chain;
-use pathbank::agree::document::{Edit, Part, Value};
-use pathbank::agree::ledger::Ledger;
-use pathbank::agree::voter::{Save, Voter, Voters};
-use pathbank::agree::{Command, Entry, Times};
+use pathbank::agree::archive::DigestChain;
+use pathbank::agree::document::{DocumentChange, Edit, Value};
+use pathbank::agree::document_state::DocumentState;
+use pathbank::agree::voter::{PersistentChange, Voter, Voters};
+use pathbank::agree::{Command, Entry, Timings};
 use pathbank::net::agree::archive::Archive;
 use pathbank::net::agree::disk::{Disk, path};
 use std::collections::BTreeMap;
 use std::time::Instant;
 
-const AT_ONCE: u64 = 1_000;
+const BATCH: u64 = 1_000;
 
 fn edit(id: u64, base: u64) -> Entry {
     let value = Value::Limit { rate: 10.0 + (id % 90) as f64, least: 1.0 };
-    let part = Part { base, changes: BTreeMap::from([("limit".to_string(), Some(value))]) };
+    let part = DocumentChange { base, changes: BTreeMap::from([("limit".to_string(), Some(value))]) };
     let parts = BTreeMap::from([(format!("plan/p{}", id % 100), part)]);
     let edit = Edit {
         id,
@@ -43,22 +43,21 @@
     Disk::create(&folder, 1).expect("a new disk");
     let (mut disk, saved) = Disk::open(&folder, 1 << 40).expect("it opens");
     let voters = Voters::from([(1, String::new())]);
-    let mut voter = Voter::new(1, &voters, Times::default(), saved, 0, 0);
+    let mut voter = Voter::new(1, &voters, Timings::default(), saved, 0, 0);
     let out = voter.tick(2_000_000, 0);
     disk.save(&out.save).expect("it is saved");
-    let mut saves: Vec<Save> = Vec::new();
+    let mut saves: Vec<PersistentChange> = Vec::new();
     told(
-        &format!(
-            "{revisions} revisions by one voter, {AT_ONCE} at once, each with what brings it into force"
-        ),
+        &format!("{revisions} revisions by one voter, {BATCH} at once, each with what brings it into force"),
         || {
-            // Past the leases that it may have given in an earlier start: each edit is in force as soon as it counts.
+            // Past the leases that it may have given in an earlier start: each edit is in force as soon as it
+            // counts.
             let now = 200_000_000;
             for id in 0..revisions {
                 let Entry { command: Command::Edit(edit), .. } = edit(id, id / 100) else { unreachable!() };
                 let out = voter.propose(now, edit).expect("it leads");
                 saves.extend(out.save);
-                if id % AT_ONCE == AT_ONCE - 1 {
+                if id % BATCH == BATCH - 1 {
                     disk.save(&std::mem::take(&mut saves)).expect("they are saved");
                 }
             }
@@ -67,9 +66,9 @@
     );
     println!(
         "documents {}, entries {}, in force up to {}",
-        voter.ledger().documents().count(),
-        voter.last(),
-        voter.ledger().active()
+        voter.state().documents().count(),
+        voter.last_index(),
+        voter.state().active()
     );
     println!("held in memory: {} entries", voter.saved().log.len());
     drop(disk);
@@ -77,7 +76,8 @@
     println!("on disk: {bytes} bytes, {} a revision", bytes / revisions.max(1));
     let (disk, saved) = told("a start on it", || Disk::open(&folder, 1 << 40).expect("it opens"));
     println!("entries read at the start: {}", saved.log.len());
-    let found = told("a check of every digest", || disk.verify(Chain::default()).expect("it is read").done());
+    let found =
+        told("a check of every digest", || disk.verify(DigestChain::default()).expect("it is read").done());
     println!("{found:?}");
     let (mut disk, archive, keep) = (disk, Archive::beside(&folder), 100_000);
     let mut longest = 0.0_f64;
@@ -92,7 +92,7 @@
     });
     println!("the longest segment: {longest:.3} s");
     let found = told("a check of both", || {
-        let mut chain = Chain::default();
+        let mut chain = DigestChain::default();
         archive.follow(&mut chain).expect("it is read");
         disk.verify(chain).expect("it is read").done()
     });
@@ -102,21 +102,23 @@
 
     let all = |base: u64, text: &str| {
         let change = || BTreeMap::from([("weight".to_string(), Some(Value::Plain(text.to_string())))]);
-        let parts = (0..10_000).map(|i| (format!("plan/p{i}"), Part { base, changes: change() })).collect();
+        let parts =
+            (0..10_000).map(|i| (format!("plan/p{i}"), DocumentChange { base, changes: change() })).collect();
         let edit = Edit { id: base, parts, who: "operator".into(), why: "all".into(), at_ms: 0 };
         Entry { term: 1, command: Command::Edit(edit) }
     };
-    let (mut ledger, made, changed) = (Ledger::default(), all(0, "1"), all(1, "2"));
-    ledger.apply(&made);
-    ledger.apply(&Entry { term: 1, command: Command::Activate(1) });
+    let (mut state, made, changed) = (DocumentState::default(), all(0, "1"), all(1, "2"));
+    state.apply(&made);
+    state.apply(&Entry { term: 1, command: Command::ActivateUpTo(1) });
     println!(
         "one edit of 10,000 documents: {} bytes",
         serde_json::to_vec(&changed).expect("it is written").len()
     );
-    told("read by a head", || ledger.apply(&changed));
-    told("brought into force", || ledger.apply(&Entry { term: 1, command: Command::Activate(3) }));
-    let whole = told("written as a snapshot", || serde_json::to_vec(&ledger).expect("it is written"));
+    told("read by a head", || state.apply(&changed));
+    told("brought into force", || state.apply(&Entry { term: 1, command: Command::ActivateUpTo(3) }));
+    let whole = told("written as a snapshot", || serde_json::to_vec(&state).expect("it is written"));
     println!("snapshot: {} bytes", whole.len());
-    let same = told("read as a snapshot", || serde_json::from_slice::<Ledger>(&whole).expect("it is read"));
-    assert!(same == ledger && ledger.documents().all(|(_, document)| document.version == 2));
+    let same =
+        told("read as a snapshot", || serde_json::from_slice::<DocumentState>(&whole).expect("it is read"));
+    assert!(same == state && state.documents().all(|(_, document)| document.version == 2));
 }
--- a/src/agree/archive.rs
+++ b/src/agree/archive.rs
@@ -1,52 +1,53 @@
-//! Which old entries leave a voter's log for its archive, and whether what is left, here and there, is what was written.
-//! No I/O: whoever holds the files says what is in them.
+//! Which old entries leave a voter's log for its archive, and whether what is left, here and there, is what
+//! was written. No I/O: whoever holds the files says what is in them.
 
-use super::ledger::{Digest, digest_after};
+use super::document_state::{Digest, next_digest};
 use super::{Entry, Index};
 use serde::{Deserialize, Serialize};
 
-/// So many entries at the most leave at once, and no further one beyond so many bytes: a voter stands still meanwhile.
-pub const SEGMENT: u64 = 4_096;
-pub const SEGMENT_BYTES: usize = 4 * 1024 * 1024;
+/// So many entries at the most leave at once, and no further one beyond so many bytes: a voter stands still
+/// meanwhile.
+pub const MAX_SEGMENT_ENTRIES: u64 = 4_096;
+pub const MAX_SEGMENT_BYTES: usize = 4 * 1024 * 1024;
 /// Digits of an index in a segment's name: names are in the entries' order.
 const DIGITS: usize = 20;
-const ENDING: &str = ".jsonl";
+const EXTENSION: &str = ".jsonl";
 
 /// Entries that lie together in one segment, the first and the last one.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
-pub struct Span {
+pub struct EntryRange {
     pub from: Index,
     pub to: Index,
 }
 
-impl Span {
+impl EntryRange {
     pub fn name(&self) -> String {
-        format!("{:0DIGITS$}-{:0DIGITS$}{ENDING}", self.from, self.to)
+        format!("{:0DIGITS$}-{:0DIGITS$}{EXTENSION}", self.from, self.to)
     }
 
     /// `None`: that is no segment's name.
-    pub fn of(name: &str) -> Option<Span> {
-        let (from, to) = name.strip_suffix(ENDING)?.split_once('-')?;
+    pub fn of(name: &str) -> Option<EntryRange> {
+        let (from, to) = name.strip_suffix(EXTENSION)?.split_once('-')?;
         let index = |text: &str| (text.len() == DIGITS).then(|| text.parse().ok()).flatten();
         let (from, to): (Index, Index) = (index(from)?, index(to)?);
-        (from >= 1 && from <= to).then_some(Span { from, to })
+        (from >= 1 && from <= to).then_some(EntryRange { from, to })
     }
 }
 
-/// Entries that may leave a log which begins with `first`: those that the ledger up to `base` stands for, but for the last
-/// `keep` of them, and only where they fill a segment. `None`: all stay.
-pub fn leaves(first: Index, base: Index, keep: u64) -> Option<Span> {
-    let to = first + SEGMENT.min(keep.max(1)) - 1;
-    (first >= 1 && to.saturating_add(keep) <= base).then_some(Span { from: first, to })
+/// Entries that may leave a log which begins with `first`: those that the ledger up to `base` stands for, but
+/// for the last `keep` of them, and only where they fill a segment. `None`: all stay.
+pub fn next_segment(first: Index, base: Index, keep: u64) -> Option<EntryRange> {
+    let to = first + MAX_SEGMENT_ENTRIES.min(keep.max(1)) - 1;
+    (first >= 1 && to.saturating_add(keep) <= base).then_some(EntryRange { from: first, to })
 }
 
 /// What a check of all entries found.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
-pub struct Verified {
+pub struct Verification {
     pub entries: u64,
     pub last: Index,
-    /// Entries that are not here, from and to: all that they came to was taken over from another voter, or their segment was
-    /// moved away.
+    /// Entries that are not here, from and to: all that they came to was taken over from another voter, or
+    /// their segment was moved away.
     pub gaps: Vec<(Index, Index)>,
     /// The first entry that is not what was written.
     pub wrong: Option<Index>,
@@ -54,13 +55,13 @@
 
 /// Follows the digest of each entry and all before it, over segments and log.
 #[derive(Debug, Default)]
-pub struct Chain {
-    found: Verified,
+pub struct DigestChain {
+    found: Verification,
     digest: Digest,
 }
 
-impl Chain {
-    pub fn done(self) -> Verified {
+impl DigestChain {
+    pub fn done(self) -> Verification {
         self.found
     }
 
@@ -78,9 +79,10 @@
         self.found.wrong.get_or_insert(index);
     }
 
-    /// The next entry with the digest that is told of it; `None`: it cannot be read. `before`: the digest of all in front of
-    /// it, for where that is not here. False: it is not what was written, and no other needs to be looked at. One that was
-    /// followed already is passed over: a voter may die between the copy and the end of an old entry.
+    /// The next entry with the digest that is told of it; `None`: it cannot be read. `before`: the digest of
+    /// all in front of it, for where that is not here. False: it is not what was written, and no other needs
+    /// to be looked at. One that was followed already is passed over: a voter may die between the copy and
+    /// the end of an old entry.
     pub fn follow(
         &mut self,
         index: Index,
@@ -103,7 +105,7 @@
                 }
             }
         }
-        let sound = told.filter(|(digest, entry)| **digest == digest_after(&self.digest, entry));
+        let sound = told.filter(|(digest, entry)| **digest == next_digest(&self.digest, entry));
         let Some((digest, _)) = sound else {
             self.fail(index);
             return false;
--- a/src/agree/archive/tests.rs
+++ b/src/agree/archive/tests.rs
@@ -3,7 +3,7 @@
 
 #[test]
 fn old_entries_leave_in_whole_segments_and_the_last_ones_stay() {
-    let span = |from, to| Some(Span { from, to });
+    let span = |from, to| Some(EntryRange { from, to });
     for (first, base, keep, due) in [
         (1, 100, 50, span(1, 50)),
         (1, 99, 50, None),
@@ -17,16 +17,20 @@
         (0, 100, 1, None),
         (1, 100, u64::MAX, None),
     ] {
-        assert_eq!(leaves(first, base, keep), due, "{first} {base} {keep}");
+        assert_eq!(next_segment(first, base, keep), due, "{first} {base} {keep}");
     }
 }
 
 #[test]
 fn names_are_read_back_in_order_and_others_are_none() {
-    let spans = [Span { from: 1, to: 9 }, Span { from: 10, to: 99 }, Span { from: 100, to: u64::MAX }];
+    let spans = [
+        EntryRange { from: 1, to: 9 },
+        EntryRange { from: 10, to: 99 },
+        EntryRange { from: 100, to: u64::MAX },
+    ];
     let names = spans.map(|span| span.name());
     assert!(names.is_sorted());
-    assert_eq!(names.each_ref().map(|name| Span::of(name)), spans.map(Some));
+    assert_eq!(names.each_ref().map(|name| EntryRange::of(name)), spans.map(Some));
     let name = &names[0];
     for other in [
         "",
@@ -36,17 +40,17 @@
         &name[1..],
         &name.replacen("01-", "00-", 1),
         &name.replacen("01-", "0x-", 1),
-        &Span { from: 5, to: 4 }.name(),
+        &EntryRange { from: 5, to: 4 }.name(),
     ] {
-        assert_eq!(Span::of(other), None, "{other}");
+        assert_eq!(EntryRange::of(other), None, "{other}");
     }
 }
 
 #[test]
 fn a_chain_names_the_first_entry_that_is_not_what_was_written() {
-    let entry = |term| Entry { term, command: Command::Begin };
+    let entry = |term| Entry { term, command: Command::Noop };
     let mut digests = vec![Digest::default()];
-    (1..=9).for_each(|i| digests.push(digest_after(&digests[i - 1], &entry(i as u64))));
+    (1..=9).for_each(|i| digests.push(next_digest(&digests[i - 1], &entry(i as u64))));
     // Entries as they are told, those of a pair with another term than was written; and what is found.
     type Row = (&'static [(u64, u64)], bool, u64, &'static [(u64, u64)], Option<u64>);
     let rows: &[Row] = &[
@@ -58,7 +62,7 @@
         (&[(1, 1), (4, 5)], true, 1, &[(2, 3)], Some(4)),
     ];
     for (told, known, entries, gaps, wrong) in rows {
-        let mut chain = Chain::default();
+        let mut chain = DigestChain::default();
         for (index, term) in *told {
             let before = || known.then(|| digests[*index as usize - 1]);
             chain.follow(*index, Some((&digests[*index as usize], &entry(*term))), before);
--- a/src/agree/document.rs
+++ b/src/agree/document.rs
@@ -1,5 +1,5 @@
-//! Documents, their fields, and how strict each value is. Whoever does not know which of several values is in force acts
-//! by one that none of them forbids.
+//! Documents, their fields, and how strict each value is. Whoever does not know which of several values is in
+//! force acts by one that none of them forbids.
 
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
@@ -34,13 +34,13 @@
 
 /// How fresh a head's knowledge is.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub enum Level {
+pub enum LeaseLevel {
     /// Neither lease runs.
-    Bottom,
+    NoLease,
     /// The long lease runs.
-    Loose,
+    LongLease,
     /// Both do.
-    Held,
+    FullLease,
 }
 
 impl Value {
@@ -54,7 +54,7 @@
         }
     }
 
-    /// What neither of two values forbids. Of two kinds there is none but what a head does at `Bottom`.
+    /// What neither of two values forbids. Of two kinds there is none but what a head does at `NoLease`.
     pub fn safe(&self, other: &Value) -> Value {
         match (self, other) {
             (Value::Limit { rate: a, least: c }, Value::Limit { rate: b, least: d }) => {
@@ -65,26 +65,28 @@
             (Value::Node(a), Value::Node(b)) => Value::Node(*a && *b),
             (_, Value::Plain(_)) => other.clone(),
             (a, b) if a.kind() == b.kind() => a.clone(),
-            _ => other.at(Level::Bottom),
+            _ => other.at(LeaseLevel::NoLease),
         }
     }
 
     /// What a head acts on that knows this value, by how fresh that knowledge is.
-    pub fn at(&self, level: Level) -> Value {
+    pub fn at(&self, level: LeaseLevel) -> Value {
         match (self, level) {
-            (value, Level::Held) => value.clone(),
-            (Value::Limit { least, .. }, Level::Loose) => Value::Limit { rate: *least, least: *least },
-            (Value::Limit { .. }, Level::Bottom) => Value::Limit { rate: 0.0, least: 0.0 },
+            (value, LeaseLevel::FullLease) => value.clone(),
+            (Value::Limit { least, .. }, LeaseLevel::LongLease) => {
+                Value::Limit { rate: *least, least: *least }
+            }
+            (Value::Limit { .. }, LeaseLevel::NoLease) => Value::Limit { rate: 0.0, least: 0.0 },
             (Value::Attempts(_), _) => Value::Attempts(1),
             (Value::Repeats(_), _) => Value::Repeats(Repeats::Never),
-            (Value::Node(takes), Level::Loose) => Value::Node(*takes),
-            (Value::Node(_), Level::Bottom) => Value::Node(false),
+            (Value::Node(takes), LeaseLevel::LongLease) => Value::Node(*takes),
+            (Value::Node(_), LeaseLevel::NoLease) => Value::Node(false),
             (Value::Plain(_), _) => self.clone(),
         }
     }
 
     /// Whether whoever acts on this keeps to that as well: the promise, field by field.
-    pub fn keeps_to(&self, other: &Value) -> bool {
+    pub fn satisfies(&self, other: &Value) -> bool {
         match (self, other) {
             (Value::Limit { rate: a, .. }, Value::Limit { rate: b, .. }) => a <= b,
             (Value::Attempts(a), Value::Attempts(b)) => a <= b,
@@ -95,12 +97,13 @@
         }
     }
 
-    /// Whether a head at `Loose` that knows this one would not keep to that one: only then have long leases to end.
-    fn needs_long(&self, other: &Value) -> bool {
-        !self.at(Level::Loose).keeps_to(other)
+    /// Whether a head at `LongLease` that knows this one would not keep to that one: only then have long
+    /// leases to end.
+    fn needs_long_lease(&self, other: &Value) -> bool {
+        !self.at(LeaseLevel::LongLease).satisfies(other)
     }
 
-    fn fault(&self) -> Option<&'static str> {
+    fn validation_error(&self) -> Option<&'static str> {
         match self {
             Value::Limit { rate, least } if !(rate.is_finite() && least.is_finite()) => {
                 Some("a limit is a finite number")
@@ -123,12 +126,13 @@
     changed: BTreeMap<String, u64>,
 }
 
-/// Some fields of documents, changed by somebody who saw each of these at its version `base`. All of it or nothing.
+/// Some fields of documents, changed by somebody who saw each of these at its version `base`. All of it or
+/// nothing.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Edit {
     /// Whoever sends it again sends the same: it counts once.
     pub id: u64,
-    pub parts: BTreeMap<String, Part>,
+    pub parts: BTreeMap<String, DocumentChange>,
     pub who: String,
     pub why: String,
     /// Unix milliseconds at whoever made it: told, never decided by.
@@ -138,26 +142,28 @@
 /// What an edit changes of one document.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
-pub struct Part {
+pub struct DocumentChange {
     pub base: u64,
     /// `None`: the field is taken out.
     pub changes: BTreeMap<String, Option<Value>>,
 }
 
 /// About how many bytes a field takes beside its name.
-const FIELD_BYTES: usize = 48;
+const FIELD_OVERHEAD_BYTES: usize = 48;
 
 impl Edit {
     pub fn weight(&self) -> usize {
-        let part = |(name, part): (&String, &Part)| {
-            name.len() + FIELD_BYTES + part.changes.keys().map(|name| name.len() + FIELD_BYTES).sum::<usize>()
+        let part = |(name, part): (&String, &DocumentChange)| {
+            name.len()
+                + FIELD_OVERHEAD_BYTES
+                + part.changes.keys().map(|name| name.len() + FIELD_OVERHEAD_BYTES).sum::<usize>()
         };
-        self.who.len() + self.why.len() + FIELD_BYTES + self.parts.iter().map(part).sum::<usize>()
+        self.who.len() + self.why.len() + FIELD_OVERHEAD_BYTES + self.parts.iter().map(part).sum::<usize>()
     }
 }
 
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub enum Rejected {
+pub enum EditRejection {
     /// Somebody else changed these fields since `base`.
     Conflict(Vec<String>),
     /// A document has no such version yet.
@@ -175,37 +181,41 @@
     Full,
 }
 
-impl Rejected {
+impl EditRejection {
     /// The same with the document named.
-    pub fn of(self, document: &str) -> Rejected {
+    pub fn of(self, document: &str) -> EditRejection {
         let named = |field: String| format!("{document}.{field}");
         match self {
-            Rejected::Conflict(fields) => Rejected::Conflict(fields.into_iter().map(named).collect()),
-            Rejected::Fault { field, what } => Rejected::Fault { field: named(field), what },
-            Rejected::Kind { field } => Rejected::Kind { field: named(field) },
+            EditRejection::Conflict(fields) => {
+                EditRejection::Conflict(fields.into_iter().map(named).collect())
+            }
+            EditRejection::Fault { field, what } => EditRejection::Fault { field: named(field), what },
+            EditRejection::Kind { field } => EditRejection::Kind { field: named(field) },
             other => other,
         }
     }
 }
 
-impl fmt::Display for Rejected {
+impl fmt::Display for EditRejection {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            Rejected::Conflict(fields) => write!(f, "changed by somebody else since: {}", fields.join(", ")),
-            Rejected::Ahead => write!(f, "its base is a version that does not exist"),
-            Rejected::Fault { field, what } => write!(f, "{field}: {what}"),
-            Rejected::Kind { field } => {
+            EditRejection::Conflict(fields) => {
+                write!(f, "changed by somebody else since: {}", fields.join(", "))
+            }
+            EditRejection::Ahead => write!(f, "its base is a version that does not exist"),
+            EditRejection::Fault { field, what } => write!(f, "{field}: {what}"),
+            EditRejection::Kind { field } => {
                 write!(f, "{field}: its kind of value cannot change, nor be taken out")
             }
-            Rejected::Empty => write!(f, "it changes nothing"),
-            Rejected::Full => write!(f, "all documents together would be larger than may be"),
+            EditRejection::Empty => write!(f, "it changes nothing"),
+            EditRejection::Full => write!(f, "all documents together would be larger than may be"),
         }
     }
 }
 
 impl Document {
     pub fn weight(&self) -> usize {
-        self.fields.keys().map(|name| name.len() + FIELD_BYTES).sum()
+        self.fields.keys().map(|name| name.len() + FIELD_OVERHEAD_BYTES).sum()
     }
 
     /// The version that last changed a field.
@@ -214,17 +224,17 @@
     }
 
     /// The document after an edit. Edits on one base go together where they touch different fields.
-    pub fn edited(&self, edit: &Part) -> Result<Document, Rejected> {
+    pub fn edited(&self, edit: &DocumentChange) -> Result<Document, EditRejection> {
         if edit.changes.is_empty() {
-            return Err(Rejected::Empty);
+            return Err(EditRejection::Empty);
         }
         if edit.base > self.version {
-            return Err(Rejected::Ahead);
+            return Err(EditRejection::Ahead);
         }
         let since = |field: &&String| self.changed.get(*field).is_some_and(|version| *version > edit.base);
         let conflicts: Vec<String> = edit.changes.keys().filter(since).cloned().collect();
         if !conflicts.is_empty() {
-            return Err(Rejected::Conflict(conflicts));
+            return Err(EditRejection::Conflict(conflicts));
         }
         let mut after = self.clone();
         after.version += 1;
@@ -236,10 +246,10 @@
                 (None, _) => true,
             };
             if !same_kind {
-                return Err(Rejected::Kind { field: field.clone() });
+                return Err(EditRejection::Kind { field: field.clone() });
             }
-            if let Some(what) = change.as_ref().and_then(Value::fault) {
-                return Err(Rejected::Fault { field: field.clone(), what: what.into() });
+            if let Some(what) = change.as_ref().and_then(Value::validation_error) {
+                return Err(EditRejection::Fault { field: field.clone(), what: what.into() });
             }
             match change {
                 Some(value) => drop(after.fields.insert(field.clone(), value.clone())),
@@ -250,11 +260,11 @@
         Ok(after)
     }
 
-    /// Whether heads that know only this one could act against `after` on their long leases. A rule that is new is known
-    /// to nobody who has not prepared for it: they act without.
-    pub fn needs_long(&self, after: &Document) -> bool {
+    /// Whether heads that know only this one could act against `after` on their long leases. A rule that is
+    /// new is known to nobody who has not prepared for it: they act without.
+    pub fn needs_long_lease(&self, after: &Document) -> bool {
         after.fields.iter().any(|(field, value)| match self.fields.get(field) {
-            Some(before) => before.needs_long(value),
+            Some(before) => before.needs_long_lease(value),
             None => !matches!(value, Value::Plain(_)),
         })
     }
--- a/src/agree/document/tests.rs
+++ b/src/agree/document/tests.rs
@@ -13,25 +13,28 @@
 fn a_safe_reading_keeps_to_both_and_less_knowledge_is_never_laxer() {
     for a in values() {
         assert!(
-            a.keeps_to(&a)
-                && a.at(Level::Loose).keeps_to(&a)
-                && a.at(Level::Bottom).keeps_to(&a.at(Level::Loose))
+            a.satisfies(&a)
+                && a.at(LeaseLevel::LongLease).satisfies(&a)
+                && a.at(LeaseLevel::NoLease).satisfies(&a.at(LeaseLevel::LongLease))
         );
         for b in values().into_iter().filter(|b| b.kind() == a.kind()) {
             let safe = a.safe(&b);
-            assert!(safe.keeps_to(&a) && safe.keeps_to(&b), "{a:?} {b:?}: {safe:?}");
-            assert!(a.at(Level::Bottom).keeps_to(&b), "{a:?} {b:?}: bottom contradicts nothing");
+            assert!(safe.satisfies(&a) && safe.satisfies(&b), "{a:?} {b:?}: {safe:?}");
+            assert!(a.at(LeaseLevel::NoLease).satisfies(&b), "{a:?} {b:?}: bottom contradicts nothing");
             // Where long leases need not end, whoever runs on one keeps to both.
-            assert!(a.needs_long(&b) || a.at(Level::Loose).keeps_to(&b), "{a:?} {b:?}");
+            assert!(a.needs_long_lease(&b) || a.at(LeaseLevel::LongLease).satisfies(&b), "{a:?} {b:?}");
             for c in values().into_iter().filter(|c| c.kind() == a.kind()) {
-                assert!(!(a.keeps_to(&b) && b.keeps_to(&c)) || a.keeps_to(&c), "{a:?} {b:?} {c:?}");
+                assert!(!(a.satisfies(&b) && b.satisfies(&c)) || a.satisfies(&c), "{a:?} {b:?} {c:?}");
             }
         }
     }
 }
 
-fn edit(base: u64, changes: &[(&str, Option<Value>)]) -> Part {
-    Part { base, changes: changes.iter().map(|(field, value)| (field.to_string(), value.clone())).collect() }
+fn edit(base: u64, changes: &[(&str, Option<Value>)]) -> DocumentChange {
+    DocumentChange {
+        base,
+        changes: changes.iter().map(|(field, value)| (field.to_string(), value.clone())).collect(),
+    }
 }
 
 #[test]
@@ -44,26 +47,26 @@
     assert_eq!((three.version, three.fields["a"].clone()), (3, limit(4.0).unwrap()));
     assert_eq!(three.fields["b"], Value::Attempts(2), "neither edit drops the other's field");
     for (edit, wanted) in [
-        (edit(1, &[("a", limit(9.0))]), Rejected::Conflict(vec!["a".into()])),
-        (edit(4, &[("a", limit(9.0))]), Rejected::Ahead),
-        (edit(3, &[]), Rejected::Empty),
+        (edit(1, &[("a", limit(9.0))]), EditRejection::Conflict(vec!["a".into()])),
+        (edit(4, &[("a", limit(9.0))]), EditRejection::Ahead),
+        (edit(3, &[]), EditRejection::Empty),
         (
             edit(3, &[("a", limit(0.5))]),
-            Rejected::Fault {
+            EditRejection::Fault {
                 field: "a".into(),
                 what: "a limit is at least its `least`, which is at least 0".into(),
             },
         ),
         (
             edit(3, &[("a", limit(f64::NAN))]),
-            Rejected::Fault { field: "a".into(), what: "a limit is a finite number".into() },
+            EditRejection::Fault { field: "a".into(), what: "a limit is a finite number".into() },
         ),
         (
             edit(3, &[("b", Some(Value::Attempts(0)))]),
-            Rejected::Fault { field: "b".into(), what: "there is one attempt at least".into() },
+            EditRejection::Fault { field: "b".into(), what: "there is one attempt at least".into() },
         ),
-        (edit(3, &[("a", None)]), Rejected::Kind { field: "a".into() }),
-        (edit(3, &[("a", Some(Value::Node(true)))]), Rejected::Kind { field: "a".into() }),
+        (edit(3, &[("a", None)]), EditRejection::Kind { field: "a".into() }),
+        (edit(3, &[("a", Some(Value::Node(true)))]), EditRejection::Kind { field: "a".into() }),
     ] {
         assert_eq!(three.edited(&edit), Err(wanted), "{edit:?}");
     }
@@ -83,7 +86,10 @@
         (Value::Node(false), Value::Node(true), false),
         (Value::Plain("a".into()), Value::Plain("b".into()), false),
     ] {
-        assert_eq!(with(before.clone()).needs_long(&with(after.clone())), long, "{before:?} {after:?}");
+        assert_eq!(with(before.clone()).needs_long_lease(&with(after.clone())), long, "{before:?} {after:?}");
     }
-    assert!(Document::default().needs_long(&with(Value::Attempts(1))), "a new rule is known to nobody else");
+    assert!(
+        Document::default().needs_long_lease(&with(Value::Attempts(1))),
+        "a new rule is known to nobody else"
+    );
 }
--- a/src/agree/ledger.rs
+++ b/src/agree/document_state.rs
@@ -1,7 +1,8 @@
-//! What the committed part of the log says: the documents in force, and the edits that are prepared and not in force yet.
-//! Every voter and head that has read the same entries knows the same, and has the same digest of all that it read.
+//! What the committed part of the log says: the documents in force, and the edits that are prepared and not
+//! in force yet. Every voter and head that has read the same entries knows the same, and has the same digest
+//! of all that it read.
 
-use super::document::{Document, Edit, Rejected, Value};
+use super::document::{Document, Edit, EditRejection, Value};
 use super::voter::Voters;
 use super::{Command, Entry, Index};
 use ring::digest;
@@ -9,15 +10,16 @@
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use std::sync::Arc;
 
-/// So many edits are told apart from those that come a second time; an older one that comes again meets its own base.
-const RESULTS: usize = 4_096;
+/// So many edits are told apart from those that come a second time; an older one that comes again meets its
+/// own base.
+const MAX_RESULTS: usize = 4_096;
 /// Documents together, in bytes as they are counted here: what a head can hold, and one message can carry.
-const MOST_WEIGHT: usize = 4 * 1024 * 1024;
+const MAX_DOCUMENTS_BYTES: usize = 4 * 1024 * 1024;
 
 /// Over an entry and all before it.
 pub type Digest = [u8; 32];
 
-pub fn digest_after(before: &Digest, entry: &Entry) -> Digest {
+pub fn next_digest(before: &Digest, entry: &Entry) -> Digest {
     let mut context = digest::Context::new(&digest::SHA256);
     context.update(before);
     // Fields are in their order and maps in that of their keys: the same entry is the same bytes everywhere.
@@ -39,16 +41,17 @@
 }
 
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
-pub struct Ledger {
-    /// Entries read so far.
-    read: Index,
+pub struct DocumentState {
+    /// The last entry that was applied.
+    #[serde(rename = "read")]
+    applied: Index,
     digest: Digest,
     /// The last edit in force.
     active: Index,
     in_force: BTreeMap<String, Arc<Document>>,
     pending: VecDeque<Pending>,
     /// What became of the last edits, by id and in their order.
-    results: BTreeMap<u64, Result<Index, Rejected>>,
+    results: BTreeMap<u64, Result<Index, EditRejection>>,
     order: VecDeque<u64>,
     weight: usize,
     /// Who votes, and the entry that said so; `None`: those that all were started with.
@@ -56,9 +59,10 @@
     voters_at: Index,
 }
 
-impl Ledger {
-    pub fn read(&self) -> Index {
-        self.read
+impl DocumentState {
+    /// The last entry that was applied.
+    pub fn applied(&self) -> Index {
+        self.applied
     }
 
     pub fn digest(&self) -> &Digest {
@@ -90,7 +94,8 @@
         self.in_force.keys().chain(pending).map(String::as_str)
     }
 
-    /// Who votes, as far as this log says. Counts from its entry on: each change waits until all know of the last one.
+    /// Who votes, as far as this log says. Counts from its entry on: each change waits until all know of the
+    /// last one.
     pub fn latest_voters(&self) -> Option<&Voters> {
         self.voters.as_ref()
     }
@@ -105,7 +110,7 @@
     }
 
     /// The entry that an edit made, once it is committed.
-    pub fn result(&self, id: u64) -> Option<&Result<Index, Rejected>> {
+    pub fn result(&self, id: u64) -> Option<&Result<Index, EditRejection>> {
         self.results.get(&id)
     }
 
@@ -114,31 +119,32 @@
         self.pending.back().map_or(self.active, |pending| pending.index)
     }
 
-    /// The first edit behind `known` on which a head that knows no more could act against, on its short or long lease.
-    pub fn first_against(&self, known: Index, long_only: bool) -> Option<Index> {
+    /// The first edit behind `known` on which a head that knows no more could act against, on its short or
+    /// long lease.
+    pub fn first_conflict(&self, known: Index, long_only: bool) -> Option<Index> {
         let against = |pending: &&Pending| pending.index > known && (pending.long || !long_only);
         self.pending.iter().find(against).map(|pending| pending.index)
     }
 
     /// The last edit up to there.
-    pub fn last_edit_to(&self, index: Index) -> Option<Index> {
+    pub fn last_pending_up_to(&self, index: Index) -> Option<Index> {
         self.pending.iter().rev().map(|pending| pending.index).find(|edit| *edit <= index)
     }
 
     /// The next entry. The same log gives the same ledger, whoever reads it.
     pub fn apply(&mut self, entry: &Entry) {
-        self.read += 1;
-        self.digest = digest_after(&self.digest, entry);
+        self.applied += 1;
+        self.digest = next_digest(&self.digest, entry);
         match &entry.command {
-            Command::Begin => {}
+            Command::Noop => {}
             Command::Edit(edit) => self.edit(edit),
             Command::Voters(voters) => {
-                (self.voters, self.voters_at) = (Some(voters.clone()), self.read);
+                (self.voters, self.voters_at) = (Some(voters.clone()), self.applied);
                 let after = BTreeMap::new();
-                self.pending.push_back(Pending { index: self.read, after, voters: true, long: true });
+                self.pending.push_back(Pending { index: self.applied, after, voters: true, long: true });
             }
-            Command::Activate(to) => {
-                let to = (*to).min(self.read);
+            Command::ActivateUpTo(to) => {
+                let to = (*to).min(self.applied);
                 while let Some(pending) = self.pending.pop_front_if(|pending| pending.index <= to) {
                     self.active = pending.index;
                     self.in_force.extend(pending.after);
@@ -154,11 +160,11 @@
         let result = self.edited(edit).map(|(pending, weight)| {
             self.pending.push_back(pending);
             self.weight = weight;
-            self.read
+            self.applied
         });
         self.results.insert(edit.id, result);
         self.order.push_back(edit.id);
-        if self.order.len() > RESULTS
+        if self.order.len() > MAX_RESULTS
             && let Some(oldest) = self.order.pop_front()
         {
             self.results.remove(&oldest);
@@ -166,26 +172,26 @@
     }
 
     /// All documents of an edit, or what is wrong with one of them.
-    fn edited(&self, edit: &Edit) -> Result<(Pending, usize), Rejected> {
+    fn edited(&self, edit: &Edit) -> Result<(Pending, usize), EditRejection> {
         if edit.parts.is_empty() {
-            return Err(Rejected::Empty);
+            return Err(EditRejection::Empty);
         }
         let (mut after, mut long, mut weight, nothing) =
             (BTreeMap::new(), false, self.weight, Document::default());
         for (name, part) in &edit.parts {
             let before = self.latest(name).unwrap_or(&nothing);
             let document = before.edited(part).map_err(|rejected| rejected.of(name))?;
-            long |= before.needs_long(&document);
+            long |= before.needs_long_lease(&document);
             weight = (weight + document.weight()).saturating_sub(before.weight());
             if before.version == 0 {
                 weight += name.len();
             }
             after.insert(name.clone(), Arc::new(document));
         }
-        if weight > MOST_WEIGHT {
-            return Err(Rejected::Full);
+        if weight > MAX_DOCUMENTS_BYTES {
+            return Err(EditRejection::Full);
         }
-        Ok((Pending { index: self.read, after, voters: false, long }, weight))
+        Ok((Pending { index: self.applied, after, voters: false, long }, weight))
     }
 
     /// The names of a document's fields, in force or prepared.
@@ -196,7 +202,7 @@
     }
 
     /// What a head acts on that knows this much: what is in force, and nothing that a prepared edit forbids.
-    pub fn acting(&self, document: &str, field: &str) -> Option<Value> {
+    pub fn effective_value(&self, document: &str, field: &str) -> Option<Value> {
         let pending = self.pending.iter().filter_map(|pending| pending.after.get(document));
         let values = self.in_force.get(document).into_iter().chain(pending);
         values.filter_map(|document| document.fields.get(field).cloned()).reduce(|a, b| a.safe(&b))
--- a/src/agree/holder/tests.rs
+++ b/src/agree/lease_holder/tests.rs
@@ -1,9 +1,9 @@
 use super::*;
 use crate::agree::Command;
-use crate::agree::document::{Edit, Part};
+use crate::agree::document::{DocumentChange, Edit};
 
 /// What it may do by a document's fields, and by fields that no document has.
-fn may(holder: &Holder, now: Micros) -> String {
+fn may(holder: &LeaseHolder, now: Micros) -> String {
     let holder = holder.view();
     let of = |name: &str| {
         let limit = holder.limit(now, name, "rate").map_or("any".into(), |rate| rate.to_string());
@@ -16,8 +16,8 @@
 
 #[test]
 fn what_a_head_may_do_follows_its_leases_to_the_microsecond() {
-    let (times, id) = (Times::default(), HolderId { head: "n0".into(), start: 2 });
-    let mut holder = Holder::new(id, &(0..3).map(|id| (id, String::new())).collect(), times);
+    let (times, id) = (Timings::default(), HolderId { head: "n0".into(), start: 2 });
+    let mut holder = LeaseHolder::new(id, &(0..3).map(|id| (id, String::new())).collect(), times);
     let fields = [
         ("rate", Value::Limit { rate: 9.0, least: 2.0 }),
         ("tries", Value::Attempts(3)),
@@ -25,28 +25,30 @@
         ("node", Value::Node(true)),
     ];
     let changes = fields.into_iter().map(|(field, value)| (field.to_string(), Some(value))).collect();
-    let parts = BTreeMap::from([("plan".to_string(), Part { base: 0, changes })]);
+    let parts = BTreeMap::from([("plan".to_string(), DocumentChange { base: 0, changes })]);
     let edit = Edit { id: 1, parts, who: "ops".into(), why: "a test".into(), at_ms: 0 };
-    let log = [Command::Edit(edit), Command::Activate(1)].map(|command| Entry { term: 1, command }).to_vec();
+    let log =
+        [Command::Edit(edit), Command::ActivateUpTo(1)].map(|command| Entry { term: 1, command }).to_vec();
     let nothing = "0 1 Never false | 0 1 Never false";
     assert_eq!(may(&holder, 50), nothing, "it holds nothing yet");
-    let granted = |start, asked, yes, after, entries: &[Entry]| Message::Granted {
+    let reply = |start, requested_at, granted, after, entries: &[Entry]| Message::LeaseReply {
         start,
-        asked,
-        yes,
+        requested_at,
+        granted,
         after,
         snapshot: None,
         entries: entries.to_vec(),
     };
-    holder.hear(0, granted(2, 100, true, 0, &log));
-    // A second voter says no, a stranger yes, and one to an earlier process of this head; none makes a majority.
+    holder.step(0, reply(2, 100, true, 0, &log));
+    // A second voter says no, a stranger yes, and one to an earlier process of this head; none makes a
+    // majority.
     for (from, start, yes) in [(1, 2, false), (7, 2, true), (2, 1, true)] {
-        holder.hear(from, granted(start, 100, yes, 0, &log));
+        holder.step(from, reply(start, 100, yes, 0, &log));
         assert_eq!(may(&holder, 100), nothing, "{from}");
     }
     // What comes twice or leaves a gap teaches nothing wrong.
-    holder.hear(1, granted(2, 100, true, 7, &log));
-    assert_eq!(holder.ledger().read(), 2);
+    holder.step(1, reply(2, 100, true, 7, &log));
+    assert_eq!(holder.state().applied(), 2);
     let (held, loose) = ("9 3 Always true | any any any true", "2 1 Never true | any any any true");
     for (after, wanted) in [
         (0, held),
--- a/src/agree/mod.rs
+++ b/src/agree/mod.rs
@@ -1,17 +1,17 @@
-//! Settings and lists on which the heads agree: versioned documents in one log, kept by a few voters, held by every head
-//! under leases. No I/O and no clock: messages, times and draws are passed in, what is to be saved and sent comes out.
-//! `docs/design/agreement.md` has the promise and why it holds.
+//! Settings and lists on which the heads agree: versioned documents in one log, kept by a few voters, held by
+//! every head under leases. No I/O and no clock: messages, times and draws are passed in, what is to be saved
+//! and sent comes out. `docs/design/agreement.md` has the promise and why it holds.
 
 pub mod archive;
 pub mod document;
-pub mod holder;
-pub mod ledger;
+pub mod document_state;
+pub mod lease_holder;
 pub mod report;
 pub mod rules;
 pub mod voter;
 
 use document::Edit;
-use ledger::Ledger;
+use document_state::DocumentState;
 use pathbank_coordination::consensus::lease;
 use pathbank_coordination::consensus::log_tail::LogEntry;
 use serde::{Deserialize, Serialize};
@@ -33,13 +33,15 @@
 /// What the log holds.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum Command {
-    /// A leader's first entry, by which what came before it counts; and one that shows, once it counts, that whoever
-    /// wrote it led until then.
-    Begin,
+    /// A leader's first entry, by which what came before it counts; and one that shows, once it counts, that
+    /// whoever wrote it led until then.
+    #[serde(rename = "Begin")]
+    Noop,
     /// Prepared from its commit on; in force with its activation.
     Edit(Edit),
     /// All edits up to that entry are in force.
-    Activate(Index),
+    #[serde(rename = "Activate")]
+    ActivateUpTo(Index),
     /// Who votes from this entry on.
     Voters(Voters),
 }
@@ -61,30 +63,30 @@
     fn weight(&self) -> usize {
         match &self.command {
             Command::Edit(edit) => edit.weight(),
-            Command::Voters(voters) => voters.values().map(|at| at.len() + ENTRY_BYTES).sum(),
-            Command::Begin | Command::Activate(_) => ENTRY_BYTES,
+            Command::Voters(voters) => voters.values().map(|at| at.len() + ENTRY_OVERHEAD_BYTES).sum(),
+            Command::Noop | Command::ActivateUpTo(_) => ENTRY_OVERHEAD_BYTES,
         }
     }
 }
 
 /// Entries in one message: so many at most, and no further one beyond so many bytes.
-const AT_ONCE: usize = 256;
-const AT_ONCE_BYTES: usize = 1024 * 1024;
-const ENTRY_BYTES: usize = 32;
+const MAX_ENTRIES_PER_MESSAGE: usize = 256;
+const MAX_BYTES_PER_MESSAGE: usize = 1024 * 1024;
+const ENTRY_OVERHEAD_BYTES: usize = 32;
 
-fn at_once<'a>(entries: impl Iterator<Item = &'a Entry>) -> Vec<Entry> {
+fn message_batch<'a>(entries: impl Iterator<Item = &'a Entry>) -> Vec<Entry> {
     let mut bytes = 0;
     let fits = |entry: &&Entry| {
-        let fits = bytes < AT_ONCE_BYTES;
+        let fits = bytes < MAX_BYTES_PER_MESSAGE;
         bytes += entry.weight();
         fits
     };
-    entries.take(AT_ONCE).take_while(fits).cloned().collect()
+    entries.take(MAX_ENTRIES_PER_MESSAGE).take_while(fits).cloned().collect()
 }
 
 /// The times that the promise rests on. Voters and heads have to have the same.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Times {
+pub struct Timings {
     /// How long a head may act on what it was told, counted at the head from when it asked.
     pub lease: Micros,
     /// How long it may keep to its lists, and to what a limit is never set below.
@@ -98,16 +100,17 @@
     pub kept: usize,
 }
 
-impl Times {
-    /// How long whoever granted a lease has to wait, by its own clock, until it is surely over by its holder's.
-    pub fn surely_over(&self, lease: Micros) -> Micros {
+impl Timings {
+    /// How long whoever granted a lease has to wait, by its own clock, until it is surely over by its
+    /// holder's.
+    pub fn grantor_wait(&self, lease: Micros) -> Micros {
         lease::grantor_wait(lease, self.drift_ppm)
     }
 }
 
-impl Default for Times {
+impl Default for Timings {
     fn default() -> Self {
-        Times {
+        Timings {
             lease: 1_000_000,
             long_lease: 60_000_000,
             drift_ppm: 10_000,
@@ -118,56 +121,76 @@
     }
 }
 
-/// Who says it is known by how it came.
+/// Between voters, and between a voter and the processes that hold leases. The sender is known by the connection: a
+/// message names it only where it has to.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum Message {
-    /// `pre`: whether it would get that vote, were it to ask for it.
-    Vote {
+    /// A candidate asks for a vote (thesis, section 3.4). `pre`: whether it would get that vote, were it to ask for it
+    /// (pre-vote, section 9.6).
+    #[serde(rename = "Vote")]
+    VoteRequest {
         pre: bool,
         term: Term,
-        last: Index,
+        #[serde(rename = "last")]
+        last_index: Index,
         last_term: Term,
     },
-    Voted {
+    #[serde(rename = "Voted")]
+    VoteReply {
         pre: bool,
         term: Term,
-        yes: bool,
+        #[serde(rename = "yes")]
+        granted: bool,
     },
-    Append {
+    /// The leader's entries behind `previous_index`, or none as a heartbeat (section 3.5).
+    #[serde(rename = "Append")]
+    AppendRequest {
         term: Term,
-        before: Index,
-        before_term: Term,
+        #[serde(rename = "before")]
+        previous_index: Index,
+        #[serde(rename = "before_term")]
+        previous_term: Term,
         entries: Vec<Entry>,
         commit: Index,
     },
-    /// In place of entries that the leader has no more: all that they came to, and the last one's term.
+    /// In place of entries that the leader has dropped: the state after them, and the last one's term (section 5.3).
     Snapshot {
         term: Term,
         last_term: Term,
-        ledger: Box<Ledger>,
+        #[serde(rename = "ledger")]
+        state: Box<DocumentState>,
     },
-    /// `matched`: all up to there is saved as the leader has it; `cleared`: no head can still act without knowing of that
-    /// entry, as far as this voter's grants go.
-    Appended {
+    #[serde(rename = "Appended")]
+    AppendReply {
         term: Term,
-        yes: bool,
+        #[serde(rename = "yes")]
+        accepted: bool,
+        /// Up to this entry the sender's saved log equals the leader's.
         matched: Index,
+        /// As far as the sender's grants go, no process can act any more without having prepared for the entries up to
+        /// this one.
         cleared: Index,
     },
-    /// A head asks for its lease, having prepared for all up to `prepared`; `asked` comes back as it is.
-    Renew {
+    /// A process asks for a lease, having prepared for all entries up to `prepared` (leases: section 6.4.1).
+    #[serde(rename = "Renew")]
+    LeaseRequest {
         holder: HolderId,
-        asked: Micros,
+        /// By the asking process's clock, microseconds; the reply repeats it.
+        #[serde(rename = "asked")]
+        requested_at: Micros,
         prepared: Index,
     },
-    /// `entries` follow on `after`, or on `snapshot`; all of them are committed. `start` and `asked` as they came: an answer to an earlier
-    /// process of the head grants this one nothing.
-    Granted {
+    /// `entries` follow on `after`, or on `snapshot`; all of them are committed. `start` and `requested_at` repeat the
+    /// request: a reply to an earlier process grants this one nothing.
+    #[serde(rename = "Granted")]
+    LeaseReply {
         start: u64,
-        asked: Micros,
-        yes: bool,
+        #[serde(rename = "asked")]
+        requested_at: Micros,
+        #[serde(rename = "yes")]
+        granted: bool,
         after: Index,
-        snapshot: Option<Box<Ledger>>,
+        snapshot: Option<Box<DocumentState>>,
         entries: Vec<Entry>,
     },
 }
--- a/src/agree/report.rs
+++ b/src/agree/report.rs
@@ -1,12 +1,12 @@
 //! Documents and their history as people read and write them. No I/O.
 
-use super::document::{Document, Edit, Part, Repeats, Value};
+use super::document::{Document, DocumentChange, Edit, Repeats, Value};
 use super::{Command, Entry, Index};
 use std::collections::BTreeMap;
 use std::fmt::Write;
 
-/// `limit:RATE[,LEAST]`, `attempts:N`, `repeats:never|keyed|always`, `node:in|out`, `plain:TEXT`; `none` takes a plain
-/// field out.
+/// `limit:RATE[,LEAST]`, `attempts:N`, `repeats:never|keyed|always`, `node:in|out`, `plain:TEXT`; `none`
+/// takes a plain field out.
 pub fn parse_value(text: &str) -> Result<Option<Value>, String> {
     let bad = || {
         format!(
@@ -67,14 +67,14 @@
 /// What an entry did, for a history of one document or of all.
 pub fn entry(index: Index, entry: &Entry, only: Option<&str>) -> Option<String> {
     match &entry.command {
-        Command::Begin => None,
-        Command::Activate(to) => only.is_none().then(|| format!("{index}: in force up to {to}\n")),
+        Command::Noop => None,
+        Command::ActivateUpTo(to) => only.is_none().then(|| format!("{index}: in force up to {to}\n")),
         Command::Voters(voters) => only.is_none().then(|| {
             let voters: Vec<String> = voters.iter().map(|(id, at)| format!("{id} at {at}")).collect();
             format!("{index}: voters {}\n", voters.join(", "))
         }),
         Command::Edit(edit) => {
-            let parts: Vec<(&String, &Part)> =
+            let parts: Vec<(&String, &DocumentChange)> =
                 edit.parts.iter().filter(|(name, _)| only.is_none_or(|only| only == *name)).collect();
             if parts.is_empty() {
                 return None;
@@ -101,10 +101,11 @@
 
 /// Every version of one document, from the log's beginning on. Edits that were refused made none.
 pub fn versions<'a>(entries: impl Iterator<Item = &'a Entry>, name: &str) -> Vec<Document> {
-    let (mut ledger, mut versions) = (super::ledger::Ledger::default(), vec![Document::default()]);
+    let (mut state, mut versions) =
+        (super::document_state::DocumentState::default(), vec![Document::default()]);
     for entry in entries {
-        ledger.apply(entry);
-        if let Some(document) = ledger.latest(name)
+        state.apply(entry);
+        if let Some(document) = state.latest(name)
             && versions.last().is_some_and(|last| last.version < document.version)
         {
             versions.push(document.clone());
@@ -137,7 +138,7 @@
     (who, why, at_ms): (&str, &str, u64),
 ) -> Result<Edit, String> {
     let changes = changes.iter().map(|change| parse_change(change)).collect::<Result<_, _>>()?;
-    let parts = BTreeMap::from([(name.to_string(), Part { base, changes })]);
+    let parts = BTreeMap::from([(name.to_string(), DocumentChange { base, changes })]);
     Ok(Edit { id, parts, who: who.into(), why: why.into(), at_ms })
 }
 
--- a/src/agree/rules.rs
+++ b/src/agree/rules.rs
@@ -1,11 +1,12 @@
-//! What a head may do by the documents: the settings that its decision module is told, which nodes are out, and whether
-//! an attempt may start at this moment. Documents and their fields, as `docs/operators/agreement.md` has them:
-//! `plan/NAME` (`limit`; plain `rate`, `reserve`, `weight`, `price`), `class/NAME` (`attempts`, `repeats`), `nodes` (a
-//! field for each node's id), `volumes` (a plan's name for each volume).
+//! What a head may do by the documents: the settings that its decision module is told, which nodes are out,
+//! and whether an attempt may start at this moment. Documents and their fields, as
+//! `docs/operators/agreement.md` has them: `plan/NAME` (`limit`; plain `rate`, `reserve`, `weight`, `price`),
+//! `class/NAME` (`attempts`, `repeats`), `nodes` (a field for each node's id), `volumes` (a plan's name for
+//! each volume).
 
-use super::document::{Level, Repeats, Value};
-use super::holder::View;
-use super::ledger::Ledger;
+use super::document::{LeaseLevel, Repeats, Value};
+use super::document_state::DocumentState;
+use super::lease_holder::LeaseView;
 use super::{Index, Micros};
 use crate::interface::{self, Plan, Settings, VolumeId};
 use std::collections::BTreeMap;
@@ -25,18 +26,18 @@
 
 /// The rules that a request came under. Stricter ones bind it from their time on, laxer ones never.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Came {
+pub struct AdmittedRules {
     pub attempts: u32,
     pub repeats: Repeats,
 }
 
 /// What the documents say, by the module's numbers.
 #[derive(Clone, Debug, Default, PartialEq)]
-struct Acting {
+struct EffectiveRules {
     attempts: Vec<Option<Value>>,
     repeats: Vec<Option<Value>>,
     limits: Vec<Option<Value>>,
-    plans: Vec<Figures>,
+    plans: Vec<PlanOverrides>,
     nodes: BTreeMap<String, Value>,
     volumes: BTreeMap<VolumeId, usize>,
     /// Fields that mean nothing here.
@@ -45,7 +46,7 @@
 
 /// A plan's plain figures, where the documents have any.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
-struct Figures {
+struct PlanOverrides {
     rate: Option<f64>,
     reserve: Option<f64>,
     weight: Option<f64>,
@@ -54,16 +55,16 @@
 
 /// What has changed since the last look.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Reading {
-    pub level: Level,
-    pub was: Level,
+pub struct RulesChange {
+    pub level: LeaseLevel,
+    pub was: LeaseLevel,
     /// The documents say something else to a head.
     pub revised: bool,
 }
 
-impl Reading {
+impl RulesChange {
     /// The module has to be told.
-    pub fn matters(&self) -> bool {
+    pub fn affects_module(&self) -> bool {
         self.revised || self.level != self.was
     }
 }
@@ -72,63 +73,70 @@
 pub struct Rules {
     base: Settings,
     names: Names,
-    view: View,
-    level: Level,
-    /// Up to which entry `acting` was read.
+    view: LeaseView,
+    level: LeaseLevel,
+    /// Up to which entry `effective` was read.
     read: Index,
-    acting: Acting,
+    effective: EffectiveRules,
 }
 
 impl Rules {
-    pub fn new(base: Settings, names: Names, view: View) -> Rules {
-        let mut rules = Rules { base, names, view, level: Level::Bottom, read: 0, acting: Acting::default() };
-        rules.acting = rules.compile();
+    pub fn new(base: Settings, names: Names, view: LeaseView) -> Rules {
+        let mut rules = Rules {
+            base,
+            names,
+            view,
+            level: LeaseLevel::NoLease,
+            read: 0,
+            effective: EffectiveRules::default(),
+        };
+        rules.effective = rules.compile();
         rules
     }
 
     /// The head's own settings are others now.
     pub fn rebase(&mut self, base: Settings, names: Names) {
         (self.base, self.names) = (base, names);
-        self.acting = self.compile();
+        self.effective = self.compile();
     }
 
-    pub fn level(&self) -> Level {
+    pub fn level(&self) -> LeaseLevel {
         self.level
     }
 
-    pub fn ledger(&self) -> &Ledger {
-        self.view.ledger()
+    pub fn state(&self) -> &DocumentState {
+        self.view.state()
     }
 
     pub fn ignored(&self) -> &[String] {
-        &self.acting.ignored
+        &self.effective.ignored
     }
 
     /// Whether what was looked at last is still how things stand.
-    pub fn fresh(&self, now: Micros, view: &View) -> bool {
-        view.ledger().read() == self.read && view.level(now) == self.level
+    pub fn is_current(&self, now: Micros, view: &LeaseView) -> bool {
+        view.state().applied() == self.read && view.level(now) == self.level
     }
 
-    /// The look before each act. What has changed since the last one, if a lease has, or an edit was prepared or came into
-    /// force.
-    pub fn look(&mut self, now: Micros, view: &View) -> Option<Reading> {
-        if self.fresh(now, view) {
+    /// The look before each act. What has changed since the last one, if a lease has, or an edit was prepared
+    /// or came into force.
+    pub fn refresh(&mut self, now: Micros, view: &LeaseView) -> Option<RulesChange> {
+        if self.is_current(now, view) {
             return None;
         }
         let (was, level) = (self.level, view.level(now));
-        let edits = |view: &View| (view.ledger().prepared(), view.ledger().active());
+        let edits = |view: &LeaseView| (view.state().prepared(), view.state().active());
         let moved = edits(&self.view) != edits(view);
-        (self.level, self.read, self.view) = (level, view.ledger().read(), view.clone());
-        let acting = self.compile();
-        let revised = acting != self.acting;
-        self.acting = acting;
-        (moved || level != was).then_some(Reading { level, was, revised })
+        (self.level, self.read, self.view) = (level, view.state().applied(), view.clone());
+        let effective = self.compile();
+        let revised = effective != self.effective;
+        self.effective = effective;
+        (moved || level != was).then_some(RulesChange { level, was, revised })
     }
 
-    fn compile(&self) -> Acting {
-        let (ledger, mut ignored) = (self.view.ledger(), Vec::new());
+    fn compile(&self) -> EffectiveRules {
+        let (state, mut ignored) = (self.view.state(), Vec::new());
         let of = |kind: &str, names: &[String], field: &str| -> Vec<Option<Value>> {
-            names.iter().map(|name| ledger.acting(&format!("{kind}/{name}"), field)).collect()
+            names.iter().map(|name| state.effective_value(&format!("{kind}/{name}"), field)).collect()
         };
         let attempts = of("class", &self.names.classes, "attempts");
         let repeats = of("class", &self.names.classes, "repeats");
@@ -137,7 +145,7 @@
         for name in &self.names.plans {
             let document = format!("plan/{name}");
             let mut figure = |field: &str| {
-                let value = ledger.acting(&document, field)?;
+                let value = state.effective_value(&document, field)?;
                 let number = number(&value);
                 if number.is_none() {
                     ignored.push(format!("{document}.{field}"));
@@ -145,18 +153,18 @@
                 number
             };
             let (rate, reserve) = (figure("rate"), figure("reserve"));
-            plans.push(Figures { rate, reserve, weight: figure("weight"), price: figure("price") });
+            plans.push(PlanOverrides { rate, reserve, weight: figure("weight"), price: figure("price") });
         }
         let mut nodes = BTreeMap::new();
-        for node in ledger.fields(NODES) {
-            match ledger.acting(NODES, node) {
+        for node in state.fields(NODES) {
+            match state.effective_value(NODES, node) {
                 Some(value @ Value::Node(_)) => drop(nodes.insert(node.to_string(), value)),
                 _ => ignored.push(format!("{NODES}.{node}")),
             }
         }
         let mut volumes = BTreeMap::new();
-        for field in ledger.fields(VOLUMES) {
-            let plan = match ledger.acting(VOLUMES, field) {
+        for field in state.fields(VOLUMES) {
+            let plan = match state.effective_value(VOLUMES, field) {
                 Some(Value::Plain(plan)) => self.names.plans.iter().position(|known| *known == plan),
                 _ => None,
             };
@@ -165,7 +173,7 @@
                 _ => ignored.push(format!("{VOLUMES}.{field}")),
             }
         }
-        Acting { attempts, repeats, limits, plans, nodes, volumes, ignored }
+        EffectiveRules { attempts, repeats, limits, plans, nodes, volumes, ignored }
     }
 
     /// The head's settings, as far as this reading lets them be.
@@ -181,67 +189,68 @@
             };
         }
         for (number, plan) in settings.plans.iter_mut().enumerate() {
-            self.put_figures(number, plan);
+            self.apply_overrides(number, plan);
         }
         settings
     }
 
-    fn put_figures(&self, number: usize, plan: &mut Plan) {
-        let figures = self.acting.plans.get(number).copied().unwrap_or_default();
-        plan.rate = figures.rate.unwrap_or(plan.rate);
-        plan.reserve = figures.reserve.unwrap_or(plan.reserve);
-        plan.weight = figures.weight.unwrap_or(plan.weight);
-        plan.price = figures.price.unwrap_or(plan.price);
-        let limit = self.acting.limits.get(number).cloned().flatten().map(|value| value.at(self.level));
+    fn apply_overrides(&self, number: usize, plan: &mut Plan) {
+        let overrides = self.effective.plans.get(number).copied().unwrap_or_default();
+        plan.rate = overrides.rate.unwrap_or(plan.rate);
+        plan.reserve = overrides.reserve.unwrap_or(plan.reserve);
+        plan.weight = overrides.weight.unwrap_or(plan.weight);
+        plan.price = overrides.price.unwrap_or(plan.price);
+        let limit = self.effective.limits.get(number).cloned().flatten().map(|value| value.at(self.level));
         let rate = match (limit, self.level) {
-            (_, Level::Bottom) => 0.0,
+            (_, LeaseLevel::NoLease) => 0.0,
             (Some(Value::Limit { rate, .. }), _) => rate,
             _ => return,
         };
-        // What may be saved up is as long a time's units as before: a second's where nothing was said of that.
+        // What may be saved up is as long a time's units as before: a second's where nothing was said of
+        // that.
         let seconds = if plan.limit > 0.0 { plan.limit_burst / plan.limit } else { 1.0 };
         (plan.limit, plan.limit_burst) = (rate.max(NO_UNITS), rate * seconds);
     }
 
     /// Attempts at one request of the class that may be made, the first one counted.
     pub fn attempts(&self, class: usize) -> u32 {
-        let agreed = self.acting.attempts.get(class).cloned().flatten().map(|value| value.at(self.level));
+        let agreed = self.effective.attempts.get(class).cloned().flatten().map(|value| value.at(self.level));
         match (agreed, self.level) {
             (Some(Value::Attempts(most)), _) => most.min(self.base.max_attempts),
-            (_, Level::Bottom) => 0,
+            (_, LeaseLevel::NoLease) => 0,
             _ => self.base.max_attempts,
         }
     }
 
     fn repeats(&self, class: usize) -> Repeats {
-        let agreed = self.acting.repeats.get(class).cloned().flatten().map(|value| value.at(self.level));
+        let agreed = self.effective.repeats.get(class).cloned().flatten().map(|value| value.at(self.level));
         match (agreed, self.level) {
             (Some(Value::Repeats(repeats)), _) => repeats,
-            (_, Level::Bottom) => Repeats::Never,
+            (_, LeaseLevel::NoLease) => Repeats::Never,
             _ => Repeats::Always,
         }
     }
 
     /// What a request that comes now comes under.
-    pub fn came(&self, class: usize) -> Came {
-        Came { attempts: self.attempts(class), repeats: self.repeats(class) }
+    pub fn admit(&self, class: usize) -> AdmittedRules {
+        AdmittedRules { attempts: self.attempts(class), repeats: self.repeats(class) }
     }
 
     /// The plan of a volume, where the documents give it one.
     pub fn plan(&self, volume: VolumeId) -> Option<usize> {
-        self.acting.volumes.get(&volume).copied()
+        self.effective.volumes.get(&volume).copied()
     }
 
     /// Whether a node may be sent to. Without any lease nobody can know which of them were taken out.
-    pub fn takes(&self, node: &str) -> bool {
-        match self.acting.nodes.get(node).map(|value| value.at(self.level)) {
+    pub fn accepts_requests(&self, node: &str) -> bool {
+        match self.effective.nodes.get(node).map(|value| value.at(self.level)) {
             Some(Value::Node(takes)) => takes,
-            _ => self.level != Level::Bottom,
+            _ => self.level != LeaseLevel::NoLease,
         }
     }
 
     /// Whether that attempt (0: the first) may start now. `ran`: an earlier one may have run.
-    pub fn allows(&self, class: usize, came: Came, attempt: u32, ran: bool, node: &str) -> bool {
+    pub fn allows(&self, class: usize, came: AdmittedRules, attempt: u32, ran: bool, node: &str) -> bool {
         let keyed =
             || self.base.classes.get(class).is_some_and(|class| class.repeats == interface::Repeats::Keyed);
         let repeated = match came.repeats.min(self.repeats(class)) {
@@ -249,7 +258,7 @@
             Repeats::Keyed => !ran || keyed(),
             Repeats::Never => !ran,
         };
-        repeated && attempt < came.attempts.min(self.attempts(class)) && self.takes(node)
+        repeated && attempt < came.attempts.min(self.attempts(class)) && self.accepts_requests(node)
     }
 }
 
--- a/src/agree/rules/tests.rs
+++ b/src/agree/rules/tests.rs
@@ -1,7 +1,7 @@
 use super::*;
-use crate::agree::document::{Edit, Part};
-use crate::agree::holder::Holder;
-use crate::agree::{Command, Entry, HolderId, Message, Times};
+use crate::agree::document::{DocumentChange, Edit};
+use crate::agree::lease_holder::LeaseHolder;
+use crate::agree::{Command, Entry, HolderId, Message, Timings};
 use crate::interface::Class;
 
 fn base() -> Settings {
@@ -21,16 +21,18 @@
 }
 
 /// A head that holds its leases since 0 and was told these edits, in force or only prepared.
-fn holder(edits: &[&[(&str, &str, Value)]], in_force: usize) -> Holder {
+fn holder(edits: &[&[(&str, &str, Value)]], in_force: usize) -> LeaseHolder {
     let voters = BTreeMap::from([(1, String::new())]);
-    let mut holder = Holder::new(HolderId { head: "n0".into(), start: 1 }, &voters, Times::default());
+    let mut holder = LeaseHolder::new(HolderId { head: "n0".into(), start: 1 }, &voters, Timings::default());
     let mut entries = Vec::new();
     let mut versions: BTreeMap<&str, u64> = BTreeMap::new();
     for (id, edit) in edits.iter().enumerate() {
-        let mut parts: BTreeMap<String, Part> = BTreeMap::new();
+        let mut parts: BTreeMap<String, DocumentChange> = BTreeMap::new();
         for (document, field, value) in *edit {
             let base = versions.get(document).copied().unwrap_or(0);
-            let part = parts.entry(document.to_string()).or_insert(Part { base, changes: BTreeMap::new() });
+            let part = parts
+                .entry(document.to_string())
+                .or_insert(DocumentChange { base, changes: BTreeMap::new() });
             part.changes.insert(field.to_string(), Some(value.clone()));
         }
         edit.iter()
@@ -41,9 +43,10 @@
         let edit = Edit { id: id as u64, parts, who: String::new(), why: String::new(), at_ms: 0 };
         entries.push(Entry { term: 1, command: Command::Edit(edit) });
     }
-    entries.insert(in_force, Entry { term: 1, command: Command::Activate(in_force as Index) });
-    let granted = Message::Granted { start: 1, asked: 0, yes: true, after: 0, snapshot: None, entries };
-    holder.hear(1, granted);
+    entries.insert(in_force, Entry { term: 1, command: Command::ActivateUpTo(in_force as Index) });
+    let granted =
+        Message::LeaseReply { start: 1, requested_at: 0, granted: true, after: 0, snapshot: None, entries };
+    holder.step(1, granted);
     holder
 }
 
@@ -69,25 +72,25 @@
         let settings = rules.settings();
         let limits: Vec<(f64, f64)> = settings.plans.iter().map(|p| (p.limit, p.limit_burst)).collect();
         let repeats: Vec<interface::Repeats> = settings.classes.iter().map(|c| c.repeats).collect();
-        let takes = (rules.takes("s-1"), rules.takes("s-2"));
+        let takes = (rules.accepts_requests("s-1"), rules.accepts_requests("s-2"));
         (limits, repeats, (0..3).map(|class| rules.attempts(class)).collect::<Vec<_>>(), takes)
     };
     use interface::Repeats::{Keyed, Unsafe};
-    let times = Times::default();
+    let times = Timings::default();
     for (at, level, wanted) in [
         (
             0,
-            Level::Held,
+            LeaseLevel::FullLease,
             (vec![(2.0, 4.0), (3.0, 3.0)], vec![Unsafe, Keyed, Unsafe], vec![3, 4, 4], (false, true)),
         ),
         (
             times.lease,
-            Level::Loose,
+            LeaseLevel::LongLease,
             (vec![(1.0, 2.0), (1.0, 1.0)], vec![Unsafe, Unsafe, Unsafe], vec![1, 4, 4], (false, true)),
         ),
         (
             times.long_lease,
-            Level::Bottom,
+            LeaseLevel::NoLease,
             (
                 vec![(NO_UNITS, 0.0), (NO_UNITS, 0.0)],
                 vec![Unsafe, Unsafe, Unsafe],
@@ -97,9 +100,9 @@
         ),
     ] {
         let was = rules.level();
-        let reading = rules.look(at, holder.view()).expect("it has changed");
+        let reading = rules.refresh(at, holder.view()).expect("it has changed");
         assert_eq!((reading.level, reading.was), (level, was));
-        assert!(rules.look(at, holder.view()).is_none(), "nothing has changed since");
+        assert!(rules.refresh(at, holder.view()).is_none(), "nothing has changed since");
         assert_eq!(told(&rules), wanted, "{level:?}");
     }
     assert_eq!(rules.settings().plans[0].weight, 2.5);
@@ -120,7 +123,7 @@
     let rules = |edits: &[&[(&str, &str, Value)]]| {
         let holder = holder(edits, edits.len());
         let mut rules = Rules::new(base(), names(), holder.view().clone());
-        rules.look(0, holder.view());
+        rules.refresh(0, holder.view());
         rules
     };
     let (none, one, two) = (rules(&[]), rules(&[strict]), rules(&[strict, lax]));
@@ -136,7 +139,7 @@
         (&one, &two, 1, 1, true, false),
         (&two, &two, 1, 1, true, true),
     ] {
-        let came = came_under.came(class);
+        let came = came_under.admit(class);
         assert_eq!(now.allows(class, came, attempt, ran, "s-9"), wanted, "{came:?} {class} {attempt} {ran}");
     }
 }
--- a/src/agree/voter/election.rs
+++ b/src/agree/voter/election.rs
@@ -1,69 +1,81 @@
 //! How a voter waits for a leader, stands for election, and gives its vote.
 
-use super::{MOST_DOUBLED, Other, Output, SOON, Save, To, Voter};
+use super::{MAX_TIMEOUT_DOUBLINGS, Output, Peer, PersistentChange, RAPID_TERM_TIMEOUTS, Recipient, Voter};
 use crate::agree::{Message, Micros, Term, VoterId};
 use pathbank_coordination::consensus::election::{LogPosition, Role, VoteRequest, VoteTally, VoterState};
 use pathbank_coordination::consensus::quorum::has_majority;
 
 impl Voter {
-    /// How long it waits for a leader's word or another voter's answer. Longer where leaders follow each other fast: a
-    /// large entry on a busy machine holds up its leader's beats, and would bring down one leader after the other.
-    pub fn patience(&self, now: Micros) -> Micros {
-        let patience = self.times.election << self.hasty;
-        match self.began {
-            Some(began) if now.saturating_sub(began) < SOON * patience => patience,
+    /// How long it waits for a leader's word or another voter's answer. Longer where leaders follow each
+    /// other fast: a large entry on a busy machine holds up its leader's beats, and would bring down one
+    /// leader after the other.
+    pub fn current_election_timeout(&self, now: Micros) -> Micros {
+        let current_election_timeout = self.times.election << self.timeout_doublings;
+        match self.term_began_at {
+            Some(term_began_at)
+                if now.saturating_sub(term_began_at) < RAPID_TERM_TIMEOUTS * current_election_timeout =>
+            {
+                current_election_timeout
+            }
             _ => self.times.election,
         }
     }
 
-    pub(super) fn wait_for_leader(&mut self, now: Micros, draw: u64) {
-        let patience = self.patience(now);
-        self.election_at = now + patience + draw % patience.max(1);
+    pub(super) fn reset_election_timer(&mut self, now: Micros, draw: u64) {
+        let current_election_timeout = self.current_election_timeout(now);
+        self.election_at = now + current_election_timeout + draw % current_election_timeout.max(1);
     }
 
-    pub(super) fn enter(&mut self, now: Micros, term: Term, voted: Option<VoterId>, out: &mut Output) {
+    pub(super) fn enter_term(&mut self, now: Micros, term: Term, voted: Option<VoterId>, out: &mut Output) {
         if term > self.saved.term {
-            let soon = |began| now.saturating_sub(began) < SOON * (self.times.election << self.hasty);
-            self.hasty = if self.began.is_some_and(soon) { (self.hasty + 1).min(MOST_DOUBLED) } else { 0 };
-            self.began = Some(now);
+            let soon = |term_began_at| {
+                now.saturating_sub(term_began_at)
+                    < RAPID_TERM_TIMEOUTS * (self.times.election << self.timeout_doublings)
+            };
+            self.timeout_doublings = if self.term_began_at.is_some_and(soon) {
+                (self.timeout_doublings + 1).min(MAX_TIMEOUT_DOUBLINGS)
+            } else {
+                0
+            };
+            self.term_began_at = Some(now);
         }
-        self.save(Save::Vote { term, voted }, out);
-        (self.role, self.leader, self.led_at) = (Role::Follower, None, None);
+        self.save(PersistentChange::Vote { term, voted }, out);
+        (self.role, self.leader, self.leader_heard_at) = (Role::Follower, None, None);
     }
 
     /// A majority has answered within twice that wait.
-    pub(super) fn is_heard(&self, now: Micros) -> bool {
-        let patience = 2 * self.patience(now);
-        let lately = |other: &Other| now.saturating_sub(other.heard) < patience;
-        has_majority(self.voters.keys(), |id| *id == self.id || self.known.get(id).is_some_and(lately))
+    pub(super) fn has_quorum_contact(&self, now: Micros) -> bool {
+        let current_election_timeout = 2 * self.current_election_timeout(now);
+        let lately = |other: &Peer| now.saturating_sub(other.heard_at) < current_election_timeout;
+        has_majority(self.voters.keys(), |id| *id == self.id || self.peers.get(id).is_some_and(lately))
     }
 
-    pub(super) fn ask_for_votes(&mut self, pre: bool, term: Term, out: &mut Output) {
+    pub(super) fn request_votes(&mut self, pre: bool, term: Term, out: &mut Output) {
         self.votes = VoteTally::own(self.id);
-        let LogPosition { term: last_term, index: last } = self.saved.log.position();
-        let vote = Message::Vote { pre, term, last, last_term };
-        out.send.extend(self.others().into_iter().map(|other| (To::Voter(other), vote.clone())));
+        let LogPosition { term: last_term, index: last_index } = self.saved.log.position();
+        let vote = Message::VoteRequest { pre, term, last_index, last_term };
+        out.send.extend(self.peer_ids().into_iter().map(|other| (Recipient::Voter(other), vote.clone())));
     }
 
-    pub(super) fn count_votes(&mut self, now: Micros, draw: u64, out: &mut Output) {
+    pub(super) fn tally_votes(&mut self, now: Micros, draw: u64, out: &mut Output) {
         if !has_majority(self.voters.keys(), |id| self.votes.has(id)) {
             return;
         }
         match self.role {
             Role::PreCandidate => {
-                self.wait_for_leader(now, draw);
-                self.enter(now, self.saved.term + 1, Some(self.id), out);
+                self.reset_election_timer(now, draw);
+                self.enter_term(now, self.saved.term + 1, Some(self.id), out);
                 self.role = Role::Candidate;
-                self.ask_for_votes(false, self.saved.term, out);
-                self.count_votes(now, draw, out);
+                self.request_votes(false, self.saved.term, out);
+                self.tally_votes(now, draw, out);
             }
-            Role::Candidate => self.lead(now, out),
+            Role::Candidate => self.become_leader(now, out),
             Role::Follower | Role::Leader => {}
         }
     }
 
     /// Another voter asks for this one's vote.
-    pub(super) fn hear_vote(
+    pub(super) fn step_vote_request(
         &mut self,
         now: Micros,
         draw: u64,
@@ -72,43 +84,46 @@
     ) {
         let VoteRequest { candidate, term, pre, .. } = request;
         if !pre && term > self.saved.term {
-            self.enter(now, term, None, out);
+            self.enter_term(now, term, None, out);
         }
-        let yes = self.standing(now).grants(&request);
-        if yes && !pre {
-            self.save(Save::Vote { term, voted: Some(candidate) }, out);
-            self.wait_for_leader(now, draw);
+        let granted = self.voter_state(now).grants(&request);
+        if granted && !pre {
+            self.save(PersistentChange::Vote { term, voted: Some(candidate) }, out);
+            self.reset_election_timer(now, draw);
         }
-        out.send.push((To::Voter(candidate), Message::Voted { pre, term: self.saved.term, yes }));
+        out.send
+            .push((Recipient::Voter(candidate), Message::VoteReply { pre, term: self.saved.term, granted }));
     }
 
-    fn standing(&self, now: Micros) -> VoterState<VoterId> {
-        let heard = self.led_at.is_some_and(|at| now.saturating_sub(at) < self.patience(now));
+    fn voter_state(&self, now: Micros) -> VoterState<VoterId> {
+        let heard = self
+            .leader_heard_at
+            .is_some_and(|at| now.saturating_sub(at) < self.current_election_timeout(now));
         VoterState {
             term: self.saved.term,
             voted_for: self.saved.voted,
             role: self.role,
-            has_live_leader: heard || self.leads(),
+            has_live_leader: heard || self.is_leader(),
             log: self.saved.log.position(),
         }
     }
 
     /// What another voter said to this one's question.
-    pub(super) fn hear_voted(
+    pub(super) fn step_vote_reply(
         &mut self,
         now: Micros,
         draw: u64,
         from: VoterId,
-        (pre, term, yes): (bool, Term, bool),
+        (pre, term, granted): (bool, Term, bool),
         out: &mut Output,
     ) {
         if term > self.saved.term {
-            self.enter(now, term, None, out);
+            self.enter_term(now, term, None, out);
             return;
         }
         let of_this_question = pre || term == self.saved.term;
-        if yes && of_this_question && self.votes.grant(from, pre, self.role) {
-            self.count_votes(now, draw, out);
+        if granted && of_this_question && self.votes.grant(from, pre, self.role) {
+            self.tally_votes(now, draw, out);
         }
     }
 }
--- a/src/agree/voter/tests.rs
+++ b/src/agree/voter/tests.rs
@@ -1,5 +1,5 @@
 use super::*;
-use crate::agree::document::{Part, Value};
+use crate::agree::document::{DocumentChange, Value};
 
 const S: Micros = 1_000_000;
 
@@ -15,7 +15,7 @@
 
 fn large() -> Edit {
     let changes = BTreeMap::from([("tries".to_string(), Some(Value::Attempts(1)))]);
-    let parts = BTreeMap::from([("plan".to_string(), Part { base: 0, changes })]);
+    let parts = BTreeMap::from([("plan".to_string(), DocumentChange { base: 0, changes })]);
     Edit { id: 1, parts, who: "ops".into(), why: "a large one".into(), at_ms: 0 }
 }
 
@@ -23,22 +23,26 @@
     fn new(seed: u64, cost: Micros) -> Busy {
         let mut draw = fastrand::Rng::with_seed(seed);
         let ids: Voters = (0..3).map(|id| (id, String::new())).collect();
-        let voter = |id| Voter::new(id, &ids, Times::default(), Saved::default(), 0, draw.u64(..));
+        let voter =
+            |id| Voter::new(id, &ids, Timings::default(), PersistentState::default(), 0, draw.u64(..));
         Busy { voters: (0..3).map(voter).collect(), until: [0; 3], mail: Vec::new(), cost, draw }
     }
 
     /// What it says leaves once it has done with it.
     fn done(&mut self, now: Micros, id: VoterId, out: Output) {
-        let is_large = |save: &Save| matches!(save, Save::Put(_, Entry { command: Command::Edit(_), .. }));
+        let is_large = |save: &PersistentChange| {
+            matches!(save, PersistentChange::Append(_, Entry { command: Command::Edit(_), .. }))
+        };
         let at = now + if out.save.iter().any(is_large) { self.cost } else { 1_000 };
         self.until[id as usize] = at;
         for (to, message) in out.send {
-            let To::Voter(to) = to else { continue };
+            let Recipient::Voter(to) = to else { continue };
             self.mail.push((at, id, to, message));
         }
     }
 
-    /// When the entry counts at some voter, within that time; its client asks every voter in turn, as the program does.
+    /// When the entry counts at some voter, within that time; its client asks every voter in turn, as the
+    /// program does.
     fn counts(&mut self, within: Micros) -> Option<Micros> {
         let mut proposed_in = 0;
         for now in (0..within).step_by(1_000) {
@@ -51,16 +55,16 @@
                 let voter = &mut self.voters[id as usize];
                 let out = if let Some(place) = self.mail.iter().position(due) {
                     let (_, from, _, message) = self.mail.remove(place);
-                    voter.hear(now, draw, (from, next_start(0, 0)), message)
-                } else if voter.leads() && voter.term() > proposed_in {
+                    voter.step(now, draw, (from, next_incarnation(0, 0)), message)
+                } else if voter.is_leader() && voter.term() > proposed_in {
                     proposed_in = voter.term();
                     voter.propose(now, large()).unwrap()
-                } else if now >= voter.next() {
+                } else if now >= voter.next_tick_at() {
                     voter.tick(now, draw)
                 } else {
                     continue;
                 };
-                if voter.ledger().result(1).is_some() {
+                if voter.state().result(1).is_some() {
                     return Some(now);
                 }
                 self.done(now, id, out);
@@ -72,7 +76,7 @@
 
 #[test]
 fn an_entry_that_holds_its_leader_up_for_longer_than_a_wait_for_elections_comes_to_count() {
-    let wait = Times::default().election;
+    let wait = Timings::default().election;
     for (cost, within) in [(wait / 10, 3 * S), (3 * wait, 30 * S)] {
         for seed in 0..40 {
             let counted = Busy::new(seed, cost).counts(within);
@@ -83,9 +87,15 @@
 
 #[test]
 fn a_voter_waits_longer_only_while_terms_follow_each_other_fast() {
-    let times = Times::default();
-    let mut voter = Voter::new(0, &Voters::new(), times, Saved::default(), 0, 0);
-    let beat = |term| Message::Append { term, before: 0, before_term: 0, entries: Vec::new(), commit: 0 };
+    let times = Timings::default();
+    let mut voter = Voter::new(0, &Voters::new(), times, PersistentState::default(), 0, 0);
+    let beat = |term| Message::AppendRequest {
+        term,
+        previous_index: 0,
+        previous_term: 0,
+        entries: Vec::new(),
+        commit: 0,
+    };
     // A term, when it is heard of, and how many times the usual wait is waited for its leader.
     for (term, at, waits) in [
         (1, S, 1),
@@ -96,8 +106,8 @@
         (4, 20 * S, 1),
         (5, 20 * S, 1),
     ] {
-        voter.hear(at, 0, (1, next_start(0, 0)), beat(term));
-        assert_eq!(voter.patience(at), waits * times.election, "term {term} at {at}");
-        assert_eq!(voter.next(), at + waits * times.election, "term {term} at {at}");
+        voter.step(at, 0, (1, next_incarnation(0, 0)), beat(term));
+        assert_eq!(voter.current_election_timeout(at), waits * times.election, "term {term} at {at}");
+        assert_eq!(voter.next_tick_at(), at + waits * times.election, "term {term} at {at}");
     }
 }
--- a/src/config/agree.rs
+++ b/src/config/agree.rs
@@ -1,9 +1,9 @@
-//! The agreement's file: whether it is on, who votes, where this head's voter has its disk, and the times that the
-//! promise rests on. Errors name the key.
+//! The agreement's file: whether it is on, who votes, where this head's voter has its disk, and the times
+//! that the promise rests on. Errors name the key.
 
 use super::{ConfigError, operators_file, unreadable};
 use crate::agree::voter::Voters;
-use crate::agree::{Micros, Times, VoterId};
+use crate::agree::{Micros, Timings, VoterId};
 use serde::Deserialize;
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -26,9 +26,10 @@
     pub cluster: String,
     /// `None`: this head has no voter.
     pub seat: Option<Seat>,
-    /// Who votes while the log says nothing else, and where they are reached from here, whatever the log says.
+    /// Who votes while the log says nothing else, and where they are reached from here, whatever the log
+    /// says.
     pub voters: Voters,
-    pub times: Times,
+    pub times: Timings,
     /// For rehearsals: what this process's clock is ahead, and how much faster it runs in parts of a million.
     pub clock_ahead: Micros,
     pub clock_ppm: i64,
@@ -114,9 +115,9 @@
         if voters.is_empty() || voters.len() > MOST_VOTERS || voters.len() < file.voters.len() {
             return bad("voters", "1 to 9 of different numbers are due");
         }
-        let (usual, keys) = (Times::default(), &file.times);
+        let (usual, keys) = (Timings::default(), &file.times);
         let ms = |key: Option<u64>, usual: Micros| key.map_or(usual, |ms| ms.min(DAY_MS) * 1_000);
-        let times = Times {
+        let times = Timings {
             lease: ms(keys.lease_ms, usual.lease),
             long_lease: ms(keys.long_lease_ms, usual.long_lease),
             drift_ppm: keys.drift_ppm.unwrap_or(usual.drift_ppm),
--- a/src/config/agree/tests.rs
+++ b/src/config/agree/tests.rs
@@ -7,7 +7,7 @@
     assert_eq!(Agreement::read("").unwrap(), None);
     assert_eq!(Agreement::read(&GOOD.replace("true", "false")).unwrap(), None);
     let read = Agreement::read(GOOD).unwrap().unwrap();
-    assert_eq!((read.times, read.seat.clone()), (Times::default(), None));
+    assert_eq!((read.times, read.seat.clone()), (Timings::default(), None));
     let told = Voters::from([(7, "127.0.0.1:1".to_string()), (8, "127.0.0.1:2".to_string())]);
     let at = |id| read.address(id, &told);
     assert_eq!(
--- a/src/core/agreement.rs
+++ b/src/core/agreement.rs
@@ -2,9 +2,9 @@
 
 use super::Core;
 use super::open::Open;
-use crate::agree::document::Level;
-use crate::agree::holder::View;
-use crate::agree::rules::{Came, Reading, Rules};
+use crate::agree::document::LeaseLevel;
+use crate::agree::lease_holder::LeaseView;
+use crate::agree::rules::{AdmittedRules, Rules, RulesChange};
 use crate::clock::Pace;
 use crate::event;
 use crate::interface::*;
@@ -15,12 +15,12 @@
 pub struct Agreed {
     pub rules: Rules,
     /// What this head knows, as it is at this moment.
-    pub view: Arc<Mutex<View>>,
+    pub view: Arc<Mutex<LeaseView>>,
     pub pace: Pace,
 }
 
 impl Agreed {
-    pub(super) fn view(&self) -> View {
+    pub(super) fn view(&self) -> LeaseView {
         self.view.lock().unwrap_or_else(PoisonError::into_inner).clone()
     }
 }
@@ -28,11 +28,11 @@
 /// From the look at the rules to the act: beyond this it is told.
 const LATE_ACT: Micros = 100_000;
 
-fn name_of(level: Level) -> &'static str {
+fn name_of(level: LeaseLevel) -> &'static str {
     match level {
-        Level::Bottom => "bottom",
-        Level::Loose => "loose",
-        Level::Held => "held",
+        LeaseLevel::NoLease => "bottom",
+        LeaseLevel::LongLease => "loose",
+        LeaseLevel::FullLease => "held",
     }
 }
 
@@ -42,20 +42,20 @@
     pub(super) fn look(&mut self) -> Vec<Event> {
         let Some(agreed) = &mut self.agreed else { return Vec::new() };
         let view = agreed.view();
-        let Some(reading) = agreed.rules.look(agreed.pace.now(), &view) else { return Vec::new() };
-        let Reading { level, was, revised } = reading;
-        let ledger = agreed.rules.ledger();
-        let (read, prepared, active) = (ledger.read(), ledger.prepared(), ledger.active());
+        let Some(reading) = agreed.rules.refresh(agreed.pace.now(), &view) else { return Vec::new() };
+        let RulesChange { level, was, revised } = reading;
+        let state = agreed.rules.state();
+        let (read, prepared, active) = (state.applied(), state.prepared(), state.active());
         let ignored = agreed.rules.ignored().join(" ");
         let (level, was, revised) = (name_of(level), name_of(was), if revised { "yes" } else { "no" });
         event!(READING, level, was, revised, read, prepared, active, ignored);
-        if !reading.matters() {
+        if !reading.affects_module() {
             return Vec::new();
         }
         self.settings = agreed.rules.settings();
         let mut changed = Vec::new();
         for (number, node) in self.nodes.iter_mut().filter(|(_, node)| !node.gone) {
-            let ready = node.listed && agreed.rules.takes(&node.id);
+            let ready = node.listed && agreed.rules.accepts_requests(&node.id);
             if std::mem::replace(&mut node.ready, ready) != ready
                 && let Some(entry) = self.known.iter_mut().find(|entry| entry.node == *number)
             {
@@ -85,9 +85,10 @@
     pub(super) fn may_start(&self, open: &Open, attempt: u32, node: NodeId) -> Option<Micros> {
         let Some(agreed) = &self.agreed else { return Some(0) };
         let (now, node) = (agreed.pace.now(), self.nodes.get(&node)?);
-        let fresh = agreed.rules.fresh(now, &agreed.view());
-        let came =
-            open.under.unwrap_or(Came { attempts: 0, repeats: crate::agree::document::Repeats::Never });
+        let fresh = agreed.rules.is_current(now, &agreed.view());
+        let came = open
+            .under
+            .unwrap_or(AdmittedRules { attempts: 0, repeats: crate::agree::document::Repeats::Never });
         (fresh && agreed.rules.allows(open.class, came, attempt, open.ran, &node.id)).then_some(now)
     }
 
@@ -107,8 +108,8 @@
             event!(LATE_ACT, late_us, request);
         }
         if log::log_enabled!(log::Level::Debug) {
-            let (ledger, level) = (agreed.rules.ledger(), name_of(agreed.rules.level()));
-            let (read, active, at_us) = (ledger.read(), ledger.active(), self.clock.now());
+            let (state, level) = (agreed.rules.state(), name_of(agreed.rules.level()));
+            let (read, active, at_us) = (state.applied(), state.active(), self.clock.now());
             let node = self.nodes.get(&node).map_or("", |node| node.id.as_str());
             let (class, attempts) = (class as u64, agreed.rules.attempts(class));
             let limits: Vec<String> = self.settings.plans.iter().map(|plan| plan.limit.to_string()).collect();
--- a/src/core/nodes.rs
+++ b/src/core/nodes.rs
@@ -133,7 +133,7 @@
     }
 
     pub(super) fn takes(&self, node: &str) -> bool {
-        self.agreed.as_ref().is_none_or(|agreed| agreed.rules.takes(node))
+        self.agreed.as_ref().is_none_or(|agreed| agreed.rules.accepts_requests(node))
     }
 
     pub(super) fn release_nodes(&mut self) {
--- a/src/core/open.rs
+++ b/src/core/open.rs
@@ -2,7 +2,7 @@
 
 use super::attempt::{Begun, Work};
 use super::handle::Answer;
-use crate::agree::rules::Came;
+use crate::agree::rules::AdmittedRules;
 use crate::clock::{Clock, micros};
 use crate::events::requests::{Tried, Why};
 use crate::index::wheel::Key;
@@ -50,7 +50,7 @@
     pub(super) class: usize,
     pub(super) max_attempts: u32,
     /// The agreed rules that it came under.
-    pub(super) under: Option<Came>,
+    pub(super) under: Option<AdmittedRules>,
     /// An attempt may have run.
     pub(super) ran: bool,
 }
--- a/src/core/requests.rs
+++ b/src/core/requests.rs
@@ -26,7 +26,7 @@
     ) {
         self.look_first();
         let now = self.clock.now();
-        let under = self.agreed.as_ref().map(|agreed| agreed.rules.came(arrival.class));
+        let under = self.agreed.as_ref().map(|agreed| agreed.rules.admit(arrival.class));
         let agreed_plan = self.agreed.as_ref().and_then(|agreed| agreed.rules.plan(arrival.volume));
         let arrival = Arrival { plan: agreed_plan.unwrap_or(arrival.plan), ..arrival };
         let coming = arrival.coming.map(micros);
--- a/src/net/agree/archive.rs
+++ b/src/net/agree/archive.rs
@@ -1,10 +1,11 @@
-//! A voter's archive: old entries in segments, one JSON object a line, each with the digest of all before it. A segment is
-//! written once, whole, and synced before its entries leave the log; whoever wants the room moves the oldest ones away.
+//! A voter's archive: old entries in segments, one JSON object a line, each with the digest of all before it.
+//! A segment is written once, whole, and synced before its entries leave the log; whoever wants the room
+//! moves the oldest ones away.
 
 use super::disk::{DiskError, Record, digest_of, foreign, hex};
 use crate::agree::Index;
-use crate::agree::archive::{Chain, Span};
-use crate::agree::ledger::Digest;
+use crate::agree::archive::{DigestChain, EntryRange};
+use crate::agree::document_state::Digest;
 use serde::{Deserialize, Serialize};
 use std::fs::{self, File};
 use std::io::{BufRead, BufReader, BufWriter, ErrorKind, Write};
@@ -20,7 +21,7 @@
 struct Head {
     form: u64,
     #[serde(flatten)]
-    span: Span,
+    span: EntryRange,
     /// Of all in front of it, in hexadecimal digits.
     before: String,
 }
@@ -37,7 +38,7 @@
     }
 
     /// In the entries' order. A folder that is not there holds none.
-    pub fn segments(&self) -> Result<Vec<Span>, DiskError> {
+    pub fn segments(&self) -> Result<Vec<EntryRange>, DiskError> {
         let files = match fs::read_dir(&self.folder) {
             Ok(files) => files,
             Err(problem) if problem.kind() == ErrorKind::NotFound => return Ok(Vec::new()),
@@ -45,7 +46,7 @@
         };
         let mut spans = Vec::new();
         for file in files {
-            spans.extend(file.map_err(DiskError::Io)?.file_name().to_str().and_then(Span::of));
+            spans.extend(file.map_err(DiskError::Io)?.file_name().to_str().and_then(EntryRange::of));
         }
         spans.sort_unstable();
         Ok(spans)
@@ -54,7 +55,7 @@
     /// On disk, whole, when this returns; once more does no harm.
     pub fn keep(&self, before: &Digest, records: &[Record]) -> Result<(), DiskError> {
         let (Some(first), Some(last)) = (records.first(), records.last()) else { return Ok(()) };
-        let span = Span { from: first.index, to: last.index };
+        let span = EntryRange { from: first.index, to: last.index };
         let write = || -> std::io::Result<()> {
             fs::create_dir_all(&self.folder)?;
             let unfinished = self.folder.join(UNFINISHED);
@@ -76,7 +77,7 @@
     /// The lines of a segment behind its first one, and the digest of all in front of it.
     fn open(
         &self,
-        span: Span,
+        span: EntryRange,
     ) -> Result<(Digest, impl Iterator<Item = Result<Record, DiskError>>), DiskError> {
         let name = span.name();
         let file = File::open(self.folder.join(&name)).map_err(DiskError::Io)?;
@@ -94,7 +95,8 @@
         Ok((before, records))
     }
 
-    /// Entries after that one, so many at most, of the first segment that has any. None where the log has to go on.
+    /// Entries after that one, so many at most, of the first segment that has any. None where the log has to
+    /// go on.
     pub fn records(&self, after: Index, most: usize) -> Result<Vec<Record>, DiskError> {
         let Some(span) = self.segments()?.into_iter().find(|span| span.to > after) else {
             return Ok(Vec::new());
@@ -104,8 +106,9 @@
         records.filter(later).take(most).collect()
     }
 
-    /// Follows every segment's entries behind those that were followed. What is unreadable is told as the entry that it should have been.
-    pub fn follow(&self, chain: &mut Chain) -> Result<(), DiskError> {
+    /// Follows every segment's entries behind those that were followed. What is unreadable is told as the
+    /// entry that it should have been.
+    pub fn follow(&self, chain: &mut DigestChain) -> Result<(), DiskError> {
         // What has been followed is not read again.
         let last = chain.last();
         for span in self.segments()?.into_iter().filter(|span| span.to > last) {
--- a/src/net/agree/backup.rs
+++ b/src/net/agree/backup.rs
@@ -1,10 +1,11 @@
-//! A backup: one file with all documents and the entries that led to them, and the disk of a new cluster's only voter that is
-//! made from it. The first line is a header, each further line one entry with the digest of all up to it.
+//! A backup: one file with all documents and the entries that led to them, and the disk of a new cluster's
+//! only voter that is made from it. The first line is a header, each further line one entry with the digest
+//! of all up to it.
 
 use super::disk::{Disk, DiskError, Record, digest_of};
-use crate::agree::archive::Chain;
-use crate::agree::ledger::{Digest, Ledger};
-use crate::agree::voter::{Save, Voters};
+use crate::agree::archive::DigestChain;
+use crate::agree::document_state::{Digest, DocumentState};
+use crate::agree::voter::{PersistentChange, Voters};
 use crate::agree::{Command, Entry, Index, Term, VoterId};
 use serde::{Deserialize, Serialize};
 use std::fs::{self, File};
@@ -56,15 +57,16 @@
 struct Header {
     form: u64,
     cluster: String,
-    ledger: Ledger,
+    #[serde(rename = "ledger")]
+    state: DocumentState,
     term: Term,
 }
 
 /// Writes a backup to a new file. `records` end with the last entry that the ledger has read.
-pub fn write(to: &Path, cluster: &str, ledger: Ledger, records: &[Record]) -> Result<(), BackupError> {
+pub fn write(to: &Path, cluster: &str, state: DocumentState, records: &[Record]) -> Result<(), BackupError> {
     let file = File::create_new(to)?;
     let term = records.last().map_or(0, |record| record.entry.term);
-    let header = Header { form: FORMAT, cluster: cluster.to_string(), ledger, term };
+    let header = Header { form: FORMAT, cluster: cluster.to_string(), state, term };
     let written = write_lines(file, &header, records);
     if written.is_err() {
         // A part of a backup must not pass for one, nor stand in the next one's way.
@@ -86,7 +88,7 @@
 pub struct Backup {
     /// The cluster that it was taken of.
     pub cluster: String,
-    ledger: Ledger,
+    state: DocumentState,
     term: Term,
     /// The entry that the first one here follows on, where older ones had been moved away.
     base: Option<(Index, Digest)>,
@@ -121,17 +123,23 @@
         }
         let snapshot_term = self.entries.last().map_or(self.term, |entry| entry.term);
         let first = self.base.map_or(0, |(index, _)| index) + 1;
-        let entries: Vec<Save> =
-            (first..).zip(self.entries).map(|(index, entry)| Save::Put(index, entry)).collect();
+        let entries: Vec<PersistentChange> = (first..)
+            .zip(self.entries)
+            .map(|(index, entry)| PersistentChange::Append(index, entry))
+            .collect();
         disk.save(&entries)?;
-        let (term, last) = (self.term + 1, self.ledger.read() + 1);
+        let (term, last) = (self.term + 1, self.state.applied() + 1);
         let alone = Command::Voters(Voters::from([(id, address.to_string())]));
         disk.save(&[
-            Save::Snapshot { ledger: Box::new(self.ledger), term: snapshot_term, whole: None },
-            Save::Put(last, Entry { term, command: alone }),
+            PersistentChange::Snapshot {
+                state: Box::new(self.state),
+                term: snapshot_term,
+                replaces_after: None,
+            },
+            PersistentChange::Append(last, Entry { term, command: alone }),
         ])?;
         // Whoever comes has to have read all of it.
-        disk.save(&[Save::Vote { term, voted: None }, Save::Barrier(last)])?;
+        disk.save(&[PersistentChange::Vote { term, voted: None }, PersistentChange::Barrier(last)])?;
         Ok(last)
     }
 }
@@ -141,8 +149,8 @@
 struct EntryReader {
     entries: Vec<Entry>,
     /// What the entries read so far come to, where they begin with the first of all.
-    ledger: Ledger,
-    chain: Chain,
+    state: DocumentState,
+    chain: DigestChain,
     base: Option<(Index, Digest)>,
 }
 
@@ -162,20 +170,20 @@
             return Err(BackupError::Changed { line, index: record.index });
         }
         if self.base.is_none() {
-            self.ledger.apply(&record.entry);
+            self.state.apply(&record.entry);
         }
         self.entries.push(record.entry);
         Ok(())
     }
 
     fn finish(self, header: Header) -> Result<Backup, BackupError> {
-        let EntryReader { entries, ledger, chain, base } = self;
+        let EntryReader { entries, state, chain, base } = self;
         let end = base.filter(|_| entries.is_empty()).unwrap_or((chain.last(), *chain.digest()));
-        if end != (header.ledger.read(), *header.ledger.digest()) {
+        if end != (header.state.applied(), *header.state.digest()) {
             return Err(BackupError::Incomplete);
         }
         // Documents that no entries here tell of are taken as the header has them.
-        let ledger = if base.is_some() { header.ledger } else { ledger };
-        Ok(Backup { cluster: header.cluster, ledger, term: header.term, base, entries })
+        let state = if base.is_some() { header.state } else { state };
+        Ok(Backup { cluster: header.cluster, state, term: header.term, base, entries })
     }
 }
--- a/src/net/agree/call.rs
+++ b/src/net/agree/call.rs
@@ -1,6 +1,6 @@
 //! One call to a voter and its answer, over HTTP/1.1: JSON both ways, bounded in bytes and time.
 
-use super::wire::{CLUSTER, MOST_BYTES};
+use super::wire::{CLUSTER_HEADER, MAX_MESSAGE_BYTES};
 use bytes::Bytes;
 use http_body_util::{BodyExt, Full, Limited};
 use hyper::{Method, Request, StatusCode};
@@ -63,7 +63,7 @@
         let request = Request::builder()
             .method(Method::POST)
             .uri(format!("http://{address}{path}"))
-            .header(CLUSTER, &self.cluster)
+            .header(CLUSTER_HEADER, &self.cluster)
             .body(Full::new(Bytes::from(body)))
             .map_err(|problem| CallError::Broke(problem.to_string()))?;
         let answered = async {
@@ -73,7 +73,7 @@
                 .await
                 .map_err(|problem| CallError::Broke(problem.to_string()))?;
             let status = answer.status();
-            let body = Limited::new(answer.into_body(), MOST_BYTES).collect().await;
+            let body = Limited::new(answer.into_body(), MAX_MESSAGE_BYTES).collect().await;
             let body = body.map_err(|problem| CallError::Broke(problem.to_string()))?.to_bytes();
             match status {
                 StatusCode::OK => serde_json::from_slice(&body)
--- a/src/net/agree/command.rs
+++ b/src/net/agree/command.rs
@@ -5,12 +5,12 @@
 use super::call::{CallError, Caller};
 use super::disk::{Disk, DiskError, Record};
 use super::wire::{
-    LEDGER, LedgerAsked, LedgerTold, PROPOSE, Proposed, RECORDS, RecordsAsked, RecordsTold, STATUS, Status,
-    VERIFY, VOTERS,
+    PROPOSE_PATH, ProposalOutcome, RECORDS_PATH, RecordsReply, RecordsRequest, STATE_PATH, STATUS_PATH,
+    StateReply, StateRequest, VERIFY_PATH, VOTERS_PATH, VoterStatus,
 };
-use crate::agree::archive::{Chain, Verified};
+use crate::agree::archive::{DigestChain, Verification};
 use crate::agree::document::Edit;
-use crate::agree::ledger::Ledger;
+use crate::agree::document_state::DocumentState;
 use crate::agree::{Index, VoterId, report};
 use crate::command_line;
 use crate::config::agree::Agreement;
@@ -30,9 +30,10 @@
 /// A voter that does not say by then how far it is is not waited for.
 const STATUS_TIME: Duration = Duration::from_secs(2);
 const AGAIN: Duration = Duration::from_millis(100);
-const AT_ONCE: usize = 1_000;
+const RECORDS_PER_REQUEST: usize = 1_000;
 
-/// What the heads agree on. Voters are those of the file that PATHBANK_AGREE names (deploy/agree.toml), or of `--at`.
+/// What the heads agree on. Voters are those of the file that PATHBANK_AGREE names (deploy/agree.toml), or of
+/// `--at`.
 #[derive(Parser)]
 #[command(name = "pathbank agree")]
 struct Line {
@@ -57,7 +58,7 @@
         directory: PathBuf,
     },
     /// How each voter stands.
-    Status,
+    VoterStatus,
     /// Documents in force, or one of them, with what is prepared; as the leader has it, or as any voter does.
     Show {
         document: Option<String>,
@@ -76,7 +77,8 @@
     /// Changes fields of one document, or of several by a file of JSON.
     Propose {
         document: Option<String>,
-        /// FIELD=VALUE: limit:RATE[,LEAST], attempts:N, repeats:never|keyed|always, node:in|out, plain:TEXT, none.
+        /// FIELD=VALUE: limit:RATE[,LEAST], attempts:N, repeats:never|keyed|always, node:in|out, plain:TEXT,
+        /// none.
         changes: Vec<String>,
         /// The version that was seen; without it the one that is read now.
         #[arg(long)]
@@ -132,7 +134,7 @@
 
 #[derive(Debug)]
 enum Problem {
-    Said(String),
+    MessageEnvelope(String),
     Call(String, CallError),
     Disk(DiskError),
 }
@@ -140,7 +142,7 @@
 impl fmt::Display for Problem {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            Problem::Said(what) => f.write_str(what),
+            Problem::MessageEnvelope(what) => f.write_str(what),
             Problem::Call(address, problem) => write!(f, "{address}: {problem}"),
             Problem::Disk(problem) => write!(f, "{problem}"),
         }
@@ -154,7 +156,7 @@
 }
 
 fn said(what: impl fmt::Display) -> Problem {
-    Problem::Said(what.to_string())
+    Problem::MessageEnvelope(what.to_string())
 }
 
 type Done<T = ()> = Result<T, Problem>;
@@ -185,7 +187,7 @@
         }
         What::Verify { directory: Some(directory) } => {
             let (disk, _) = Disk::open(directory, MAX_DISK_BYTES)?;
-            let mut chain = Chain::default();
+            let mut chain = DigestChain::default();
             Archive::beside(directory).follow(&mut chain)?;
             tell_verified(&line, &directory.display().to_string(), &disk.verify(chain)?.done())
         }
@@ -210,7 +212,7 @@
     }
 }
 
-fn tell_verified(line: &Line, at: &str, found: &Verified) -> Done {
+fn tell_verified(line: &Line, at: &str, found: &Verification) -> Done {
     let gaps: Vec<String> = found.gaps.iter().map(|(from, to)| format!("{from} to {to}")).collect();
     let gaps = if gaps.is_empty() { String::new() } else { format!(", without {}", gaps.join(", ")) };
     let word = match found.wrong {
@@ -259,7 +261,7 @@
 
     async fn carry_out(&self, line: &Line) -> Done {
         match &line.what {
-            What::Status => self.status(line).await,
+            What::VoterStatus => self.status(line).await,
             What::Show { document, any } => self.show(line, document.as_deref(), *any).await,
             What::History { document, after } => {
                 let records = self.all_records(*after).await?;
@@ -292,7 +294,7 @@
             What::Verify { .. } => {
                 let mut wrong = None;
                 for address in &self.addresses {
-                    match self.call::<Verified>(address, VERIFY, &()).await {
+                    match self.call::<Verification>(address, VERIFY_PATH, &()).await {
                         Ok(found) => {
                             wrong = tell_verified(line, address, &found).err().or(wrong);
                         }
@@ -318,16 +320,16 @@
     }
 
     /// How each voter stands that says so within that time.
-    async fn statuses(&self, within: Duration) -> Vec<(String, Done<Status>)> {
+    async fn statuses(&self, within: Duration) -> Vec<(String, Done<VoterStatus>)> {
         let asked = self.addresses.iter().map(|address| async move {
-            let told = self.caller.call(address, STATUS, &(), within).await;
+            let told = self.caller.call(address, STATUS_PATH, &(), within).await;
             (address.clone(), told.map_err(|problem| Problem::Call(address.clone(), problem)))
         });
         futures_util::future::join_all(asked).await
     }
 
     async fn status(&self, line: &Line) -> Done {
-        let mut fault = None;
+        let mut validation_error = None;
         for (address, status) in self.statuses(CALL_TIME).await {
             match status {
                 Ok(status) => {
@@ -335,7 +337,7 @@
                     let text = format!(
                         "{address}: voter {} start {} term {} leader {leader} last {} counts {} prepared {} in force {} disk {} bytes of {} voters",
                         status.id,
-                        status.starts,
+                        status.incarnation,
                         status.term,
                         status.last,
                         status.commit,
@@ -348,11 +350,11 @@
                 }
                 Err(problem) => {
                     say(line, &problem.to_string(), &json!({"at": address, "problem": problem.to_string()}))?;
-                    fault = Some(said("not every voter answers"));
+                    validation_error = Some(said("not every voter answers"));
                 }
             }
         }
-        fault.map_or(Ok(()), Err)
+        validation_error.map_or(Ok(()), Err)
     }
 
     /// Asks whoever leads. `none`: the one asked does not, and may know who does.
@@ -376,27 +378,27 @@
         }
     }
 
-    async fn ledger(&self, sure: bool) -> Done<Ledger> {
-        let none = |told: &LedgerTold| !matches!(told, LedgerTold::Ledger(_));
-        match self.of_leader(LEDGER, &LedgerAsked { sure }, none).await? {
-            LedgerTold::Ledger(ledger) => Ok(*ledger),
+    async fn state(&self, linearizable: bool) -> Done<DocumentState> {
+        let none = |told: &StateReply| !matches!(told, StateReply::State(_));
+        match self.of_leader(STATE_PATH, &StateRequest { linearizable }, none).await? {
+            StateReply::State(state) => Ok(*state),
             _ => Err(said("no voter leads now")),
         }
     }
 
     async fn show(&self, line: &Line, only: Option<&str>, any: bool) -> Done {
-        let ledger = self.ledger(!any).await?;
+        let state = self.state(!any).await?;
         let mut names: Vec<&str> =
-            ledger.names().filter(|name| only.is_none_or(|only| only == *name)).collect();
+            state.names().filter(|name| only.is_none_or(|only| only == *name)).collect();
         names.sort_unstable();
         names.dedup();
         if let (Some(only), []) = (only, &names[..]) {
             return Err(said(format!("there is no document {only}")));
         }
         for name in names {
-            let in_force = ledger.document(name);
+            let in_force = state.document(name);
             let latest =
-                ledger.latest(name).filter(|latest| in_force.is_none_or(|now| now.version < latest.version));
+                state.latest(name).filter(|latest| in_force.is_none_or(|now| now.version < latest.version));
             if let Some(document) = in_force {
                 let told = json!({"name": name, "state": "in force", "document": document});
                 say(line, &report::document(name, document, ", in force"), &told)?;
@@ -409,8 +411,9 @@
         Ok(())
     }
 
-    /// How far the furthest voter that answers is: the others may not have heard yet of the last entries that count.
-    async fn furthest(&self, of: impl Fn(&Status) -> Index) -> Done<Index> {
+    /// How far the furthest voter that answers is: the others may not have heard yet of the last entries that
+    /// count.
+    async fn furthest(&self, of: impl Fn(&VoterStatus) -> Index) -> Done<Index> {
         let until = Instant::now() + LEADER_TIME;
         loop {
             let (mut furthest, mut last) = (None, said("no voter answers"));
@@ -459,8 +462,8 @@
     async fn records_of(&self, address: &str, after: Index, through: Index) -> Done<Option<Vec<Record>>> {
         let (mut records, mut at) = (Vec::new(), after);
         while at < through {
-            let asked = RecordsAsked { after: at, most: AT_ONCE };
-            let told = self.call::<RecordsTold>(address, RECORDS, &asked).await?;
+            let asked = RecordsRequest { after: at, most: RECORDS_PER_REQUEST };
+            let told = self.call::<RecordsReply>(address, RECORDS_PATH, &asked).await?;
             let Some(last) = told.records.last().filter(|_| told.commit >= through) else { return Ok(None) };
             at = last.index;
             records.extend(told.records);
@@ -480,7 +483,7 @@
     async fn watch(&self, line: &Line, after: Option<Index>) -> Done {
         let mut at = match after {
             Some(after) => after,
-            None => self.ledger(false).await?.read(),
+            None => self.state(false).await?.applied(),
         };
         loop {
             // Voters that are gone for a while are no end of the watch.
@@ -509,17 +512,17 @@
             (Some(name), None) => {
                 let base = match base {
                     Some(base) => *base,
-                    None => self.ledger(true).await?.latest(name).map_or(0, |document| document.version),
+                    None => self.state(true).await?.latest(name).map_or(0, |document| document.version),
                 };
                 report::edit(id, name, base, changes, (&who, why, now_ms())).map_err(said)?
             }
             _ => return Err(said("either a document with its changes is due, or --file")),
         };
-        let none = |told: &Proposed| matches!(told, Proposed::NotLeader(_));
-        let told = self.of_leader(PROPOSE, &edit, none).await;
+        let none = |told: &ProposalOutcome| matches!(told, ProposalOutcome::NotLeader(_));
+        let told = self.of_leader(PROPOSE_PATH, &edit, none).await;
         let entry = match told {
-            Ok(Proposed::Entry(entry)) => entry,
-            Ok(Proposed::Rejected(rejected)) => return Err(said(format!("refused: {rejected}"))),
+            Ok(ProposalOutcome::Entry(entry)) => entry,
+            Ok(ProposalOutcome::Rejected(rejected)) => return Err(said(format!("refused: {rejected}"))),
             // It may have been taken by a voter that was lost before it could say so.
             Ok(_) | Err(Problem::Call(..)) => {
                 return Err(said(format!(
@@ -560,22 +563,24 @@
             }
             _ => return Err(said("one change at a time")),
         }
-        let none = |told: &Proposed| matches!(told, Proposed::NotLeader(_));
-        match self.of_leader(VOTERS, &voters, none).await? {
-            Proposed::Entry(entry) => say(line, &format!("entry {entry} counts"), &json!({"entry": entry})),
-            Proposed::NotNow(why) => Err(said(why)),
+        let none = |told: &ProposalOutcome| matches!(told, ProposalOutcome::NotLeader(_));
+        match self.of_leader(VOTERS_PATH, &voters, none).await? {
+            ProposalOutcome::Entry(entry) => {
+                say(line, &format!("entry {entry} counts"), &json!({"entry": entry}))
+            }
+            ProposalOutcome::NotNow(why) => Err(said(why)),
             _ => Err(said("it is not known whether it counts: see `voters`")),
         }
     }
 
     async fn backup(&self, line: &Line, to: &Path) -> Done {
-        let ledger = self.ledger(true).await?;
-        let read = ledger.read();
+        let state = self.state(true).await?;
+        let read = state.applied();
         // The leader has told the documents; a voter that lags behind it does not have their last entries.
         let mut records = self.records(0, read).await?;
         records.retain(|record| record.index <= read);
         let count = records.len();
-        backup::write(to, &self.cluster, ledger, &records)
+        backup::write(to, &self.cluster, state, &records)
             .map_err(|problem| said(format!("{}: {problem}", to.display())))?;
         say(line, &format!("up to entry {read}, {count} entries"), &json!({"entry": read, "entries": count}))
     }
--- a/src/net/agree/disk.rs
+++ b/src/net/agree/disk.rs
@@ -1,11 +1,12 @@
-//! A voter's disk: one file of redb, where a batch is whole or not there at all after a crash at any byte, and is synced
-//! before `save` returns. Each of the log's entries is kept with the digest of all before it, so that a changed past shows;
-//! the ledger beside them spares reading them all at a start. Old entries leave for the archive, where that is wanted.
+//! A voter's disk: one file of redb, where a batch is whole or not there at all after a crash at any byte,
+//! and is synced before `save` returns. Each of the log's entries is kept with the digest of all before it,
+//! so that a changed past shows; the ledger beside them spares reading them all at a start. Old entries leave
+//! for the archive, where that is wanted.
 
 use super::archive::Archive;
-use crate::agree::archive::{self, Chain, SEGMENT_BYTES, Span};
-use crate::agree::ledger::{Digest, Ledger, digest_after};
-use crate::agree::voter::{Save, Saved, Starts, next_start};
+use crate::agree::archive::{self, DigestChain, EntryRange, MAX_SEGMENT_BYTES};
+use crate::agree::document_state::{Digest, DocumentState, next_digest};
+use crate::agree::voter::{Incarnation, PersistentChange, PersistentState, next_incarnation};
 use crate::agree::{Entry, Index, Term, VoterId};
 use redb::{Database, ReadableDatabase, ReadableTable, StorageBackend, TableDefinition, WriteTransaction};
 use serde::de::DeserializeOwned;
@@ -79,7 +80,8 @@
 
 #[derive(Serialize, Deserialize)]
 struct Snapshot {
-    ledger: Ledger,
+    #[serde(rename = "ledger")]
+    state: DocumentState,
     term: Term,
 }
 
@@ -182,7 +184,7 @@
     }
 
     /// Opens a voter's disk for one more start. `most`: bytes that the file may have.
-    pub fn open(folder: &Path, most: u64) -> Result<(Disk, Saved), DiskError> {
+    pub fn open(folder: &Path, most: u64) -> Result<(Disk, PersistentState), DiskError> {
         let path = path(folder);
         let file = match OpenOptions::new().read(true).write(true).open(&path) {
             Ok(file) => file,
@@ -205,7 +207,7 @@
     }
 
     /// On anything that holds bytes.
-    pub fn on(backend: impl StorageBackend) -> Result<(Disk, Saved), DiskError> {
+    pub fn on(backend: impl StorageBackend) -> Result<(Disk, PersistentState), DiskError> {
         let database = redb::Builder::new().set_cache_size(CACHE).create_with_backend(backend)?;
         let mut disk =
             Disk { database, id: 0, last: 0, digest: Digest::default(), base: (0, Digest::default()) };
@@ -217,7 +219,7 @@
         self.id
     }
 
-    fn load(&mut self) -> Result<Saved, DiskError> {
+    fn load(&mut self) -> Result<PersistentState, DiskError> {
         let read = self.database.begin_read()?;
         let meta = read.open_table(META).map_err(|_| foreign("it is no voter's"))?;
         let schema: u64 = get(&meta, "schema")?.ok_or_else(|| foreign("it has no form"))?;
@@ -225,28 +227,29 @@
             return Err(DiskError::Schema(schema));
         }
         self.id = get(&meta, "id")?.ok_or_else(|| foreign("it has no number"))?;
-        let starts = next_start(get::<Starts>(&meta, "starts")?.unwrap_or(0), fastrand::u64(..));
-        let mut saved = Saved { starts, ..Saved::default() };
+        let incarnation =
+            next_incarnation(get::<Incarnation>(&meta, "starts")?.unwrap_or(0), fastrand::u64(..));
+        let mut saved = PersistentState { incarnation, ..PersistentState::default() };
         if let Some(Vote { term, voted }) = get(&meta, "vote")? {
             (saved.term, saved.voted) = (term, voted);
         }
         saved.barrier = get(&meta, "barrier")?.unwrap_or(0);
-        if let Some(Snapshot { ledger, term }) = get(&meta, "snapshot")? {
-            saved.log.reset(ledger.read(), term);
-            saved.ledger_term = term;
-            saved.ledger = ledger;
+        if let Some(Snapshot { state, term }) = get(&meta, "snapshot")? {
+            saved.log.reset(state.applied(), term);
+            saved.state_term = term;
+            saved.state = state;
         }
         for entry in read.open_table(KNOWN)?.iter()? {
-            let (id, starts) = entry?;
-            saved.known.insert(id.value(), starts.value());
+            let (id, incarnation) = entry?;
+            saved.peer_incarnations.insert(id.value(), incarnation.value());
         }
-        self.base = (saved.log.base().index, *saved.ledger.digest());
+        self.base = (saved.log.base().index, *saved.state.digest());
         (self.last, self.digest) = self.base;
         let log = read.open_table(LOG)?;
         for row in log.range(saved.log.base().index + 1..)? {
             let (index, value) = row?;
             let (digest, entry) = split(index.value(), value.value())?;
-            if index.value() != self.last + 1 || digest != digest_after(&self.digest, &entry) {
+            if index.value() != self.last + 1 || digest != next_digest(&self.digest, &entry) {
                 return Err(foreign(format!("entry {} does not follow on {}", index.value(), self.last)));
             }
             (self.last, self.digest) = (index.value(), digest);
@@ -255,13 +258,13 @@
         drop(read);
         // Before anything is said in this start: it is one more.
         let write = self.database.begin_write()?;
-        put(&mut write.open_table(META)?, "starts", &saved.starts)?;
+        put(&mut write.open_table(META)?, "starts", &saved.incarnation)?;
         write.commit()?;
         Ok(saved)
     }
 
     /// All of it, or nothing; on disk when this returns. After an error the disk is to be opened anew.
-    pub fn save(&mut self, saves: &[Save]) -> Result<(), DiskError> {
+    pub fn save(&mut self, saves: &[PersistentChange]) -> Result<(), DiskError> {
         if saves.is_empty() {
             return Ok(());
         }
@@ -273,27 +276,31 @@
         Ok(())
     }
 
-    fn put(&mut self, write: &WriteTransaction, save: &Save) -> Result<(), DiskError> {
+    fn put(&mut self, write: &WriteTransaction, save: &PersistentChange) -> Result<(), DiskError> {
         let mut meta = write.open_table(META)?;
         match save {
-            Save::Vote { term, voted } => put(&mut meta, "vote", &Vote { term: *term, voted: *voted })?,
-            Save::Barrier(to) => put(&mut meta, "barrier", to)?,
-            Save::Known(id, starts) => drop(write.open_table(KNOWN)?.insert(id, starts)?),
-            Save::Cut(at) => self.cut(write, *at)?,
-            Save::Put(at, entry) => {
+            PersistentChange::Vote { term, voted } => {
+                put(&mut meta, "vote", &Vote { term: *term, voted: *voted })?
+            }
+            PersistentChange::Barrier(to) => put(&mut meta, "barrier", to)?,
+            PersistentChange::PeerIncarnation(id, incarnation) => {
+                drop(write.open_table(KNOWN)?.insert(id, incarnation)?)
+            }
+            PersistentChange::Truncate(at) => self.cut(write, *at)?,
+            PersistentChange::Append(at, entry) => {
                 if *at <= self.last {
                     self.cut(write, at - 1)?;
                 }
-                self.digest = digest_after(&self.digest, entry);
+                self.digest = next_digest(&self.digest, entry);
                 let mut value = self.digest.to_vec();
                 serde_json::to_writer(&mut value, entry).map_err(foreign)?;
                 write.open_table(LOG)?.insert(at, value.as_slice())?;
                 self.last = *at;
             }
-            Save::Snapshot { ledger, term, whole } => {
-                let (read, digest) = (ledger.read(), *ledger.digest());
-                put(&mut meta, "snapshot", &Snapshot { ledger: (**ledger).clone(), term: *term })?;
-                if let Some(kept) = whole {
+            PersistentChange::Snapshot { state, term, replaces_after } => {
+                let (read, digest) = (state.applied(), *state.digest());
+                put(&mut meta, "snapshot", &Snapshot { state: (**state).clone(), term: *term })?;
+                if let Some(kept) = replaces_after {
                     self.cut(write, *kept)?;
                     if *kept < read {
                         put(&mut write.open_table(BASES)?, read, &hex(&digest))?;
@@ -329,7 +336,7 @@
     }
 
     /// Follows every entry's digest from where the archive ended, and the ledger's with them.
-    pub fn verify(&self, mut chain: Chain) -> Result<Chain, DiskError> {
+    pub fn verify(&self, mut chain: DigestChain) -> Result<DigestChain, DiskError> {
         let read = self.database.begin_read()?;
         let (log, bases) = (read.open_table(LOG)?, read.open_table(BASES)?);
         for row in log.iter()? {
@@ -349,14 +356,14 @@
         Ok(chain)
     }
 
-    /// Copies old entries to the archive, a segment at a time, and drops them here once they are there. `keep`: so many of
-    /// those that the ledger stands for stay; `None`: all.
-    pub fn archive(&mut self, archive: &Archive, keep: Option<u64>) -> Result<Option<Span>, DiskError> {
+    /// Copies old entries to the archive, a segment at a time, and drops them here once they are there.
+    /// `keep`: so many of those that the ledger stands for stay; `None`: all.
+    pub fn archive(&mut self, archive: &Archive, keep: Option<u64>) -> Result<Option<EntryRange>, DiskError> {
         let Some((first, keep)) = self.first()?.zip(keep) else { return Ok(None) };
-        let Some(due) = archive::leaves(first, self.base.0, keep) else { return Ok(None) };
+        let Some(due) = archive::next_segment(first, self.base.0, keep) else { return Ok(None) };
         let (before, records) = self.oldest(due)?;
         let Some(last) = records.last() else { return Ok(None) };
-        let span = Span { from: first, to: last.index };
+        let span = EntryRange { from: first, to: last.index };
         archive.keep(&before, &records)?;
         let write = self.database.begin_write()?;
         write.open_table(LOG)?.retain_in(..=span.to, |_, _| false)?;
@@ -370,8 +377,9 @@
         Ok(self.database.begin_read()?.open_table(LOG)?.first()?.map(|(index, _)| index.value()))
     }
 
-    /// The log's first entries, as far as they follow on one another and fit into a segment, and the digest before them.
-    fn oldest(&self, due: Span) -> Result<(Digest, Vec<Record>), DiskError> {
+    /// The log's first entries, as far as they follow on one another and fit into a segment, and the digest
+    /// before them.
+    fn oldest(&self, due: EntryRange) -> Result<(Digest, Vec<Record>), DiskError> {
         let read = self.database.begin_read()?;
         let (log, bases) = (read.open_table(LOG)?, read.open_table(BASES)?);
         let before = if due.from == 1 { Some(Digest::default()) } else { base_at(&bases, due.from - 1)? };
@@ -379,7 +387,7 @@
         let (mut records, mut bytes) = (Vec::new(), 0);
         for (row, next) in log.range(due.from..=due.to)?.zip(due.from..) {
             let (index, value) = row?;
-            if index.value() != next || bytes >= SEGMENT_BYTES {
+            if index.value() != next || bytes >= MAX_SEGMENT_BYTES {
                 break;
             }
             bytes += value.value().len();
--- a/src/net/agree/disk/tests.rs
+++ b/src/net/agree/disk/tests.rs
@@ -1,21 +1,21 @@
 use super::*;
 use crate::agree::Command;
-use crate::agree::archive::Verified;
-use crate::agree::document::{Edit, Part, Value};
+use crate::agree::archive::Verification;
+use crate::agree::document::{DocumentChange, Edit, Value};
 use crate::rehearsal::disk::Disk as Paper;
 use std::collections::BTreeMap;
 
 fn entry(i: u64) -> Entry {
     let changes = BTreeMap::from([("x".to_string(), Some(Value::Plain(format!("{i}"))))]);
-    let parts = BTreeMap::from([("d".to_string(), Part { base: 0, changes })]);
+    let parts = BTreeMap::from([("d".to_string(), DocumentChange { base: 0, changes })]);
     let edit = Edit { id: i, parts, who: "ops".into(), why: "a test".into(), at_ms: i };
     Entry { term: 1, command: Command::Edit(edit) }
 }
 
-fn ledger(to: u64) -> Box<Ledger> {
-    let mut ledger = Ledger::default();
-    (1..=to).for_each(|i| ledger.apply(&entry(i)));
-    Box::new(ledger)
+fn state(to: u64) -> Box<DocumentState> {
+    let mut state = DocumentState::default();
+    (1..=to).for_each(|i| state.apply(&entry(i)));
+    Box::new(state)
 }
 
 fn new_paper() -> Paper {
@@ -26,40 +26,52 @@
     paper
 }
 
-fn found(disk: &Disk) -> Verified {
-    disk.verify(Chain::default()).unwrap().done()
+fn found(disk: &Disk) -> Verification {
+    disk.verify(DigestChain::default()).unwrap().done()
 }
 
 /// Batches as a voter writes them: votes, entries, cuts, snapshots of its own and of others.
-fn batches() -> Vec<Vec<Save>> {
+fn batches() -> Vec<Vec<PersistentChange>> {
     vec![
-        vec![Save::Vote { term: 3, voted: Some(9) }, Save::Known(9, 4)],
-        (1..=4).map(|i| Save::Put(i, entry(i))).collect(),
-        vec![Save::Cut(2), Save::Put(3, entry(3)), Save::Barrier(3)],
-        vec![Save::Snapshot { ledger: ledger(2), term: 1, whole: None }],
-        vec![Save::Put(3, entry(3)), Save::Put(4, entry(4)), Save::Vote { term: 4, voted: None }],
-        vec![Save::Snapshot { ledger: ledger(9), term: 2, whole: Some(3) }, Save::Barrier(9)],
-        vec![Save::Put(10, entry(10))],
+        vec![PersistentChange::Vote { term: 3, voted: Some(9) }, PersistentChange::PeerIncarnation(9, 4)],
+        (1..=4).map(|i| PersistentChange::Append(i, entry(i))).collect(),
+        vec![
+            PersistentChange::Truncate(2),
+            PersistentChange::Append(3, entry(3)),
+            PersistentChange::Barrier(3),
+        ],
+        vec![PersistentChange::Snapshot { state: state(2), term: 1, replaces_after: None }],
+        vec![
+            PersistentChange::Append(3, entry(3)),
+            PersistentChange::Append(4, entry(4)),
+            PersistentChange::Vote { term: 4, voted: None },
+        ],
+        vec![
+            PersistentChange::Snapshot { state: state(9), term: 2, replaces_after: Some(3) },
+            PersistentChange::Barrier(9),
+        ],
+        vec![PersistentChange::Append(10, entry(10))],
     ]
 }
 
-/// What is loaded is as if it had been kept in memory, but that memory may hold entries from before the ledger.
-fn same(loaded: &Saved, kept: &Saved) -> bool {
+/// What is loaded is as if it had been kept in memory, but that memory may hold entries from before the
+/// ledger.
+fn same(loaded: &PersistentState, kept: &PersistentState) -> bool {
     let cut = (loaded.log.base().index - kept.log.base().index) as usize;
     let rest = kept.log.entries().get(cut..).unwrap_or_default();
-    (loaded.term, loaded.voted, loaded.barrier, &loaded.known)
-        == (kept.term, kept.voted, kept.barrier, &kept.known)
-        && loaded.ledger == kept.ledger
+    (loaded.term, loaded.voted, loaded.barrier, &loaded.peer_incarnations)
+        == (kept.term, kept.voted, kept.barrier, &kept.peer_incarnations)
+        && loaded.state == kept.state
         && loaded.log.entries() == rest
 }
 
 #[test]
 fn a_machine_that_dies_at_any_byte_comes_back_with_all_of_a_batch_or_nothing() {
     let batches = batches();
-    let mut states = vec![Saved::default()];
+    let mut states = vec![PersistentState::default()];
     for batch in &batches {
         let mut next = states[states.len() - 1].clone();
-        batch.iter().for_each(|save| next.keep(save));
+        batch.iter().for_each(|save| next.apply(save));
         states.push(next);
     }
     let written = |left: usize| -> (Paper, usize, usize) {
@@ -100,15 +112,16 @@
 fn a_full_disk_says_so_and_loses_nothing_that_it_had() {
     let paper = new_paper();
     let (mut disk, _) = Disk::on(paper.clone()).unwrap();
-    disk.save(&[Save::Put(1, entry(1)), Save::Vote { term: 2, voted: Some(1) }]).unwrap();
+    disk.save(&[PersistentChange::Append(1, entry(1)), PersistentChange::Vote { term: 2, voted: Some(1) }])
+        .unwrap();
     paper.image().full = true;
-    let snapshot = Save::Snapshot { ledger: ledger(1), term: 1, whole: None };
+    let snapshot = PersistentChange::Snapshot { state: state(1), term: 1, replaces_after: None };
     assert!(disk.save(&[snapshot]).is_err());
     drop(disk);
     paper.image().full = false;
     let (disk, saved) = Disk::on(paper).unwrap();
-    assert_eq!((saved.term, saved.voted, saved.log.len(), saved.starts >> 32), (2, Some(1), 1, 2));
-    assert_eq!(found(&disk), Verified { entries: 1, last: 1, ..Verified::default() });
+    assert_eq!((saved.term, saved.voted, saved.log.len(), saved.incarnation >> 32), (2, Some(1), 1, 2));
+    assert_eq!(found(&disk), Verification { entries: 1, last: 1, ..Verification::default() });
 }
 
 #[test]
@@ -116,7 +129,7 @@
     let paper = new_paper();
     let (mut disk, _) = Disk::on(paper.clone()).unwrap();
     batches().iter().for_each(|batch| disk.save(batch).unwrap());
-    assert_eq!(found(&disk), Verified { entries: 4, last: 10, gaps: vec![(4, 9)], wrong: None });
+    assert_eq!(found(&disk), Verification { entries: 4, last: 10, gaps: vec![(4, 9)], wrong: None });
     drop(disk);
     let database = redb::Builder::new().create_with_backend(paper.clone()).unwrap();
     let write = database.begin_write().unwrap();
@@ -139,16 +152,17 @@
         (new_paper(), std::env::temp_dir().join(format!("pathbank-{name}-{}", std::process::id())));
     let _ = std::fs::remove_dir_all(&folder);
     let (mut disk, _) = Disk::on(paper.clone()).unwrap();
-    let entries: Vec<Save> = (1..=20).map(|i| Save::Put(i, entry(i))).collect();
+    let entries: Vec<PersistentChange> = (1..=20).map(|i| PersistentChange::Append(i, entry(i))).collect();
     disk.save(&entries).unwrap();
-    disk.save(&[Save::Snapshot { ledger: ledger(20), term: 1, whole: None }]).unwrap();
-    disk.save(&[Save::Put(21, entry(21)), Save::Put(22, entry(22))]).unwrap();
+    disk.save(&[PersistentChange::Snapshot { state: state(20), term: 1, replaces_after: None }]).unwrap();
+    disk.save(&[PersistentChange::Append(21, entry(21)), PersistentChange::Append(22, entry(22))]).unwrap();
     (paper, disk, Archive::beside(&folder), folder)
 }
 
-/// What is in the archive and behind it on disk, as a check of both finds it, and by reading one record after another.
-fn both(disk: &Disk, archive: &Archive) -> (Verified, Vec<Index>) {
-    let mut chain = Chain::default();
+/// What is in the archive and behind it on disk, as a check of both finds it, and by reading one record after
+/// another.
+fn both(disk: &Disk, archive: &Archive) -> (Verification, Vec<Index>) {
+    let mut chain = DigestChain::default();
     archive.follow(&mut chain).unwrap();
     let (mut all, mut at) = (Vec::new(), 0);
     loop {
@@ -165,11 +179,11 @@
     (disk.verify(chain).unwrap().done(), all)
 }
 
-const WHOLE: Verified = Verified { entries: 22, last: 22, gaps: Vec::new(), wrong: None };
+const WHOLE: Verification = Verification { entries: 22, last: 22, gaps: Vec::new(), wrong: None };
 
 #[test]
 fn old_entries_leave_for_the_archive_and_none_is_lost_wherever_the_machine_dies() {
-    let span = |from, to| Some(Span { from, to });
+    let span = |from, to| Some(EntryRange { from, to });
     let (paper, mut disk, archive, folder) = twenty("archive");
     assert_eq!(disk.archive(&archive, None).unwrap(), None);
     for due in [span(1, 6), span(7, 12), None] {
@@ -179,8 +193,8 @@
     drop(disk);
     let (mut disk, saved) = Disk::on(paper).unwrap();
     assert_eq!((saved.log.base().index, saved.log.len()), (20, 2));
-    disk.save(&[Save::Put(23, entry(23))]).unwrap();
-    assert_eq!(both(&disk, &archive).0, Verified { entries: 23, last: 23, ..WHOLE });
+    disk.save(&[PersistentChange::Append(23, entry(23))]).unwrap();
+    assert_eq!(both(&disk, &archive).0, Verification { entries: 23, last: 23, ..WHOLE });
     std::fs::remove_dir_all(&folder).unwrap();
     let mut lefts = (0, 0);
     for left in (0..).step_by(997) {
@@ -212,11 +226,11 @@
 fn an_archive_that_is_changed_cut_or_moved_away_is_found_and_named() {
     let (_paper, mut disk, archive, folder) = twenty("changed");
     while disk.archive(&archive, Some(6)).unwrap().is_some() {}
-    let at = |span: Span| folder.join("archive").join(span.name());
+    let at = |span: EntryRange| folder.join("archive").join(span.name());
     let spans = archive.segments().unwrap();
     let texts: Vec<String> = spans.iter().map(|span| std::fs::read_to_string(at(*span)).unwrap()).collect();
-    let gap = |entries, gap| Verified { entries, gaps: vec![gap], ..WHOLE };
-    let wrong = |entries, gaps, wrong| Verified { entries, last: wrong - 1, gaps, wrong: Some(wrong) };
+    let gap = |entries, gap| Verification { entries, gaps: vec![gap], ..WHOLE };
+    let wrong = |entries, gaps, wrong| Verification { entries, last: wrong - 1, gaps, wrong: Some(wrong) };
     let lines = |text: &str, count: usize| {
         text.lines().take(count).map(|line| format!("{line}\n")).collect::<String>()
     };
@@ -235,7 +249,7 @@
             Some(text) => std::fs::write(at(spans[segment]), text).unwrap(),
             None => std::fs::remove_file(at(spans[segment])).unwrap(),
         }
-        let mut chain = Chain::default();
+        let mut chain = DigestChain::default();
         archive.follow(&mut chain).unwrap();
         assert_eq!(disk.verify(chain).unwrap().done(), due, "{text:?}");
         std::fs::write(at(spans[segment]), &texts[segment]).unwrap();
@@ -257,10 +271,10 @@
     Disk::create(&folder, 5).unwrap();
     assert!(matches!(Disk::create(&folder, 6), Err(DiskError::There(_))));
     let (disk, saved) = open().unwrap();
-    assert_eq!((disk.id(), saved.starts >> 32), (5, 1));
+    assert_eq!((disk.id(), saved.incarnation >> 32), (5, 1));
     assert!(matches!(open(), Err(DiskError::Foreign { .. })), "two processes have it");
     drop(disk);
-    assert_eq!(open().unwrap().1.starts >> 32, 2);
+    assert_eq!(open().unwrap().1.incarnation >> 32, 2);
     let whole = std::fs::read(path(&folder)).unwrap();
     let of = |bytes: &[u8]| {
         std::fs::write(path(&folder), bytes).unwrap();
--- a/src/net/agree/office.rs
+++ b/src/net/agree/office.rs
@@ -1,15 +1,20 @@
-//! A head's part in the agreement, on a thread and a runtime of its own, so that no client's request waits for a disk:
-//! its voter, where it has one, with the links to the others, and its leases.
+//! A head's part in the agreement, on a thread and a runtime of its own, so that no client's request waits
+//! for a disk: its voter, where it has one, with the links to the others, and its leases.
 
 use super::archive::Archive;
 use super::call::{CallError, Caller};
 use super::disk::{Disk, DiskError, hex};
-use super::wire::{HEAR, Heard, LedgerTold, Proposed, RENEW, RecordsTold, Said, Status};
+use super::wire::{
+    MESSAGE_PATH, MessageEnvelope, MessageReply, ProposalOutcome, RENEW_PATH, RecordsReply, StateReply,
+    VoterStatus,
+};
 use super::{disk, serve};
-use crate::agree::archive::{Chain, Verified};
+use crate::agree::archive::{DigestChain, Verification};
 use crate::agree::document::Edit;
-use crate::agree::holder::{Holder, View};
-use crate::agree::voter::{NotLeader, NotNow, Output, Save, To, Voter, Voters};
+use crate::agree::lease_holder::{LeaseHolder, LeaseView};
+use crate::agree::voter::{
+    MembershipChangeError, NotLeader, Output, PersistentChange, Recipient, Voter, Voters,
+};
 use crate::agree::{HolderId, Index, Message, Micros, VoterId};
 use crate::clock::Pace;
 use crate::config::agree::Agreement;
@@ -26,14 +31,15 @@
 
 /// A voter looks at its times so often at least.
 const LOOK: Duration = Duration::from_millis(100);
-/// A disk that cannot be used is tried again after this, then after twice as long each time, up to the longest: each try
-/// reads the whole disk and takes the leader's entries in once more, beside the head's own leases.
+/// A disk that cannot be used is tried again after this, then after twice as long each time, up to the
+/// longest: each try reads the whole disk and takes the leader's entries in once more, beside the head's own
+/// leases.
 const DISK_AGAIN: Duration = Duration::from_secs(1);
 const LONGEST_DISK_AGAIN: Duration = Duration::from_secs(4);
 /// A disk that was in use for so long was well: the next try after an error comes soon again.
 const DISK_WELL: Duration = Duration::from_secs(10);
-/// A renewal that is not answered within half a lease is given twice as long the next time, so often at most: what a head
-/// lacks comes with the answer, and on a slow machine takes its time.
+/// A renewal that is not answered within half a lease is given twice as long the next time, so often at most:
+/// what a head lacks comes with the answer, and on a slow machine takes its time.
 const MOST_RENEWAL_DOUBLED: u32 = 3;
 /// Messages to one voter that wait for the one on its way; of these the last says all.
 const WAITING: usize = 8;
@@ -52,16 +58,16 @@
     disk: Disk,
     told: (Option<VoterId>, u64, Index),
     /// Those that speak from an older disk, as far as that was told.
-    strangers: BTreeSet<VoterId>,
+    reported_stale_peers: BTreeSet<VoterId>,
 }
 
 pub struct Office {
     config: Agreement,
     pace: Pace,
     seat: Mutex<Option<Seat>>,
-    holder: Mutex<Holder>,
+    holder: Mutex<LeaseHolder>,
     /// What the core looks at.
-    view: Arc<Mutex<View>>,
+    view: Arc<Mutex<LeaseView>>,
     handle: Handle,
     links: Mutex<BTreeMap<VoterId, mpsc::Sender<Message>>>,
     caller: Caller,
@@ -78,17 +84,18 @@
     Duration::from_micros(time)
 }
 
-/// Starts it. What this head may act by is in the view from then on; the core is told to look when it changes.
+/// Starts it. What this head may act by is in the view from then on; the core is told to look when it
+/// changes.
 pub fn start(
     config: Agreement,
     head: &str,
     handle: Handle,
     pace: Pace,
-) -> Result<Arc<Mutex<View>>, DiskError> {
+) -> Result<Arc<Mutex<LeaseView>>, DiskError> {
     let unix = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default().as_micros() as u64;
     // Two processes of a head hold leases of their own.
     let id = HolderId { head: head.to_string(), start: unix ^ (u64::from(std::process::id()) << 44) };
-    let holder = Holder::new(id, &config.voters, config.times);
+    let holder = LeaseHolder::new(id, &config.voters, config.times);
     let view = Arc::new(Mutex::new(holder.view().clone()));
     let office = Arc::new(Office {
         caller: Caller::new(&config.cluster),
@@ -102,8 +109,8 @@
         grown: watch::Sender::new(()),
         config,
     });
-    // What cannot be had at the start is told of, and tried again: another process of this head may have it until it
-    // ends, and the head serves meanwhile.
+    // What cannot be had at the start is told of, and tried again: another process of this head may have it
+    // until it ends, and the head serves meanwhile.
     let listener = office.bind();
     if office.config.seat.is_none() || listener.is_some() {
         office.say_up(listener.as_ref());
@@ -180,35 +187,37 @@
         match Disk::open(&config.directory, config.most_bytes) {
             Ok((disk, saved)) => {
                 let (id, last) = (disk.id(), saved.log.last_index());
-                event!(VOTER_BACK, voter = id, starts = saved.starts >> 32, last);
+                event!(VOTER_BACK, voter = id, starts = saved.incarnation >> 32, last);
                 let (times, now) = (self.config.times, self.pace.now());
                 let voter = Voter::new(id, &self.config.voters, times, saved, now, fastrand::u64(..));
-                let told = (None, 0, voter.ledger().active());
-                *seat = Some(Seat { voter, disk, told, strangers: BTreeSet::new() });
+                let told = (None, 0, voter.state().active());
+                *seat = Some(Seat { voter, disk, told, reported_stale_peers: BTreeSet::new() });
             }
             Err(problem) => event!(VOTER_ILL, problem:%),
         }
     }
 
-    /// Has the voter do something; what it says goes out once what it must not forget is on disk. `None`: it cannot.
+    /// Has the voter do something; what it says goes out once what it must not forget is on disk. `None`: it
+    /// cannot.
     fn act<T>(
         self: &Arc<Self>,
         act: impl FnOnce(&mut Voter, Micros) -> (T, Output),
-    ) -> Option<(T, Vec<(To, Message)>)> {
+    ) -> Option<(T, Vec<(Recipient, Message)>)> {
         let mut place = lock(&self.seat);
         let seat = place.as_mut()?;
         let (done, out) = act(&mut seat.voter, self.pace.now());
         // Told once: it goes on speaking until somebody ends it.
-        if let Some(voter) = out.stranger.filter(|voter| seat.strangers.insert(*voter)) {
+        if let Some(voter) = out.stale_peer.filter(|voter| seat.reported_stale_peers.insert(*voter)) {
             event!(OLD_DISK, voter);
         }
         if let Err(problem) = seat.disk.save(&out.save) {
-            // What it said to itself it may not have kept: it is read from its disk again before it says a word.
+            // What it said to itself it may not have kept: it is read from its disk again before it says a
+            // word.
             event!(VOTER_ILL, problem:%);
             *place = None;
             return None;
         }
-        if out.save.iter().any(|save| matches!(save, Save::Snapshot { .. })) {
+        if out.save.iter().any(|save| matches!(save, PersistentChange::Snapshot { .. })) {
             self.archive(seat);
         }
         seat.tell_changes();
@@ -217,8 +226,8 @@
         Some((done, out.send))
     }
 
-    /// Old entries leave the disk, a segment at most each time. What fails is told, and tried again with the next ledger:
-    /// nothing leaves that is not in the archive.
+    /// Old entries leave the disk, a segment at most each time. What fails is told, and tried again with the
+    /// next ledger: nothing leaves that is not in the archive.
     fn archive(&self, seat: &mut Seat) {
         let Some(config) = &self.config.seat else { return };
         match seat.disk.archive(&Archive::beside(&config.directory), config.keep_entries) {
@@ -229,22 +238,23 @@
     }
 
     /// Sends what is for other voters by their links, and gives back what answers `asker`.
-    fn send(self: &Arc<Self>, messages: Vec<(To, Message)>, asker: Option<VoterId>) -> Vec<Message> {
+    fn send(self: &Arc<Self>, messages: Vec<(Recipient, Message)>, asker: Option<VoterId>) -> Vec<Message> {
         let mut answers = Vec::new();
         for (to, message) in messages {
             match to {
-                To::Voter(id) if Some(id) == asker => answers.push(message),
-                To::Voter(id) => {
+                Recipient::Voter(id) if Some(id) == asker => answers.push(message),
+                Recipient::Voter(id) => {
                     let mut links = lock(&self.links);
                     let link = links.entry(id).or_insert_with(|| {
                         let (sender, receiver) = mpsc::channel(WAITING);
                         tokio::spawn(self.clone().link(id, receiver));
                         sender
                     });
-                    // One that finds no room is lost, as the network may lose any: the next beat says it again.
+                    // One that finds no room is lost, as the network may lose any: the next beat says it
+                    // again.
                     let _ = link.try_send(message);
                 }
-                To::Holder(_) => answers.push(message),
+                Recipient::LeaseHolder(_) => answers.push(message),
             }
         }
         answers
@@ -254,7 +264,7 @@
     async fn keep_time(self: Arc<Self>) {
         let (mut opened, mut again) = (Instant::now(), DISK_AGAIN);
         loop {
-            let next = lock(&self.seat).as_ref().map(|seat| seat.voter.next());
+            let next = lock(&self.seat).as_ref().map(|seat| seat.voter.next_tick_at());
             let Some(next) = next else {
                 if opened.elapsed() >= DISK_WELL {
                     again = DISK_AGAIN;
@@ -281,17 +291,26 @@
                 message = later;
             }
             let place = lock(&self.seat).as_ref().map(|Seat { voter, disk, .. }| {
-                let patience = voter.patience(self.pace.now());
-                (voter.starts(), disk.id(), patience, self.config.address(to, voter.voters()))
+                let current_election_timeout = voter.current_election_timeout(self.pace.now());
+                (
+                    voter.incarnation(),
+                    disk.id(),
+                    current_election_timeout,
+                    self.config.address(to, voter.voters()),
+                )
             });
-            let Some((starts, from, patience, Some(address))) = place else { continue };
-            let said = Said { from, starts, message };
-            match self.caller.call::<Heard>(&address, HEAR, &said, within(patience)).await {
-                Ok(Heard { starts, messages }) => {
+            let Some((incarnation, from, current_election_timeout, Some(address))) = place else { continue };
+            let said = MessageEnvelope { from, incarnation, message };
+            match self
+                .caller
+                .call::<MessageReply>(&address, MESSAGE_PATH, &said, within(current_election_timeout))
+                .await
+            {
+                Ok(MessageReply { incarnation, messages }) => {
                     failures = 0;
                     for message in messages {
                         let answer = |voter: &mut Voter, now| {
-                            ((), voter.hear(now, fastrand::u64(..), (to, starts), message))
+                            ((), voter.step(now, fastrand::u64(..), (to, incarnation), message))
                         };
                         if let Some(((), more)) = self.act(answer) {
                             self.send(more, None);
@@ -309,23 +328,26 @@
     }
 
     /// Another voter's message, and what answers it.
-    pub fn hear(self: &Arc<Self>, Said { from, starts, message }: Said) -> Option<Heard> {
-        let hear = |voter: &mut Voter, now| {
-            let out = voter.hear(now, fastrand::u64(..), (from, starts), message);
-            (voter.starts(), out)
+    pub fn step(
+        self: &Arc<Self>,
+        MessageEnvelope { from, incarnation, message }: MessageEnvelope,
+    ) -> Option<MessageReply> {
+        let step = |voter: &mut Voter, now| {
+            let out = voter.step(now, fastrand::u64(..), (from, incarnation), message);
+            (voter.incarnation(), out)
         };
-        let (starts, messages) = self.act(hear)?;
-        Some(Heard { starts, messages: self.send(messages, Some(from)) })
+        let (incarnation, messages) = self.act(step)?;
+        Some(MessageReply { incarnation, messages: self.send(messages, Some(from)) })
     }
 
     /// A head asks for its lease.
     pub fn renew(self: &Arc<Self>, message: Message) -> Option<Message> {
-        let Message::Renew { holder, asked, prepared } = message else { return None };
-        let ((), messages) = self.act(|voter, now| ((), voter.renew(now, holder, asked, prepared)))?;
+        let Message::LeaseRequest { holder, requested_at, prepared } = message else { return None };
+        let ((), messages) = self.act(|voter, now| ((), voter.renew(now, holder, requested_at, prepared)))?;
         self.send(messages, None).pop()
     }
 
-    pub async fn propose(self: &Arc<Self>, edit: Edit) -> Option<Proposed> {
+    pub async fn propose(self: &Arc<Self>, edit: Edit) -> Option<ProposalOutcome> {
         let (id, mut commits) = (edit.id, self.commits.subscribe());
         let propose = |voter: &mut Voter, now| match voter.propose(now, edit) {
             Ok(out) => (Ok(voter.term()), out),
@@ -335,19 +357,19 @@
         self.send(messages, None);
         let term = match done {
             Ok(term) => term,
-            Err(leader) => return Some(Proposed::NotLeader(leader)),
+            Err(leader) => return Some(ProposalOutcome::NotLeader(leader)),
         };
-        let result = |voter: &Voter| match voter.ledger().result(id) {
-            Some(Ok(entry)) => Some(Proposed::Entry(*entry)),
-            Some(Err(rejected)) => Some(Proposed::Rejected(rejected.clone())),
-            None => (voter.term() != term).then_some(Proposed::Unknown),
+        let result = |voter: &Voter| match voter.state().result(id) {
+            Some(Ok(entry)) => Some(ProposalOutcome::Entry(*entry)),
+            Some(Err(rejected)) => Some(ProposalOutcome::Rejected(rejected.clone())),
+            None => (voter.term() != term).then_some(ProposalOutcome::Unknown),
         };
-        Some(self.wait(&mut commits, result).await.unwrap_or(Proposed::Unknown))
+        Some(self.wait(&mut commits, result).await.unwrap_or(ProposalOutcome::Unknown))
     }
 
-    pub async fn change(self: &Arc<Self>, voters: Voters) -> Option<Proposed> {
+    pub async fn change(self: &Arc<Self>, voters: Voters) -> Option<ProposalOutcome> {
         let (wanted, mut commits) = (voters.clone(), self.commits.subscribe());
-        let change = |voter: &mut Voter, now| match voter.change(now, voters) {
+        let change = |voter: &mut Voter, now| match voter.change_membership(now, voters) {
             Ok(out) => (Ok(voter.term()), out),
             Err(no) => (Err(no), Output::default()),
         };
@@ -355,23 +377,23 @@
         self.send(messages, None);
         let term = match done {
             Ok(term) => term,
-            Err(NotNow::NotLeader(leader)) => return Some(Proposed::NotLeader(leader)),
-            Err(NotNow::OneAtATime) => {
-                return Some(Proposed::NotNow(
+            Err(MembershipChangeError::NotLeader(leader)) => return Some(ProposalOutcome::NotLeader(leader)),
+            Err(MembershipChangeError::NotSingleChange) => {
+                return Some(ProposalOutcome::NotNow(
                     "one voter is added, removed or moved at a time, and one stays".into(),
                 ));
             }
-            Err(NotNow::Unsettled) => {
-                return Some(Proposed::NotNow(
+            Err(MembershipChangeError::PreviousChangePending) => {
+                return Some(ProposalOutcome::NotNow(
                     "some head may not know of the last change yet, or the leader is new".into(),
                 ));
             }
         };
-        let result = |voter: &Voter| match voter.ledger().latest_voters() == Some(&wanted) {
-            true => Some(Proposed::Entry(voter.ledger().voters_at())),
-            false => (voter.term() != term).then_some(Proposed::Unknown),
+        let result = |voter: &Voter| match voter.state().latest_voters() == Some(&wanted) {
+            true => Some(ProposalOutcome::Entry(voter.state().voters_at())),
+            false => (voter.term() != term).then_some(ProposalOutcome::Unknown),
         };
-        Some(self.wait(&mut commits, result).await.unwrap_or(Proposed::Unknown))
+        Some(self.wait(&mut commits, result).await.unwrap_or(ProposalOutcome::Unknown))
     }
 
     /// Looks after each entry that counts, for so long. `None`: the time ran out, or the disk was lost.
@@ -394,13 +416,13 @@
     }
 
     /// The ledger: as this voter has it, or with all that counted before the question.
-    pub async fn ledger(self: &Arc<Self>, sure: bool) -> Option<LedgerTold> {
-        let told = |seat: &Seat| LedgerTold::Ledger(Box::new(seat.voter.ledger().clone()));
-        if !sure {
+    pub async fn state(self: &Arc<Self>, linearizable: bool) -> Option<StateReply> {
+        let told = |seat: &Seat| StateReply::State(Box::new(seat.voter.state().clone()));
+        if !linearizable {
             return lock(&self.seat).as_ref().map(told);
         }
         let mut commits = self.commits.subscribe();
-        let ask = |voter: &mut Voter, now| match voter.ask(now) {
+        let ask = |voter: &mut Voter, now| match voter.propose_read_barrier(now) {
             Ok((index, out)) => (Ok((index, voter.term())), out),
             Err(NotLeader(leader)) => (Err(leader), Output::default()),
         };
@@ -408,38 +430,38 @@
         self.send(messages, None);
         let (index, term) = match asked {
             Ok(asked) => asked,
-            Err(leader) => return Some(LedgerTold::NotLeader(leader)),
+            Err(leader) => return Some(StateReply::NotLeader(leader)),
         };
-        let leads = |voter: &Voter| voter.term() == term && voter.leads();
+        let leads = |voter: &Voter| voter.term() == term && voter.is_leader();
         let look = |voter: &Voter| (!leads(voter) || voter.commit() >= index).then(|| leads(voter));
         match self.wait(&mut commits, look).await {
             Some(true) => lock(&self.seat).as_ref().map(told),
-            _ => Some(LedgerTold::Unknown),
+            _ => Some(StateReply::Unknown),
         }
     }
 
-    pub fn status(&self) -> Option<Status> {
+    pub fn status(&self) -> Option<VoterStatus> {
         let (place, config) = (lock(&self.seat), self.config.seat.as_ref()?);
         let Seat { voter, disk, .. } = place.as_ref()?;
         let disk_bytes = std::fs::metadata(disk::path(&config.directory)).map_or(0, |file| file.len());
-        let (ledger, id) = (voter.ledger(), disk.id());
-        Some(Status {
+        let (state, id) = (voter.state(), disk.id());
+        Some(VoterStatus {
             id,
-            starts: voter.starts() >> 32,
+            incarnation: voter.incarnation() >> 32,
             term: voter.term(),
             leader: voter.leader(),
-            last: voter.last(),
+            last: voter.last_index(),
             commit: voter.commit(),
-            prepared: ledger.prepared(),
-            active: ledger.active(),
-            digest: hex(ledger.digest()),
+            prepared: state.prepared(),
+            active: state.active(),
+            digest: hex(state.digest()),
             voters: voter.voters().clone(),
             disk_bytes,
         })
     }
 
     /// Only what counts is told: from the archive as far as that goes, then from the log.
-    pub async fn records(&self, after: Index, most: usize) -> Option<Result<RecordsTold, DiskError>> {
+    pub async fn records(&self, after: Index, most: usize) -> Option<Result<RecordsReply, DiskError>> {
         let archive = Archive::beside(&self.config.seat.as_ref()?.directory);
         let old = match aside(move || archive.records(after, most)).await {
             Ok(old) => old,
@@ -449,20 +471,20 @@
         let Seat { voter, disk, .. } = place.as_ref()?;
         let commit = voter.commit();
         if !old.is_empty() {
-            return Some(Ok(RecordsTold { records: old, commit }));
+            return Some(Ok(RecordsReply { records: old, commit }));
         }
         Some(disk.records(after, most).map(|mut records| {
             records.retain(|record| record.index <= commit);
-            RecordsTold { records, commit }
+            RecordsReply { records, commit }
         }))
     }
 
     /// The archive is read beside the voter's work. A segment that comes meanwhile is read with the log.
-    pub async fn verify(&self) -> Option<Result<Verified, DiskError>> {
+    pub async fn verify(&self) -> Option<Result<Verification, DiskError>> {
         let archive = Archive::beside(&self.config.seat.as_ref()?.directory);
         let old = archive.clone();
         let follow = move || {
-            let mut chain = Chain::default();
+            let mut chain = DigestChain::default();
             old.follow(&mut chain).map(|()| chain)
         };
         let mut chain = match aside(follow).await {
@@ -471,7 +493,7 @@
         };
         let place = lock(&self.seat);
         let disk = &place.as_ref()?.disk;
-        Some(archive.follow(&mut chain).and_then(|()| disk.verify(chain)).map(Chain::done))
+        Some(archive.follow(&mut chain).and_then(|()| disk.verify(chain)).map(DigestChain::done))
     }
 
     /// Keeps the head's leases: one task for each voter, as the log names them.
@@ -500,13 +522,18 @@
         let (lease, mut failures, mut doubled) = (within(self.config.times.lease), 0u32, 0u32);
         loop {
             let (message, address) = {
-                // The core sees this view since it was heard: what is said here to be prepared for it keeps to.
+                // The core sees this view since it was heard: what is said here to be prepared for it keeps
+                // to.
                 let holder = lock(&self.holder);
                 (holder.renew(self.pace.now()), self.config.address(id, holder.voters()))
             };
-            let patience = lease / 2 * (1 << doubled);
+            let current_election_timeout = lease / 2 * (1 << doubled);
             let told = match address {
-                Some(address) => self.caller.call::<Message>(&address, RENEW, &message, patience).await,
+                Some(address) => {
+                    self.caller
+                        .call::<Message>(&address, RENEW_PATH, &message, current_election_timeout)
+                        .await
+                }
                 None => Err(CallError::Broke("it has no address".into())),
             };
             doubled = match &told {
@@ -530,12 +557,12 @@
 
     /// True: there is more to learn at once.
     fn granted(&self, from: VoterId, message: Message) -> bool {
-        let behind = matches!(&message, Message::Granted { entries, snapshot, .. } if !entries.is_empty() || snapshot.is_some());
+        let behind = matches!(&message, Message::LeaseReply { entries, snapshot, .. } if !entries.is_empty() || snapshot.is_some());
         let mut holder = lock(&self.holder);
         let (before, voters) = (holder.view().clone(), holder.voters().clone());
-        holder.hear(from, message);
+        holder.step(from, message);
         let now = self.pace.now();
-        let changed = before.ledger().read() != holder.view().ledger().read()
+        let changed = before.state().applied() != holder.view().state().applied()
             || before.level(now) != holder.view().level(now);
         *lock(&self.view) = holder.view().clone();
         if *holder.voters() != voters {
@@ -559,22 +586,22 @@
 impl Seat {
     fn tell_changes(&mut self) {
         let (voter, (leader, term, active)) = (&self.voter, self.told);
-        let ledger = voter.ledger();
+        let state = voter.state();
         if (voter.leader(), voter.term()) != (leader, term) {
             let name = voter.leader().map_or("none".to_string(), |id| id.to_string());
-            let own = if voter.leads() { "yes" } else { "no" };
+            let own = if voter.is_leader() { "yes" } else { "no" };
             event!(LEADER, leader = name, term = voter.term(), commit = voter.commit(), own);
         }
-        if ledger.active() != active {
+        if state.active() != active {
             let at_us = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default().as_micros() as u64;
             event!(
                 REVISION,
-                entry = ledger.active(),
+                entry = state.active(),
                 commit = voter.commit(),
-                digest = hex(ledger.digest()),
+                digest = hex(state.digest()),
                 at_us
             );
         }
-        self.told = (voter.leader(), voter.term(), ledger.active());
+        self.told = (voter.leader(), voter.term(), state.active());
     }
 }
--- a/src/net/agree/serve.rs
+++ b/src/net/agree/serve.rs
@@ -1,7 +1,7 @@
 //! A voter's ear: axum's routes over connections that are bounded in number, time and bytes.
 
 use super::office::Office;
-use super::wire::{self, CLUSTER, LedgerAsked, MOST_BYTES, RecordsAsked, Said};
+use super::wire::{self, CLUSTER_HEADER, MAX_MESSAGE_BYTES, MessageEnvelope, RecordsRequest, StateRequest};
 use crate::agree::Message;
 use crate::agree::document::Edit;
 use crate::agree::voter::Voters;
@@ -59,22 +59,22 @@
 
 fn router(office: Arc<Office>) -> Router {
     Router::new()
-        .route(wire::HEAR, post(hear))
-        .route(wire::RENEW, post(renew))
-        .route(wire::PROPOSE, post(propose))
-        .route(wire::VOTERS, post(voters))
-        .route(wire::STATUS, post(status))
-        .route(wire::LEDGER, post(ledger))
-        .route(wire::RECORDS, post(records))
-        .route(wire::VERIFY, post(verify))
+        .route(wire::MESSAGE_PATH, post(step))
+        .route(wire::RENEW_PATH, post(renew))
+        .route(wire::PROPOSE_PATH, post(propose))
+        .route(wire::VOTERS_PATH, post(voters))
+        .route(wire::STATUS_PATH, post(status))
+        .route(wire::STATE_PATH, post(state))
+        .route(wire::RECORDS_PATH, post(records))
+        .route(wire::VERIFY_PATH, post(verify))
         .layer(from_fn_with_state(office.clone(), of_this_cluster))
-        .layer(DefaultBodyLimit::max(MOST_BYTES))
+        .layer(DefaultBodyLimit::max(MAX_MESSAGE_BYTES))
         .with_state(office)
 }
 
 /// Heads of another fleet that came here by accident are told so, and nothing that they say is heard.
 async fn of_this_cluster(State(office): Desk, request: Request, next: Next) -> Response {
-    let named = request.headers().get(CLUSTER).and_then(|name| name.to_str().ok());
+    let named = request.headers().get(CLUSTER_HEADER).and_then(|name| name.to_str().ok());
     match named == Some(&office.config().cluster) {
         true => next.run(request).await,
         false => (StatusCode::MISDIRECTED_REQUEST, "this voter is of another cluster").into_response(),
@@ -93,8 +93,8 @@
     }
 }
 
-async fn hear(State(office): Desk, body: Bytes) -> Response {
-    read::<Said>(&body).map_or_else(|bad| bad.into_response(), |said| tell(office.hear(said)))
+async fn step(State(office): Desk, body: Bytes) -> Response {
+    read::<MessageEnvelope>(&body).map_or_else(|bad| bad.into_response(), |said| tell(office.step(said)))
 }
 
 async fn renew(State(office): Desk, body: Bytes) -> Response {
@@ -119,15 +119,15 @@
     tell(office.status())
 }
 
-async fn ledger(State(office): Desk, body: Bytes) -> Response {
-    match read::<LedgerAsked>(&body) {
-        Ok(asked) => tell(office.ledger(asked.sure).await),
+async fn state(State(office): Desk, body: Bytes) -> Response {
+    match read::<StateRequest>(&body) {
+        Ok(asked) => tell(office.state(asked.linearizable).await),
         Err(bad) => bad.into_response(),
     }
 }
 
 async fn records(State(office): Desk, body: Bytes) -> Response {
-    match read::<RecordsAsked>(&body) {
+    match read::<RecordsRequest>(&body) {
         Ok(asked) => from_disk(office.records(asked.after, asked.most.min(MOST_RECORDS)).await),
         Err(bad) => bad.into_response(),
     }
--- a/src/net/agree/tests.rs
+++ b/src/net/agree/tests.rs
@@ -5,12 +5,15 @@
 use super::archive::Archive;
 use super::backup::{self, Backup};
 use super::disk::Disk;
-use super::wire::{Heard, LedgerAsked, LedgerTold, Proposed, RecordsAsked, RecordsTold, Said, Status};
-use crate::agree::archive::{Chain, Span, Verified};
+use super::wire::{
+    MessageEnvelope, MessageReply, ProposalOutcome, RecordsReply, RecordsRequest, StateReply, StateRequest,
+    VoterStatus,
+};
+use crate::agree::archive::{DigestChain, EntryRange, Verification};
 use crate::agree::document::{Document, Edit, Value};
-use crate::agree::voter::{Saved, Voters};
+use crate::agree::voter::{PersistentState, Voters};
 use crate::agree::{Entry, Message};
-use samples::{KEEP, VOTER, batches, entries, ledger, messages, voters};
+use samples::{KEEP, VOTER, batches, entries, messages, state, voters};
 use serde::{Serialize, de::DeserializeOwned};
 use std::fs;
 use std::path::{Path, PathBuf};
@@ -46,8 +49,8 @@
     }
 }
 
-fn verify(folder: &Path, disk: &Disk) -> Verified {
-    let mut chain = Chain::default();
+fn verify(folder: &Path, disk: &Disk) -> Verification {
+    let mut chain = DigestChain::default();
     Archive::beside(folder).follow(&mut chain).unwrap();
     disk.verify(chain).unwrap().done()
 }
@@ -58,21 +61,21 @@
     let (disk, saved) = Disk::open(&folder.0, 1 << 30).unwrap();
     assert_eq!(disk.id(), VOTER);
     assert_eq!((saved.term, saved.voted, saved.barrier), (3, Some(72), 9));
-    assert_eq!(saved.known, [(72, 5 << 32 | 77)].into());
+    assert_eq!(saved.peer_incarnations, [(72, 5 << 32 | 77)].into());
     // One start made the fixture, this is the second.
-    assert_eq!(saved.starts >> 32, 2);
-    assert_eq!((&saved.ledger, saved.ledger_term), (&ledger(11), 2));
+    assert_eq!(saved.incarnation >> 32, 2);
+    assert_eq!((&saved.state, saved.state_term), (&state(11), 2));
     assert_eq!((saved.log.base().index, saved.log.last_index()), (11, 14));
     assert_eq!(saved.log.entries(), &entries()[11..]);
 
     let archive = Archive::beside(&folder.0);
-    assert_eq!(archive.segments().unwrap(), [Span { from: 1, to: 4 }]);
+    assert_eq!(archive.segments().unwrap(), [EntryRange { from: 1, to: 4 }]);
     let mut records = archive.records(0, 100).unwrap();
     records.extend(disk.records(0, 100).unwrap());
     assert!(records.iter().map(|record| record.index).eq(1..=14));
     let stored: Vec<Entry> = records.into_iter().map(|record| record.entry).collect();
     assert_eq!(stored, entries());
-    let whole = Verified { entries: 14, last: 14, gaps: Vec::new(), wrong: None };
+    let whole = Verification { entries: 14, last: 14, gaps: Vec::new(), wrong: None };
     assert_eq!(verify(&folder.0, &disk), whole);
 }
 
@@ -85,7 +88,7 @@
         disk.save(&batch).unwrap();
     }
     let archive = Archive::beside(&written.0);
-    assert_eq!(disk.archive(&archive, Some(KEEP)).unwrap(), Some(Span { from: 1, to: 4 }));
+    assert_eq!(disk.archive(&archive, Some(KEEP)).unwrap(), Some(EntryRange { from: 1, to: 4 }));
     assert_eq!(disk.archive(&archive, Some(KEEP)).unwrap(), None);
     let segment = |folder: &Folder| {
         fs::read(folder.0.join("archive/00000000000000000001-00000000000000000004.jsonl")).unwrap()
@@ -94,7 +97,10 @@
     drop(disk);
     let (ours, our_state) = Disk::open(&written.0, 1 << 30).unwrap();
     let (theirs, their_state) = Disk::open(&stored.0, 1 << 30).unwrap();
-    assert_eq!(Saved { starts: 0, ..our_state }, Saved { starts: 0, ..their_state });
+    assert_eq!(
+        PersistentState { incarnation: 0, ..our_state },
+        PersistentState { incarnation: 0, ..their_state }
+    );
     assert_eq!(ours.records(0, 100).unwrap(), theirs.records(0, 100).unwrap());
 }
 
@@ -102,8 +108,8 @@
 fn the_stored_state_has_its_documents_in_force_and_the_results_of_edits() {
     let folder = Folder::of_voter("state");
     let (_, saved) = Disk::open(&folder.0, 1 << 30).unwrap();
-    let state = saved.ledger;
-    assert_eq!((state.read(), state.active(), state.prepared()), (11, 9, 9));
+    let state = saved.state;
+    assert_eq!((state.applied(), state.active(), state.prepared()), (11, 9, 9));
     assert_eq!((state.latest_voters(), state.voters_at()), (Some(&voters()), 9));
     let value = |document: &str, field: &str| state.document(document)?.fields.get(field).cloned();
     assert_eq!(value("plan/gold", "limit"), Some(Value::Limit { rate: 120.5, least: 20.0 }));
@@ -125,11 +131,11 @@
     let directory = folder.0.join("restored");
     assert_eq!(backup.restore(&directory, 5, "127.0.0.1:7000").unwrap(), 15);
     let (disk, saved) = Disk::open(&directory, 1 << 30).unwrap();
-    assert_eq!(saved.ledger, ledger(14));
+    assert_eq!(saved.state, state(14));
     assert_eq!(verify(&directory, &disk).wrong, None);
     let records: Vec<_> = disk.records(0, 14).unwrap();
     let written = folder.0.join("again");
-    backup::write(&written, "few", ledger(14), &records).unwrap();
+    backup::write(&written, "few", state(14), &records).unwrap();
     assert_eq!(fs::read(&written).unwrap(), fs::read(&stored).unwrap());
 }
 
@@ -147,17 +153,17 @@
         let (kind, json) = line.split_once('\t').unwrap();
         let again = match kind {
             "message" => read_and_write::<Message>(json),
-            "said" => read_and_write::<Said>(json),
-            "heard" => read_and_write::<Heard>(json),
+            "said" => read_and_write::<MessageEnvelope>(json),
+            "heard" => read_and_write::<MessageReply>(json),
             "edit" => read_and_write::<Edit>(json),
             "voters" => read_and_write::<Voters>(json),
-            "proposed" => read_and_write::<Proposed>(json),
-            "status" => read_and_write::<Status>(json),
-            "ledger asked" => read_and_write::<LedgerAsked>(json),
-            "ledger" => read_and_write::<LedgerTold>(json),
-            "records asked" => read_and_write::<RecordsAsked>(json),
-            "records" => read_and_write::<RecordsTold>(json),
-            "verified" => read_and_write::<Verified>(json),
+            "proposed" => read_and_write::<ProposalOutcome>(json),
+            "status" => read_and_write::<VoterStatus>(json),
+            "ledger asked" => read_and_write::<StateRequest>(json),
+            "ledger" => read_and_write::<StateReply>(json),
+            "records asked" => read_and_write::<RecordsRequest>(json),
+            "records" => read_and_write::<RecordsReply>(json),
+            "verified" => read_and_write::<Verification>(json),
             other => panic!("{other}: no such kind"),
         };
         assert_eq!(again, json, "{kind}");
--- a/src/rehearsal/fleet/audit.rs
+++ b/src/rehearsal/fleet/audit.rs
@@ -1,8 +1,8 @@
-//! Judges a run by what its processes told: nobody acted against what was in force, what was said to count still does, in
-//! the order in which it was said, and nodes saw no more than the joint limit.
+//! Judges a run by what its processes told: nobody acted against what was in force, what was said to count
+//! still does, in the order in which it was said, and nodes saw no more than the joint limit.
 
 use crate::agree::document::Value;
-use crate::agree::ledger::Ledger;
+use crate::agree::document_state::DocumentState;
 use crate::agree::{Entry, Index};
 use std::collections::BTreeMap;
 
@@ -68,9 +68,9 @@
 }
 
 impl State {
-    fn of(ledger: &Ledger) -> State {
-        let field = |document: &str, field: &str| ledger.document(document)?.fields.get(field).cloned();
-        let out = ledger.document(NODES).into_iter().flat_map(|nodes| &nodes.fields);
+    fn of(state: &DocumentState) -> State {
+        let field = |document: &str, field: &str| state.document(document)?.fields.get(field).cloned();
+        let out = state.document(NODES).into_iter().flat_map(|nodes| &nodes.fields);
         State {
             limit: match field(PLAN, "limit") {
                 Some(Value::Limit { rate, .. }) => Some(rate),
@@ -158,14 +158,14 @@
 
 /// What was in force from when on.
 fn states(log: &BTreeMap<Index, Entry>, history: &History) -> Vec<(u64, State)> {
-    let (mut ledger, mut states, mut active) = (Ledger::default(), Vec::new(), 0);
+    let (mut state, mut states, mut active) = (DocumentState::default(), Vec::new(), 0);
     for entry in log.values() {
-        ledger.apply(entry);
-        if ledger.active() > active {
-            active = ledger.active();
+        state.apply(entry);
+        if state.active() > active {
+            active = state.active();
             // Voters that were killed before they could tell leave it to a later one.
             let told = history.in_force.range(active..).map(|(_, at)| *at).min();
-            states.extend(told.map(|at| (at, State::of(&ledger))));
+            states.extend(told.map(|at| (at, State::of(&state))));
         }
     }
     states
@@ -175,7 +175,8 @@
     for act in &history.acts {
         verdict.latest_us = verdict.latest_us.max(act.late_us);
         let looked = (act.at_us - act.late_us).saturating_sub(CLOCKS_US);
-        // Against all that was in force between the look and the act: whatever came meanwhile may be what it went by.
+        // Against all that was in force between the look and the act: whatever came meanwhile may be what it
+        // went by.
         let began = states.partition_point(|(at, _)| *at <= looked).saturating_sub(1);
         let until = states.partition_point(|(at, _)| *at <= act.at_us);
         let in_force = &states[began..until];
@@ -199,10 +200,10 @@
 
 fn judge_edits(history: &History, log: &BTreeMap<Index, Entry>, verdict: &mut Verdict) {
     // Of two on one base one at most is taken: the log's own reading says which.
-    let mut ledger = Ledger::default();
-    log.values().for_each(|entry| ledger.apply(entry));
+    let mut state = DocumentState::default();
+    log.values().for_each(|entry| state.apply(entry));
     for edit in &history.acknowledged {
-        if let Some(Err(rejected)) = ledger.result(edit.id) {
+        if let Some(Err(rejected)) = state.result(edit.id) {
             verdict.problems.push(format!("edit {} was said to count and is refused: {rejected}", edit.id));
         }
         let there = log.get(&edit.entry).is_some_and(|entry| match &entry.command {
@@ -244,7 +245,8 @@
     }
 }
 
-/// In no second do nodes see more than the limit gives, with what may be saved up and one request of each head beside.
+/// In no second do nodes see more than the limit gives, with what may be saved up and one request of each
+/// head beside.
 fn judge_limit(history: &History, states: &[(u64, State)], verdict: &mut Verdict) {
     let mut seen = history.seen.clone();
     seen.sort_unstable();
--- a/src/rehearsal/fleet/audit/tests.rs
+++ b/src/rehearsal/fleet/audit/tests.rs
@@ -19,7 +19,7 @@
     for (place, edit) in edits.into_iter().enumerate() {
         let index = 2 * place as u64 + 1;
         log.insert(index, edit);
-        log.insert(index + 1, Entry { term: 1, command: Command::Activate(index) });
+        log.insert(index + 1, Entry { term: 1, command: Command::ActivateUpTo(index) });
         in_force.insert(index, (place as u64 + 1) * SECOND);
     }
     let acknowledged = |id, entry, at| Acknowledged { asked_us: at, told_us: at + 10, entry, id };
--- a/src/rehearsal/fleet/run.rs
+++ b/src/rehearsal/fleet/run.rs
@@ -1,17 +1,17 @@
-//! One run: starts the fleet, breaks it by the schedule, edits and reads all the while, waits until all heads know the
-//! same again, and gives what was told to the auditor.
+//! One run: starts the fleet, breaks it by the schedule, edits and reads all the while, waits until all heads
+//! know the same again, and gives what was told to the auditor.
 
 use super::audit::{Acknowledged, Act, History, Read, Verdict, judge};
 use super::link::Link;
 use super::schedule::{Fault, Kind};
-use crate::agree::document::{Edit, Part, Value};
+use crate::agree::document::{DocumentChange, Edit, Value};
 use crate::agree::voter::Voters;
 use crate::agree::{Index, VoterId, report};
 use crate::net::agree::call::Caller;
 use crate::net::agree::disk::{Disk, path};
 use crate::net::agree::wire::{
-    LEDGER, LedgerAsked, LedgerTold, PROPOSE, Proposed, RECORDS, RecordsAsked, RecordsTold, STATUS, Status,
-    VOTERS,
+    PROPOSE_PATH, ProposalOutcome, RECORDS_PATH, RecordsReply, RecordsRequest, STATE_PATH, STATUS_PATH,
+    StateReply, StateRequest, VOTERS_PATH, VoterStatus,
 };
 use crate::rehearsal::brick::{Act as Answered, Brick, Seen, answer};
 use crate::rehearsal::stage::{Discovery, Head, HttpClient, Setup, Site, entry};
@@ -79,7 +79,7 @@
 
 /// What a head told last of what it acts on.
 #[derive(Clone, Debug, Default)]
-struct Reading {
+struct RulesChange {
     level: String,
     active: Index,
 }
@@ -88,7 +88,7 @@
 #[derive(Default)]
 struct Notes {
     history: Mutex<History>,
-    readings: Mutex<BTreeMap<usize, Reading>>,
+    readings: Mutex<BTreeMap<usize, RulesChange>>,
     /// Voters that were not heard for their disk, and disks that could not be used.
     old_disks: AtomicU64,
     ill: AtomicU64,
@@ -168,7 +168,7 @@
         }
         Some("READING") => {
             if let (Some(level), Some(active)) = (event.any("level"), number(&event, "active")) {
-                lock(&notes.readings).insert(head, Reading { level: level.to_string(), active });
+                lock(&notes.readings).insert(head, RulesChange { level: level.to_string(), active });
             }
         }
         Some("OLD_DISK") => drop(notes.old_disks.fetch_add(1, Ordering::Relaxed)),
@@ -208,7 +208,8 @@
         for number in 0..plan.heads {
             let links = (0..VOTERS_AT_FIRST).map(|_| Link::open()).collect::<Outcome<Vec<Link>>>()?;
             let directory = (number < VOTERS_AT_FIRST).then(|| fleet.folder.join(format!("v{number}")));
-            // Clocks are up to an hour apart and run up to 1% apart; leases are shorter than usual, so that they end.
+            // Clocks are up to an hour apart and run up to 1% apart; leases are shorter than usual, so that
+            // they end.
             let lease = if plan.long_leases && number >= VOTERS_AT_FIRST { 30_000 } else { 1_000 };
             let voters: String = lock(&fleet.seats)
                 .iter()
@@ -360,7 +361,8 @@
                 let kind = self.spoil(head, kind, &directory)?;
                 let before = told(self, kind);
                 self.begin(head)?;
-                // It lives until its disk has been noticed; other faults may keep an old one from being heard at all.
+                // It lives until its disk has been noticed; other faults may keep an old one from being heard
+                // at all.
                 let until = Instant::now() + HEARD;
                 while told(self, kind) == before && Instant::now() < until {
                     thread::sleep(LOOK);
@@ -387,13 +389,13 @@
                 std::fs::write(&file, bytes)?;
             }
             _ => {
-                // A copy from before its last start, which the others have heard of. Where other faults keep that start
-                // from them, nobody could tell, and the disk is lost instead.
+                // A copy from before its last start, which the others have heard of. Where other faults keep
+                // that start from them, nobody could tell, and the disk is lost instead.
                 let copy = std::fs::read(&file)?;
                 self.begin(number)?;
                 let heard = || {
                     let address = lock(&self.seats).iter().find(|seat| seat.member == number)?.address?;
-                    let status = call::<Status>(address, STATUS, &()).ok()?;
+                    let status = call::<VoterStatus>(address, STATUS_PATH, &()).ok()?;
                     status.leader.filter(|leader| *leader != status.id)
                 };
                 let until = Instant::now() + HEARD;
@@ -412,7 +414,8 @@
         Ok(kind)
     }
 
-    /// A new voter at the same head takes the lost one's place: first the lost one goes, then the new one comes.
+    /// A new voter at the same head takes the lost one's place: first the lost one goes, then the new one
+    /// comes.
     fn replace(&mut self, number: usize) -> Outcome {
         self.kill(number)?;
         self.replaced += 1;
@@ -446,7 +449,7 @@
         let readings = lock(&self.notes.readings).clone();
         let seats: Vec<String> = lock(&self.seats)
             .iter()
-            .map(|seat| match seat.address.map(|address| call::<Status>(address, STATUS, &())) {
+            .map(|seat| match seat.address.map(|address| call::<VoterStatus>(address, STATUS_PATH, &())) {
                 Some(Ok(s)) => format!(
                     "{}: term {} leader {:?} counts {} of {} {:?}",
                     s.id,
@@ -480,11 +483,10 @@
             // One that was refused stays refused: each try is another edit.
             let id = now_us();
             let text = format!("mark=plain:{id}");
-            let base =
-                read_ledger(&fleet.seats, true)?.latest("marks").map_or(0, |document| document.version);
+            let base = read_state(&fleet.seats, true)?.latest("marks").map_or(0, |document| document.version);
             let edit = report::edit(id, "marks", base, &[text], ("rehearsal", "a mark", 0)).ok()?;
             match propose(&fleet.seats, &edit) {
-                Some(Proposed::Entry(entry)) => Some(entry),
+                Some(ProposalOutcome::Entry(entry)) => Some(entry),
                 _ => None,
             }
         })?;
@@ -520,17 +522,22 @@
 }
 
 /// `None`: nobody who leads answered.
-fn propose(seats: &Mutex<Vec<Seat>>, edit: &Edit) -> Option<Proposed> {
-    addresses(seats).into_iter().find_map(|address| match call::<Proposed>(address, PROPOSE, edit) {
-        Ok(Proposed::NotLeader(_) | Proposed::Unknown) | Err(_) => None,
-        Ok(told) => Some(told),
+fn propose(seats: &Mutex<Vec<Seat>>, edit: &Edit) -> Option<ProposalOutcome> {
+    addresses(seats).into_iter().find_map(|address| {
+        match call::<ProposalOutcome>(address, PROPOSE_PATH, edit) {
+            Ok(ProposalOutcome::NotLeader(_) | ProposalOutcome::Unknown) | Err(_) => None,
+            Ok(told) => Some(told),
+        }
     })
 }
 
-fn read_ledger(seats: &Mutex<Vec<Seat>>, sure: bool) -> Option<Box<crate::agree::ledger::Ledger>> {
+fn read_state(
+    seats: &Mutex<Vec<Seat>>,
+    linearizable: bool,
+) -> Option<Box<crate::agree::document_state::DocumentState>> {
     addresses(seats).into_iter().find_map(|address| {
-        match call::<LedgerTold>(address, LEDGER, &LedgerAsked { sure }) {
-            Ok(LedgerTold::Ledger(ledger)) => Some(ledger),
+        match call::<StateReply>(address, STATE_PATH, &StateRequest { linearizable }) {
+            Ok(StateReply::State(state)) => Some(state),
             _ => None,
         }
     })
@@ -540,7 +547,7 @@
 fn change_voters(seats: &Mutex<Vec<Seat>>, notes: &Notes, lost: VoterId, new: VoterId, address: &str) {
     while !notes.over.load(Ordering::Relaxed) {
         for at in addresses(seats) {
-            let Ok(status) = call::<Status>(at, STATUS, &()) else { continue };
+            let Ok(status) = call::<VoterStatus>(at, STATUS_PATH, &()) else { continue };
             if status.leader != Some(status.id) {
                 continue;
             }
@@ -548,7 +555,7 @@
             if voters.remove(&lost).is_none() && voters.insert(new, address.to_string()).is_some() {
                 return;
             }
-            let _ = call::<Proposed>(at, VOTERS, &voters); // whatever it says, the next look tells
+            let _ = call::<ProposalOutcome>(at, VOTERS_PATH, &voters); // whatever it says, the next look tells
         }
         thread::sleep(LOOK);
     }
@@ -561,8 +568,8 @@
     while !notes.over.load(Ordering::Relaxed) {
         thread::sleep(EDITS_APART);
         let asked_us = now_us();
-        let Some(ledger) = read_ledger(seats, true) else { continue };
-        lock(&notes.history).reads.push(Read { asked_us, told_us: now_us(), up_to: ledger.read() });
+        let Some(state) = read_state(seats, true) else { continue };
+        lock(&notes.history).reads.push(Read { asked_us, told_us: now_us(), up_to: state.applied() });
         low = !low;
         let limit = |rate| ("plan/starter", "limit", Value::Limit { rate, least: 4.0 });
         let (document, field, value) = match draw.u32(..4) {
@@ -572,25 +579,25 @@
             2 => ("nodes", "s-1", Value::Node(draw.bool())),
             _ => ("plan/starter", "weight", Value::Plain(format!("{}", draw.u32(1..5)))),
         };
-        let base = ledger.latest(document).map_or(0, |document| document.version);
+        let base = state.latest(document).map_or(0, |document| document.version);
         // Now and then two at once on one base: one of them at most is taken.
         let both = draw.u32(..4) == 0;
         let edits: Vec<Edit> = (0..if both { 2 } else { 1 })
             .map(|_| {
                 id += 1;
                 let changes = BTreeMap::from([(field.to_string(), Some(value.clone()))]);
-                let parts = BTreeMap::from([(document.to_string(), Part { base, changes })]);
+                let parts = BTreeMap::from([(document.to_string(), DocumentChange { base, changes })]);
                 Edit { id, parts, who: "rehearsal".into(), why: "a change".into(), at_ms: now_us() / 1_000 }
             })
             .collect();
         let asked_us = now_us();
-        let done: Vec<(u64, Option<Proposed>)> = thread::scope(|scope| {
+        let done: Vec<(u64, Option<ProposalOutcome>)> = thread::scope(|scope| {
             let asked: Vec<_> =
                 edits.iter().map(|edit| scope.spawn(move || (edit.id, propose(seats, edit)))).collect();
             asked.into_iter().filter_map(|asked| asked.join().ok()).collect()
         });
         for (id, told) in done {
-            if let Some(Proposed::Entry(entry)) = told {
+            if let Some(ProposalOutcome::Entry(entry)) = told {
                 let told_us = now_us();
                 lock(&notes.history).acknowledged.push(Acknowledged { asked_us, told_us, entry, id });
             }
@@ -707,7 +714,7 @@
     fleet
         .wait_for("the voters to be those that should be", |fleet| {
             let wanted: BTreeSet<VoterId> = lock(&fleet.seats).iter().map(|seat| seat.id).collect();
-            let voters = read_ledger(&fleet.seats, false)?.latest_voters().cloned();
+            let voters = read_state(&fleet.seats, false)?.latest_voters().cloned();
             let voters = voters.map_or(wanted.clone(), |voters| voters.into_keys().collect());
             (voters == wanted).then_some(())
         })
@@ -719,7 +726,7 @@
         let Some(address) = seat.address else { continue };
         let (mut log, mut after) = (BTreeMap::new(), 0);
         loop {
-            let told: RecordsTold = call(address, RECORDS, &RecordsAsked { after, most: 1_000 })?;
+            let told: RecordsReply = call(address, RECORDS_PATH, &RecordsRequest { after, most: 1_000 })?;
             let Some(last) = told.records.last() else { break };
             after = last.index;
             log.extend(told.records.into_iter().map(|record| (record.index, record.entry)));
@@ -784,7 +791,7 @@
                     let Ok(edit) = report::edit(id, &name, base, &text, ("rehearsal", "measured", 0)) else {
                         return;
                     };
-                    if let Some(Proposed::Entry(_)) = propose(seats, &edit) {
+                    if let Some(ProposalOutcome::Entry(_)) = propose(seats, &edit) {
                         counted.fetch_add(1, Ordering::Relaxed);
                         base += 1;
                     }
@@ -800,13 +807,13 @@
         let leader = fleet.wait_for("a leader", |fleet| {
             let seats = lock(&fleet.seats).clone();
             seats.into_iter().find_map(|seat| {
-                let status = call::<Status>(seat.address?, STATUS, &()).ok()?;
+                let status = call::<VoterStatus>(seat.address?, STATUS_PATH, &()).ok()?;
                 (status.leader == Some(seat.id)).then_some(seat.member)
             })
         })?;
         fleet.kill(leader)?;
         let begun = Instant::now();
-        fleet.wait_for("another leader's word", |fleet| read_ledger(&fleet.seats, true))?;
+        fleet.wait_for("another leader's word", |fleet| read_state(&fleet.seats, true))?;
         gaps.push(begun.elapsed().as_millis() as u64);
         fleet.begin(leader)?;
         fleet.mark()?;
