--- a/tests/agree.rs
+++ b/tests/agree.rs
@@ -1,11 +1,14 @@
-//! Agreement in virtual time: voters and heads with clocks of their own, a network that loses, delays, repeats and cuts,
-//! processes that are killed, stopped and started again, and an auditor of every act. The same seed plays the same run.
-
-use pathbank::agree::document::{Edit, Level, Part, Value};
-use pathbank::agree::holder::Holder;
-use pathbank::agree::ledger::Ledger;
-use pathbank::agree::voter::{Output, Save, Saved, Starts, To, Voter, Voters, next_start};
-use pathbank::agree::{Command, Entry, HolderId, Index, Message, Micros, Term, Times, VoterId};
+//! Agreement in virtual time: voters and heads with clocks of their own, a network that loses, delays,
+//! repeats and cuts, processes that are killed, stopped and started again, and an auditor of every act. The
+//! same seed plays the same run.
+
+use pathbank::agree::document::{DocumentChange, Edit, LeaseLevel, Value};
+use pathbank::agree::document_state::DocumentState;
+use pathbank::agree::lease_holder::LeaseHolder;
+use pathbank::agree::voter::{
+    Incarnation, Output, PersistentChange, PersistentState, Recipient, Voter, Voters, next_incarnation,
+};
+use pathbank::agree::{Command, Entry, HolderId, Index, Message, Micros, Term, Timings, VoterId};
 use std::collections::{BTreeMap, BTreeSet};
 
 const MS: Micros = 1_000;
@@ -15,7 +18,7 @@
 const END: Micros = 22 * S;
 /// Far more than a run has.
 const MOST_EVENTS: u64 = 200_000;
-const RENEW: Micros = 200 * MS;
+const RENEWAL_INTERVAL: Micros = 200 * MS;
 const ACT: Micros = 17 * MS;
 const FIELDS: [&str; 3] = ["rate", "tries", "node"];
 
@@ -88,7 +91,7 @@
     /// From a voter in so many starts.
     Deliver {
         from: Who,
-        starts: Starts,
+        incarnation: Incarnation,
         to: Who,
         message: Message,
     },
@@ -119,28 +122,29 @@
     now: Micros,
     serial: u64,
     events: BTreeMap<(Micros, u64), Event>,
-    voter_times: Times,
-    head_times: Times,
+    voter_times: Timings,
+    head_times: Timings,
     voters: Vec<Option<Voter>>,
-    disks: Vec<Saved>,
+    disks: Vec<PersistentState>,
     /// The one whose machine is lost.
     lost: Option<VoterId>,
     voter_clocks: Vec<Clock>,
-    heads: Vec<Holder>,
+    heads: Vec<LeaseHolder>,
     head_clocks: Vec<Clock>,
     /// What a timer last saw, for the break.
-    seen_level: Vec<Level>,
-    starts: u64,
+    seen_level: Vec<LeaseLevel>,
+    incarnation: u64,
     cut: BTreeSet<(Who, Who)>,
     stopped: BTreeMap<Who, Micros>,
     loss: u64,
     // The auditor's.
     committed: Vec<Entry>,
     digests: Vec<[u8; 32]>,
-    truth: Ledger,
+    truth: DocumentState,
     proposed: BTreeMap<u64, Edit>,
     acts: [u64; 3],
-    /// At which voter, the entry and its term by which it counts, and the version that it must not be older than.
+    /// At which voter, the entry and its term by which it counts, and the version that it must not be older
+    /// than.
     reads: Vec<(VoterId, Index, Term, u64)>,
     read: u64,
     problems: Vec<String>,
@@ -158,10 +162,10 @@
     fn new(seed: u64, heads: usize, brk: Break) -> World {
         let mut draw = Draw(fastrand::Rng::with_seed(seed));
         let kept = [3, 512][draw.below(2) as usize];
-        let times = Times { long_lease: 3 * S, drift_ppm: 100_000, kept, ..Times::default() };
+        let times = Timings { long_lease: 3 * S, drift_ppm: 100_000, kept, ..Timings::default() };
         let voter_times = match brk {
-            Break::ActivatedAtOnce => Times { lease: 0, long_lease: 0, ..times },
-            Break::DriftLeftOut => Times { drift_ppm: 0, ..times },
+            Break::ActivatedAtOnce => Timings { lease: 0, long_lease: 0, ..times },
+            Break::DriftLeftOut => Timings { drift_ppm: 0, ..times },
             _ => times,
         };
         let mut clock = || Clock { offset: draw.below(3_600 * S), ppm: draw.below(200_001) as i64 - 100_000 };
@@ -182,14 +186,14 @@
             voter_clocks,
             heads: Vec::new(),
             head_clocks,
-            seen_level: vec![Level::Bottom; heads],
-            starts: 0,
+            seen_level: vec![LeaseLevel::NoLease; heads],
+            incarnation: 0,
             cut: BTreeSet::new(),
             stopped: BTreeMap::new(),
             loss,
             committed: Vec::new(),
             digests: Vec::new(),
-            truth: Ledger::default(),
+            truth: DocumentState::default(),
             proposed: BTreeMap::new(),
             acts: [0; 3],
             reads: Vec::new(),
@@ -225,7 +229,7 @@
     /// With a new disk.
     fn begin(&mut self, id: VoterId) {
         self.voters.push(None);
-        self.disks.push(Saved::default());
+        self.disks.push(PersistentState::default());
         self.voters[id as usize] = Some(self.voter(id));
         self.after(id * MS, Event::Tick(id));
     }
@@ -241,12 +245,12 @@
         Voter::new(id, &voters, self.voter_times, self.disks[id as usize].clone(), started, draw)
     }
 
-    fn holder(&mut self, head: usize) -> Holder {
-        self.starts += 1;
-        let id = HolderId { head: format!("n{head}"), start: self.starts };
+    fn holder(&mut self, head: usize) -> LeaseHolder {
+        self.incarnation += 1;
+        let id = HolderId { head: format!("n{head}"), start: self.incarnation };
         let voters =
             voters(&if self.brk == Break::OneGrant { vec![head as VoterId % 3] } else { voter_ids() });
-        Holder::new(id, &voters, self.head_times)
+        LeaseHolder::new(id, &voters, self.head_times)
     }
 
     fn after(&mut self, time: Micros, event: Event) {
@@ -258,15 +262,15 @@
         if self.cut.contains(&(from, to)) || self.now < FAULTS_END && self.draw.chance(self.loss) {
             return;
         }
-        let starts = match from {
-            Who::Voter(id) => self.disks[id as usize].starts,
+        let incarnation = match from {
+            Who::Voter(id) => self.disks[id as usize].incarnation,
             Who::Head(_) => 0,
         };
         let copies = if self.draw.chance(5) { 2 } else { 1 };
         for _ in 0..copies {
             let late = if self.draw.chance(5) { 1_500 * MS } else { 8 * MS };
             let delay = MS / 5 + self.draw.below(late);
-            self.after(delay, Event::Deliver { from, starts, to, message: message.clone() });
+            self.after(delay, Event::Deliver { from, incarnation, to, message: message.clone() });
         }
     }
 
@@ -274,16 +278,17 @@
         for save in &out.save {
             let lost = matches!(
                 (self.brk, save),
-                (Break::VoteUnsaved, Save::Vote { .. }) | (Break::LogUnsaved, Save::Put(..))
+                (Break::VoteUnsaved, PersistentChange::Vote { .. })
+                    | (Break::LogUnsaved, PersistentChange::Append(..))
             );
             if !lost {
-                self.disks[id as usize].keep(save);
+                self.disks[id as usize].apply(save);
             }
         }
         for (to, message) in out.send {
             let to = match to {
-                To::Voter(other) => Who::Voter(other),
-                To::Holder(holder) => {
+                Recipient::Voter(other) => Who::Voter(other),
+                Recipient::LeaseHolder(holder) => {
                     let Some(head) = self.heads.iter().position(|head| *head.id() == holder) else {
                         continue;
                     };
@@ -302,7 +307,7 @@
         let commit = voter.commit() as usize;
         // The disk has what memory has let go.
         let (disk, digest, read) =
-            (&self.disks[id as usize], *voter.ledger().digest(), voter.ledger().read());
+            (&self.disks[id as usize], *voter.state().digest(), voter.state().applied());
         let first = disk.log.base().index as usize;
         let counted = commit.saturating_sub(first);
         let entries: Vec<Entry> = disk.log.entries().iter().take(counted).cloned().collect();
@@ -338,20 +343,23 @@
         };
         self.acts[level as usize] += 1;
         for field in FIELDS {
-            let acting = match self.brk {
-                Break::LeaseByTimer => holder.ledger().acting("plan", field).map(|value| value.at(level)),
+            let effective = match self.brk {
+                Break::LeaseByTimer => {
+                    holder.state().effective_value("plan", field).map(|value| value.at(level))
+                }
                 _ => holder.view().value(now, "plan", field),
             };
             let in_force =
                 self.truth.document("plan").and_then(|document| document.fields.get(field).cloned());
             let Some(in_force) = in_force else { continue };
-            let kept = match &acting {
-                Some(acting) => acting.keeps_to(&in_force),
+            let kept = match &effective {
+                Some(effective) => effective.satisfies(&in_force),
                 // No rule known: only who holds nothing, and so does nothing, may be in that place.
-                None => level == Level::Bottom,
+                None => level == LeaseLevel::NoLease,
             };
             if !kept {
-                let text = format!("head {head} at {level:?} acts on {acting:?}, in force is {in_force:?}");
+                let text =
+                    format!("head {head} at {level:?} acts on {effective:?}, in force is {in_force:?}");
                 return self.problem(text);
             }
         }
@@ -366,8 +374,9 @@
             "tries" => Value::Attempts(if lax { 3 } else { 1 }),
             _ => Value::Node(lax),
         };
-        let leaders: Vec<usize> =
-            (0..self.voters.len()).filter(|id| self.voters[*id].as_ref().is_some_and(Voter::leads)).collect();
+        let leaders: Vec<usize> = (0..self.voters.len())
+            .filter(|id| self.voters[*id].as_ref().is_some_and(Voter::is_leader))
+            .collect();
         // Also one that leads no more, and does not know it.
         let Some(id) = leaders.first().copied() else { return };
         let id = leaders[self.draw.below(leaders.len() as u64) as usize].max(id);
@@ -376,12 +385,12 @@
         }
         let now = self.voter_clocks[id].at(self.now);
         let Some(voter) = &mut self.voters[id] else { return };
-        let base = voter.ledger().latest("plan").map_or(0, |document| document.version);
+        let base = voter.state().latest("plan").map_or(0, |document| document.version);
         let edit = Edit {
             id: number,
             parts: BTreeMap::from([(
                 "plan".to_string(),
-                Part { base, changes: BTreeMap::from([(field.to_string(), Some(value))]) },
+                DocumentChange { base, changes: BTreeMap::from([(field.to_string(), Some(value))]) },
             )]),
             who: "ops".into(),
             why: "a change".into(),
@@ -393,19 +402,20 @@
         }
     }
 
-    /// Every voter that takes itself for the leader is asked what it has: no older than what counted before that.
+    /// Every voter that takes itself for the leader is asked what it has: no older than what counted before
+    /// that.
     fn ask(&mut self) {
-        let version = |ledger: &Ledger| ledger.latest("plan").map_or(0, |document| document.version);
+        let version = |state: &DocumentState| state.latest("plan").map_or(0, |document| document.version);
         let known = version(&self.truth);
         for id in 0..self.voters.len() as VoterId {
             let now = self.voter_clocks[id as usize].at(self.now);
             let stopped = self.stopped.contains_key(&Who::Voter(id));
             let Some(voter) = self.voters[id as usize].as_mut().filter(|_| !stopped) else { continue };
-            if self.brk == Break::ReadAtOnce && voter.leads() {
-                if version(voter.ledger()) < known {
+            if self.brk == Break::ReadAtOnce && voter.is_leader() {
+                if version(voter.state()) < known {
                     self.problem(format!("voter {id} told an old version"));
                 }
-            } else if let Ok((index, out)) = voter.ask(now) {
+            } else if let Ok((index, out)) = voter.propose_read_barrier(now) {
                 self.reads.push((id, index, voter.term(), known));
                 self.carry_out(id, out);
             }
@@ -416,7 +426,7 @@
     fn answer(&mut self, id: VoterId) {
         let Some(voter) = &self.voters[id as usize] else { return };
         let (commit, term) = (voter.commit(), voter.term());
-        let version = voter.ledger().latest("plan").map_or(0, |document| document.version);
+        let version = voter.state().latest("plan").map_or(0, |document| document.version);
         let asked = |(at, index, of, _): &mut (VoterId, Index, Term, u64)| {
             *at == id && (*of != term || *index <= commit)
         };
@@ -430,14 +440,14 @@
         }
     }
 
-    fn fault(&mut self) {
+    fn validation_error(&mut self) {
         let who = |draw: &mut Draw, heads: usize| match draw.below(3 + heads as u64) {
             id @ 0..3 => Who::Voter(id as VoterId),
             head => Who::Head(head as usize - 3),
         };
         let heads = self.heads.len();
         let lasts = 300 * MS + self.draw.below(2_500 * MS);
-        let fault = match self.draw.below(7) {
+        let validation_error = match self.draw.below(7) {
             0 | 1 => {
                 let (a, b) = (who(&mut self.draw, heads), who(&mut self.draw, heads));
                 Fault::Cut(a, b)
@@ -461,12 +471,12 @@
             5 => Fault::Jump(self.draw.below(heads as u64) as usize),
             _ => Fault::Stop(who(&mut self.draw, heads)),
         };
-        match fault {
+        match validation_error {
             Fault::Cut(a, b) => drop(self.cut.insert((a, b))),
             Fault::Kill(id) => self.voters[id as usize] = None,
             Fault::Restart(head) => {
                 self.heads[head] = self.holder(head);
-                self.seen_level[head] = Level::Bottom;
+                self.seen_level[head] = LeaseLevel::NoLease;
                 return;
             }
             Fault::Jump(head) => {
@@ -475,19 +485,19 @@
             }
             Fault::Stop(who) => drop(self.stopped.insert(who, self.now + lasts)),
         }
-        self.after(lasts, Event::Heal(fault));
+        self.after(lasts, Event::Heal(validation_error));
     }
 
-    fn heal(&mut self, fault: Fault) {
-        match fault {
+    fn heal(&mut self, validation_error: Fault) {
+        match validation_error {
             Fault::Cut(a, b) => drop(self.cut.remove(&(a, b))),
             Fault::Kill(id) if self.voters[id as usize].is_none() && self.lost != Some(id) => {
                 if self.brk == Break::EmptyDisk {
-                    let starts = self.disks[id as usize].starts;
-                    self.disks[id as usize] = Saved { starts, ..Saved::default() };
+                    let incarnation = self.disks[id as usize].incarnation;
+                    self.disks[id as usize] = PersistentState { incarnation, ..PersistentState::default() };
                 }
-                let next = next_start(self.disks[id as usize].starts, self.draw.next());
-                self.disks[id as usize].starts = next;
+                let next = next_incarnation(self.disks[id as usize].incarnation, self.draw.next());
+                self.disks[id as usize].incarnation = next;
                 self.voters[id as usize] = Some(self.voter(id));
                 self.after(0, Event::Tick(id));
             }
@@ -518,17 +528,17 @@
                 let now = clock.at(self.now);
                 let Some(voter) = &mut self.voters[id as usize] else { return };
                 let out = voter.tick(now, draw);
-                let wait = voter.next().saturating_sub(now).clamp(MS, 50 * MS);
+                let wait = voter.next_tick_at().saturating_sub(now).clamp(MS, 50 * MS);
                 self.carry_out(id, out);
                 self.after(wait, Event::Tick(id));
             }
-            Event::Deliver { from, starts, to: Who::Voter(id), message } => {
+            Event::Deliver { from, incarnation, to: Who::Voter(id), message } => {
                 let (now, draw) = (self.voter_clocks[id as usize].at(self.now), self.draw.next());
                 let Some(voter) = &mut self.voters[id as usize] else { return };
                 let out = match (from, message) {
-                    (Who::Voter(other), message) => voter.hear(now, draw, (other, starts), message),
-                    (Who::Head(_), Message::Renew { holder, asked, prepared }) => {
-                        voter.renew(now, holder, asked, prepared)
+                    (Who::Voter(other), message) => voter.step(now, draw, (other, incarnation), message),
+                    (Who::Head(_), Message::LeaseRequest { holder, requested_at, prepared }) => {
+                        voter.renew(now, holder, requested_at, prepared)
                     }
                     _ => return,
                 };
@@ -536,10 +546,12 @@
             }
             Event::Deliver { from, to: Who::Head(head), mut message, .. } => {
                 let Who::Voter(from) = from else { return };
-                if let (Break::LeaseFromAnswer, Message::Granted { asked, .. }) = (self.brk, &mut message) {
-                    *asked = self.head_clocks[head].at(self.now);
+                if let (Break::LeaseFromAnswer, Message::LeaseReply { requested_at, .. }) =
+                    (self.brk, &mut message)
+                {
+                    *requested_at = self.head_clocks[head].at(self.now);
                 }
-                self.heads[head].hear(from, message);
+                self.heads[head].step(from, message);
             }
             Event::Renew(head) => {
                 let now = self.head_clocks[head].at(self.now);
@@ -549,7 +561,7 @@
                 for id in voters {
                     self.send(Who::Head(head), Who::Voter(id), message.clone());
                 }
-                self.after(RENEW, Event::Renew(head));
+                self.after(RENEWAL_INTERVAL, Event::Renew(head));
             }
             Event::Act(head) => {
                 self.act(head);
@@ -557,7 +569,7 @@
             }
             Event::Edit(number) => self.propose(number),
             Event::Read => self.ask(),
-            Event::Fault => self.fault(),
+            Event::Fault => self.validation_error(),
             Event::Lose(id) => {
                 self.lost = Some(id);
                 self.voters[id as usize] = None;
@@ -565,7 +577,7 @@
                 self.after(0, Event::Replace);
             }
             Event::Replace => self.replace(),
-            Event::Heal(fault) => self.heal(fault),
+            Event::Heal(validation_error) => self.heal(validation_error),
         }
     }
 
@@ -592,14 +604,14 @@
         for id in 0..self.voters.len() {
             let (now, stopped) =
                 (self.voter_clocks[id].at(self.now), self.stopped.contains_key(&Who::Voter(id as VoterId)));
-            let Some(voter) = self.voters[id].as_mut().filter(|voter| voter.leads() && !stopped) else {
+            let Some(voter) = self.voters[id].as_mut().filter(|voter| voter.is_leader() && !stopped) else {
                 continue;
             };
             let mut wanted = voter.voters().clone();
             if wanted.remove(&lost).is_none() {
                 wanted.insert(3, String::new());
             }
-            if let Ok(out) = voter.change(now, wanted) {
+            if let Ok(out) = voter.change_membership(now, wanted) {
                 self.carry_out(id as VoterId, out);
             }
         }
@@ -618,7 +630,7 @@
         }
         for id in counted.into_iter().map(|id| id as usize) {
             let Some(voter) = &self.voters[id] else { return self.problem(format!("voter {id} is down")) };
-            if voter.ledger() != &self.truth {
+            if voter.state() != &self.truth {
                 return self.problem(format!("voter {id} knows something else"));
             }
         }
@@ -627,7 +639,9 @@
         }
         for head in 0..self.heads.len() {
             let now = self.head_clocks[head].at(self.now);
-            if self.heads[head].view().level(now) != Level::Held || self.heads[head].ledger() != &self.truth {
+            if self.heads[head].view().level(now) != LeaseLevel::FullLease
+                || self.heads[head].state() != &self.truth
+            {
                 return self.problem(format!("head {head} never came to know all"));
             }
         }
@@ -643,7 +657,8 @@
     World::new(seed, 5, brk).run()
 }
 
-/// From an edit's proposal until the last of so many heads has it in force, with nothing broken but what messages suffer.
+/// From an edit's proposal until the last of so many heads has it in force, with nothing broken but what
+/// messages suffer.
 fn reach(seed: u64, heads: usize) -> Option<Micros> {
     let mut world = World::new(seed, heads, Break::None);
     world.events.retain(|_, event| matches!(event, Event::Tick(_) | Event::Renew(_)));
@@ -651,7 +666,7 @@
     while let Some(((at, _), event)) = world.events.pop_first() {
         world.now = at;
         world.step(event);
-        let there = |head: &Holder| head.ledger().active() > 0;
+        let there = |head: &LeaseHolder| head.state().active() > 0;
         if at > 5 * S && world.heads.iter().all(there) {
             return Some(at - 5 * S);
         }
@@ -723,15 +738,18 @@
     };
 }
 
-/// What a voter waited for has to outlast its process. Seeds seldom meet what takes a word of before its end that comes
-/// late: here it does.
+/// What a voter waited for has to outlast its process. Seeds seldom meet what takes a word of before its end
+/// that comes late: here it does.
 #[test]
 fn a_barrier_that_is_not_saved_is_caught() {
     let edit = Edit {
         id: 1,
         parts: BTreeMap::from([(
             "plan".to_string(),
-            Part { base: 0, changes: BTreeMap::from([("tries".to_string(), Some(Value::Attempts(1)))]) },
+            DocumentChange {
+                base: 0,
+                changes: BTreeMap::from([("tries".to_string(), Some(Value::Attempts(1)))]),
+            },
         )]),
         who: "ops".into(),
         why: "a change".into(),
@@ -740,54 +758,70 @@
     let entry = |command| Entry { term: 1, command };
     let append = |entries: Vec<Entry>| {
         let commit = entries.len() as Index;
-        Message::Append { term: 1, before: 0, before_term: 0, entries, commit }
+        Message::AppendRequest { term: 1, previous_index: 0, previous_term: 0, entries, commit }
     };
-    let late = append(vec![entry(Command::Begin)]);
-    let all = append(vec![entry(Command::Begin), entry(Command::Edit(edit))]);
-    let leader = (1, next_start(0, 0));
-    for (saved, granted) in [(true, false), (false, true)] {
-        let mut disk = Saved::default();
-        let mut voter = Voter::new(0, &voters(&voter_ids()), Times::default(), disk.clone(), 0, 0);
-        let said = voter.hear(1, 0, leader, all.clone());
-        let kept = |save: &&Save| saved || !matches!(save, Save::Barrier(_));
-        said.save.iter().filter(kept).for_each(|save| disk.keep(save));
+    let late = append(vec![entry(Command::Noop)]);
+    let all = append(vec![entry(Command::Noop), entry(Command::Edit(edit))]);
+    let leader = (1, next_incarnation(0, 0));
+    for (saved, expected) in [(true, false), (false, true)] {
+        let mut disk = PersistentState::default();
+        let mut voter = Voter::new(0, &voters(&voter_ids()), Timings::default(), disk.clone(), 0, 0);
+        let said = voter.step(1, 0, leader, all.clone());
+        let kept = |save: &&PersistentChange| saved || !matches!(save, PersistentChange::Barrier(_));
+        said.save.iter().filter(kept).for_each(|save| disk.apply(save));
         // Its process ends, and what the leader said first comes to the next one.
-        let mut voter = Voter::new(0, &voters(&voter_ids()), Times::default(), disk, 2, 0);
-        voter.hear(3, 0, leader, late.clone());
+        let mut voter = Voter::new(0, &voters(&voter_ids()), Timings::default(), disk, 2, 0);
+        voter.step(3, 0, leader, late.clone());
         let holder = HolderId { head: "n0".into(), start: 1 };
         let told = voter.renew(4, holder, 0, 1).send.pop();
-        let Some((_, Message::Granted { yes, .. })) = told else { panic!("{told:?}") };
-        assert_eq!(yes, granted, "a head that does not know of an edit that counts: barrier saved {saved}");
+        let Some((_, Message::LeaseReply { granted, .. })) = told else { panic!("{told:?}") };
+        assert_eq!(
+            granted, expected,
+            "a head that does not know of an edit that counts: barrier saved {saved}"
+        );
     }
 }
 
-/// A ledger that was sent in place of entries comes late, after a restart in which nothing counts yet but what the voter's
-/// own ledger stands for: entries behind it that the voter has said to be saved stay.
+/// A ledger that was sent in place of entries comes late, after a restart in which nothing counts yet but
+/// what the voter's own ledger stands for: entries behind it that the voter has said to be saved stay.
 #[test]
 fn a_late_ledger_takes_no_entries_away_that_were_said_to_be_saved() {
-    let entry = |term| Entry { term, command: Command::Begin };
+    let entry = |term| Entry { term, command: Command::Noop };
     let log: Vec<Entry> = [1, 1, 1, 2, 2, 2].map(entry).into();
-    let ledger = |to: usize| {
-        let mut ledger = Ledger::default();
-        log[..to].iter().for_each(|entry| ledger.apply(entry));
-        Box::new(ledger)
+    let state = |to: usize| {
+        let mut state = DocumentState::default();
+        log[..to].iter().for_each(|entry| state.apply(entry));
+        Box::new(state)
     };
-    let leader = (1, next_start(0, 0));
+    let leader = (1, next_incarnation(0, 0));
     // The ledger's last entry, the term that it is told with, and the voter's last entry then.
     for (to, last_term, last) in [(4, 2, 6), (6, 2, 6), (3, 1, 6), (4, 1, 4)] {
-        let mut disk = Saved::default();
-        let mut voter = Voter::new(0, &voters(&voter_ids()), Times::default(), disk.clone(), 0, 0);
-        let append = Message::Append { term: 2, before: 0, before_term: 0, entries: log.clone(), commit: 2 };
-        let said = voter.hear(1, 0, leader, append);
-        assert!(matches!(said.send[..], [(_, Message::Appended { yes: true, matched: 6, .. })]), "{said:?}");
-        said.save.iter().for_each(|save| disk.keep(save));
-        let mut voter = Voter::new(0, &voters(&voter_ids()), Times::default(), disk.clone(), 2, 0);
-        let late = Message::Snapshot { term: 2, last_term, ledger: ledger(to) };
-        let out = voter.hear(3, 0, leader, late);
-        out.save.iter().for_each(|save| disk.keep(save));
+        let mut disk = PersistentState::default();
+        let mut voter = Voter::new(0, &voters(&voter_ids()), Timings::default(), disk.clone(), 0, 0);
+        let append = Message::AppendRequest {
+            term: 2,
+            previous_index: 0,
+            previous_term: 0,
+            entries: log.clone(),
+            commit: 2,
+        };
+        let said = voter.step(1, 0, leader, append);
+        assert!(
+            matches!(said.send[..], [(_, Message::AppendReply { accepted: true, matched: 6, .. })]),
+            "{said:?}"
+        );
+        said.save.iter().for_each(|save| disk.apply(save));
+        let mut voter = Voter::new(0, &voters(&voter_ids()), Timings::default(), disk.clone(), 2, 0);
+        let late = Message::Snapshot { term: 2, last_term, state: state(to) };
+        let out = voter.step(3, 0, leader, late);
+        out.save.iter().for_each(|save| disk.apply(save));
         let on_disk = disk.log.last_index();
-        assert_eq!((voter.last(), on_disk, voter.commit()), (last, last, to as Index), "{to} {last_term}");
-        assert_eq!(voter.ledger(), &*ledger(to), "{to} {last_term}");
+        assert_eq!(
+            (voter.last_index(), on_disk, voter.commit()),
+            (last, last, to as Index),
+            "{to} {last_term}"
+        );
+        assert_eq!(voter.state(), &*state(to), "{to} {last_term}");
     }
 }
 
--- a/tests/agree_model.rs
+++ b/tests/agree_model.rs
@@ -1,13 +1,14 @@
-//! Agreement over small bounds, exhaustively: three voters, a head, two edits on one base, one crash and one cut, in every
-//! order of so many steps. The same code as everywhere; only the order of things is chosen here, all of it.
+//! Agreement over small bounds, exhaustively: three voters, a head, two edits on one base, one crash and one
+//! cut, in every order of so many steps. The same code as everywhere; only the order of things is chosen
+//! here, all of it.
 //!
 //! `MODEL_DEEPER=N` goes N steps deeper.
 
-use pathbank::agree::document::{Edit, Level, Part, Value};
-use pathbank::agree::holder::Holder;
-use pathbank::agree::ledger::Ledger;
-use pathbank::agree::voter::{Output, Saved, To, Voter, Voters, next_start};
-use pathbank::agree::{HolderId, Message, Micros, Times, VoterId};
+use pathbank::agree::document::{DocumentChange, Edit, LeaseLevel, Value};
+use pathbank::agree::document_state::DocumentState;
+use pathbank::agree::lease_holder::LeaseHolder;
+use pathbank::agree::voter::{Output, PersistentState, Recipient, Voter, Voters, next_incarnation};
+use pathbank::agree::{HolderId, Message, Micros, Timings, VoterId};
 use std::collections::hash_map::DefaultHasher;
 use std::collections::{BTreeMap, BTreeSet, HashSet};
 use std::hash::{Hash, Hasher};
@@ -22,9 +23,10 @@
 struct State {
     now: Micros,
     voters: Vec<Option<Voter>>,
-    disks: Vec<Saved>,
-    head: Holder,
-    /// On their way, in no order, each once: a message that is told twice changes nothing, which the other rig plays.
+    disks: Vec<PersistentState>,
+    head: LeaseHolder,
+    /// On their way, in no order, each once: a message that is told twice changes nothing, which the other
+    /// rig plays.
     sent: BTreeMap<String, (Who, u64, Who, Message)>,
     edits: u64,
     crashes: u32,
@@ -48,8 +50,8 @@
     Wait,
 }
 
-fn times() -> Times {
-    Times { lease: 300, long_lease: 600, drift_ppm: 0, election: 1_000, beat: 100, kept: 512 }
+fn times() -> Timings {
+    Timings { lease: 300, long_lease: 600, drift_ppm: 0, election: 1_000, beat: 100, kept: 512 }
 }
 
 fn voters() -> Voters {
@@ -58,9 +60,10 @@
 
 impl State {
     fn new() -> State {
-        let disks = vec![Saved { starts: next_start(0, 0), ..Saved::default() }; 3];
+        let disks =
+            vec![PersistentState { incarnation: next_incarnation(0, 0), ..PersistentState::default() }; 3];
         let voter = |id: VoterId| Some(Voter::new(id, &voters(), times(), disks[id as usize].clone(), 0, 0));
-        let head = Holder::new(HolderId { head: "n0".into(), start: 1 }, &voters(), times());
+        let head = LeaseHolder::new(HolderId { head: "n0".into(), start: 1 }, &voters(), times());
         State {
             now: 1,
             voters: (0..3).map(voter).collect(),
@@ -83,7 +86,7 @@
                 Some(voter) => {
                     // Voter 2 never stands: which of them does is the same seen from another side.
                     steps.extend((self.ticks > 0 && id < 2).then_some(Step::Tick(id)));
-                    steps.extend((self.edits > 0 && voter.leads()).then_some(Step::Propose(id)));
+                    steps.extend((self.edits > 0 && voter.is_leader()).then_some(Step::Propose(id)));
                     steps.extend((self.crashes > 0).then_some(Step::Crash(id)));
                 }
                 None => steps.push(Step::Back(id)),
@@ -97,22 +100,25 @@
         steps
     }
 
-    fn put(&mut self, from: Who, starts: u64, to: Who, message: Message) {
+    fn put(&mut self, from: Who, incarnation: u64, to: Who, message: Message) {
         let cut = |who: Who| self.cut.is_some_and(|cut| who == Who::Voter(cut));
         if !cut(from) && !cut(to) {
-            self.sent.insert(format!("{from:?} {starts} {to:?} {message:?}"), (from, starts, to, message));
+            self.sent.insert(
+                format!("{from:?} {incarnation} {to:?} {message:?}"),
+                (from, incarnation, to, message),
+            );
         }
     }
 
     fn carry_out(&mut self, id: usize, out: Output) {
-        out.save.iter().for_each(|save| self.disks[id].keep(save));
-        let starts = self.disks[id].starts;
+        out.save.iter().for_each(|save| self.disks[id].apply(save));
+        let incarnation = self.disks[id].incarnation;
         for (to, message) in out.send {
             let to = match to {
-                To::Voter(other) => Who::Voter(other as usize),
-                To::Holder(_) => Who::Head,
+                Recipient::Voter(other) => Who::Voter(other as usize),
+                Recipient::LeaseHolder(_) => Who::Head,
             };
-            self.put(Who::Voter(id), starts, to, message);
+            self.put(Who::Voter(id), incarnation, to, message);
         }
     }
 
@@ -122,22 +128,22 @@
             Step::Tick(id) => {
                 self.ticks -= 1;
                 let Some(voter) = &mut self.voters[*id] else { return };
-                self.now = now.max(voter.next());
+                self.now = now.max(voter.next_tick_at());
                 let out = voter.tick(self.now, 0);
                 self.carry_out(*id, out);
             }
             Step::Deliver(key) => {
-                let Some((from, starts, to, message)) = self.sent.remove(key) else { return };
+                let Some((from, incarnation, to, message)) = self.sent.remove(key) else { return };
                 match (from, to) {
-                    (Who::Voter(from), Who::Head) => self.head.hear(from as VoterId, message),
+                    (Who::Voter(from), Who::Head) => self.head.step(from as VoterId, message),
                     (from, Who::Voter(id)) => {
                         let Some(voter) = &mut self.voters[id] else { return };
                         let out = match (from, message) {
                             (Who::Voter(from), message) => {
-                                voter.hear(now, 0, (from as VoterId, starts), message)
+                                voter.step(now, 0, (from as VoterId, incarnation), message)
                             }
-                            (Who::Head, Message::Renew { holder, asked, prepared }) => {
-                                voter.renew(now, holder, asked, prepared)
+                            (Who::Head, Message::LeaseRequest { holder, requested_at, prepared }) => {
+                                voter.renew(now, holder, requested_at, prepared)
                             }
                             _ => return,
                         };
@@ -148,7 +154,8 @@
             }
             Step::Propose(id) => {
                 let field = if self.edits == 2 { Value::Attempts(3) } else { Value::Attempts(1) };
-                let part = Part { base: 0, changes: BTreeMap::from([("tries".to_string(), Some(field))]) };
+                let part =
+                    DocumentChange { base: 0, changes: BTreeMap::from([("tries".to_string(), Some(field))]) };
                 let parts = BTreeMap::from([("class".to_string(), part)]);
                 let edit = Edit { id: self.edits, parts, who: String::new(), why: String::new(), at_ms: 0 };
                 self.edits -= 1;
@@ -160,7 +167,7 @@
                 self.voters[*id] = None;
             }
             Step::Back(id) => {
-                self.disks[*id].starts = next_start(self.disks[*id].starts, 0);
+                self.disks[*id].incarnation = next_incarnation(self.disks[*id].incarnation, 0);
                 let saved = self.disks[*id].clone();
                 self.voters[*id] = Some(Voter::new(*id as VoterId, &voters(), times(), saved, now, 0));
             }
@@ -183,8 +190,9 @@
         }
     }
 
-    /// No two voters hold different entries for good, and the head acts against none of them that is in force.
-    fn fault(&self) -> Option<String> {
+    /// No two voters hold different entries for good, and the head acts against none of them that is in
+    /// force.
+    fn validation_error(&self) -> Option<String> {
         let known: Vec<&Voter> = self.voters.iter().flatten().collect();
         let mut longest: Option<&Voter> = None;
         for voter in &known {
@@ -194,7 +202,7 @@
         }
         let longest = longest?;
         for voter in &known {
-            let mut read = Ledger::default();
+            let mut read = DocumentState::default();
             longest
                 .saved()
                 .log
@@ -202,22 +210,22 @@
                 .iter()
                 .take(voter.commit() as usize)
                 .for_each(|entry| read.apply(entry));
-            if read.digest() != voter.ledger().digest() {
+            if read.digest() != voter.state().digest() {
                 return Some(format!("two logs: {:?} and {:?}", longest.saved().log, voter.saved().log));
             }
         }
         let leaders: BTreeSet<u64> =
-            known.iter().filter(|voter| voter.leads()).map(|voter| voter.term()).collect();
-        if leaders.len() < known.iter().filter(|voter| voter.leads()).count() {
+            known.iter().filter(|voter| voter.is_leader()).map(|voter| voter.term()).collect();
+        if leaders.len() < known.iter().filter(|voter| voter.is_leader()).count() {
             return Some("two leaders in one term".into());
         }
-        let in_force = longest.ledger().document("class")?.fields.get("tries")?.clone();
-        let acting = self.head.view().value(self.now, "class", "tries");
-        let kept = match &acting {
-            Some(acting) => acting.keeps_to(&in_force),
+        let in_force = longest.state().document("class")?.fields.get("tries")?.clone();
+        let effective = self.head.view().value(self.now, "class", "tries");
+        let kept = match &effective {
+            Some(effective) => effective.satisfies(&in_force),
             None => self.head.view().attempts(self.now, "class", "tries") == Some(1),
         };
-        (!kept).then(|| format!("acts on {acting:?} where {in_force:?} is in force"))
+        (!kept).then(|| format!("acts on {effective:?} where {in_force:?} is in force"))
     }
 
     fn digest(&self) -> u64 {
@@ -230,12 +238,12 @@
 #[test]
 fn in_every_order_of_so_many_steps_nothing_forks_and_no_act_is_against_what_is_in_force() {
     let deeper: usize = std::env::var("MODEL_DEEPER").ok().and_then(|text| text.parse().ok()).unwrap_or(0);
-    // Before a leader is chosen; after that; and when the head holds its lease, the first edit counts and the head does not
-    // know of it: from there on the ways lead to where it is in force.
+    // Before a leader is chosen; after that; and when the head holds its lease, the first edit counts and the
+    // head does not know of it: from there on the ways lead to where it is in force.
     let mut chosen = State::new();
     chosen.take(&Step::Tick(0));
     deliver_all(&mut chosen, |_| true);
-    assert!(chosen.voters[0].as_ref().is_some_and(Voter::leads));
+    assert!(chosen.voters[0].as_ref().is_some_and(Voter::is_leader));
     let mut counts = chosen.clone();
     for _ in 0..2 {
         counts.take(&Step::Renew);
@@ -244,7 +252,7 @@
     counts.take(&Step::Propose(0));
     deliver_all(&mut counts, |key| key.contains("Append"));
     assert!(
-        counts.head.view().level(counts.now) == Level::Held
+        counts.head.view().level(counts.now) == LeaseLevel::FullLease
             && counts.voters[0].as_ref().is_some_and(|v| v.commit() > 1)
     );
     (chosen.ticks, counts.ticks, counts.renewals) = (3, 4, 4);
@@ -268,9 +276,13 @@
                     if !seen.insert(after.digest()) {
                         continue;
                     }
-                    assert_eq!(after.fault(), None, "{begins}, step {step}: {way:?} from {state:?}");
+                    assert_eq!(
+                        after.validation_error(),
+                        None,
+                        "{begins}, step {step}: {way:?} from {state:?}"
+                    );
                     in_force +=
-                        usize::from(after.voters.iter().flatten().any(|voter| voter.ledger().active() > 0));
+                        usize::from(after.voters.iter().flatten().any(|voter| voter.state().active() > 0));
                     next.push(after);
                 }
             }
--- a/tests/fleet/cluster.rs
+++ b/tests/fleet/cluster.rs
@@ -1,9 +1,9 @@
 //! A few heads of one cluster, each with a voter on a disk of its own, past all links.
 
-use pathbank::agree::document::{Edit, Rejected};
+use pathbank::agree::document::{Edit, EditRejection};
 use pathbank::net::agree::call::Caller;
 use pathbank::net::agree::disk::Disk;
-use pathbank::net::agree::wire::{PROPOSE, Proposed, STATUS, Status};
+use pathbank::net::agree::wire::{PROPOSE_PATH, ProposalOutcome, STATUS_PATH, VoterStatus};
 use pathbank::rehearsal::stage::{Head, Setup};
 use serde::Serialize;
 use serde::de::DeserializeOwned;
@@ -13,7 +13,8 @@
 use std::sync::atomic::{AtomicU16, Ordering};
 use std::time::{Duration, Instant};
 
-/// Longer than anything takes, also where other tests have the machine: what is not there by then never comes.
+/// Longer than anything takes, also where other tests have the machine: what is not there by then never
+/// comes.
 pub const LONG: Duration = Duration::from_secs(60);
 /// Nobody listens there.
 pub const NOWHERE: SocketAddr = SocketAddr::V4(SocketAddrV4::new(Ipv4Addr::LOCALHOST, 1));
@@ -22,8 +23,8 @@
 /// Below the ports that the kernel gives to sockets that ask for any.
 static NEXT_PORT: AtomicU16 = AtomicU16::new(20_000);
 
-/// An address that nobody else gets, however often a voter there ends and starts: a port that the kernel gave out and took
-/// back may go to another socket meanwhile, and the voter then cannot listen.
+/// An address that nobody else gets, however often a voter there ends and starts: a port that the kernel gave
+/// out and took back may go to another socket meanwhile, and the voter then cannot listen.
 pub fn own_address() -> SocketAddr {
     let process = std::process::id().to_le_bytes();
     let host = Ipv4Addr::new(127, 78, process[0], process[1].max(1));
@@ -104,23 +105,23 @@
     }
 
     /// Proposed until it is known what became of it.
-    pub async fn propose_async(&self, ids: &[u64], edit: &Edit) -> Result<u64, Rejected> {
-        self.ask_until(ids, PROPOSE, edit, |answer| match answer {
-            Proposed::Entry(entry) => Some(Ok(entry)),
-            Proposed::Rejected(why) => Some(Err(why)),
+    pub async fn propose_async(&self, ids: &[u64], edit: &Edit) -> Result<u64, EditRejection> {
+        self.ask_until(ids, PROPOSE_PATH, edit, |answer| match answer {
+            ProposalOutcome::Entry(entry) => Some(Ok(entry)),
+            ProposalOutcome::Rejected(why) => Some(Err(why)),
             _ => None,
         })
         .await
     }
 
-    pub fn propose(&self, ids: &[u64], edit: &Edit) -> Result<u64, Rejected> {
+    pub fn propose(&self, ids: &[u64], edit: &Edit) -> Result<u64, EditRejection> {
         self.runtime.block_on(self.propose_async(ids, edit))
     }
 
     /// Waits until that voter has the entry in force.
-    pub fn in_force(&self, id: u64, entry: u64) -> Status {
-        let in_force = |status: Status| (status.active >= entry).then_some(status);
-        self.runtime.block_on(self.ask_until(&[id], STATUS, &(), in_force))
+    pub fn in_force(&self, id: u64, entry: u64) -> VoterStatus {
+        let in_force = |status: VoterStatus| (status.active >= entry).then_some(status);
+        self.runtime.block_on(self.ask_until(&[id], STATUS_PATH, &(), in_force))
     }
 
     /// Runs the operators' own program: what it printed, or its error.
--- a/tests/fleet/main.rs
+++ b/tests/fleet/main.rs
@@ -1,15 +1,16 @@
-//! Real heads with faults between them, and the audit of what they did: fixed seeds, each hard case, and a deliberate
-//! break that the audit has to find. Judged by what the processes tell, never by how long anything took.
+//! Real heads with faults between them, and the audit of what they did: fixed seeds, each hard case, and a
+//! deliberate break that the audit has to find. Judged by what the processes tell, never by how long anything
+//! took.
 
 mod cluster;
 
 use cluster::{Cluster, LONG, NOWHERE, own_address};
 use futures_util::future::join_all;
-use pathbank::agree::document::{Edit, Part, Rejected, Value};
+use pathbank::agree::document::{DocumentChange, Edit, EditRejection, Value};
 use pathbank::agree::report;
 use pathbank::net::agree::call::Caller;
 use pathbank::net::agree::disk::Disk;
-use pathbank::net::agree::wire::{PROPOSE, Proposed, STATUS, Status};
+use pathbank::net::agree::wire::{PROPOSE_PATH, ProposalOutcome, STATUS_PATH, VoterStatus};
 use pathbank::rehearsal::fleet::link::Link;
 use pathbank::rehearsal::fleet::run::{Plan, Played, play};
 use pathbank::rehearsal::fleet::schedule::{Fault, KINDS, Kind, drawn};
@@ -76,7 +77,7 @@
     assert_sound_with_all_faults(2);
 }
 
-fn fault(at_ms: u64, lasts_ms: u64, kind: Kind, head: usize) -> Fault {
+fn validation_error(at_ms: u64, lasts_ms: u64, kind: Kind, head: usize) -> Fault {
     Fault { at_ms, lasts_ms, kind, head, voter: head % 3 }
 }
 
@@ -91,7 +92,7 @@
     // Whichever of the three leads has its turn.
     assert_sound_beside_a_join(
         11,
-        &[0, 1, 2].map(|voter| fault(400 + 1_800 * voter as u64, 1_600, Kind::DeafLeader, voter)),
+        &[0, 1, 2].map(|voter| validation_error(400 + 1_800 * voter as u64, 1_600, Kind::DeafLeader, voter)),
     );
 }
 
@@ -99,15 +100,17 @@
 fn a_leader_that_stood_still_wakes_after_its_successors_changes() {
     assert_sound_beside_a_join(
         12,
-        &[0, 1, 2].map(|voter| fault(400 + 2_400 * voter as u64, 2_200, Kind::Stop, voter)),
+        &[0, 1, 2].map(|voter| validation_error(400 + 2_400 * voter as u64, 2_200, Kind::Stop, voter)),
     );
 }
 
-/// Clients ask for far more than the limit gives, and two heads of five hear nothing for longer than both of their leases.
+/// Clients ask for far more than the limit gives, and two heads of five hear nothing for longer than both of
+/// their leases.
 #[test]
 fn a_limit_is_lowered_in_a_surge_while_more_than_a_third_of_the_heads_hear_nothing() {
     let plan = Plan { lowers: true, ..plan(13) };
-    let faults = [fault(300, 4_200, Kind::Isolate, 3), fault(300, 4_200, Kind::Isolate, 4)];
+    let faults =
+        [validation_error(300, 4_200, Kind::Isolate, 3), validation_error(300, 4_200, Kind::Isolate, 4)];
     let Played { verdict, served, answered, begun_us, .. } = play_fleet(&plan, &faults);
     assert_eq!(verdict.problems, Vec::<String>::new());
     let meanwhile = begun_us + 300_000..begun_us + 4_500_000;
@@ -117,27 +120,34 @@
 
 #[test]
 fn a_majority_is_lost_for_longer_than_all_leases_and_comes_back() {
-    assert_sound_beside_a_join(14, &[fault(400, 4_000, Kind::Kill, 0), fault(600, 4_200, Kind::Kill, 1)]);
+    assert_sound_beside_a_join(
+        14,
+        &[validation_error(400, 4_000, Kind::Kill, 0), validation_error(600, 4_200, Kind::Kill, 1)],
+    );
 }
 
 #[test]
 fn more_than_half_of_the_heads_are_killed_while_changes_are_under_way() {
-    assert_sound_beside_a_join(15, &[fault(600, 900, Kind::Half, 0), fault(2_400, 700, Kind::Half, 0)]);
+    assert_sound_beside_a_join(
+        15,
+        &[validation_error(600, 900, Kind::Half, 0), validation_error(2_400, 700, Kind::Half, 0)],
+    );
 }
 
 #[test]
 fn a_voter_that_lost_its_disk_is_replaced_under_load() {
-    assert_sound_beside_a_join(16, &[fault(500, 800, Kind::Empty, 1)]);
+    assert_sound_beside_a_join(16, &[validation_error(500, 800, Kind::Empty, 1)]);
 }
 
 #[test]
 fn a_voter_with_a_damaged_disk_votes_no_more_and_is_replaced() {
-    assert_sound_beside_a_join(17, &[fault(500, 800, Kind::Damaged, 2)]);
+    assert_sound_beside_a_join(17, &[validation_error(500, 800, Kind::Damaged, 2)]);
 }
 
 #[test]
 fn a_voter_on_an_older_copy_of_its_disk_is_not_heard_and_is_replaced() {
-    let Played { verdict, old_disks, .. } = play_fleet(&plan(18), &[fault(500, 800, Kind::Old, 1)]);
+    let Played { verdict, old_disks, .. } =
+        play_fleet(&plan(18), &[validation_error(500, 800, Kind::Old, 1)]);
     assert_eq!(verdict.problems, Vec::<String>::new());
     assert!(old_disks > 0, "nobody told of it");
 }
@@ -145,7 +155,8 @@
 #[test]
 fn a_head_that_takes_its_leases_for_longer_than_they_are_is_found() {
     let plan = Plan { long_leases: true, ..plan(1) };
-    let faults = [fault(400, 2_500, Kind::Isolate, 3), fault(900, 2_500, Kind::Isolate, 4)];
+    let faults =
+        [validation_error(400, 2_500, Kind::Isolate, 3), validation_error(900, 2_500, Kind::Isolate, 4)];
     let verdict = play_fleet(&plan, &faults).verdict;
     assert!(!verdict.problems.is_empty() && verdict.longest_us > 0, "{verdict:?}");
 }
@@ -153,7 +164,8 @@
 /// An edit of so many documents, all on one version.
 fn all(id: u64, count: usize, base: u64, text: &str) -> Edit {
     let changes = || BTreeMap::from([("weight".to_string(), Some(Value::Plain(text.to_string())))]);
-    let parts = (0..count).map(|i| (format!("plan/p{i}"), Part { base, changes: changes() })).collect();
+    let parts =
+        (0..count).map(|i| (format!("plan/p{i}"), DocumentChange { base, changes: changes() })).collect();
     Edit { id, parts, who: "ops".into(), why: "all of them".into(), at_ms: 0 }
 }
 
@@ -171,14 +183,14 @@
     // Two at once on one base: one is taken, the other hears which fields it met.
     let edits = [2, 3].map(|id| all(id, 1, 1, &id.to_string()));
     let told = cluster.runtime.block_on(join_all(edits.iter().map(|edit| cluster.propose_async(&ids, edit))));
-    let conflict = Err(Rejected::Conflict(vec!["plan/p0.weight".into()]));
+    let conflict = Err(EditRejection::Conflict(vec!["plan/p0.weight".into()]));
     let taken = told.iter().filter(|told| told.is_ok()).count();
     assert!(taken == 1 && told.contains(&conflict), "{told:?}");
     let mut more = all(4, 10_000, 1, "4");
     more.parts.get_mut("plan/p0").unwrap().base = 2;
     let entry = cluster.propose(&ids, &more).unwrap();
-    // The others go on, and so does the head of the one that cannot: it holds its leases from them. Which of both its log
-    // tells first depends on how soon its voter is sent the entry.
+    // The others go on, and so does the head of the one that cannot: it holds its leases from them. Which of
+    // both its log tells first depends on how soon its voter is sent the entry.
     for id in [71, 72] {
         cluster.in_force(id, entry);
     }
@@ -188,7 +200,7 @@
     drop(heads);
     let _again = ids.map(|id| cluster.start(id, &ids, 64));
     let status = cluster.in_force(73, entry);
-    assert!(status.starts > 1 && cluster.command(&[73], &["verify"]).unwrap().contains("sound"));
+    assert!(status.incarnation > 1 && cluster.command(&[73], &["verify"]).unwrap().contains("sound"));
 }
 
 /// A head without a voter, before one voter at the end of that link.
@@ -267,9 +279,9 @@
     assert!(shown.contains("plan/p0 version 2, in force"), "{shown}");
 }
 
-/// A backup that had been reported as done could not be restored: "its entries are not all there". Its first line came from
-/// the leader, its entries from the first voter that answered, and that one had not heard yet that the last of them counts.
-/// Here the voter that is asked first answers, but the others reach it no more.
+/// A backup that had been reported as done could not be restored: "its entries are not all there". Its first
+/// line came from the leader, its entries from the first voter that answered, and that one had not heard yet
+/// that the last of them counts. Here the voter that is asked first answers, but the others reach it no more.
 #[test]
 fn a_voter_that_lags_and_is_asked_first_hides_nothing_that_counts() {
     let mut cluster = Cluster::new("lagging", 3);
@@ -307,8 +319,8 @@
     assert!(refused.is_err() && !part.exists(), "{refused:?}");
 }
 
-/// A voter that keeps cluster entries: the old ones are told from its archive, and where that was moved away, as missing. A
-/// backup from then still begins a cluster.
+/// A voter that keeps cluster entries: the old ones are told from its archive, and where that was moved away,
+/// as missing. A backup from then still begins a cluster.
 #[test]
 fn old_entries_are_told_from_the_archive_and_a_backup_does_without_those_that_were_moved_away() {
     let mut cluster = Cluster::new("archive", 1);
@@ -409,9 +421,12 @@
     let until = Instant::now() + LONG;
     let entry = loop {
         assert!(Instant::now() < until, "nobody leads");
-        match runtime.block_on(caller.call::<Proposed>(&listen.to_string(), PROPOSE, &edit, LONG)).unwrap() {
-            Proposed::Entry(entry) => break entry,
-            Proposed::NotLeader(_) | Proposed::Unknown => {}
+        match runtime
+            .block_on(caller.call::<ProposalOutcome>(&listen.to_string(), PROPOSE_PATH, &edit, LONG))
+            .unwrap()
+        {
+            ProposalOutcome::Entry(entry) => break entry,
+            ProposalOutcome::NotLeader(_) | ProposalOutcome::Unknown => {}
             other => panic!("{other:?}"),
         }
     };
@@ -426,13 +441,14 @@
     let until = Instant::now() + LONG;
     let status = loop {
         assert!(Instant::now() < until, "the voter never led on");
-        if let Ok(status) = runtime.block_on(caller.call::<Status>(&listen.to_string(), STATUS, &(), LONG))
+        if let Ok(status) =
+            runtime.block_on(caller.call::<VoterStatus>(&listen.to_string(), STATUS_PATH, &(), LONG))
             && status.leader == Some(77)
         {
             break status;
         }
     };
-    assert_eq!((status.id, status.starts, status.active >= entry), (77, 2, true));
+    assert_eq!((status.id, status.incarnation, status.active >= entry), (77, 2, true));
     drop(new);
     std::fs::remove_dir_all(&folder).unwrap();
 }
