--- a/src/bin/pathbank.rs
+++ b/src/bin/pathbank.rs
@@ -85,7 +85,8 @@
 }
 
 async fn head() -> Result<(), Box<dyn Error>> {
-    // Before all else, and before the configuration: unhandled, either signal would end the program where it stands.
+    // Before all else, and before the configuration: unhandled, either signal would end the program where it
+    // stands.
     let (mut terminate, hangup) = (signal(SignalKind::terminate())?, signal(SignalKind::hangup())?);
     let mut config = Config::from_environment()?;
     let mut second = SecondFront::from_environment(&mut config.settings, &config.names)?;
@@ -102,28 +103,28 @@
     let logging = Arc::new(logging::start(&config.name, config.log_level, log)?);
     let (mut core, wanted) = Core::new(config.settings.clone(), config.seed, config.max_open, Clock::start());
     if let Some(telling) = telling {
-        core.tell_requests(telling);
+        core.set_request_log(telling);
     }
     let handle = core.handle();
     handle.figures().name_classes(&config.names.classes);
     let (lifecycle, watched) = Lifecycle::new(config.longest_deadline());
     tokio::spawn(lifecycle.clone().run());
     if config.ops.is_some() {
-        core.keep_figures();
+        core.enable_metrics();
     }
     let back = Back::new(config.node_connections, handle.part());
     if config.settings.probing {
         let load = config.settings.reports == Reports::Probes;
-        core.probe_by(Box::new(ProbeWork { back: back.clone(), load }));
+        core.set_probes(Box::new(ProbeWork { back: back.clone(), load }));
     }
     let fleet = keep_view(&config)?;
     if let Some(Talking { listen, peers, all }) = config.talk.clone() {
         let (number, heads) = (config.settings.position, peers.len());
         // Another process of this head may have the address: what is said here is never needed.
         match Talk::open(listen, Peers::new(peers, all, number, std::time::Instant::now())).await {
-            Ok((mut talk, mouth)) => {
+            Ok((mut talk, peer_sender)) => {
                 event!(TALK, listen:% = talk.address()?, peers = heads);
-                core.talk_by(mouth);
+                core.set_peer_sender(peer_sender);
                 if let Some(fleet) = &fleet {
                     talk.keep(fleet.clone());
                 }
@@ -140,7 +141,7 @@
         let pace = Pace::new(agreement.clock_ahead, agreement.clock_ppm);
         let view = office::start(agreement, &config.name, handle.clone(), pace)?;
         let known = view.lock().map(|view| view.clone()).map_err(|_| "the agreement's thread failed")?;
-        core.agree_by(Agreed { rules: Rules::new(settings, numbers.rule_names(), known), view, pace });
+        core.set_agreement(Agreed { rules: Rules::new(settings, numbers.rule_names(), known), view, pace });
     }
     let core = tokio::spawn(core.run());
     let (names, names_now) = watch::channel(Arc::new(directory));
@@ -190,7 +191,8 @@
     if config.passed_socket.is_some() {
         tokio::select! {
             () = meet(&config.name, &handle, &front.ids) => {}
-            // Nobody was accepted: what waits at the door is the other process's, and there is nothing to finish.
+            // Nobody was accepted: what waits at the door is the other process's, and there is nothing to
+            // finish.
             _ = terminate.recv() => {
                 event!(LEFT, opened = 0, attempts = 0, no_room = 0);
                 logging.finish(LAST_LINES);
@@ -267,8 +269,8 @@
     Ok(())
 }
 
-/// Where the platform holds the clients' socket, another process of this head may live: nothing is accepted before it
-/// has been seen to keep to its half, or to be gone.
+/// Where the platform holds the clients' socket, another process of this head may live: nothing is accepted
+/// before it has been seen to keep to its half, or to be gone.
 async fn meet(head: &str, handle: &Handle, ids: &Ids) {
     let mut tell = hot_restart::teller(handle.part(), handle.clone());
     let Some(mut restart) = HotRestart::join(&std::env::temp_dir(), head).await else {
@@ -286,13 +288,13 @@
         event!(IDS_UNWRITTEN, problem:%);
     }
     // Until now the other one may have spent all: what this one has to spend grows from here on.
-    handle.send(Input::Part { halved });
+    handle.send(Input::CapacityShare { halved });
     tokio::spawn(hot_restart::watch(restart, tell));
 }
 
-/// Reads the configuration again with each SIGHUP, for as long as the program runs. What a running head can change
-/// are its settings, where discovery is, and the collectors of its log with their certificates; all else waits for its
-/// next start.
+/// Reads the configuration again with each SIGHUP, for as long as the program runs. What a running head can
+/// change are its settings, where discovery is, and the collectors of its log with their certificates; all
+/// else waits for its next start.
 struct Reload {
     running: Arc<Config>,
     numbers: Numbers,
@@ -334,8 +336,8 @@
     }
 }
 
-/// Serves as `life` has it until nobody is connected any more, or until the last answers are due: then what is open
-/// fails.
+/// Serves as `life` has it until nobody is connected any more, or until the last answers are due: then what
+/// is open fails.
 async fn leave(
     lifecycle: &Lifecycle,
     shared: bool,
--- a/src/core/agreement.rs
+++ b/src/core/agreement.rs
@@ -1,7 +1,7 @@
 //! What the heads agree on, looked at before each event to the module and before each act.
 
 use super::Core;
-use super::open::Open;
+use super::open::OpenRequest;
 use crate::agree::document::LeaseLevel;
 use crate::agree::lease_holder::LeaseView;
 use crate::agree::rules::{AdmittedRules, Rules, RulesChange};
@@ -39,7 +39,7 @@
 impl Core {
     /// Looks at what the heads agree on, and under which lease: what has changed the module is told before
     /// all else.
-    pub(super) fn look(&mut self) -> Vec<Event> {
+    pub(super) fn apply_agreement(&mut self) -> Vec<Event> {
         let Some(agreed) = &mut self.agreed else { return Vec::new() };
         let view = agreed.view();
         let Some(reading) = agreed.rules.refresh(agreed.pace.now(), &view) else { return Vec::new() };
@@ -54,7 +54,7 @@
         }
         self.settings = agreed.rules.settings();
         let mut changed = Vec::new();
-        for (number, node) in self.nodes.iter_mut().filter(|(_, node)| !node.gone) {
+        for (number, node) in self.nodes.iter_mut().filter(|(_, node)| !node.removed) {
             let ready = node.listed && agreed.rules.accepts_requests(&node.id);
             if std::mem::replace(&mut node.ready, ready) != ready
                 && let Some(entry) = self.known.iter_mut().find(|entry| entry.node == *number)
@@ -70,8 +70,8 @@
         events
     }
 
-    pub(super) fn look_first(&mut self) {
-        for event in self.look() {
+    pub(super) fn refresh_agreement(&mut self) {
+        for event in self.apply_agreement() {
             let nodes = matches!(event, Event::Nodes { .. });
             self.tell(event);
             if nodes {
@@ -82,28 +82,28 @@
 
     /// The look at the act itself: `None` where the attempt may not start, as things stand now; otherwise
     /// when it was.
-    pub(super) fn may_start(&self, open: &Open, attempt: u32, node: NodeId) -> Option<Micros> {
+    pub(super) fn may_start(&self, open: &OpenRequest, attempt: u32, node: NodeId) -> Option<Micros> {
         let Some(agreed) = &self.agreed else { return Some(0) };
         let (now, node) = (agreed.pace.now(), self.nodes.get(&node)?);
         let fresh = agreed.rules.is_current(now, &agreed.view());
-        let came = open
-            .under
+        let rules = open
+            .rules
             .unwrap_or(AdmittedRules { attempts: 0, repeats: crate::agree::document::Repeats::Never });
-        (fresh && agreed.rules.allows(open.class, came, attempt, open.ran, &node.id)).then_some(now)
+        (fresh && agreed.rules.allows(open.class, rules, attempt, open.ran, &node.id)).then_some(now)
     }
 
     /// An attempt has been started by the agreed rules: how long after the look at them, and for rehearsals
     /// what they were.
-    pub(super) fn note_act(
+    pub(super) fn record_start(
         &self,
         request: RequestId,
         class: usize,
         attempt: u32,
         node: NodeId,
-        looked: Micros,
+        checked_at: Micros,
     ) {
         let Some(agreed) = &self.agreed else { return };
-        let late_us = agreed.pace.now().saturating_sub(looked);
+        let late_us = agreed.pace.now().saturating_sub(checked_at);
         if late_us > LATE_ACT {
             event!(LATE_ACT, late_us, request);
         }
--- a/src/core/attempt.rs
+++ b/src/core/attempt.rs
@@ -1,4 +1,4 @@
-//! Attempts at nodes: what a front wants done, and what an attempt tells of itself.
+//! Attempts: how a front starts one at a node, and what an attempt reports.
 
 use super::handle::{Handle, Input};
 use crate::attempt_end::AttemptEnd;
@@ -14,12 +14,16 @@
 use tokio::sync::oneshot;
 use tokio::time::Instant;
 
-/// What an attempt came to.
+/// How an attempt ended.
 #[derive(Debug)]
 pub struct Report {
+    /// How it ended.
     pub end: AttemptEnd,
+    /// The answer's body, where it is complete.
     pub body: Bytes,
+    /// The node's report of its load.
     pub load: Load,
+    /// The volume's use, as a fraction of its plan's rate.
     pub used: Option<f64>,
 }
 
@@ -31,10 +35,10 @@
 
 /// Told by the backend as soon as a byte of the attempt may be on the wire, and when its last one is.
 #[derive(Debug, Default)]
-pub struct Begun {
-    pub(super) begun: AtomicBool,
+pub struct WriteState {
+    pub(super) started: AtomicBool,
     pub(super) refused: AtomicBool,
-    pub(super) whole: OnceLock<Instant>,
+    pub(super) completed_at: OnceLock<Instant>,
     pub(super) client: Client,
     pub(super) class: usize,
     pub(super) figures: Figures,
@@ -42,7 +46,7 @@
 
 /// Whoever asked for an attempt.
 #[derive(Default)]
-pub(super) struct Client(pub(super) Option<Arc<dyn Work>>);
+pub(super) struct Client(pub(super) Option<Arc<dyn AttemptSource>>);
 
 impl fmt::Debug for Client {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
@@ -50,30 +54,33 @@
     }
 }
 
-impl Begun {
+impl WriteState {
     /// Asked right before the first byte: false where the client has gone, and nothing may be written.
-    pub fn may_begin(&self) -> bool {
-        if self.client.0.as_ref().is_some_and(|work| work.left()) {
+    pub fn may_start_writing(&self) -> bool {
+        if self.client.0.as_ref().is_some_and(|work| work.client_left()) {
             self.refused.store(true, Ordering::Relaxed);
         }
-        !self.refused()
+        !self.is_refused()
     }
 
-    pub fn refused(&self) -> bool {
+    /// Whether writing was refused because the client had left.
+    pub fn is_refused(&self) -> bool {
         self.refused.load(Ordering::Relaxed)
     }
 
-    pub fn set(&self) {
-        self.begun.store(true, Ordering::Relaxed);
+    /// A byte of the attempt may be on the wire.
+    pub fn mark_started(&self) {
+        self.started.store(true, Ordering::Relaxed);
     }
 
-    pub fn get(&self) -> bool {
-        self.begun.load(Ordering::Relaxed)
+    /// Whether a byte of the attempt may be on the wire.
+    pub fn has_started(&self) -> bool {
+        self.started.load(Ordering::Relaxed)
     }
 
-    /// All of it is written: the attempt counts, once.
-    pub fn set_whole(&self) {
-        if self.whole.set(Instant::now()).is_ok() {
+    /// The last byte is written: the attempt is counted, once.
+    pub fn mark_complete(&self) {
+        if self.completed_at.set(Instant::now()).is_ok() {
             self.figures.count(self.class, Count::Tries);
         }
     }
@@ -81,66 +88,74 @@
 
 /// One attempt to carry a request out at a node.
 #[derive(Debug)]
-pub struct Try {
+pub struct AttemptContext {
+    /// The node's `host:port`.
     pub address: String,
+    /// The deadline.
     pub answer_by: Instant,
-    pub begun: Arc<Begun>,
-    pub binder: Binder,
+    /// How much of it is written.
+    pub write_state: Arc<WriteState>,
+    /// Binds the request to it.
+    pub binder: AnswerBinder,
 }
 
-/// By which an attempt makes the request its own before it passes on the first part of an answer, or before it lets
-/// go of what another attempt would have to send.
+/// By which an attempt makes the request its own before it passes on the first part of an answer, or before
+/// it lets go of what another attempt would have to send.
 #[derive(Debug)]
-pub struct Binder {
+pub struct AnswerBinder {
     pub(super) handle: Handle,
     pub(super) id: RequestId,
     pub(super) attempt: u32,
 }
 
-impl Binder {
+impl AnswerBinder {
+    /// The attempt's number, from 0.
     pub fn attempt(&self) -> u32 {
         self.attempt
     }
 
-    /// True: no other attempt is out or will follow, and this one may speak to the client. False: it is over, or
-    /// another attempt was first.
+    /// True: no other attempt is out or will follow, and this one may speak to the client. False: it is over,
+    /// or another attempt was first.
     pub async fn bind(&self) -> bool {
         let (granted, answer) = oneshot::channel();
         self.handle.send(Input::Bind { id: self.id, attempt: self.attempt, granted });
         answer.await.unwrap_or(false)
     }
 
-    /// The same, with an answer that is good as far as it goes and longer than can be held: it counts as the node's
-    /// from here on, whatever becomes of the rest, and has no time-out any more.
-    pub async fn begin(&self, load: Load, used: Option<f64>) -> bool {
+    /// The same, with an answer that is good as far as it goes and longer than can be held: it counts as the
+    /// node's from here on, whatever becomes of the rest, and has no time-out any more.
+    pub async fn begin_answer(&self, load: Load, used: Option<f64>) -> bool {
         let (granted, answer) = oneshot::channel();
-        self.handle.send(Input::Begin { id: self.id, attempt: self.attempt, load, used, granted });
+        self.handle.send(Input::AnswerBegan { id: self.id, attempt: self.attempt, load, used, granted });
         answer.await.unwrap_or(false)
     }
 }
 
+/// A running attempt.
 pub type Attempt = Pin<Box<dyn Future<Output = Report> + Send>>;
 
 /// What a front wants done: starts attempts at nodes. Dropping the future gives the attempt up; a request of
 /// which no byte was written by then is never written.
-pub trait Work: Send + Sync {
-    fn attempt(&self, a_try: Try) -> Attempt;
+pub trait AttemptSource: Send + Sync {
+    /// Starts an attempt.
+    fn attempt(&self, context: AttemptContext) -> Attempt;
 
-    /// Whether the client has gone, asked of its connection in this very moment: the word of that may still be on its way.
-    fn left(&self) -> bool {
+    /// Whether the client has gone, asked of its connection in this very moment: the word of that may still
+    /// be on its way.
+    fn client_left(&self) -> bool {
         false
     }
 }
 
-/// Gives an attempt up that is not written whole by then. Looked at before each of its steps, so that none of them writes
-/// later, however late its turn comes.
-pub(super) async fn written_by(work: Attempt, begun: Arc<Begun>, by: Option<Instant>) -> Report {
+/// Gives an attempt up that is not written whole by then. Looked at before each of its steps, so that none of
+/// them writes later, however late its turn comes.
+pub(super) async fn written_by(work: Attempt, write_state: Arc<WriteState>, by: Option<Instant>) -> Report {
     let Some(by) = by else { return work.await };
     let (mut work, mut over) = (work, std::pin::pin!(tokio::time::sleep_until(by)));
     std::future::poll_fn(|cx| {
-        let whole = begun.whole.get().is_some();
+        let whole = write_state.completed_at.get().is_some();
         if !whole && (over.as_mut().poll(cx).is_ready() || Instant::now() >= by) {
-            let end = if begun.get() { AttemptEnd::CalledOff } else { AttemptEnd::Unsent };
+            let end = if write_state.has_started() { AttemptEnd::CalledOff } else { AttemptEnd::Unsent };
             return Poll::Ready(end.into());
         }
         work.as_mut().poll(cx)
--- a/src/core/handle.rs
+++ b/src/core/handle.rs
@@ -1,8 +1,8 @@
-//! How fronts and discovery reach the core, and what comes back.
+//! The channel into the core's event loop: how fronts and discovery submit requests and updates, and how answers come back.
 
 #[cfg(test)]
-use super::attempt::{Binder, Try};
-use super::attempt::{Report, Work};
+use super::attempt::{AnswerBinder, AttemptContext};
+use super::attempt::{AttemptSource, Report};
 use crate::agree::rules::Names;
 use crate::config::ListedNode;
 use crate::figures::{Count, Figures, InProgress};
@@ -19,21 +19,29 @@
 use tokio::sync::{mpsc, oneshot};
 use tokio::time::{Duration, Instant};
 
-/// What a front knows of a request, in the module's terms.
+/// A request as a front submits it, in the terms of the scheduling policy.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Arrival {
+    /// The volume that it belongs to.
     pub volume: VolumeId,
+    /// The object that it reads or writes; 0: none.
     pub key: u64,
+    /// Its class's number.
     pub class: usize,
+    /// Its volume's plan's number.
     pub plan: usize,
+    /// Its size.
     pub units: f64,
+    /// Hosts through which the volume's requests come.
     pub volume_hosts: f64,
+    /// The client marked it as a retry of its own.
     pub repeat: bool,
+    /// The shard that has the data; `None`: a new object.
     pub shard: Option<u16>,
-    /// When the final answer must be on its way.
+    /// The deadline for the final answer to be sent.
     pub answer_by: Instant,
-    /// The request's last byte is yet to come: its time runs from then on, and is this long.
-    pub coming: Option<Duration>,
+    /// The body is still arriving: the deadline is this long after its last byte.
+    pub body_time: Option<Duration>,
 }
 
 /// What a client's time leaves for its request: what is kept back for the ways in and out is a part of it at
@@ -42,80 +50,113 @@
     wait - margin.min(wait / MARGIN_PART)
 }
 
-/// The one final answer.
+/// The final answer to a request.
 #[derive(Debug, PartialEq)]
 pub enum Answer {
+    /// The node's answer.
     Served(Bytes),
-    /// Trying again does no harm, after that time.
+    /// Refused: the request did not run, or running it again does no harm. The client may retry after that time.
     Refused(Duration),
-    /// Nothing is promised.
+    /// Failed: the request may have run.
     Failed,
 }
 
+/// An event for the core's event loop.
 pub enum Input {
+    /// A request arrived.
     Request {
+        /// Its number.
         id: RequestId,
+        /// What the front knows of it.
         arrival: Arrival,
-        work: Arc<dyn Work>,
+        /// Starts its attempts.
+        work: Arc<dyn AttemptSource>,
+        /// Takes the final answer.
         answer: oneshot::Sender<Answer>,
     },
-    Left {
+    /// The client closed its connection before the answer.
+    ClientLeft {
+        /// The request.
         id: RequestId,
     },
+    /// An attempt ended.
     Report {
+        /// The request.
         id: RequestId,
+        /// The attempt's number, from 0.
         attempt: u32,
+        /// How it ended.
         report: Report,
     },
-    /// An attempt wants to be the request's only one from here on.
+    /// An attempt asks to be the request's only one from now on.
     Bind {
+        /// The request.
         id: RequestId,
+        /// The attempt's number.
         attempt: u32,
+        /// Takes whether it is.
         granted: oneshot::Sender<bool>,
     },
-    /// An attempt has begun to pass an answer on.
-    Begin {
+    /// An attempt asks to forward the beginning of its answer.
+    AnswerBegan {
+        /// The request.
         id: RequestId,
+        /// The attempt's number.
         attempt: u32,
+        /// The node's report of its load.
         load: Load,
+        /// The volume's use, as a fraction of its plan's rate.
         used: Option<f64>,
+        /// Takes whether it may.
         granted: oneshot::Sender<bool>,
     },
-    /// The last byte of a request has come that was taken before: its time begins.
-    Whole {
+    /// The last byte of a request's body arrived; its time runs from now on.
+    BodyComplete {
+        /// The request.
         id: RequestId,
     },
+    /// An update of the node list.
     Nodes {
+        /// What came.
         news: ListUpdate,
+        /// The entries that came with it.
         nodes: Vec<ListedNode>,
     },
-    /// Other settings, in the same numbers: what is open keeps the rules that it came under.
+    /// New settings. Numbers of classes and plans keep their meaning; open requests keep the rules under which they came.
     Settings {
+        /// The settings.
         settings: Box<Settings>,
+        /// Names of classes and plans by number.
         names: Names,
     },
-    /// What the heads agree on may have changed, or a lease ended.
-    Look,
-    /// Another head said something.
+    /// The agreed documents may have changed, or a lease ended.
+    AgreementChanged,
+    /// A message from another host.
     Peer {
+        /// The other host's number.
         from: u32,
+        /// The message.
         bytes: Vec<u8>,
     },
-    /// A probe has ended.
+    /// A probe of a node ended.
     Probed {
+        /// The node.
         node: NodeId,
+        /// How long it took, microseconds.
         latency: Micros,
+        /// How it ended.
         report: Report,
     },
-    /// Another process of this head lives, or no longer does.
-    Part {
+    /// Another process of this host started or ended.
+    CapacityShare {
+        /// It runs: this process may use half of the host's capacity.
         halved: bool,
     },
-    /// The program ends: whatever is still open gets its answer now.
+    /// The process ends: all open requests get their final answers now.
     Finish,
 }
 
-/// How fronts and discovery reach the core.
+/// Submits requests and updates to the core's event loop.
 #[derive(Clone, Debug)]
 pub struct Handle {
     pub(super) queue: mpsc::UnboundedSender<Input>,
@@ -128,22 +169,23 @@
 }
 
 impl Handle {
-    /// By which its bounds are halved while another process of this head lives.
+    /// The share of the host's capacity that this process may use.
     pub fn part(&self) -> Part {
         self.part.clone()
     }
 
+    /// The metrics that operators read.
     pub fn figures(&self) -> &Figures {
         &self.figures
     }
 
-    /// Requests that came when as many as may be were open.
+    /// The number of requests that were rejected because too many were open.
     pub fn no_room(&self) -> u64 {
         self.no_room.load(Ordering::Relaxed)
     }
 
-    /// `None`: too many are open, nothing was taken.
-    pub fn submit(&self, arrival: Arrival, work: Arc<dyn Work>) -> Option<Pending> {
+    /// Submits a request. `None`: too many are open, and it was rejected.
+    pub fn submit(&self, arrival: Arrival, work: Arc<dyn AttemptSource>) -> Option<Pending> {
         if self.open.load(Ordering::Relaxed) >= self.part.of(self.max_open) {
             self.no_room.fetch_add(1, Ordering::Relaxed);
             self.figures.count(arrival.class, Count::Dropped);
@@ -158,27 +200,29 @@
         Some(Pending { id, answer: pending, answered: false, handle: self.clone(), _open: open })
     }
 
+    /// Sends an event to the core.
     pub fn send(&self, input: Input) {
         // The core is gone only when the program ends.
         let _ = self.queue.send(input);
     }
 
+    /// The number of open requests.
     pub fn open(&self) -> usize {
         self.open.load(Ordering::Relaxed)
     }
 
-    /// One whose inputs go to a test.
+    /// A handle whose events go to a test.
     #[cfg(test)]
     pub fn overheard(&self) -> (Handle, mpsc::UnboundedReceiver<Input>) {
         let (queue, inputs) = mpsc::unbounded_channel();
         (Handle { queue, ..self.clone() }, inputs)
     }
 
-    /// An attempt that is no request's.
+    /// The context of an attempt that belongs to no request.
     #[cfg(test)]
-    pub fn a_try(&self, address: String, wait: Duration) -> Try {
-        let binder = Binder { handle: self.clone(), id: 0, attempt: 0 };
-        Try { address, answer_by: Instant::now() + wait, begun: Arc::default(), binder }
+    pub fn context(&self, address: String, wait: Duration) -> AttemptContext {
+        let binder = AnswerBinder { handle: self.clone(), id: 0, attempt: 0 };
+        AttemptContext { address, answer_by: Instant::now() + wait, write_state: Arc::default(), binder }
     }
 
     /// The same core with a bound of its own on open requests, for a front whose requests hold no descriptor
@@ -188,24 +232,27 @@
     }
 }
 
-/// Something that the module says to one other head, or to all.
+/// A message to another host.
 #[derive(Debug)]
 pub struct Message {
+    /// The other host's number; `None`: all others.
     pub to: Option<u32>,
+    /// The message.
     pub bytes: Vec<u8>,
 }
 
-/// By which the core says it.
+/// Sends messages to other hosts.
 #[derive(Clone, Debug)]
-pub struct Mouth(mpsc::Sender<Message>);
+pub struct PeerSender(mpsc::Sender<Message>);
 
-impl Mouth {
-    pub fn new() -> (Mouth, mpsc::Receiver<Message>) {
-        let (mouth, messages) = mpsc::channel(MESSAGES);
-        (Mouth(mouth), messages)
+impl PeerSender {
+    /// A sender, and the receiver of its messages.
+    pub fn new() -> (PeerSender, mpsc::Receiver<Message>) {
+        let (peer_sender, messages) = mpsc::channel(MAX_QUEUED_MESSAGES);
+        (PeerSender(peer_sender), messages)
     }
 
-    /// Never waits: what finds no room is lost, as the network may lose any.
+    /// Queues a message without waiting; it is dropped when the queue is full.
     pub fn say(&self, to: Option<u32>, bytes: Vec<u8>) {
         if self.0.try_send(Message { to, bytes }).is_err() {
             debug!("a message to other heads found no room");
@@ -213,7 +260,7 @@
     }
 }
 
-/// The answer to come. Dropped before that, the client has left.
+/// Resolves to the final answer. Dropping it before that tells the core that the client has left.
 pub struct Pending {
     id: RequestId,
     answer: oneshot::Receiver<Answer>,
@@ -233,25 +280,27 @@
 }
 
 impl Pending {
-    /// By which the core is told that the request's last byte has come.
-    pub fn teller(&self) -> Teller {
-        Teller { id: self.id, handle: self.handle.clone() }
+    /// Tells the core when the request's body is complete.
+    pub fn body_completion(&self) -> BodyCompletion {
+        BodyCompletion { id: self.id, handle: self.handle.clone() }
     }
 
-    /// Its client has all of the answer: dropped before the core's word, it has not left.
+    /// The client has the complete answer: dropping this no longer means that it left.
     pub fn delivered(&mut self) {
         self.answered = true;
     }
 }
 
-pub struct Teller {
+/// Tells the core that a request's body is complete.
+pub struct BodyCompletion {
     id: RequestId,
     handle: Handle,
 }
 
-impl Teller {
+impl BodyCompletion {
+    /// The last byte of the body arrived.
     pub fn whole(&self) {
-        self.handle.send(Input::Whole { id: self.id });
+        self.handle.send(Input::BodyComplete { id: self.id });
     }
 }
 
@@ -259,12 +308,13 @@
     fn drop(&mut self) {
         self.handle.open.fetch_sub(1, Ordering::Relaxed);
         if !self.answered {
-            self.handle.send(Input::Left { id: self.id });
+            self.handle.send(Input::ClientLeft { id: self.id });
         }
     }
 }
 
+/// The margin is at most this part of a client's time.
 const MARGIN_PART: u32 = 10;
 
-/// Messages to other heads that wait to be sent.
-const MESSAGES: usize = 64;
+/// Messages to other hosts that may be queued.
+const MAX_QUEUED_MESSAGES: usize = 64;
--- a/src/core/nodes.rs
+++ b/src/core/nodes.rs
@@ -1,6 +1,6 @@
 //! Nodes as the list has them.
 
-use super::{Core, DAY, Due};
+use super::{Core, DAY, TimerEvent};
 use crate::config::{ListedNode, ListedState, fnv};
 use crate::event;
 use crate::interface::*;
@@ -14,7 +14,7 @@
     pub(super) listed: bool,
     pub(super) ready: bool,
     /// Off the list: released, with its number, once nothing is out there that could still name it.
-    pub(super) gone: bool,
+    pub(super) removed: bool,
     pub(super) out: usize,
 }
 
@@ -43,7 +43,7 @@
 
 impl Core {
     pub(super) fn on_nodes(&mut self, news: ListUpdate, listed: Vec<ListedNode>) {
-        self.look_first();
+        self.refresh_agreement();
         if matches!(
             news,
             ListUpdate::Subscribed | ListUpdate::Heartbeat | ListUpdate::TimedOut | ListUpdate::Moved
@@ -71,24 +71,24 @@
             entries.push(NodeEntry { node: id, zone: zone as u16, shard: node.cell, state, started });
         }
         if matches!(news, ListUpdate::Full | ListUpdate::Cached) {
-            let off = |node: &mut Node| (node.listed, node.ready, node.gone) = (false, false, true);
+            let off = |node: &mut Node| (node.listed, node.ready, node.removed) = (false, false, true);
             self.nodes.values_mut().for_each(off);
             self.known.clear();
         }
         for (entry, node) in entries.iter().zip(&listed) {
-            let (ready, gone) = (entry.state == NodeState::Ready, entry.state == NodeState::Gone);
+            let (ready, removed) = (entry.state == NodeState::Ready, entry.state == NodeState::Gone);
             event!(NODE, node = node.id, address = node.addr, number = entry.node, shard = entry.shard, state:? = entry.state);
             let out = self.nodes.get(&entry.node).map_or(0, |known| known.out);
             let (id, address) = (node.id.clone(), node.addr.clone());
             let listed = node.state == ListedState::InService;
-            self.nodes.insert(entry.node, Node { id, address, listed, ready, gone, out });
+            self.nodes.insert(entry.node, Node { id, address, listed, ready, removed, out });
             self.known.retain(|known| known.node != entry.node);
-            if !gone {
+            if !removed {
                 self.known.push(*entry);
             }
         }
         self.tell(Event::Nodes { update: news, nodes: entries });
-        self.copied = self.copied.map(|_| 0);
+        self.metrics_copied_at = self.metrics_copied_at.map(|_| 0);
         self.drop_where_left();
         self.release_nodes();
         self.watch_list();
@@ -97,12 +97,12 @@
     /// Sees to it that nothing begins any more once the list may be rested on no longer.
     pub(super) fn watch_list(&mut self) {
         let until = self.policy.list_good_until();
-        if let Some(key) = self.overdue.take() {
-            self.due.remove(key);
+        if let Some(key) = self.list_timer.take() {
+            self.timers.remove(key);
         }
         let (now, good) = (self.clock.now(), self.clock.now() < until);
         if good && until < now + DAY {
-            self.overdue = Some(self.due.insert(until, Due::Overdue));
+            self.list_timer = Some(self.timers.insert(until, TimerEvent::Overdue));
         }
         let since = self.overdue_since;
         match (good, since) {
@@ -125,10 +125,11 @@
 
     /// Nothing that was not begun begins at a node that takes none any more.
     pub(super) fn drop_where_left(&mut self) {
-        let left: BTreeSet<NodeId> = self.nodes.iter().filter(|(_, n)| !n.ready).map(|(id, _)| *id).collect();
+        let unready: BTreeSet<NodeId> =
+            self.nodes.iter().filter(|(_, n)| !n.ready).map(|(id, _)| *id).collect();
         let open: Vec<RequestId> = self.requests.keys().copied().collect();
         for id in open {
-            self.drop_unsent(id, |out| left.contains(&out.node));
+            self.drop_unsent(id, |out| unready.contains(&out.node));
         }
     }
 
@@ -139,7 +140,7 @@
     pub(super) fn release_nodes(&mut self) {
         let ids = &mut self.ids;
         self.nodes.retain(|number, node| {
-            let stays = !node.gone || node.out > 0;
+            let stays = !node.removed || node.out > 0;
             if !stays {
                 debug!(node = node.id, number; "node released");
                 ids.texts.remove(number);
--- a/src/core/requests.rs
+++ b/src/core/requests.rs
@@ -1,9 +1,9 @@
 //! A request from its arrival to its one answer.
 
-use super::attempt::{Report, Work};
+use super::attempt::{AttemptSource, Report};
 use super::handle::{Answer, Arrival};
-use super::open::{Ends, Noted, Open, Out};
-use super::{Core, DAY, Due, SUM_UP};
+use super::open::{AttemptInFlight, OpenRequest, RequestRecord, ResultCounts};
+use super::{Core, DAY, SUMMARY_INTERVAL, TimerEvent};
 use crate::attempt_end::AttemptEnd;
 use crate::clock::micros;
 use crate::event;
@@ -21,39 +21,39 @@
         &mut self,
         id: RequestId,
         arrival: Arrival,
-        work: Arc<dyn Work>,
+        work: Arc<dyn AttemptSource>,
         answer: oneshot::Sender<Answer>,
     ) {
-        self.look_first();
+        self.refresh_agreement();
         let now = self.clock.now();
-        let under = self.agreed.as_ref().map(|agreed| agreed.rules.admit(arrival.class));
+        let rules = self.agreed.as_ref().map(|agreed| agreed.rules.admit(arrival.class));
         let agreed_plan = self.agreed.as_ref().and_then(|agreed| agreed.rules.plan(arrival.volume));
         let arrival = Arrival { plan: agreed_plan.unwrap_or(arrival.plan), ..arrival };
-        let coming = arrival.coming.map(micros);
+        let body_time = arrival.body_time.map(micros);
         let time_left = micros(arrival.answer_by.saturating_duration_since(Instant::now()));
-        let (answer_by, deadline) = match coming {
+        let (answer_by, deadline) = match body_time {
             // Whoever sends it sees to it that it comes.
             Some(_) => (now + DAY, None),
-            None => (now + time_left, Some(self.due.insert(now + time_left, Due::Deadline(id)))),
+            None => (now + time_left, Some(self.timers.insert(now + time_left, TimerEvent::Deadline(id)))),
         };
-        let noted = self.telling.as_ref().map(|_| {
+        let record = self.request_log.as_ref().map(|_| {
             let Arrival { volume, plan, class, units, .. } = arrival;
-            Box::new(Noted { volume, plan, class, units, arrived: now, tried: Vec::new() })
+            Box::new(RequestRecord { volume, plan, class, units, arrived: now, tried: Vec::new() })
         });
-        let open = Open {
+        let open = OpenRequest {
             work,
             answer: Some(answer),
             answer_by,
             attempts: Vec::new(),
             bound: None,
-            noted,
+            record,
             deadline,
-            coming,
-            came: coming.is_some(),
+            body_time,
+            arrived_early: body_time.is_some(),
             passing: false,
             class: arrival.class,
             max_attempts: self.settings.max_attempts,
-            under,
+            rules,
             ran: false,
         };
         self.requests.insert(id, open);
@@ -73,14 +73,14 @@
     }
 
     /// Its client has gone, once.
-    pub(super) fn left(&mut self, id: RequestId) {
+    pub(super) fn client_left(&mut self, id: RequestId) {
         let Some(open) = self.requests.get_mut(&id) else { return };
         if open.answer.take().is_none() {
             return;
         }
         self.finish(id, Finish::Left);
         if self.requests.get(&id).is_some_and(|open| open.passing) {
-            return self.stop_all(id, AttemptEnd::CalledOff);
+            return self.stop_attempts(id, AttemptEnd::CalledOff);
         }
         self.tell(Event::ClientLeft { request: id });
         self.drop_unfinished(id);
@@ -99,23 +99,29 @@
             self.tell(Event::AnswerBegan { request: id, attempt });
             others
                 .filter(|other| *other != attempt)
-                .for_each(|other| self.stop(id, other, AttemptEnd::CalledOff));
+                .for_each(|other| self.stop_attempt(id, other, AttemptEnd::CalledOff));
         }
         true
     }
 
     /// The module hears of a good answer with its beginning: what a slow client takes of the rest keeps no
     /// token and tells nothing of the node.
-    pub(super) fn begin(&mut self, id: RequestId, attempt: u32, load: Load, used: Option<f64>) -> bool {
+    pub(super) fn begin_answer(
+        &mut self,
+        id: RequestId,
+        attempt: u32,
+        load: Load,
+        used: Option<f64>,
+    ) -> bool {
         if !self.bind(id, attempt) {
             return false;
         }
         let Some(open) = self.requests.get_mut(&id).filter(|open| !open.passing) else { return false };
         let Some(Some(out)) = open.attempts.get(attempt as usize) else { return false };
         open.passing = true;
-        let (node, latency) = (out.node, out.latency(self.clock, open.came));
+        let (node, latency) = (out.node, out.latency(self.clock, open.arrived_early));
         if let Some(key) = open.deadline.take() {
-            self.due.remove(key);
+            self.timers.remove(key);
         }
         let (result, over) = (AttemptResult::Served, true);
         self.tell(Event::Outcome(Outcome { request: id, attempt, node, result, latency, over, used, load }));
@@ -124,9 +130,9 @@
 
     pub(super) fn whole(&mut self, id: RequestId) {
         let Some(open) = self.requests.get_mut(&id) else { return };
-        if let Some(time) = open.coming.take().filter(|_| !open.passing && !open.over()) {
+        if let Some(time) = open.body_time.take().filter(|_| !open.passing && !open.over()) {
             open.answer_by = self.clock.now() + time;
-            open.deadline = Some(self.due.insert(open.answer_by, Due::Deadline(id)));
+            open.deadline = Some(self.timers.insert(open.answer_by, TimerEvent::Deadline(id)));
         }
     }
 
@@ -135,7 +141,7 @@
         let Some(open) = self.requests.get_mut(&id) else { return };
         let Some(out) = open.attempts.get_mut(attempt as usize).and_then(Option::take) else { return };
         out.task.abort();
-        if let Some(tried) = open.noted.as_mut().and_then(|noted| noted.tried.get_mut(attempt as usize)) {
+        if let Some(tried) = open.record.as_mut().and_then(|record| record.tried.get_mut(attempt as usize)) {
             (tried.result, tried.latency) = (Some(end.result()), self.clock.now().saturating_sub(out.sent));
         }
         let answer = open.answer.take();
@@ -161,14 +167,14 @@
         if let Some(node) = self.nodes.get_mut(&out.node) {
             node.out -= 1;
         }
-        let latency = out.latency(self.clock, open.came);
+        let latency = out.latency(self.clock, open.arrived_early);
         debug!(request = id, attempt, node = out.node, latency, end:? = report.end; "attempt ended");
         let idle = matches!(
             report.end.result(),
             AttemptResult::Overloaded | AttemptResult::ConnectFailed | AttemptResult::NotSent
         );
         open.ran |= !idle;
-        if let Some(tried) = open.noted.as_mut().and_then(|noted| noted.tried.get_mut(attempt as usize)) {
+        if let Some(tried) = open.record.as_mut().and_then(|record| record.tried.get_mut(attempt as usize)) {
             (tried.result, tried.latency) = (Some(report.end.result()), latency);
         }
         if report.end == AttemptEnd::Answered
@@ -177,7 +183,7 @@
             let _ = answer.send(Answer::Served(report.body));
             self.finish(id, Finish::Served);
         }
-        let over = self.requests.get(&id).is_none_or(Open::over);
+        let over = self.requests.get(&id).is_none_or(OpenRequest::over);
         self.tell(Event::Outcome(Outcome {
             request: id,
             attempt,
@@ -192,18 +198,18 @@
             self.drop_unsent(id, |_| true);
         }
         self.forget(id);
-        if self.nodes.get(&out.node).is_some_and(|node| node.gone && node.out == 0) {
+        if self.nodes.get(&out.node).is_some_and(|node| node.removed && node.out == 0) {
             self.release_nodes();
         }
     }
 
-    pub(super) fn fire(&mut self) {
-        while let Some((_, due)) = self.due.pop(self.clock.now()) {
-            match due {
-                Due::Timer(token) => self.tell(Event::Timer { token }),
-                Due::Deadline(id) => self.deadline(id),
-                Due::Overdue => {
-                    self.overdue = None;
+    pub(super) fn run_timers(&mut self) {
+        while let Some((_, event)) = self.timers.pop(self.clock.now()) {
+            match event {
+                TimerEvent::Timer(token) => self.tell(Event::Timer { token }),
+                TimerEvent::Deadline(id) => self.deadline(id),
+                TimerEvent::Overdue => {
+                    self.list_timer = None;
                     self.watch_list();
                 }
             }
@@ -211,7 +217,7 @@
     }
 
     pub(super) fn deadline(&mut self, id: RequestId) {
-        self.stop_all(id, AttemptEnd::TimedOut);
+        self.stop_attempts(id, AttemptEnd::TimedOut);
         if self.requests.get(&id).is_some_and(|open| !open.over()) {
             // The module answers on the time-out; should it ever not, the client is not left without.
             event!(NO_ANSWER, request = id);
@@ -220,12 +226,12 @@
         }
     }
 
-    pub(super) fn stop_all(&mut self, id: RequestId, end: AttemptEnd) {
+    pub(super) fn stop_attempts(&mut self, id: RequestId, end: AttemptEnd) {
         let attempts = self.requests.get(&id).map_or(0, |open| open.attempts.len() as u32);
-        (0..attempts).for_each(|attempt| self.stop(id, attempt, end));
+        (0..attempts).for_each(|attempt| self.stop_attempt(id, attempt, end));
     }
 
-    pub(super) fn stop(&mut self, id: RequestId, attempt: u32, end: AttemptEnd) {
+    pub(super) fn stop_attempt(&mut self, id: RequestId, attempt: u32, end: AttemptEnd) {
         let out = self.requests.get(&id).and_then(|open| open.attempts.get(attempt as usize)?.as_ref());
         if let Some(out) = out {
             out.task.abort();
@@ -248,13 +254,13 @@
     pub(super) fn finish(&mut self, id: RequestId, finish: Finish) {
         let now = self.clock.now();
         self.count(finish, id);
-        self.note_pressure(now);
-        let noted = self.requests.get_mut(&id).and_then(|open| open.noted.take());
-        let (Some(telling), Some(noted)) = (&mut self.telling, noted) else { return };
-        let Noted { volume, plan, class, units, arrived, tried } = *noted;
+        self.update_pressure(now);
+        let record = self.requests.get_mut(&id).and_then(|open| open.record.take());
+        let (Some(request_log), Some(record)) = (&mut self.request_log, record) else { return };
+        let RequestRecord { volume, plan, class, units, arrived, tried } = *record;
         let target = self.settings.classes.get(class).map_or(0, |class| class.target);
         let late = finish == Finish::Served && now > arrived + target;
-        let Some(one_in) = telling.told(plan, class, finish, tried.len(), late) else { return };
+        let Some(one_in) = request_log.told(plan, class, finish, tried.len(), late) else { return };
         let volume = Volume(volume);
         for (attempt, Tried { node, why, result, sent, latency }) in tried.iter().enumerate() {
             let (result, took_us) = match result {
@@ -265,13 +271,13 @@
         }
         let first = tried.first().map_or(now, |first| first.sent);
         let (held_us, out_us) = (first.saturating_sub(arrived), now.saturating_sub(first));
-        let (plan, class) = (telling.plan(plan), telling.class(class));
+        let (plan, class) = (request_log.plan(plan), request_log.class(class));
         let (outcome, late, attempts) = (finish.name(), if late { "yes" } else { "no" }, tried.len());
         event!(REQUEST, request = id, volume:%, plan, class, units, attempts, held_us, out_us, outcome, late, one_in);
     }
 
     pub(super) fn count(&mut self, finish: Finish, id: RequestId) {
-        self.ends.counts[finish as usize] += 1;
+        self.result_counts.counts[finish as usize] += 1;
         let count = match finish {
             Finish::Served => Count::Passed,
             Finish::Refused => Count::Dropped,
@@ -281,44 +287,44 @@
         self.requests.get(&id).into_iter().for_each(|open| self.figures.count(open.class, count));
     }
 
-    pub(super) fn note_pressure(&mut self, now: Micros) {
+    pub(super) fn update_pressure(&mut self, now: Micros) {
         let (open, most) = (self.handle.open(), self.handle.max_open);
         if let Some((was, level)) = self.pressure.note(now, open, most) {
             event!(PRESSURE, level = level.name(), was = was.name(), open, most);
         }
-        if self.ends.since == 0 {
-            self.ends.since = now;
+        if self.result_counts.since == 0 {
+            self.result_counts.since = now;
         }
-        if now < self.ends.since + SUM_UP {
+        if now < self.result_counts.since + SUMMARY_INTERVAL {
             return;
         }
-        let [served, refused, failed, left] = self.ends.counts;
+        let [served, refused, failed, left] = self.result_counts.counts;
         let no_room = self.handle.no_room();
-        let turned_away = no_room - self.ends.no_room;
+        let turned_away = no_room - self.result_counts.no_room;
         if refused + failed + left + turned_away > 0 {
-            let period_ms = (now - self.ends.since) / 1000;
+            let period_ms = (now - self.result_counts.since) / 1000;
             event!(REFUSALS, refused, failed, no_room = turned_away, left, served, period_ms);
         }
-        self.ends = Ends { counts: [0; 4], no_room, since: now };
+        self.result_counts = ResultCounts { counts: [0; 4], no_room, since: now };
     }
 
     pub(super) fn forget(&mut self, id: RequestId) {
         if self.requests.get(&id).is_some_and(|open| open.over() && open.attempts.iter().all(Option::is_none))
             && let Some(key) = self.requests.remove(&id).and_then(|open| open.deadline)
         {
-            self.due.remove(key);
+            self.timers.remove(key);
         }
     }
 
     /// Gives up attempts at a request of which nothing was written yet, so that they never will be.
-    pub(super) fn drop_unsent(&mut self, id: RequestId, which: impl Fn(&Out) -> bool) {
+    pub(super) fn drop_unsent(&mut self, id: RequestId, which: impl Fn(&AttemptInFlight) -> bool) {
         let attempts = self.requests.get(&id).map_or(0, |open| open.attempts.len());
         for attempt in 0..attempts {
             // Each outcome may be the request's last.
             let Some(open) = self.requests.get(&id) else { return };
             if let Some(Some(out)) = open.attempts.get(attempt)
                 && which(out)
-                && !out.begun.get()
+                && !out.write_state.has_started()
             {
                 out.task.abort();
                 self.outcome(id, attempt as u32, AttemptEnd::Unsent.into());
@@ -331,12 +337,11 @@
     pub(super) fn drop_unfinished(&mut self, id: RequestId) {
         self.drop_unsent(id, |_| true);
         let Some(open) = self.requests.get(&id) else { return };
-        let unfinished = open
-            .attempts
-            .iter()
-            .zip(0..)
-            .filter(|(out, _)| out.as_ref().is_some_and(|out| out.begun.whole.get().is_none()));
+        let unfinished =
+            open.attempts.iter().zip(0..).filter(|(out, _)| {
+                out.as_ref().is_some_and(|out| out.write_state.completed_at.get().is_none())
+            });
         let unfinished: Vec<u32> = unfinished.map(|(_, attempt)| attempt).collect();
-        unfinished.into_iter().for_each(|attempt| self.stop(id, attempt, AttemptEnd::CalledOff));
+        unfinished.into_iter().for_each(|attempt| self.stop_attempt(id, attempt, AttemptEnd::CalledOff));
     }
 }
--- a/src/core/starting.rs
+++ b/src/core/starting.rs
@@ -1,9 +1,9 @@
 //! Starts attempts and probes.
 
-use super::attempt::{Begun, Binder, Client, Try, written_by};
+use super::attempt::{AnswerBinder, AttemptContext, Client, WriteState, written_by};
 use super::handle::Input;
-use super::open::Out;
-use super::{Core, PROBE_TIME};
+use super::open::AttemptInFlight;
+use super::{Core, PROBE_TIMEOUT};
 use crate::attempt_end::AttemptEnd;
 use crate::clock::micros;
 use crate::interface::*;
@@ -18,10 +18,15 @@
         let (Some(probes), Some(at)) = (&self.probes, self.nodes.get(&node).filter(|node| node.ready)) else {
             return;
         };
-        let (begun, answer_by) = (Instant::now(), Instant::now() + PROBE_TIME);
-        let binder = Binder { handle: self.handle.clone(), id: 0, attempt: 0 };
-        let begins = Arc::new(Begun { class: usize::MAX, ..Begun::default() });
-        let work = probes.attempt(Try { address: at.address.clone(), answer_by, begun: begins, binder });
+        let (started_at, answer_by) = (Instant::now(), Instant::now() + PROBE_TIMEOUT);
+        let binder = AnswerBinder { handle: self.handle.clone(), id: 0, attempt: 0 };
+        let begins = Arc::new(WriteState { class: usize::MAX, ..WriteState::default() });
+        let work = probes.attempt(AttemptContext {
+            address: at.address.clone(),
+            answer_by,
+            write_state: begins,
+            binder,
+        });
         let handle = self.handle.clone();
         tokio::spawn(async move {
             let done = tokio::time::timeout_at(answer_by, AssertUnwindSafe(work).catch_unwind()).await;
@@ -30,7 +35,7 @@
                 Ok(Err(_)) => AttemptEnd::Broke.into(),
                 Err(_) => AttemptEnd::TimedOut.into(),
             };
-            handle.send(Input::Probed { node, latency: micros(begun.elapsed()), report });
+            handle.send(Input::Probed { node, latency: micros(started_at.elapsed()), report });
         });
     }
 
@@ -47,9 +52,9 @@
         let until = if time_out > 0 { open.answer_by.min(now + time_out) } else { open.answer_by };
         let address = self.nodes.get(&node).map(|node| node.address.clone());
         let able = !open.over() && open.bound.is_none() && until > now && attempt < open.max_attempts;
-        let looked = self.may_start(open, attempt, node).filter(|_| able);
+        let checked_at = self.may_start(open, attempt, node).filter(|_| able);
         let Some(open) = self.requests.get_mut(&id) else { return };
-        let (Some(looked), Some(address)) = (looked, address) else {
+        let (Some(checked_at), Some(address)) = (checked_at, address) else {
             let load = Load::default();
             let over = open.over();
             let result = AttemptEnd::NotStarted.result();
@@ -59,17 +64,23 @@
             return self.tell(Event::Outcome(moot));
         };
         let (client, figures) = (Client(Some(open.work.clone())), self.figures.clone());
-        let begun = Arc::new(Begun { class: open.class, figures, client, ..Begun::default() });
+        let write_state =
+            Arc::new(WriteState { class: open.class, figures, client, ..WriteState::default() });
         let answer_by = self.clock.instant(until);
-        if open.noted.is_some() {
+        if open.record.is_some() {
             let name = self.nodes.get(&node).map_or(String::new(), |node| node.id.clone());
             open.note(now, attempt, name, None);
         }
-        let binder = Binder { handle: self.handle.clone(), id, attempt };
-        let work = open.work.attempt(Try { address, answer_by, begun: begun.clone(), binder });
+        let binder = AnswerBinder { handle: self.handle.clone(), id, attempt };
+        let work = open.work.attempt(AttemptContext {
+            address,
+            answer_by,
+            write_state: write_state.clone(),
+            binder,
+        });
         let handle = self.handle.clone();
         let write_by = (write_by < Micros::MAX).then(|| self.clock.instant(write_by));
-        let written = begun.clone();
+        let written = write_state.clone();
         let task = tokio::spawn(async move {
             let work = AssertUnwindSafe(written_by(work, written.clone(), write_by)).catch_unwind();
             // Without a time of its own it ends with its request's, which may come later than was known here.
@@ -82,17 +93,17 @@
                 Ok(Err(_)) => AttemptEnd::Broke.into(),
                 Err(_) => AttemptEnd::TimedOut.into(),
             };
-            if written.refused() {
+            if written.is_refused() {
                 // The word of it is still on its way from the front.
-                handle.send(Input::Left { id });
+                handle.send(Input::ClientLeft { id });
             }
             handle.send(Input::Report { id, attempt, report });
         });
-        open.attempts.push(Some(Out { node, sent: now, begun, task: task.abort_handle() }));
+        open.attempts.push(Some(AttemptInFlight { node, sent: now, write_state, task: task.abort_handle() }));
         let class = open.class;
         if let Some(node) = self.nodes.get_mut(&node) {
             node.out += 1;
         }
-        self.note_act(id, class, attempt, node, looked);
+        self.record_start(id, class, attempt, node, checked_at);
     }
 }
--- a/src/core/tests.rs
+++ b/src/core/tests.rs
@@ -21,11 +21,11 @@
     }
 }
 
-impl Work for Told {
-    fn attempt(&self, a_try: Try) -> Attempt {
+impl AttemptSource for Told {
+    fn attempt(&self, context: AttemptContext) -> Attempt {
         let (end, panics, dropped) = (self.end, self.panics, Dropped(self.dropped.clone()));
         if self.begins {
-            a_try.begun.set();
+            context.write_state.mark_started();
         }
         Box::pin(async move {
             let _dropped = dropped;
@@ -59,8 +59,9 @@
 #[test]
 fn a_short_wait_is_not_eaten_up_by_what_is_kept_back() {
     let ms = Duration::from_millis;
-    for (wait, left) in [(3_000, 2_975), (400, 375), (250, 225), (100, 90), (30, 27), (10, 9), (0, 0)] {
-        assert_eq!(less_margin(ms(wait), ms(25)), ms(left), "{wait}");
+    for (wait, client_left) in [(3_000, 2_975), (400, 375), (250, 225), (100, 90), (30, 27), (10, 9), (0, 0)]
+    {
+        assert_eq!(less_margin(ms(wait), ms(25)), ms(client_left), "{wait}");
     }
 }
 
@@ -92,9 +93,9 @@
 /// Tells the address that it was started at.
 struct Addressed(mpsc::UnboundedSender<String>);
 
-impl Work for Addressed {
-    fn attempt(&self, a_try: Try) -> Attempt {
-        let _ = self.0.send(a_try.address);
+impl AttemptSource for Addressed {
+    fn attempt(&self, context: AttemptContext) -> Attempt {
+        let _ = self.0.send(context.address);
         Box::pin(async { AttemptEnd::Answered.into() })
     }
 }
@@ -102,7 +103,7 @@
 #[test]
 fn a_node_under_a_new_address_without_a_new_start_is_reached_there_alone() {
     with_core(async |handle| {
-        let (tell, mut told) = mpsc::unbounded_channel();
+        let (tell, mut dispatching) = mpsc::unbounded_channel();
         for (news, address) in [
             (ListUpdate::Changes, "127.0.0.1:2"),
             (ListUpdate::Full, "127.0.0.1:3"),
@@ -113,9 +114,9 @@
             handle.send(Input::Nodes { news, nodes });
             let pending = handle.submit(arrival(LONG), Arc::new(Addressed(tell.clone()))).unwrap();
             assert!(matches!(pending.await, Answer::Served(_)), "{news:?}");
-            assert_eq!(told.recv().await.as_deref(), Some(address), "{news:?}");
+            assert_eq!(dispatching.recv().await.as_deref(), Some(address), "{news:?}");
         }
-        assert!(told.try_recv().is_err(), "one attempt each");
+        assert!(dispatching.try_recv().is_err(), "one attempt each");
     });
 }
 
@@ -132,7 +133,7 @@
         repeat: false,
         shard: Some(0),
         answer_by,
-        coming: None,
+        body_time: None,
     }
 }
 
@@ -190,10 +191,10 @@
             tokio::task::yield_now().await;
             drop(pending);
             // What follows is decided behind the word that its client has gone.
-            let (tell, mut told) = mpsc::unbounded_channel();
+            let (tell, mut dispatching) = mpsc::unbounded_channel();
             let next = handle.submit(arrival(LONG), Arc::new(Addressed(tell))).unwrap();
             assert!(matches!(next.await, Answer::Served(_)));
-            assert!(told.recv().await.is_some());
+            assert!(dispatching.recv().await.is_some());
             assert_eq!(drops.try_recv().is_ok(), !whole);
         });
     }
@@ -205,12 +206,12 @@
     dropped: mpsc::UnboundedSender<()>,
 }
 
-impl Work for HalfWritten {
-    fn attempt(&self, a_try: Try) -> Attempt {
+impl AttemptSource for HalfWritten {
+    fn attempt(&self, context: AttemptContext) -> Attempt {
         let dropped = Dropped(self.dropped.clone());
-        a_try.begun.set();
+        context.write_state.mark_started();
         if self.whole {
-            a_try.begun.set_whole();
+            context.write_state.mark_complete();
         }
         Box::pin(async move {
             let _dropped = dropped;
@@ -234,20 +235,20 @@
 
 const WINDOW: Duration = Duration::from_secs(1);
 
-impl Work for Late {
-    fn attempt(&self, a_try: Try) -> Attempt {
+impl AttemptSource for Late {
+    fn attempt(&self, context: AttemptContext) -> Attempt {
         let (written, again) = (self.written, self.tried.swap(true, Ordering::Relaxed));
         Box::pin(async move {
             if !again {
-                a_try.begun.set();
-                a_try.begun.set_whole();
+                context.write_state.mark_started();
+                context.write_state.mark_complete();
                 return AttemptEnd::Broke.into();
             }
             if !matches!(written, Written::Nothing) {
-                a_try.begun.set();
+                context.write_state.mark_started();
             }
             if matches!(written, Written::All) {
-                a_try.begun.set_whole();
+                context.write_state.mark_complete();
             }
             tokio::time::sleep(WINDOW).await;
             AttemptEnd::Answered.into()
@@ -311,18 +312,18 @@
         };
         let (dropped, _kept) = mpsc::unbounded_channel();
         let work = Arc::new(Told { end: None, panics: false, begins: true, dropped });
-        core.take(Input::Nodes { news: ListUpdate::Full, nodes: vec![node(0, ListedState::InService)] });
+        core.on_input(Input::Nodes { news: ListUpdate::Full, nodes: vec![node(0, ListedState::InService)] });
         core.request(1, arrival(LONG), work, oneshot::channel().0);
         for i in 1..100 {
             let nodes = vec![node(i - 1, ListedState::Terminated), node(i, ListedState::InService)];
-            core.take(Input::Nodes { news: ListUpdate::Changes, nodes });
+            core.on_input(Input::Nodes { news: ListUpdate::Changes, nodes });
         }
         // The first one still has an attempt out, the last one is in service.
         let held = |core: &Core| (core.nodes.len(), core.ids.texts.len(), core.known.len());
         assert_eq!(held(&core), (2, 2, 1));
-        core.take(Input::Report { id: 1, attempt: 0, report: AttemptEnd::Broke.into() });
+        core.on_input(Input::Report { id: 1, attempt: 0, report: AttemptEnd::Broke.into() });
         assert_eq!(held(&core), (1, 1, 1));
-        core.take(Input::Nodes { news: ListUpdate::Full, nodes: Vec::new() });
+        core.on_input(Input::Nodes { news: ListUpdate::Full, nodes: Vec::new() });
         assert_eq!(held(&core), (0, 0, 0));
     });
 }
@@ -344,10 +345,11 @@
                 ..Settings::default()
             };
             let (mut core, _wanted) = Core::new(settings, 7, 10, Clock::start());
-            let ((mouth, mut said), (tell, mut probed)) = (Mouth::new(), mpsc::unbounded_channel());
-            core.talk_by(mouth);
-            core.probe_by(Box::new(Addressed(tell)));
-            core.take(nodes(ListedState::InService));
+            let ((peer_sender, mut said), (tell, mut probed)) =
+                (PeerSender::new(), mpsc::unbounded_channel());
+            core.set_peer_sender(peer_sender);
+            core.set_probes(Box::new(Addressed(tell)));
+            core.on_input(nodes(ListedState::InService));
             let (dropped, _kept) = mpsc::unbounded_channel();
             let work = Arc::new(Told { end: None, panics: false, begins: true, dropped });
             core.request(1, arrival(LONG), work, oneshot::channel().0);
@@ -356,16 +358,16 @@
                 let Some(Input::Probed { node, report, .. }) = core.inputs.recv().await else {
                     panic!("a probe tells its end")
                 };
-                core.take(Input::Probed { node, latency: 1, report });
+                core.on_input(Input::Probed { node, latency: 1, report });
                 assert!(probed.try_recv().is_err(), "one is enough");
             } else {
                 assert!(probed.try_recv().is_err(), "the settings forbid it");
-                core.take(Input::Report { id: 1, attempt: 0, report: AttemptEnd::TurnedAway.into() });
+                core.on_input(Input::Report { id: 1, attempt: 0, report: AttemptEnd::TurnedAway.into() });
                 let Message { to, bytes } = said.try_recv().unwrap();
                 assert_eq!(to, None);
                 // It is heard as it was said; cut, repeated and foreign ones change nothing that shows.
                 for bytes in [&bytes[..], &bytes, &bytes[..2], &[], &[0xff; 256]] {
-                    core.take(Input::Peer { from: 3, bytes: bytes.to_vec() });
+                    core.on_input(Input::Peer { from: 3, bytes: bytes.to_vec() });
                 }
             }
         }
@@ -380,27 +382,27 @@
         let settings = Settings { hosts: 1, classes: vec![class], max_attempts: 3, ..Settings::default() };
         let (mut core, _wanted) = Core::new(settings, 7, 10, Clock::start());
         let (dropped, _kept) = mpsc::unbounded_channel();
-        core.take(nodes(ListedState::InService));
+        core.on_input(nodes(ListedState::InService));
         for (id, binds) in [(1, false), (2, true)] {
             let work = Arc::new(Told { end: None, panics: false, begins: true, dropped: dropped.clone() });
             let (answer, mut answered) = oneshot::channel();
             core.request(id, arrival(LONG), work, answer);
             let mut bind = |attempt| {
                 let (granted, mut answer) = oneshot::channel();
-                core.take(Input::Bind { id, attempt, granted });
+                core.on_input(Input::Bind { id, attempt, granted });
                 answer.try_recv().unwrap()
             };
             if binds {
                 assert!(bind(0) && bind(0), "the same one may ask again");
                 assert!(!bind(1), "there is no such attempt");
             }
-            core.take(Input::Report { id, attempt: 0, report: AttemptEnd::Broke.into() });
+            core.on_input(Input::Report { id, attempt: 0, report: AttemptEnd::Broke.into() });
             // Its class allows a repeat, but some of the answer may be out.
             assert_eq!(answered.try_recv().is_ok(), binds);
             let (granted, mut answer) = oneshot::channel();
-            core.take(Input::Bind { id, attempt: 0, granted });
+            core.on_input(Input::Bind { id, attempt: 0, granted });
             assert!(!answer.try_recv().unwrap(), "an attempt that has ended binds nothing");
-            core.take(Input::Left { id });
+            core.on_input(Input::ClientLeft { id });
         }
     });
 }
@@ -420,7 +422,7 @@
 /// its attempts did: how many were made, and how many wrote.
 #[derive(Default)]
 struct Goes {
-    left: Arc<AtomicBool>,
+    client_left: Arc<AtomicBool>,
     /// Its attempts, which wait for their connection until this says go on.
     up: Arc<tokio::sync::Notify>,
     made: Arc<AtomicUsize>,
@@ -429,29 +431,29 @@
     fails: usize,
 }
 
-impl Work for Goes {
-    fn attempt(&self, a_try: Try) -> Attempt {
+impl AttemptSource for Goes {
+    fn attempt(&self, context: AttemptContext) -> Attempt {
         let before = self.made.fetch_add(1, Ordering::Relaxed);
-        let (up, wrote, fails, left) =
-            (self.up.clone(), self.wrote.clone(), before < self.fails, self.left.clone());
+        let (up, wrote, fails, client_left) =
+            (self.up.clone(), self.wrote.clone(), before < self.fails, self.client_left.clone());
         Box::pin(async move {
             if fails {
                 // It goes between this attempt and the next.
-                left.store(true, Ordering::Relaxed);
+                client_left.store(true, Ordering::Relaxed);
                 return AttemptEnd::NoConnection.into();
             }
             up.notified().await;
-            if !a_try.begun.may_begin() {
+            if !context.write_state.may_start_writing() {
                 return AttemptEnd::BrokeUnsent.into();
             }
-            a_try.begun.set();
+            context.write_state.mark_started();
             wrote.fetch_add(1, Ordering::Relaxed);
             AttemptEnd::Answered.into()
         })
     }
 
-    fn left(&self) -> bool {
-        self.left.load(Ordering::Relaxed)
+    fn client_left(&self) -> bool {
+        self.client_left.load(Ordering::Relaxed)
     }
 }
 
@@ -465,7 +467,7 @@
         with_core(async |handle| {
             let work = Arc::new(Goes { fails, ..Goes::default() });
             let (early, between) = (when.starts_with("before"), fails > 0);
-            work.left.store(early, Ordering::Relaxed);
+            work.client_left.store(early, Ordering::Relaxed);
             if early || between {
                 work.up.notify_one();
             }
@@ -475,7 +477,7 @@
                     tokio::task::yield_now().await;
                 }
                 // Its connection comes up in the turn in which the client goes.
-                work.left.store(true, Ordering::Relaxed);
+                work.client_left.store(true, Ordering::Relaxed);
                 work.up.notify_one();
             }
             assert_eq!(pending.await, Answer::Failed, "{when}: nobody hears the answer");
@@ -505,7 +507,7 @@
             let (dropped, _kept) = mpsc::unbounded_channel();
             let work = Arc::new(Told { end: None, panics: false, begins: true, dropped });
             let (answer, answered) = oneshot::channel();
-            core.take(nodes(ListedState::InService));
+            core.on_input(nodes(ListedState::InService));
             let wait = Duration::from_millis(if late { 20 } else { 3_600_000 });
             core.request(1, arrival(wait), work, answer);
             if late {
--- a/src/net/agree/office.rs
+++ b/src/net/agree/office.rs
@@ -570,7 +570,7 @@
         }
         drop(holder);
         if changed {
-            self.handle.send(Input::Look);
+            self.handle.send(Input::AgreementChanged);
         }
         behind
     }
--- a/src/net/back.rs
+++ b/src/net/back.rs
@@ -1,15 +1,15 @@
 //! What is behind the platform's front: requests to nodes over HTTP/1.1.
 //!
-//! Spoken with hyper's `client::conn`, the nearest relative of hyper-util's client. That one was measured with the
-//! test of spoilt answers: an answer that stops halfway held its request until the client's deadline, for nobody is
-//! told when a first byte came; and each connection runs in a task of its own, so that what comes on an idle one is
-//! known only from that task's next turn on. Here each exchange owns its connection, looks at the socket itself
-//! before it writes, and hands the connection back only when it is clean; giving an attempt up closes it at once,
-//! and nothing is ever sent again by itself.
+//! Spoken with hyper's `client::conn`, the nearest relative of hyper-util's client. That one was measured
+//! with the test of spoilt answers: an answer that stops halfway held its request until the client's
+//! deadline, for nobody is told when a first byte came; and each connection runs in a task of its own, so
+//! that what comes on an idle one is known only from that task's next turn on. Here each exchange owns its
+//! connection, looks at the socket itself before it writes, and hands the connection back only when it is
+//! clean; giving an attempt up closes it at once, and nothing is ever sent again by itself.
 
 use crate::attempt_end::AttemptEnd;
 use crate::config::NodeLimits;
-use crate::core::{Attempt, Begun, Report, Try, Work};
+use crate::core::{Attempt, AttemptContext, AttemptSource, Report, WriteState};
 use crate::handover::Part;
 use crate::interface::Load;
 use crate::net::inbound::Presence;
@@ -50,19 +50,22 @@
 pub(super) const NOT_PROCESSED: &str = "x-not-processed";
 pub(super) const LOAD: &str = "x-server-load";
 pub(super) const METER: &str = "x-meter";
-/// The most that an answer's head may hold, and all that may come in front of it with 1xx answers; from the head on, all
-/// that may come for a body that is held, of which each byte may be a chunk.
+/// The most that an answer's head may hold, and all that may come in front of it with 1xx answers; from the
+/// head on, all that may come for a body that is held, of which each byte may be a chunk.
 const MOST_HEAD: usize = 16 * 1024;
 const MOST_BEFORE: usize = MOST_HEAD + 2 * MOST_BODY;
 const MOST_FRAMED: usize = 8 * MOST_BODY;
-/// An answer that is held and of which nothing more came for so long has a length that does not fit, or no end.
+/// An answer that is held and of which nothing more came for so long has a length that does not fit, or no
+/// end.
 const ANSWER_TIME: Duration = Duration::from_millis(600);
-/// A node or a client that gives or takes nothing for so long, in the middle of what is passed on, is cut off.
+/// A node or a client that gives or takes nothing for so long, in the middle of what is passed on, is cut
+/// off.
 const PASS_TIME: Duration = Duration::from_secs(10);
 /// Pieces between a node and its client. The node's pace is the client's beyond them.
 const PIECES: usize = 2;
-/// Answers name no request, and a node may send a second one some milliseconds late: a connection on which nothing has
-/// come for so long since its last answer may be asked on again, once a node has said more than it was asked.
+/// Answers name no request, and a node may send a second one some milliseconds late: a connection on which
+/// nothing has come for so long since its last answer may be asked on again, once a node has said more than
+/// it was asked.
 const REST: Duration = Duration::from_millis(25);
 /// A connection that comes up within so long after its attempt gave it up is kept for others.
 const LATE: Duration = Duration::from_secs(2);
@@ -87,31 +90,35 @@
         self.pool.clone().watch()
     }
 
-    /// Connections opened to nodes and attempts begun, so far: more of the first than run at once are surplus.
+    /// Connections opened to nodes and attempts begun, so far: more of the first than run at once are
+    /// surplus.
     pub fn counts(&self) -> (u64, u64) {
         (self.opened.load(Ordering::Relaxed), self.asked.load(Ordering::Relaxed))
     }
 
     /// A kept connection that turns out closed before a byte went out is replaced: that is no attempt yet.
-    async fn attempt(self, forward: Arc<Forward>, a_try: Try) -> Report {
-        let a_try = Arc::new(a_try);
+    async fn attempt(self, forward: Arc<Forward>, context: AttemptContext) -> Report {
+        let context = Arc::new(context);
         self.asked.fetch_add(1, Ordering::Relaxed);
-        let Ok(address) = a_try.address.parse() else { return AttemptEnd::NotStarted.into() };
+        let Ok(address) = context.address.parse() else { return AttemptEnd::NotStarted.into() };
         let _in_use = self.pool.begin();
         while let Some(stream) = self.pool.latest(address) {
-            let report = self.exchange(stream, address, &forward, &a_try).await;
-            if report.end != AttemptEnd::BrokeUnsent || a_try.begun.get() || a_try.begun.refused() {
+            let report = self.exchange(stream, address, &forward, &context).await;
+            if report.end != AttemptEnd::BrokeUnsent
+                || context.write_state.has_started()
+                || context.write_state.is_refused()
+            {
                 return report;
             }
         }
         match self.connect(address).await {
-            Some(stream) => self.exchange(stream, address, &forward, &a_try).await,
+            Some(stream) => self.exchange(stream, address, &forward, &context).await,
             None => AttemptEnd::NoConnection.into(),
         }
     }
 
-    /// A new connection, or one that has rested by the time at which that one is still not up. What comes up too late for
-    /// this attempt is kept for the next.
+    /// A new connection, or one that has rested by the time at which that one is still not up. What comes up
+    /// too late for this attempt is kept for the next.
     async fn connect(&self, address: SocketAddr) -> Option<TcpStream> {
         let mut opens = Box::pin(TcpStream::connect(address));
         let until = Instant::now() + self.pool.limits.connect;
@@ -150,10 +157,10 @@
         stream: TcpStream,
         address: SocketAddr,
         forward: &Forward,
-        a_try: &Arc<Try>,
+        context: &Arc<AttemptContext>,
     ) -> Report {
-        let wire = Wire::new(a_try.begun.clone(), forward.payload.length());
-        let Some(mut request) = forward.request(a_try, &wire) else { return AttemptEnd::NotStarted.into() };
+        let wire = Wire::new(context.write_state.clone(), forward.payload.length());
+        let Some(mut request) = forward.request(context, &wire) else { return AttemptEnd::NotStarted.into() };
         // A 1xx answer is none yet: the time for one begins anew behind it.
         let interim = wire.clone();
         hyper::ext::on_informational(&mut request, move |_| interim.with(|p| p.last_byte = None));
@@ -166,7 +173,7 @@
         let got = {
             let mut answer = pin!(async move {
                 match sender.send_request(request).await {
-                    Ok(response) => read_answer(response, forward, a_try, &read).await,
+                    Ok(response) => read_answer(response, forward, context, &read).await,
                     Err(error) => Err(Spoilt::Broken(error)),
                 }
             });
@@ -195,7 +202,8 @@
         }
         let whole = wire.with(|p| p.whole());
         let (report, reusable) = match got {
-            // An answer before the request's last byte is not to this request, unless it turns it away unread.
+            // An answer before the request's last byte is not to this request, unless it turns it away
+            // unread.
             Some(Ok((report, _))) if !whole && report.end == AttemptEnd::Answered => {
                 (AttemptEnd::BadAnswer.into(), false)
             }
@@ -266,7 +274,7 @@
 async fn read_answer(
     response: Response<Incoming>,
     forward: &Forward,
-    a_try: &Try,
+    context: &AttemptContext,
     wire: &Wire,
 ) -> Result<(Report, bool), Spoilt> {
     let (head, mut body) = response.into_parts();
@@ -298,7 +306,7 @@
             return Err(Spoilt::Framing);
         }
         Held::More(pieces) => {
-            if !a_try.binder.begin(load, used).await {
+            if !context.binder.begin_answer(load, used).await {
                 return Err(Spoilt::Stopped(AttemptEnd::CalledOff));
             }
             wire.with(|p| p.passing = true);
@@ -385,8 +393,9 @@
     Some(all)
 }
 
-/// Whether the head says in exactly one way how long the body is, and no longer than any may be. Up to the connection's
-/// end is one only where the head announces that end (`last`): a process that dies resets its connections.
+/// Whether the head says in exactly one way how long the body is, and no longer than any may be. Up to the
+/// connection's end is one only where the head announces that end (`last`): a process that dies resets its
+/// connections.
 fn framed(headers: &HeaderMap, last: bool) -> bool {
     // The same length several times is one length (RFC 9110, 8.6).
     let (Some(lengths), Some(codings)) =
@@ -466,27 +475,28 @@
 
 type Upload = StreamBody<BoxStream<'static, io::Result<Frame<Bytes>>>>;
 
-/// A body that still comes, as one attempt sends it: bound to that attempt before what is held of it is let go of.
-fn upload(source: Arc<Source>, a_try: Arc<Try>, wire: Wire) -> Upload {
+/// A body that still comes, as one attempt sends it: bound to that attempt before what is held of it is let
+/// go of.
+fn upload(source: Arc<Source>, context: Arc<AttemptContext>, wire: Wire) -> Upload {
     let over = || io::Error::from(io::ErrorKind::BrokenPipe);
     StreamBody::new(Box::pin(unfold(
-        (source, a_try, wire, 0),
-        move |(source, a_try, wire, sent)| async move {
-            let attempt = a_try.binder.attempt();
+        (source, context, wire, 0),
+        move |(source, context, wire, sent)| async move {
+            let attempt = context.binder.attempt();
             source.sent(attempt, sent);
             loop {
                 match source.next(attempt, sent).await {
                     Next::Piece(piece) => {
-                        return Some((Ok(Frame::data(piece)), (source, a_try, wire, sent + 1)));
+                        return Some((Ok(Frame::data(piece)), (source, context, wire, sent + 1)));
                     }
-                    Next::Bind if a_try.binder.bind().await => source.bind(attempt, sent),
+                    Next::Bind if context.binder.bind().await => source.bind(attempt, sent),
                     Next::Wait => {}
                     Next::End(Over::Whole) => {
                         wire.with(|p| p.all_given = true);
                         return None;
                     }
                     Next::Bind | Next::End(Over::Cut) | Next::Lost => {
-                        return Some((Err(over()), (source, a_try, wire, sent)));
+                        return Some((Err(over()), (source, context, wire, sent)));
                     }
                 }
             }
@@ -496,13 +506,17 @@
 
 impl Forward {
     /// `None`: the address is none.
-    fn request(&self, a_try: &Arc<Try>, wire: &Wire) -> Option<Request<Either<Full<Bytes>, Upload>>> {
-        let host = HeaderValue::try_from(&a_try.address).ok()?;
-        let left = a_try.answer_by.saturating_duration_since(Instant::now()).min(self.wait);
+    fn request(
+        &self,
+        context: &Arc<AttemptContext>,
+        wire: &Wire,
+    ) -> Option<Request<Either<Full<Bytes>, Upload>>> {
+        let host = HeaderValue::try_from(&context.address).ok()?;
+        let left = context.answer_by.saturating_duration_since(Instant::now()).min(self.wait);
         let body = match &self.payload {
             Payload::Held { body, .. } => Either::Left(Full::new(body.clone())),
             Payload::Coming { source, .. } => {
-                Either::Right(upload(source.clone(), a_try.clone(), wire.clone()))
+                Either::Right(upload(source.clone(), context.clone(), wire.clone()))
             }
         };
         let mut request = Request::new(body);
@@ -531,12 +545,12 @@
     pub client: Presence,
 }
 
-impl Work for ForwardWork {
-    fn attempt(&self, a_try: Try) -> Attempt {
-        Box::pin(self.back.clone().attempt(self.forward.clone(), a_try))
+impl AttemptSource for ForwardWork {
+    fn attempt(&self, context: AttemptContext) -> Attempt {
+        Box::pin(self.back.clone().attempt(self.forward.clone(), context))
     }
 
-    fn left(&self) -> bool {
+    fn client_left(&self) -> bool {
         self.client.has_left()
     }
 }
@@ -547,16 +561,16 @@
     pub load: bool,
 }
 
-impl Work for ProbeWork {
-    fn attempt(&self, a_try: Try) -> Attempt {
+impl AttemptSource for ProbeWork {
+    fn attempt(&self, context: AttemptContext) -> Attempt {
         let (back, load) = (self.back.clone(), self.load);
         let target = Uri::from_static(if load { "/metrics/load" } else { "/alive" });
         let payload = Payload::Held { body: Bytes::new(), _memory: None };
-        let wait = a_try.answer_by.saturating_duration_since(Instant::now());
+        let wait = context.answer_by.saturating_duration_since(Instant::now());
         let (method, begins) = (Method::GET, Mutex::new(None));
         let forward = Forward { method, target, id: None, key: None, payload, wait, begins };
         Box::pin(async move {
-            let report = back.attempt(Arc::new(forward), a_try).await;
+            let report = back.attempt(Arc::new(forward), context).await;
             match std::str::from_utf8(&report.body) {
                 Ok(text) if load && report.end == AttemptEnd::Answered => {
                     Report { load: read_load(text), ..report }
@@ -573,7 +587,7 @@
 
 #[derive(Debug, Default)]
 struct Progress {
-    begun: Arc<Begun>,
+    write_state: Arc<WriteState>,
     /// How much of the empty line that ends the head has been seen.
     matched: usize,
     /// `None`: it goes out in chunks, and is whole with the last one.
@@ -600,8 +614,8 @@
 const LAST_CHUNK: &[u8; 5] = b"0\r\n\r\n";
 
 impl Wire {
-    fn new(begun: Arc<Begun>, body_left: Option<u64>) -> Wire {
-        Wire(Arc::new(Mutex::new(Progress { begun, body_left, ..Progress::default() })))
+    fn new(write_state: Arc<WriteState>, body_left: Option<u64>) -> Wire {
+        Wire(Arc::new(Mutex::new(Progress { write_state, body_left, ..Progress::default() })))
     }
 
     fn with<T>(&self, f: impl FnOnce(&mut Progress) -> T) -> T {
@@ -612,7 +626,7 @@
 impl Progress {
     fn wrote(&mut self, bytes: &[u8]) {
         if !bytes.is_empty() {
-            self.begun.set();
+            self.write_state.mark_started();
         }
         let mut rest = bytes.iter();
         while self.matched < HEAD_END.len()
@@ -636,7 +650,7 @@
         }
         self.wrote_at = Some(Instant::now());
         if self.whole() {
-            self.begun.set_whole();
+            self.write_state.mark_complete();
         }
     }
 
@@ -695,14 +709,15 @@
 
 impl hyper::rt::Write for Watched {
     fn poll_write(mut self: Pin<&mut Self>, cx: &mut Context<'_>, buf: &[u8]) -> Poll<io::Result<usize>> {
-        // Before the first byte nothing may have come: it would be taken for the answer, or the node has closed.
-        let first = self.wire.with(|p| (!p.begun.get()).then(|| p.begun.clone()));
-        if let Some(begun) = first {
+        // Before the first byte nothing may have come: it would be taken for the answer, or the node has
+        // closed.
+        let first = self.wire.with(|p| (!p.write_state.has_started()).then(|| p.write_state.clone()));
+        if let Some(write_state) = first {
             let quiet = self.io.inner().quiet();
             if !quiet && self.io.inner().talks() {
                 self.wire.with(|p| p.talked = true);
             }
-            if !quiet || !begun.may_begin() {
+            if !quiet || !write_state.may_start_writing() {
                 return Poll::Ready(Err(io::ErrorKind::BrokenPipe.into()));
             }
         }
--- a/src/net/back/tests.rs
+++ b/src/net/back/tests.rs
@@ -12,7 +12,11 @@
     ] {
         let mut progress = Progress { body_left: Some(body), ..Progress::default() };
         parts.iter().for_each(|part| progress.wrote(part.as_bytes()));
-        assert_eq!((progress.whole(), progress.begun.get()), (whole, !parts.is_empty()), "{parts:?}");
+        assert_eq!(
+            (progress.whole(), progress.write_state.has_started()),
+            (whole, !parts.is_empty()),
+            "{parts:?}"
+        );
     }
 }
 
@@ -113,15 +117,15 @@
                 Some(bytes) => theirs.write_all(bytes).unwrap(),
                 None => theirs.shutdown(std::net::Shutdown::Write).unwrap(),
             }
-            let a_try = Arc::new(handle.a_try(address.to_string(), STUCK));
+            let context = Arc::new(handle.context(address.to_string(), STUCK));
             // With no turn of the runtime between, as where both come in one instant.
             let io = TokioIo::new(ours);
-            let mut watched = Watched { io, wire: Wire::new(a_try.begun.clone(), Some(0)) };
+            let mut watched = Watched { io, wire: Wire::new(context.write_state.clone(), Some(0)) };
             let wrote = poll_fn(|cx| hyper::rt::Write::poll_write(Pin::new(&mut watched), cx, b"GET")).await;
             assert!(wrote.is_err(), "{what}");
-            let report = back.exchange(watched.io.into_inner(), address, &get(), &a_try).await;
+            let report = back.exchange(watched.io.into_inner(), address, &get(), &context).await;
             assert_eq!(report.end, AttemptEnd::BrokeUnsent, "{what}");
-            assert!(!a_try.begun.get(), "{what}");
+            assert!(!context.write_state.has_started(), "{what}");
             let mut got = Vec::new();
             // It ends with a reset where something came that was not read.
             let _ = (&observed).read_to_end(&mut got);
--- a/src/net/front.rs
+++ b/src/net/front.rs
@@ -331,7 +331,7 @@
         Payload::Coming { source, .. } if !source.is_over() => Some(source.clone()),
         _ => None,
     };
-    let arrival = Arrival { answer_by, coming: source.as_ref().map(|_| wait), ..arrival };
+    let arrival = Arrival { answer_by, body_time: source.as_ref().map(|_| wait), ..arrival };
     let (work, begun) = forward(body, wait);
     let Some(pending) = front.handle.submit(arrival, work) else {
         return match source {
@@ -365,7 +365,7 @@
     begun: oneshot::Receiver<Passing>,
     slot: &Slot,
 ) -> Response {
-    let teller = pending.teller();
+    let body_completion = pending.body_completion();
     let response = {
         let fault = async {
             while !source.is_over() {
@@ -375,7 +375,7 @@
                     return fault;
                 }
             }
-            teller.whole();
+            body_completion.whole();
             std::future::pending().await
         };
         tokio::select! {
@@ -551,7 +551,7 @@
     // No client of a class waits longer than that.
     let wait = Duration::from_millis(wait).min(longest);
     Ok(Arrival {
-        coming: None,
+        body_time: None,
         volume,
         key,
         class,
--- a/src/net/grpc/back.rs
+++ b/src/net/grpc/back.rs
@@ -1,13 +1,13 @@
-//! Nodes behind the gRPC front: channels with many streams each, and attempts, each of which is one stream. What a
-//! channel writes is watched frame by frame, so that it is known of each stream whether its last frame went out.
-//! Dropping an attempt drops its stream, and h2 resets that at the node.
+//! Nodes behind the gRPC front: channels with many streams each, and attempts, each of which is one stream.
+//! What a channel writes is watched frame by frame, so that it is known of each stream whether its last frame
+//! went out. Dropping an attempt drops its stream, and h2 resets that at the node.
 
 use super::call::{Call, Down};
 use super::tap::{Tap, Tapped};
 use super::{FOR_THE_HEAD, PREVIOUS, PUSHBACK, STATUS, TIMEOUT, passed_on};
 use crate::attempt_end::AttemptEnd;
 use crate::config::grpc::GrpcFront;
-use crate::core::{Attempt, Begun, Binder, Report, Try, Work};
+use crate::core::{AnswerBinder, Attempt, AttemptContext, AttemptSource, Report, WriteState};
 use crate::event;
 use crate::grpc::channels::{ChannelId, Channels, Duty, Grant};
 use crate::grpc::frames::{Kind, PREFACE, Scanner, Seen};
@@ -132,9 +132,9 @@
         }
     }
 
-    async fn attempt(self, call: Arc<Call>, a_try: Try) -> Report {
+    async fn attempt(self, call: Arc<Call>, context: AttemptContext) -> Report {
         self.hub.asked.fetch_add(1, Ordering::Relaxed);
-        let Ok(mut address) = a_try.address.parse::<SocketAddr>() else {
+        let Ok(mut address) = context.address.parse::<SocketAddr>() else {
             return AttemptEnd::NotStarted.into();
         };
         if let Some(port) = self.hub.port {
@@ -145,13 +145,13 @@
                 Ok(lease) => lease,
                 Err(end) => return end.into(),
             };
-            let first = exchange(lease, &call, &a_try).await;
-            if first.end != AttemptEnd::BrokeUnsent || a_try.begun.get() {
+            let first = exchange(lease, &call, &context).await;
+            if first.end != AttemptEnd::BrokeUnsent || context.write_state.has_started() {
                 return first;
             }
             // A channel that turns out gone before a byte went out is replaced once: that is no attempt yet.
             match self.hub.acquire(address).await {
-                Ok(lease) => exchange(lease, &call, &a_try).await,
+                Ok(lease) => exchange(lease, &call, &context).await,
                 Err(end) => end.into(),
             }
         };
@@ -333,7 +333,7 @@
 
 #[derive(Default)]
 struct Progress {
-    begun: Arc<Begun>,
+    write_state: Arc<WriteState>,
     data: bool,
     ending: bool,
     whole: bool,
@@ -351,8 +351,8 @@
         }
     }
 
-    /// Waits until the socket takes bytes. What is handed to h2 before that lies in its buffer: it would be written
-    /// with a time that has passed since, and although its client has gone.
+    /// Waits until the socket takes bytes. What is handed to h2 before that lies in its buffer: it would be
+    /// written with a time that has passed since, and although its client has gone.
     async fn takes_bytes(&self) {
         loop {
             let mut wrote = std::pin::pin!(self.0.1.notified());
@@ -372,8 +372,8 @@
 }
 
 impl Watched {
-    fn new(watch: &Watch, stream: u32, begun: Arc<Begun>) -> Watched {
-        watch.with(|lines| lines.streams.insert(stream, Progress { begun, ..Progress::default() }));
+    fn new(watch: &Watch, stream: u32, write_state: Arc<WriteState>) -> Watched {
+        watch.with(|lines| lines.streams.insert(stream, Progress { write_state, ..Progress::default() }));
         Watched { watch: watch.clone(), stream }
     }
 
@@ -439,7 +439,7 @@
             self.outwards.pass(bytes, |seen| match seen {
                 Seen::Begins(frame) => {
                     if let Some(progress) = lines.streams.get_mut(&frame.stream) {
-                        progress.begun.set();
+                        progress.write_state.mark_started();
                     }
                 }
                 Seen::Whole(frame) => {
@@ -450,7 +450,7 @@
                         progress.whole |=
                             progress.ending && (frame.kind == Kind::Data || frame.ends_headers());
                         if progress.whole {
-                            progress.begun.set_whole();
+                            progress.write_state.mark_complete();
                         }
                     }
                 }
@@ -469,31 +469,31 @@
     pub call: Arc<Call>,
 }
 
-impl Work for CallWork {
-    fn attempt(&self, a_try: Try) -> Attempt {
-        Box::pin(self.nodes.clone().attempt(self.call.clone(), a_try))
+impl AttemptSource for CallWork {
+    fn attempt(&self, context: AttemptContext) -> Attempt {
+        Box::pin(self.nodes.clone().attempt(self.call.clone(), context))
     }
 
-    fn left(&self) -> bool {
+    fn client_left(&self) -> bool {
         self.call.left.is_cancelled() || self.call.client.has_left()
     }
 }
 
-fn request(call: &Call, a_try: &Try) -> Option<Request<()>> {
+fn request(call: &Call, context: &AttemptContext) -> Option<Request<()>> {
     let mut uri = call.uri.clone().into_parts();
     uri.scheme = Some(hyper::http::uri::Scheme::HTTP);
     if uri.authority.is_none() {
-        uri.authority = Some(a_try.address.parse().ok()?);
+        uri.authority = Some(context.address.parse().ok()?);
     }
     let mut request = Request::new(());
     *request.method_mut() = Method::POST;
     *request.uri_mut() = Uri::from_parts(uri).ok()?;
-    let left = a_try.answer_by.saturating_duration_since(Instant::now());
+    let left = context.answer_by.saturating_duration_since(Instant::now());
     let mut metadata = passed_on(&call.metadata, &[TIMEOUT, PREVIOUS]);
     metadata.insert("te", HeaderValue::from_static("trailers"));
     metadata.insert(TIMEOUT, HeaderValue::try_from(timeout::format(left)).ok()?);
     let before = call.metadata.get(PREVIOUS).and_then(|value| value.to_str().ok()?.parse::<u32>().ok());
-    let previous = before.unwrap_or(0).saturating_add(a_try.binder.attempt());
+    let previous = before.unwrap_or(0).saturating_add(context.binder.attempt());
     if previous > 0 {
         metadata.insert(PREVIOUS, HeaderValue::from(previous));
     }
@@ -501,38 +501,44 @@
     Some(request)
 }
 
-async fn exchange(lease: Lease, call: &Call, a_try: &Try) -> Report {
+async fn exchange(lease: Lease, call: &Call, context: &AttemptContext) -> Report {
     let Ok(mut sender) = lease.sender.clone().ready().await else { return AttemptEnd::BrokeUnsent.into() };
     if lease.watch.with(|lines| lines.blocked) {
         let _blocked = Blocked::new(&lease);
         lease.watch.takes_bytes().await;
     }
-    if !a_try.begun.may_begin() {
+    if !context.write_state.may_start_writing() {
         return AttemptEnd::Unsent.into();
     }
-    let Some(request) = request(call, a_try) else { return AttemptEnd::NotStarted.into() };
+    let Some(request) = request(call, context) else { return AttemptEnd::NotStarted.into() };
     let Ok((response, upwards)) = sender.send_request(request, false) else {
         return AttemptEnd::BrokeUnsent.into();
     };
-    let watched = Watched::new(&lease.watch, response.stream_id().as_u32(), a_try.begun.clone());
-    let mut answer = Answer { call, binder: &a_try.binder, watched: &watched, ours: false, begun: false };
+    let watched = Watched::new(&lease.watch, response.stream_id().as_u32(), context.write_state.clone());
+    let mut answer =
+        Answer { call, binder: &context.binder, watched: &watched, ours: false, write_state: false };
     let report = tokio::select! {
         biased;
         report = answer.read(response) => report,
-        end = send(call, &a_try.binder, &lease, upwards) => end.into(),
+        end = send(call, &context.binder, &lease, upwards) => end.into(),
     };
     // The module must not send again what the client has some of, whatever the end would say otherwise.
     match report.end {
-        AttemptEnd::TurnedAway | AttemptEnd::NoConnection | AttemptEnd::BrokeUnsent if answer.begun => {
+        AttemptEnd::TurnedAway | AttemptEnd::NoConnection | AttemptEnd::BrokeUnsent if answer.write_state => {
             Report { end: AttemptEnd::Broke, ..report }
         }
         _ => report,
     }
 }
 
-/// Sends the request as it comes. Returns only where the attempt cannot go on; how it ended otherwise is for the
-/// node's side to tell.
-async fn send(call: &Call, binder: &Binder, lease: &Lease, mut upwards: SendStream<Bytes>) -> AttemptEnd {
+/// Sends the request as it comes. Returns only where the attempt cannot go on; how it ended otherwise is for
+/// the node's side to tell.
+async fn send(
+    call: &Call,
+    binder: &AnswerBinder,
+    lease: &Lease,
+    mut upwards: SendStream<Bytes>,
+) -> AttemptEnd {
     let (attempt, mut sent) = (binder.attempt(), 0);
     loop {
         match call.next(attempt, sent).await {
@@ -608,11 +614,11 @@
 /// A node's answer as it comes.
 struct Answer<'a> {
     call: &'a Call,
-    binder: &'a Binder,
+    binder: &'a AnswerBinder,
     watched: &'a Watched,
     /// The call is bound to this attempt, and some of the answer has gone to the client.
     ours: bool,
-    begun: bool,
+    write_state: bool,
 }
 
 /// Why an answer does not go on.
@@ -692,7 +698,7 @@
             self.ours = true;
         }
         if let Some(headers) = headers.take() {
-            self.begun = true;
+            self.write_state = true;
             self.tell(Down::Headers(passed_on(&headers, &FOR_THE_HEAD))).await?;
         }
         Ok(())
@@ -714,7 +720,7 @@
             let mut headers = headers;
             self.begin(&mut headers).await?;
             self.tell(Down::Trailers(passed_on(&trailers, &FOR_THE_HEAD))).await?;
-        } else if self.begun && code.is_some() {
+        } else if self.write_state && code.is_some() {
             // The client has some of the answer: the node's own word on how it ended is the best there is.
             let mut last = passed_on(&trailers, &FOR_THE_HEAD);
             last.insert(PUSHBACK, HeaderValue::from_static("-1"));
--- a/src/net/grpc/front.rs
+++ b/src/net/grpc/front.rs
@@ -601,7 +601,7 @@
     };
     let told = front.config.sources.told(&route, uri.path(), metadata).map_err(Final::Malformed)?;
     let arrival = Arrival {
-        coming: None,
+        body_time: None,
         volume: told.volume,
         key: told.key,
         class: route.class,
--- a/src/net/hot_restart.rs
+++ b/src/net/hot_restart.rs
@@ -117,7 +117,7 @@
     move |halved| {
         if told.replace(halved) != Some(halved) {
             part.halve(halved);
-            handle.send(Input::Part { halved });
+            handle.send(Input::CapacityShare { halved });
             event!(TWIN, here = if halved { "yes" } else { "no" });
         }
     }
--- a/src/net/peers.rs
+++ b/src/net/peers.rs
@@ -1,6 +1,6 @@
 //! Datagrams between heads: carries out what `peers` allows, and passes on what is heard to the core.
 
-use crate::core::{Handle, Input, Message, Mouth};
+use crate::core::{Handle, Input, Message, PeerSender};
 use crate::event;
 use crate::life::Phase;
 use crate::net::fleet::{Fleet, Sends};
@@ -28,10 +28,10 @@
 const NEVER: Duration = Duration::from_secs(86_400);
 
 impl Talk {
-    pub async fn open(listen: SocketAddr, peers: Peers) -> io::Result<(Talk, Mouth)> {
+    pub async fn open(listen: SocketAddr, peers: Peers) -> io::Result<(Talk, PeerSender)> {
         let socket = UdpSocket::bind(listen).await?;
-        let (mouth, messages) = Mouth::new();
-        Ok((Talk { socket, peers, messages, fleet: None }, mouth))
+        let (peer_sender, messages) = PeerSender::new();
+        Ok((Talk { socket, peers, messages, fleet: None }, peer_sender))
     }
 
     pub fn address(&self) -> io::Result<SocketAddr> {
--- a/src/net/peers/tests.rs
+++ b/src/net/peers/tests.rs
@@ -12,7 +12,7 @@
         let own: SocketAddr = "127.0.0.1:1".parse().unwrap();
         let list = vec![own, other.local_addr().unwrap()];
         let peers = Peers::new(list, None, 0, Instant::now().into_std());
-        let (talk, mouth) = Talk::open(any, peers).await.unwrap();
+        let (talk, peer_sender) = Talk::open(any, peers).await.unwrap();
         let serves = crate::life::SERVING;
         let phase = watch::channel(serves);
         let here = talk.address().unwrap();
@@ -29,10 +29,10 @@
                 _ => panic!("something else was passed on"),
             }
         }
-        mouth.say(None, vec![1, 2, 3]);
-        mouth.say(Some(1), vec![4]);
-        mouth.say(Some(0), vec![5]);
-        mouth.say(Some(1), vec![6]);
+        peer_sender.say(None, vec![1, 2, 3]);
+        peer_sender.say(Some(1), vec![4]);
+        peer_sender.say(Some(0), vec![5]);
+        peer_sender.say(Some(1), vec![6]);
         let mut buffer = [0; 300];
         for wanted in [&[1, 2, 3][..], &[4], &[6]] {
             let (length, from) = other.recv_from(&mut buffer).await.unwrap();
--- a/src/net/sftp/back.rs
+++ b/src/net/sftp/back.rs
@@ -1,11 +1,11 @@
 //! Store nodes behind the second front. Each attempt opens the file at its node, does one thing and closes it
-//! again, so that a node holds nothing between attempts: a file outlives its node's drain, and a client that goes
-//! leaves nothing open.
+//! again, so that a node holds nothing between attempts: a file outlives its node's drain, and a client that
+//! goes leaves nothing open.
 
 use super::packet::{self, Attrs, Command, Encoded, Reply, Request, Response, Status, VERSION};
 use crate::attempt_end::AttemptEnd;
 use crate::config::{Config, NodeLimits};
-use crate::core::{Attempt, Begun, Report, Try, Work};
+use crate::core::{Attempt, AttemptContext, AttemptSource, Report, WriteState};
 use crate::net::inbound::Presence;
 use crate::net::pool::{Pool, Quiet};
 use bytes::Bytes;
@@ -87,11 +87,11 @@
         }
     }
 
-    async fn attempt(self, job: Job, a_try: Try) -> Report {
-        let Some(address) = self.address(&a_try.address) else { return AttemptEnd::NotStarted.into() };
+    async fn attempt(self, job: Job, context: AttemptContext) -> Report {
+        let Some(address) = self.address(&context.address) else { return AttemptEnd::NotStarted.into() };
         let _in_use = self.pool.begin();
         if let Some(connection) = self.pool.take(address) {
-            match self.on(address, connection, &job, &a_try).await {
+            match self.on(address, connection, &job, &context).await {
                 // It had been closed in the meantime; what the command does was not begun.
                 Err(Fault::Before(AttemptEnd::BrokeUnsent)) => {}
                 Err(fault) => return fault.end().into(),
@@ -101,7 +101,7 @@
         match self.connect(address).await {
             Err(end) => end.into(),
             Ok(connection) => {
-                self.on(address, connection, &job, &a_try).await.unwrap_or_else(|fault| fault.end().into())
+                self.on(address, connection, &job, &context).await.unwrap_or_else(|fault| fault.end().into())
             }
         }
     }
@@ -111,16 +111,16 @@
         address: SocketAddr,
         mut connection: Connection,
         job: &Job,
-        a_try: &Try,
+        context: &AttemptContext,
     ) -> Result<Report, Fault> {
-        if !a_try.begun.may_begin() {
+        if !context.write_state.may_start_writing() {
             return Err(Fault::Before(AttemptEnd::Unsent));
         }
-        a_try.begun.set();
-        let reply = connection.carry_out(job, &a_try.begun).await;
+        context.write_state.mark_started();
+        let reply = connection.carry_out(job, &context.write_state).await;
         // What its node may have carried out was written whole.
         if !matches!(reply, Err(Fault::Before(_))) {
-            a_try.begun.set_whole();
+            context.write_state.mark_complete();
         }
         let reply = reply?;
         self.pool.put(address, connection);
@@ -145,15 +145,15 @@
         }
     }
 
-    /// `begun`: the command is what its job does, and whole with the packet's last byte.
-    async fn ask(&mut self, command: Command, begun: Option<&Begun>) -> Result<Reply, Fault> {
+    /// `write_state`: the command is what its job does, and whole with the packet's last byte.
+    async fn ask(&mut self, command: Command, write_state: Option<&WriteState>) -> Result<Reply, Fault> {
         let id = self.next_id;
         self.next_id = self.next_id.wrapping_add(1);
         // A packet of which the last byte was not written is never carried out.
         self.send(Request::Command { id, command })
             .await
             .map_err(|()| Fault::Before(AttemptEnd::BrokeUnsent))?;
-        begun.into_iter().for_each(Begun::set_whole);
+        write_state.into_iter().for_each(WriteState::mark_complete);
         match self.receive().await {
             Ok(Response::Reply { id: answered, reply }) if answered == id => Ok(reply),
             Ok(_) => Err(Fault::After(AttemptEnd::BadAnswer)),
@@ -161,12 +161,12 @@
         }
     }
 
-    async fn carry_out(&mut self, job: &Job, begun: &Begun) -> Result<Reply, Fault> {
+    async fn carry_out(&mut self, job: &Job, write_state: &WriteState) -> Result<Reply, Fault> {
         let path = job.path.clone();
-        let opens = matches!(job.deed, Deed::Open { .. }).then_some(begun);
+        let opens = matches!(job.deed, Deed::Open { .. }).then_some(write_state);
         let (flags, attrs) = match &job.deed {
             Deed::Stat { follow } => {
-                return self.ask(Command::Stat { path, follow: *follow }, Some(begun)).await;
+                return self.ask(Command::Stat { path, follow: *follow }, Some(write_state)).await;
             }
             Deed::Open { flags, attrs } => (*flags, *attrs),
             Deed::Read { .. } => (packet::READ, Attrs::default()),
@@ -195,11 +195,11 @@
         let reply = match &job.deed {
             Deed::Read { offset, length } => {
                 let (handle, offset, length) = (handle.clone(), *offset, *length);
-                self.ask(Command::Read { handle, offset, length }, Some(begun)).await?
+                self.ask(Command::Read { handle, offset, length }, Some(write_state)).await?
             }
             Deed::Write { offset, data, .. } => {
                 let (handle, offset, data) = (handle.clone(), *offset, data.clone());
-                self.ask(Command::Write { handle, offset, data }, Some(begun)).await?
+                self.ask(Command::Write { handle, offset, data }, Some(write_state)).await?
             }
             Deed::Open { .. } | Deed::Stat { .. } => Reply::Handle(handle.clone()),
         };
@@ -227,12 +227,12 @@
     pub client: Presence,
 }
 
-impl Work for FileWork {
-    fn attempt(&self, a_try: Try) -> Attempt {
-        Box::pin(self.stores.clone().attempt(self.job.clone(), a_try))
+impl AttemptSource for FileWork {
+    fn attempt(&self, context: AttemptContext) -> Attempt {
+        Box::pin(self.stores.clone().attempt(self.job.clone(), context))
     }
 
-    fn left(&self) -> bool {
+    fn client_left(&self) -> bool {
         self.client.has_left()
     }
 }
--- a/src/net/sftp/front.rs
+++ b/src/net/sftp/front.rs
@@ -304,7 +304,7 @@
         return Err(Reply::status(Status::Failure, "no turn in time; nothing was done"));
     };
     let arrival = Arrival {
-        coming: None,
+        body_time: None,
         volume: place.volume,
         key: place.key,
         class: use_of.class,
