--- a/crates/router/src/core_choice.rs
+++ b/crates/router/src/core_choice.rs
@@ -10,17 +10,17 @@
 
 /// A configuration that was announced and has not come for so long is asked for, and once more after as long
 /// again.
-const FETCH_AFTER: Millis = 200;
+const FETCH_TIMEOUT_MS: Millis = 200;
 /// From then on each wait is twice the one before, this often at most.
-const FETCH_DOUBLINGS: u32 = 3;
+const MAX_FETCH_BACKOFF_DOUBLINGS: u32 = 3;
 /// A core that is listened to and has the configuration is about to send it. Another one is asked only after
 /// this.
-const DELIVERY_PATIENCE: Millis = 1_500;
+const DELIVERY_TIMEOUT_MS: Millis = 1_500;
 /// A core that has not been current for so long is left for one that has been meanwhile.
-const LEAVE_AFTER: Millis = 300;
+const FAILOVER_TIMEOUT_MS: Millis = 300;
 /// An edge that reaches its first core waits this long for one in its own zone: links to all open within a
 /// few milliseconds.
-const CHOOSE_WITHIN: Millis = 50;
+const SELECTION_DELAY_MS: Millis = 50;
 
 /// Names a core by its address.
 pub type CoreAddress = std::net::SocketAddr;
@@ -41,16 +41,16 @@
     zone: String,
     current: bool,
     /// Since when it is current, or is not.
-    standing_since: Millis,
+    status_since: Millis,
     configuration_index: u64,
     leader: String,
     edges: u32,
-    told: Millis,
+    updated_at: Millis,
 }
 
 /// A newer configuration than the one in force was announced.
 #[derive(Clone, Copy, Debug)]
-struct Lacking {
+struct MissingConfiguration {
     /// The entry of the one in force.
     known_index: u64,
     /// Since when nothing newer has come, or when it was asked for last.
@@ -66,9 +66,9 @@
     seed: u64,
     cores: BTreeMap<CoreAddress, Core>,
     /// Since when a core is reached and none was chosen yet.
-    undecided_since: Option<Millis>,
+    selecting_since: Option<Millis>,
     subscribed: Option<CoreAddress>,
-    lacking: Option<Lacking>,
+    missing: Option<MissingConfiguration>,
 }
 
 impl CoreChoice {
@@ -78,26 +78,26 @@
     }
 
     /// A core told of itself.
-    pub fn told(&mut self, now: Millis, address: CoreAddress, status: &CoreStatus) {
+    pub fn update_status(&mut self, now: Millis, address: CoreAddress, status: &CoreStatus) {
         if self.cores.is_empty() {
-            self.undecided_since = Some(now);
+            self.selecting_since = Some(now);
         }
         let known = self.cores.get(&address).filter(|known| known.current == status.current);
-        let standing_since = known.map_or(now, |known| known.standing_since);
+        let status_since = known.map_or(now, |known| known.status_since);
         let core = Core {
             zone: status.zone.clone(),
             current: status.current,
-            standing_since,
+            status_since,
             configuration_index: status.configuration_index,
             leader: status.leader.clone(),
             edges: status.edges,
-            told: now,
+            updated_at: now,
         };
         self.cores.insert(address, core);
     }
 
     /// The link to a core has ended.
-    pub fn lost(&mut self, address: CoreAddress) {
+    pub fn disconnected(&mut self, address: CoreAddress) {
         self.cores.remove(&address);
         if self.subscribed == Some(address) {
             self.subscribed = None;
@@ -112,7 +112,7 @@
     /// The leader, by the newest word of a core that is current, if this edge reaches it.
     pub fn leader(&self) -> Option<CoreAddress> {
         let current = self.cores.values().filter(|core| core.current && !core.leader.is_empty());
-        let leader = current.max_by_key(|core| core.told)?.leader.parse().ok()?;
+        let leader = current.max_by_key(|core| core.updated_at)?.leader.parse().ok()?;
         self.cores.contains_key(&leader).then_some(leader)
     }
 
@@ -135,7 +135,7 @@
         }
         let Some(best) = self.best(now).filter(|best| self.subscribed != Some(*best)) else { return };
         actions.extend(self.subscribed.map(CoreAction::Unsubscribe));
-        (self.subscribed, self.undecided_since) = (Some(best), None);
+        (self.subscribed, self.selecting_since) = (Some(best), None);
         actions.push(CoreAction::Subscribe(best));
     }
 
@@ -143,9 +143,9 @@
     /// current one after the other: an edge that went to the first one would go there together with all other
     /// edges.
     fn is_well_served(&self, now: Millis) -> bool {
-        let has_stood = |core: &Core| now >= core.standing_since + LEAVE_AFTER;
+        let is_settled = |core: &Core| now >= core.status_since + FAILOVER_TIMEOUT_MS;
         let Some(core) = self.subscribed.and_then(|address| self.cores.get(&address)) else { return false };
-        core.current || !has_stood(core) || !self.cores.values().any(|core| core.current && has_stood(core))
+        core.current || !is_settled(core) || !self.cores.values().any(|core| core.current && is_settled(core))
     }
 
     /// The core to listen to: one that is current, in the own zone if there is one. `None`: that is not known
@@ -158,36 +158,37 @@
             rank(first).cmp(&rank(second)).then_with(|| draw(one).total_cmp(&draw(other)))
         });
         let (address, core) = best?;
-        let is_undecided = self.undecided_since.is_some_and(|since| now < since + CHOOSE_WITHIN);
-        (core.zone == self.zone || !is_undecided).then_some(*address)
+        let is_selecting = self.selecting_since.is_some_and(|since| now < since + SELECTION_DELAY_MS);
+        (core.zone == self.zone || !is_selecting).then_some(*address)
     }
 
     fn fetch(&mut self, now: Millis, known_index: u64, actions: &mut Vec<CoreAction>) {
         let is_newer = |core: &Core| core.configuration_index > known_index;
         if !self.cores.values().any(is_newer) {
-            self.lacking = None;
+            self.missing = None;
             return;
         }
-        let fresh = Lacking { known_index, since: now, asked: 0 };
-        let lacking = self.lacking.filter(|lacking| lacking.known_index == known_index).unwrap_or(fresh);
-        self.lacking = Some(lacking);
-        if now < lacking.since + self.fetch_wait(&lacking) {
+        let fresh = MissingConfiguration { known_index, since: now, asked: 0 };
+        let missing = self.missing.filter(|missing| missing.known_index == known_index).unwrap_or(fresh);
+        self.missing = Some(missing);
+        if now < missing.since + self.fetch_wait(&missing) {
             return;
         }
         // Not all edges that lack it ask the same core.
         let draw = |address: &CoreAddress| {
-            unit_draw(self.seed.wrapping_add(lacking.asked.into()), &address.to_string())
+            unit_draw(self.seed.wrapping_add(missing.asked.into()), &address.to_string())
         };
         let newer = self.cores.iter().filter(|(_, core)| is_newer(core)).map(|(address, _)| *address);
         let chosen = newer.max_by(|one, other| draw(one).total_cmp(&draw(other)));
         actions.extend(chosen.map(CoreAction::Fetch));
-        self.lacking = Some(Lacking { since: now, asked: lacking.asked + 1, ..lacking });
+        self.missing = Some(MissingConfiguration { since: now, asked: missing.asked + 1, ..missing });
     }
 
-    fn fetch_wait(&self, lacking: &Lacking) -> Millis {
-        let listened_to = self.subscribed.and_then(|address| self.cores.get(&address));
-        let is_on_its_way = listened_to.is_some_and(|core| core.configuration_index > lacking.known_index);
-        let wait = FETCH_AFTER << lacking.asked.saturating_sub(1).min(FETCH_DOUBLINGS);
-        if is_on_its_way { wait.max(DELIVERY_PATIENCE) } else { wait }
+    fn fetch_wait(&self, missing: &MissingConfiguration) -> Millis {
+        let subscribed = self.subscribed.and_then(|address| self.cores.get(&address));
+        let is_delivery_expected =
+            subscribed.is_some_and(|core| core.configuration_index > missing.known_index);
+        let wait = FETCH_TIMEOUT_MS << missing.asked.saturating_sub(1).min(MAX_FETCH_BACKOFF_DOUBLINGS);
+        if is_delivery_expected { wait.max(DELIVERY_TIMEOUT_MS) } else { wait }
     }
 }
--- a/crates/router/src/dispatcher/cost.rs
+++ b/crates/router/src/dispatcher/cost.rs
@@ -8,26 +8,26 @@
 
 /// Tokens of other prompts that a model server has not begun to answer hold up every stream there, not this
 /// request alone.
-const UNREAD_WEIGHT: u64 = 4;
+const BACKLOG_WEIGHT: u64 = 4;
 /// What a model server with all slots taken costs a request, as a part of the time for which an answer takes
 /// a slot; less in proportion.
-const FULL_PART: f64 = 0.33;
+const FULL_COST_FRACTION: f64 = 0.33;
 /// What another zone costs, as a part of the request's objective: its bytes cost more, and a link may fail.
-const OTHER_ZONE_PART: f64 = 0.03;
+const CROSS_ZONE_COST_FRACTION: f64 = 0.03;
 /// What a model server costs that fails every request, in objectives; less in proportion. It is avoided,
 /// never shut out.
-const ERROR_OBJECTIVES: f64 = 3.0;
+const ERROR_COST_TARGETS: f64 = 3.0;
 /// Streams stand still while a model server reads prompts. Beyond this part of the pause that is in time,
-const STALL_PART: f64 = 0.75;
+const STALL_GAP_FRACTION: f64 = 0.75;
 /// each stream there, up to so many, counts as one more request that is late.
-const MOST_STALLED: f64 = 4.0;
+const MAX_STALLED_STREAMS: f64 = 4.0;
 /// Model servers as good as each other are told apart by a draw of so many milliseconds.
-const DRAW_MS: f64 = 3.0;
+const TIE_BREAK_MS: f64 = 3.0;
 /// Edges prefer different model servers by up to this part of what a full model server costs, so that what
 /// one edge has just sent to a model server tells most of what is on its way there.
-const PREFERENCE_PART: f64 = 0.4;
+const PREFERENCE_FRACTION: f64 = 0.4;
 /// Model servers that the leader may choose from at most.
-const MOST_OPTIONS: usize = 8;
+const MAX_ADMISSION_OPTIONS: usize = 8;
 
 impl Dispatcher {
     /// The model servers at which a request with a prompt could be answered soonest, for the leader to choose
@@ -40,12 +40,13 @@
         let mut options: Vec<AdmissionOption> = open
             .map(|(instance, known)| AdmissionOption {
                 instance: instance.clone(),
-                prefill_ms: self.prefill_ms(now, offer, instance, self.own_tokens(offer, instance)) as u32,
+                prefill_ms: self.prefill_ms(now, offer, instance, self.tokens_to_prefill(offer, instance))
+                    as u32,
                 other_cost_ms: self.extra_cost(now, offer, instance, known) as u32,
             })
             .collect();
         options.sort_by_key(|option| option.prefill_ms + option.other_cost_ms);
-        options.truncate(MOST_OPTIONS);
+        options.truncate(MAX_ADMISSION_OPTIONS);
         options
     }
 
@@ -58,10 +59,11 @@
         instance: &Instance,
         known: &KnownModelServer,
     ) -> f64 {
-        let unread = self.own_tokens(offer, instance) + UNREAD_WEIGHT * known.unread_tokens();
-        let prefill = self.prefill_ms(now, offer, instance, unread);
+        let prefill_backlog =
+            self.tokens_to_prefill(offer, instance) + BACKLOG_WEIGHT * known.prefill_backlog_tokens();
+        let prefill = self.prefill_ms(now, offer, instance, prefill_backlog);
         let full_ms = self.full_server_ms(now, offer);
-        let preference = PREFERENCE_PART * full_ms * unit_draw(self.seed, instance);
+        let preference = PREFERENCE_FRACTION * full_ms * unit_draw(self.seed, instance);
         prefill + preference + self.extra_cost(now, offer, instance, known)
     }
 
@@ -71,40 +73,41 @@
     }
 
     /// Tokens of a request's prompt that a model server has to read.
-    pub(super) fn own_tokens(&self, offer: &Offer, instance: &Instance) -> u64 {
-        let kept = self.affinity.kept_tokens(instance, &offer.name, &offer.parts);
-        offer.input_tokens.saturating_sub(kept)
+    pub(super) fn tokens_to_prefill(&self, offer: &Offer, instance: &Instance) -> u64 {
+        let cached = self.prefix_cache.cached_tokens(instance, &offer.name, &offer.parts);
+        offer.input_tokens.saturating_sub(cached)
     }
 
     /// What speaks against a model server beside prompts to read, milliseconds.
     fn extra_cost(&self, now: Millis, offer: &Offer, instance: &Instance, known: &KnownModelServer) -> f64 {
-        let queued = self.fair.queued_at(instance) as f64 / f64::from(known.server.capacity.max(1));
+        let queued = self.queue.queued_at(instance) as f64 / f64::from(known.server.capacity.max(1));
         let occupancy = known.occupancy(now) + queued;
         let full_ms = self.full_server_ms(now, offer);
-        let objective = offer.objective as f64;
+        let target_latency_ms = offer.target_latency_ms as f64;
         let full = if known.has_slot(now) { 0.0 } else { full_ms };
-        let resting = if known.takes_work(now) { 0.0 } else { 2.0 * full_ms };
-        let zone = if known.server.zone == self.zone { 0.0 } else { OTHER_ZONE_PART * objective };
+        let ejected = if known.accepts_requests(now) { 0.0 } else { 2.0 * full_ms };
+        let zone =
+            if known.server.zone == self.zone { 0.0 } else { CROSS_ZONE_COST_FRACTION * target_latency_ms };
         let cold = if known.server.cold_remaining_ms > 0 { full_ms / 4.0 } else { 0.0 };
-        let errors = ERROR_OBJECTIVES * objective * known.known_errors(now);
-        let draw = DRAW_MS * unit_draw(offer.id, instance);
+        let errors = ERROR_COST_TARGETS * target_latency_ms * known.error_rate(now);
+        let draw = TIE_BREAK_MS * unit_draw(offer.id, instance);
         let stall = self.stall_cost(now, offer, instance, known);
-        full_ms * occupancy + full + resting + zone + cold + errors + stall + draw
+        full_ms * occupancy + full + ejected + zone + cold + errors + stall + draw
     }
 
     /// What it costs that the streams at a model server stand still while it reads a prompt, milliseconds.
     fn stall_cost(&self, now: Millis, offer: &Offer, instance: &Instance, known: &KnownModelServer) -> f64 {
-        let tokens = self.own_tokens(offer, instance) + known.unread_tokens();
+        let tokens = self.tokens_to_prefill(offer, instance) + known.prefill_backlog_tokens();
         let stall_ms = self.prefill_ms(now, offer, instance, tokens);
-        if offer.gap_aim == 0 || stall_ms <= STALL_PART * offer.gap_aim as f64 {
+        if offer.target_gap_ms == 0 || stall_ms <= STALL_GAP_FRACTION * offer.target_gap_ms as f64 {
             return 0.0;
         }
-        let streams = f64::from(known.in_flight) + known.others(now);
-        offer.objective as f64 * streams.min(MOST_STALLED)
+        let streams = f64::from(known.in_flight) + known.others_in_flight(now);
+        offer.target_latency_ms as f64 * streams.min(MAX_STALLED_STREAMS)
     }
 
     /// What a model server with all slots taken costs a request, milliseconds.
     fn full_server_ms(&self, now: Millis, offer: &Offer) -> f64 {
-        FULL_PART * self.engines.answer_ms(now, &offer.name.model)
+        FULL_COST_FRACTION * self.engines.slot_time_ms(now, &offer.name.model)
     }
 }
--- a/crates/router/src/dispatcher/reports.rs
+++ b/crates/router/src/dispatcher/demand.rs
@@ -1,6 +1,6 @@
 //! What the cores are told of demand.
 
-use super::{Dispatcher, Held, Offer, RequestId, Stage};
+use super::{Dispatcher, Offer, PendingRequest, RequestId, Stage};
 use crate::Millis;
 use crate::model_servers::AttemptOutcome;
 use pathbank_protocol::message::{ModelDemand, ModelServerLoad};
@@ -8,13 +8,13 @@
 impl Dispatcher {
     /// Whether the cores should hear of demand at once: something waits for a model that no model server
     /// holds.
-    pub fn take_urgent(&mut self) -> bool {
+    pub fn take_urgent_demand(&mut self) -> bool {
         std::mem::take(&mut self.urgent)
     }
 
     /// Demand since the last call, and what is out and was seen at each model server.
     pub fn take_report(&mut self) -> (Vec<ModelDemand>, Vec<ModelServerLoad>) {
-        self.note_still_unplaced();
+        self.record_unassigned_demand();
         let demand = std::mem::take(&mut self.demand).into_values().collect();
         (demand, self.servers.take_loads())
     }
@@ -31,46 +31,56 @@
         self.demand.entry((offer.backend.clone(), offer.name.clone())).or_insert_with(fresh)
     }
 
-    pub(super) fn note_demand(&mut self, now: Millis, offer: &Offer) {
+    pub(super) fn record_demand(&mut self, now: Millis, offer: &Offer) {
         if offer.name.model.is_empty() {
             return;
         }
         let prefill_ms = self.engines.typical_read_ms(now, &offer.name.model, offer.input_tokens) as u64;
-        let objective = offer.objective as u32;
+        let target_latency_ms = offer.target_latency_ms as u32;
         let demand = self.demand_of(offer);
         demand.arrived += 1;
         demand.tokens += offer.size;
         demand.prefill_ms += prefill_ms;
-        demand.objective_ms =
-            if demand.objective_ms == 0 { objective } else { demand.objective_ms.min(objective) };
+        demand.objective_ms = if demand.objective_ms == 0 {
+            target_latency_ms
+        } else {
+            demand.objective_ms.min(target_latency_ms)
+        };
     }
 
     /// A request ended that may have taken a slot of a model server.
-    pub(super) fn note_held(&mut self, now: Millis, held: &Held, outcome: AttemptOutcome) {
-        let is_answered = outcome == AttemptOutcome::Answered && matches!(held.stage, Stage::Sent(_));
-        if !is_answered || held.offer.name.model.is_empty() {
+    pub(super) fn record_slot_time(
+        &mut self,
+        now: Millis,
+        pending: &PendingRequest,
+        outcome: AttemptOutcome,
+    ) {
+        let is_answered = outcome == AttemptOutcome::Answered && matches!(pending.stage, Stage::Sent(_));
+        if !is_answered || pending.offer.name.model.is_empty() {
             return;
         }
-        let slot_time_ms = now.saturating_sub(held.since);
-        self.engines.note_answer(now, &held.offer.name.model, slot_time_ms);
-        self.demand_of(&held.offer).slot_time_ms += slot_time_ms;
+        let slot_time_ms = now.saturating_sub(pending.since);
+        self.engines.observe_slot_time(now, &pending.offer.name.model, slot_time_ms);
+        self.demand_of(&pending.offer).slot_time_ms += slot_time_ms;
     }
 
     /// Requests that were told of before and still wait count as waiting in each report.
-    fn note_still_unplaced(&mut self) {
-        let waits = |held: &&Held| held.reported && held.stage == Stage::Unplaced;
-        let offers: Vec<Offer> = self.held.values().filter(waits).map(|held| held.offer.clone()).collect();
+    fn record_unassigned_demand(&mut self) {
+        let waits = |pending: &&PendingRequest| pending.reported && pending.stage == Stage::Unassigned;
+        let offers: Vec<Offer> =
+            self.pending.values().filter(waits).map(|pending| pending.offer.clone()).collect();
         for offer in offers.iter().filter(|offer| !offer.name.model.is_empty()) {
             let demand = self.demand_of(offer);
             demand.waiting = demand.waiting.max(1);
         }
     }
 
-    pub(super) fn note_unplaced(&mut self, now: Millis, id: RequestId) {
-        let model_held = self.held.get(&id).is_some_and(|held| self.holds_model(now, &held.offer));
-        let Some(held) = self.held.get_mut(&id) else { return };
-        (held.reported, held.model_held) = (true, model_held);
-        let offer = held.offer.clone();
+    pub(super) fn record_unassigned(&mut self, now: Millis, id: RequestId) {
+        let is_model_resident =
+            self.pending.get(&id).is_some_and(|pending| self.is_model_resident(now, &pending.offer));
+        let Some(pending) = self.pending.get_mut(&id) else { return };
+        (pending.reported, pending.is_model_resident) = (true, is_model_resident);
+        let offer = pending.offer.clone();
         if !offer.name.model.is_empty() {
             self.demand_of(&offer).waiting += 1;
             self.urgent = true;
--- a/crates/router/src/dispatcher/offer.rs
+++ b/crates/router/src/dispatcher/offer.rs
@@ -28,15 +28,15 @@
     /// When the client stops waiting.
     pub deadline: Millis,
     /// When the client leaves if nothing of an answer has come.
-    pub leaves_at: Millis,
+    pub abandon_at: Millis,
     /// The time inside which an answer earns its full worth.
-    pub objective: Millis,
+    pub target_latency_ms: Millis,
     /// The longest pause between events of an answer in time; 0: not told.
-    pub gap_aim: Millis,
+    pub target_gap_ms: Millis,
     /// How long a load of its model takes, where that is known.
     pub load_ms: Option<Millis>,
     /// Its client has been refused before: it comes back only a few times more.
-    pub returned: bool,
+    pub previously_rejected: bool,
     /// The model server that the leader granted it, if it was asked and answered in time.
     pub granted: Option<Instance>,
     /// Model servers that are not to get it (again).
@@ -62,14 +62,14 @@
         address: String,
     },
     /// A stream leaves its model server, which is taken away, for another one.
-    Move {
+    Evacuate {
         /// The request.
         id: RequestId,
         /// When the model server is gone.
-        gone_at: Millis,
+        ends_at: Millis,
     },
     /// The request's final answer: it has not run.
-    Refuse {
+    Reject {
         /// The request.
         id: RequestId,
         /// Why.
--- a/crates/router/src/evacuation.rs
+++ b/crates/router/src/evacuation.rs
@@ -12,9 +12,9 @@
 
 /// The last streams have left so long before the model server goes, milliseconds: word of it may have been on
 /// its way for a while.
-pub const LAST_LEAVES: Millis = 400;
+pub const EVACUATION_MARGIN_MS: Millis = 400;
 /// A stream that ends this much before the model server goes is left to end, milliseconds.
-const ENDS_BEFORE: f64 = 150.0;
+const COMPLETION_MARGIN_MS: f64 = 150.0;
 
 /// A stream at a model server that is taken away.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -29,15 +29,15 @@
 /// together.
 pub fn plan(
     now: Millis,
-    gone_at: Millis,
+    ends_at: Millis,
     mut streams: Vec<Stream>,
     draw: f64,
 ) -> BTreeMap<RequestId, Millis> {
     streams.sort_by_key(|stream| (stream.deadline, stream.id));
-    let left = gone_at.saturating_sub(LAST_LEAVES).saturating_sub(now) as f64;
+    let left = ends_at.saturating_sub(EVACUATION_MARGIN_MS).saturating_sub(now) as f64;
     let each = left / streams.len().max(1) as f64;
-    let leaves = |place: usize| now + ((place as f64 + draw) * each) as Millis;
-    streams.iter().enumerate().map(|(place, stream)| (stream.id, leaves(place))).collect()
+    let evacuates_at = |position: usize| now + ((position as f64 + draw) * each) as Millis;
+    streams.iter().enumerate().map(|(position, stream)| (stream.id, evacuates_at(position))).collect()
 }
 
 /// How many events a stream has for each token that its client asked for at most: a running mean over streams
@@ -48,16 +48,17 @@
 }
 
 /// Weight of one stream in the mean.
-const LEARN: f64 = 0.1;
+const EVENT_RATE_WEIGHT: f64 = 0.1;
 
 impl EventRate {
     /// A stream was complete with so many events.
-    pub fn note(&mut self, output_tokens: u64, events: u64) {
+    pub fn observe(&mut self, output_tokens: u64, events: u64) {
         if output_tokens == 0 || events == 0 {
             return;
         }
         let seen = events as f64 / output_tokens as f64;
-        self.per_token = Some(self.per_token.map_or(seen, |known| known + LEARN * (seen - known)));
+        self.per_token =
+            Some(self.per_token.map_or(seen, |known| known + EVENT_RATE_WEIGHT * (seen - known)));
     }
 
     /// Events that a stream should have in all; `None`: no stream was complete yet.
@@ -70,7 +71,7 @@
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Progress {
     /// When its first event came.
-    pub began: Millis,
+    pub started_at: Millis,
     /// Events so far.
     pub events: u64,
     /// Events that it should have in all, if that is known.
@@ -79,10 +80,10 @@
 
 impl Progress {
     /// Whether the stream should be complete before its model server goes, at the pace that it had so far.
-    pub fn ends_before(&self, now: Millis, gone_at: Millis) -> bool {
+    pub fn completes_before(&self, now: Millis, ends_at: Millis) -> bool {
         let Some(expected) = self.expected.filter(|_| self.events > 1) else { return false };
-        let each = now.saturating_sub(self.began) as f64 / (self.events - 1) as f64;
-        let rest = (expected - self.events as f64).max(0.0) * each;
-        now as f64 + rest + ENDS_BEFORE < gone_at as f64
+        let each = now.saturating_sub(self.started_at) as f64 / (self.events - 1) as f64;
+        let remaining = (expected - self.events as f64).max(0.0) * each;
+        now as f64 + remaining + COMPLETION_MARGIN_MS < ends_at as f64
     }
 }
--- a/crates/router/src/events.rs
+++ b/crates/router/src/events.rs
@@ -10,7 +10,7 @@
 }
 
 /// Bytes of one event that are held at most; a longer one is passed on as it comes.
-const MOST_EVENT_BYTES: usize = 64 * 1024;
+const MAX_EVENT_BYTES: usize = 64 * 1024;
 
 impl EventTracker {
     /// Bytes came from the model server: what may go to the client now.
@@ -18,7 +18,7 @@
         self.partial.extend_from_slice(bytes);
         let whole = match end_of_last_event(&self.partial) {
             Some(end) => end,
-            None if self.partial.len() > MOST_EVENT_BYTES => self.partial.len(),
+            None if self.partial.len() > MAX_EVENT_BYTES => self.partial.len(),
             None => return Vec::new(),
         };
         let rest = self.partial.split_off(whole);
--- a/crates/router/src/model_servers.rs
+++ b/crates/router/src/model_servers.rs
@@ -10,41 +10,41 @@
 
 /// A model server that could not be reached rests for so long, doubled with each failure in a row up to the
 /// longest.
-const FIRST_REST: Millis = 250;
-const LONGEST_REST: Millis = 5_000;
+const BASE_EJECTION_MS: Millis = 250;
+const MAX_EJECTION_MS: Millis = 5_000;
 /// A rest is longer or shorter by up to this part of it.
-const REST_JITTER: f64 = 0.3;
+const EJECTION_JITTER: f64 = 0.3;
 /// A model server that turned a request away because it is full rests for so long.
-const FULL_REST: Millis = 60;
+const FULL_BACKOFF_MS: Millis = 60;
 /// Weight of one answer in a model server's part of errors, how fast that fades (milliseconds), and what a
 /// request that was turned away counts for.
-const ERROR_LEARN: f64 = 0.25;
-const ERRORS_FADE: f64 = 8_000.0;
-const TURNED_AWAY: f64 = 0.3;
+const ERROR_WEIGHT: f64 = 0.25;
+const ERROR_DECAY_MS: f64 = 8_000.0;
+const REJECTED_ERROR_WEIGHT: f64 = 0.3;
 /// What a model server said of its load counts for so long.
-const LOAD_COUNTS: Millis = 1_000;
+const LOAD_TTL_MS: Millis = 1_000;
 /// A model that a model server said it does not hold is not asked for there for so long.
-const MISSING_COUNTS: Millis = 800;
+const MISSING_TTL_MS: Millis = 800;
 /// Requests in a row without an answer that make a model server rest.
-const FAILURES_TO_REST: u32 = 2;
+const CONSECUTIVE_FAILURES_TO_EJECT: u32 = 2;
 
 /// A model server that the core does not list any more is kept for so long.
-const UNLISTED_KEPT: Millis = 10_000;
+const UNLISTED_RETENTION_MS: Millis = 10_000;
 /// A model server that has gone is remembered for so long.
-const GONE_KEPT: Millis = 120_000;
+const REMOVED_RETENTION_MS: Millis = 120_000;
 
 /// A model server that says so often in a row that it is not the one rests: it may be another incarnation by
 /// now.
-const MISDIRECTED_TO_REST: u32 = 3;
+const CONSECUTIVE_MISDIRECTED_TO_EJECT: u32 = 3;
 
 /// What the leader told of a model server's errors counts for so long.
-const JOINT_ERRORS_COUNT: Millis = 3_000;
+const TOTAL_ERROR_RATE_TTL_MS: Millis = 3_000;
 
 /// What this edge's own requests say of a model server (a circuit breaker).
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum Health {
+enum Circuit {
     /// It takes as many requests as it has slots for.
-    Sound,
+    Closed,
     /// It rests, or has rested: one request at a time tries it, until one is answered.
     HalfOpen,
 }
@@ -67,12 +67,12 @@
     /// Requests of this edge out there.
     pub in_flight: u32,
     /// Tokens of prompts of this edge that it has not begun to answer, by request.
-    unread: BTreeMap<u64, u64>,
+    prefill_backlog: BTreeMap<u64, u64>,
     /// Of other edges, by what the model server said last, and when.
-    others: f64,
-    others_at: Millis,
-    rest_until: Millis,
-    health: Health,
+    others_in_flight: f64,
+    load_at: Millis,
+    ejected_until: Millis,
+    circuit: Circuit,
     failures: u32,
     /// Answers in a row that it is another model server or holds nothing of what was asked.
     misdirected: u32,
@@ -82,13 +82,13 @@
     /// Requests that failed and that were answered there since this was told last.
     outcomes: Outcomes,
     /// Of all edges' requests the part that failed there lately, as the leader told, and when.
-    joint_errors: f64,
-    joint_errors_at: Millis,
+    total_error_rate: f64,
+    total_error_rate_at: Millis,
     missing: BTreeMap<ModelName, Millis>,
     /// Since when the core that is listened to does not list it.
     unlisted_since: Option<Millis>,
     /// When it is gone for good, if it told how long it has.
-    gone_at: Option<Millis>,
+    ends_at: Option<Millis>,
 }
 
 impl KnownModelServer {
@@ -96,131 +96,132 @@
         KnownModelServer {
             server,
             in_flight: 0,
-            unread: BTreeMap::new(),
-            others: 0.0,
-            others_at: 0,
-            rest_until: 0,
-            health: Health::Sound,
+            prefill_backlog: BTreeMap::new(),
+            others_in_flight: 0.0,
+            load_at: 0,
+            ejected_until: 0,
+            circuit: Circuit::Closed,
             failures: 0,
             misdirected: 0,
             errors: 0.0,
             errors_at: 0,
             outcomes: Outcomes::default(),
-            joint_errors: 0.0,
-            joint_errors_at: 0,
+            total_error_rate: 0.0,
+            total_error_rate_at: 0,
             missing: BTreeMap::new(),
             unlisted_since: None,
-            gone_at: None,
+            ends_at: None,
         }
     }
 
     /// Takes what a core told of it.
-    fn told(&mut self, now: Millis, server: ModelServer) {
+    fn update(&mut self, now: Millis, server: ModelServer) {
         let ends = server.state == ModelServerState::Draining && server.remaining_ms > 0;
-        let gone_at = ends.then(|| now + server.remaining_ms);
+        let ends_at = ends.then(|| now + server.remaining_ms);
         // The first word counts where later ones would give it longer: they may have been on their way.
-        self.gone_at = match (self.gone_at, gone_at) {
-            (Some(known), Some(told)) => Some(known.min(told)),
-            (known, told) => known.or(told),
+        self.ends_at = match (self.ends_at, ends_at) {
+            (Some(known), Some(reported)) => Some(known.min(reported)),
+            (known, reported) => known.or(reported),
         };
         (self.server, self.unlisted_since) = (server, None);
     }
 
     /// When it is gone for good, if it told how long it has.
-    pub fn gone_at(&self) -> Option<Millis> {
-        self.gone_at
+    pub fn ends_at(&self) -> Option<Millis> {
+        self.ends_at
     }
 
     /// Requests of other edges out there, as far as is known.
-    pub fn others(&self, now: Millis) -> f64 {
-        let age = now.saturating_sub(self.others_at) as f64 / LOAD_COUNTS as f64;
-        self.others * (1.0 - age).max(0.0)
+    pub fn others_in_flight(&self, now: Millis) -> f64 {
+        let age = now.saturating_sub(self.load_at) as f64 / LOAD_TTL_MS as f64;
+        self.others_in_flight * (1.0 - age).max(0.0)
     }
 
     /// Tokens of prompts of this edge that it has still to read.
-    pub fn unread_tokens(&self) -> u64 {
-        self.unread.values().sum()
+    pub fn prefill_backlog_tokens(&self) -> u64 {
+        self.prefill_backlog.values().sum()
     }
 
     /// Part of its slots that are taken; above 1: requests wait there.
     pub fn occupancy(&self, now: Millis) -> f64 {
-        (f64::from(self.in_flight) + self.others(now)) / f64::from(self.server.capacity.max(1))
+        (f64::from(self.in_flight) + self.others_in_flight(now)) / f64::from(self.server.capacity.max(1))
     }
 
     /// The cap on what this edge keeps there: the slots that others leave, one at least.
-    pub fn cap(&self, now: Millis) -> u32 {
-        let left = f64::from(self.server.capacity.max(1)) - self.others(now);
-        match self.health {
-            Health::Sound => left.max(1.0) as u32,
-            Health::HalfOpen => 1,
+    pub fn limit(&self, now: Millis) -> u32 {
+        let left = f64::from(self.server.capacity.max(1)) - self.others_in_flight(now);
+        match self.circuit {
+            Circuit::Closed => left.max(1.0) as u32,
+            Circuit::HalfOpen => 1,
         }
     }
 
     /// Whether a request of this edge may go there now.
     pub fn has_slot(&self, now: Millis) -> bool {
-        self.takes_work(now) && self.in_flight < self.cap(now)
+        self.accepts_requests(now) && self.in_flight < self.limit(now)
     }
 
     /// Whether a request of an urgency may go there now: the last slots are kept for the most urgent.
     pub fn has_slot_for(&self, now: Millis, urgency: Urgency) -> bool {
-        let taken = f64::from(self.in_flight) + self.others(now);
+        let taken = f64::from(self.in_flight) + self.others_in_flight(now);
         self.has_slot(now)
             && (urgency == 0 || taken + 1.0 <= open_slots(f64::from(self.server.capacity), urgency))
     }
 
     /// Whether it takes requests at all now.
-    pub fn takes_work(&self, now: Millis) -> bool {
-        self.server.state == ModelServerState::Ready && now >= self.rest_until
+    pub fn accepts_requests(&self, now: Millis) -> bool {
+        self.server.state == ModelServerState::Ready && now >= self.ejected_until
     }
 
     /// For how much longer it rests, milliseconds.
-    pub fn rests_for(&self, now: Millis) -> Millis {
-        self.rest_until.saturating_sub(now)
+    pub fn ejected_for_ms(&self, now: Millis) -> Millis {
+        self.ejected_until.saturating_sub(now)
     }
 
     /// Whether it holds a model (and its adapter).
-    pub fn holds(&self, now: Millis, name: &ModelName) -> bool {
+    pub fn has_model(&self, now: Millis, name: &ModelName) -> bool {
         if name.model.is_empty() {
             return true;
         }
         let missing = self.missing.get(name).is_some_and(|until| now < *until);
         let loaded = self.server.models.iter().find(|loaded| loaded.name == name.model);
-        let held =
+        let is_resident =
             loaded.is_some_and(|loaded| name.adapter.is_empty() || loaded.adapters.contains(&name.adapter));
-        held && !missing
+        is_resident && !missing
     }
 
     /// Whether what it holds of a model is of a version; `None`: of any.
-    pub fn holds_version(&self, model: &str, version: Option<u64>) -> bool {
-        let held = || self.server.models.iter().find(|loaded| loaded.name == model);
-        version.is_none_or(|version| held().is_some_and(|held| held.version == version))
+    pub fn has_version(&self, model: &str, version: Option<u64>) -> bool {
+        let resident = || self.server.models.iter().find(|loaded| loaded.name == model);
+        version.is_none_or(|version| resident().is_some_and(|resident| resident.version == version))
     }
 
     /// The part of requests that went wrong there lately, 0 to 1; it fades, so that the model server is tried
     /// again.
-    pub fn error_part(&self, now: Millis) -> f64 {
-        let age = now.saturating_sub(self.errors_at) as f64 / ERRORS_FADE;
+    pub fn local_error_rate(&self, now: Millis) -> f64 {
+        let age = now.saturating_sub(self.errors_at) as f64 / ERROR_DECAY_MS;
         self.errors * (-age).exp()
     }
 
     /// It rests after failures in a row: longer each time up to the longest, and for a time that differs by
     /// head, so that not all edges try it in the same moment. `draw`: from 0 to 1.
-    fn rest(&mut self, now: Millis, doublings: u32, draw: f64) {
-        let rest = (FIRST_REST << doublings.min(5)).min(LONGEST_REST) as f64;
-        self.rest_until = now + (rest * (1.0 - REST_JITTER + 2.0 * REST_JITTER * draw)) as Millis;
-        self.health = Health::HalfOpen;
+    fn eject(&mut self, now: Millis, doublings: u32, draw: f64) {
+        let duration_ms = (BASE_EJECTION_MS << doublings.min(5)).min(MAX_EJECTION_MS) as f64;
+        self.ejected_until =
+            now + (duration_ms * (1.0 - EJECTION_JITTER + 2.0 * EJECTION_JITTER * draw)) as Millis;
+        self.circuit = Circuit::HalfOpen;
     }
 
-    fn note_error(&mut self, now: Millis, weight: f64) {
-        let known = self.error_part(now);
-        self.errors = known + ERROR_LEARN * (weight - known);
+    fn observe_error(&mut self, now: Millis, weight: f64) {
+        let known = self.local_error_rate(now);
+        self.errors = known + ERROR_WEIGHT * (weight - known);
         self.errors_at = now;
     }
 
     /// The part of requests that go wrong there, by what this edge or all edges together have seen.
-    pub fn known_errors(&self, now: Millis) -> f64 {
-        let told = now < self.joint_errors_at + JOINT_ERRORS_COUNT;
-        self.error_part(now).max(if told { self.joint_errors } else { 0.0 })
+    pub fn error_rate(&self, now: Millis) -> f64 {
+        let is_fresh = now < self.total_error_rate_at + TOTAL_ERROR_RATE_TTL_MS;
+        self.local_error_rate(now).max(if is_fresh { self.total_error_rate } else { 0.0 })
     }
 }
 
@@ -232,9 +233,9 @@
     /// It said that it is full, or that a time was over in its queue.
     Full,
     /// It answered with a failure of its own.
-    Erred,
+    ServerError,
     /// It does not hold what was asked for, or is another model server.
-    NotThere,
+    Misdirected,
     /// No connection, a reset, or no answer.
     Failed,
     /// The client left, or the edge gave up by itself.
@@ -249,7 +250,7 @@
     known: BTreeMap<Instance, KnownModelServer>,
     addresses: AddressIndex,
     /// Model servers that have gone; a late word of another core does not bring them back.
-    gone: BTreeMap<Instance, (u64, Millis)>,
+    removed: BTreeMap<Instance, (u64, Millis)>,
 }
 
 impl ModelServerTable {
@@ -262,12 +263,12 @@
     pub fn update(&mut self, now: Millis, update: ModelServerUpdate) -> BTreeSet<Instance> {
         let mut closed = BTreeSet::new();
         if update.complete {
-            self.note_unlisted(now, &update);
+            self.mark_unlisted(now, &update);
         }
         for server in update.servers {
             let instance = server.instance.clone();
             // What fell silent comes back with the same word; what said that it ends does not.
-            if self.gone.get(&instance).is_some_and(|(sequence, _)| server.sequence < *sequence) {
+            if self.removed.get(&instance).is_some_and(|(sequence, _)| server.sequence < *sequence) {
                 continue;
             }
             if server.state != ModelServerState::Ready {
@@ -281,17 +282,17 @@
                 Some(known) if server.sequence < known.server.sequence => known.unlisted_since = None,
                 Some(known) => {
                     self.addresses.change(&known.server.address, &server.address, &instance);
-                    known.told(now, server);
+                    known.update(now, server);
                 }
                 None => {
                     self.addresses.insert(&server.address, &instance);
                     let mut known = KnownModelServer::new(server.clone());
-                    known.told(now, server);
+                    known.update(now, server);
                     self.known.insert(instance, known);
                 }
             }
         }
-        self.gone.retain(|_, (_, at)| now < *at + GONE_KEPT);
+        self.removed.retain(|_, (_, at)| now < *at + REMOVED_RETENTION_MS);
         closed
     }
 
@@ -309,7 +310,7 @@
 
     /// A whole list came: what is not on it goes after a while, unless it is told of again. A core that has
     /// just started knows few model servers yet.
-    fn note_unlisted(&mut self, now: Millis, update: &ModelServerUpdate) {
+    fn mark_unlisted(&mut self, now: Millis, update: &ModelServerUpdate) {
         let listed: BTreeSet<&str> = update.servers.iter().map(|server| server.instance.as_str()).collect();
         for (instance, known) in &mut self.known {
             if !listed.contains(instance.as_str()) {
@@ -320,8 +321,9 @@
 
     /// Forgets model servers that no list names any more.
     pub fn tidy(&mut self, now: Millis) {
-        let names =
-            |known: &KnownModelServer| known.unlisted_since.is_none_or(|since| now < since + UNLISTED_KEPT);
+        let names = |known: &KnownModelServer| {
+            known.unlisted_since.is_none_or(|since| now < since + UNLISTED_RETENTION_MS)
+        };
         let is_over = |known: &KnownModelServer| known.in_flight == 0 && !names(known);
         for (instance, known) in self.known.extract_if(.., |_, known| is_over(known)) {
             self.addresses.remove(&known.server.address, &instance);
@@ -331,7 +333,7 @@
     fn forget(&mut self, now: Millis, server: ModelServer) {
         let known = self.known.get(&server.instance).map_or(0, |known| known.server.sequence);
         if server.sequence >= known {
-            self.gone.insert(server.instance.clone(), (server.sequence, now));
+            self.removed.insert(server.instance.clone(), (server.sequence, now));
             if let Some(known) = self.known.remove(&server.instance) {
                 self.addresses.remove(&known.server.address, &server.instance);
             }
@@ -349,7 +351,7 @@
     }
 
     /// The model servers of a service that hold a model.
-    pub fn holding<'a>(
+    pub fn with_model<'a>(
         &'a self,
         now: Millis,
         backend: &'a str,
@@ -358,7 +360,7 @@
         self.known.iter().filter(move |(_, known)| {
             known.server.backend == backend
                 && known.server.state == ModelServerState::Ready
-                && known.holds(now, name)
+                && known.has_model(now, name)
         })
     }
 
@@ -370,57 +372,57 @@
     }
 
     /// A request of this edge went there.
-    pub fn sent(&mut self, instance: &str, request: u64, tokens: u64) {
+    pub fn request_sent(&mut self, instance: &str, request: u64, tokens: u64) {
         if let Some(known) = self.known.get_mut(instance) {
             known.in_flight += 1;
-            known.unread.insert(request, tokens);
+            known.prefill_backlog.insert(request, tokens);
         }
     }
 
     /// It began to answer a request, or will not.
-    pub fn began(&mut self, instance: &str, request: u64) {
+    pub fn response_started(&mut self, instance: &str, request: u64) {
         if let Some(known) = self.known.get_mut(instance) {
-            known.unread.remove(&request);
+            known.prefill_backlog.remove(&request);
         }
     }
 
     /// A request of this edge ended there.
-    pub fn ended(&mut self, now: Millis, instance: &str, name: &ModelName, outcome: AttemptOutcome) {
+    pub fn request_ended(&mut self, now: Millis, instance: &str, name: &ModelName, outcome: AttemptOutcome) {
         let draw = unit_draw(self.seed ^ now, instance);
         let Some(known) = self.known.get_mut(instance) else { return };
         known.in_flight = known.in_flight.saturating_sub(1);
         match outcome {
-            AttemptOutcome::Failed | AttemptOutcome::Erred => {
+            AttemptOutcome::Failed | AttemptOutcome::ServerError => {
                 known.outcomes.failed += 1;
-                known.note_error(now, 1.0);
+                known.observe_error(now, 1.0);
             }
-            AttemptOutcome::Full => known.note_error(now, TURNED_AWAY),
+            AttemptOutcome::Full => known.observe_error(now, REJECTED_ERROR_WEIGHT),
             AttemptOutcome::Answered => {
                 known.outcomes.answered += 1;
-                known.note_error(now, 0.0);
+                known.observe_error(now, 0.0);
             }
-            AttemptOutcome::NotThere | AttemptOutcome::Abandoned => {}
+            AttemptOutcome::Misdirected | AttemptOutcome::Abandoned => {}
         }
         match outcome {
             AttemptOutcome::Answered => {
-                (known.failures, known.misdirected, known.health) = (0, 0, Health::Sound);
+                (known.failures, known.misdirected, known.circuit) = (0, 0, Circuit::Closed);
             }
-            AttemptOutcome::Full => known.rest_until = known.rest_until.max(now + FULL_REST),
-            AttemptOutcome::NotThere => {
+            AttemptOutcome::Full => known.ejected_until = known.ejected_until.max(now + FULL_BACKOFF_MS),
+            AttemptOutcome::Misdirected => {
                 known.missing.retain(|_, until| now < *until);
-                known.missing.insert(name.clone(), now + MISSING_COUNTS);
+                known.missing.insert(name.clone(), now + MISSING_TTL_MS);
                 known.misdirected += 1;
-                if known.misdirected >= MISDIRECTED_TO_REST {
-                    known.rest(now, known.misdirected - MISDIRECTED_TO_REST, draw);
+                if known.misdirected >= CONSECUTIVE_MISDIRECTED_TO_EJECT {
+                    known.eject(now, known.misdirected - CONSECUTIVE_MISDIRECTED_TO_EJECT, draw);
                 }
             }
             AttemptOutcome::Failed => {
                 known.failures += 1;
-                if known.failures >= FAILURES_TO_REST {
-                    known.rest(now, known.failures - FAILURES_TO_REST, draw);
+                if known.failures >= CONSECUTIVE_FAILURES_TO_EJECT {
+                    known.eject(now, known.failures - CONSECUTIVE_FAILURES_TO_EJECT, draw);
                 }
             }
-            AttemptOutcome::Erred | AttemptOutcome::Abandoned => {}
+            AttemptOutcome::ServerError | AttemptOutcome::Abandoned => {}
         }
     }
 
@@ -443,18 +445,19 @@
     }
 
     /// The leader told what all edges together see of a model server.
-    pub fn note_joint(&mut self, now: Millis, load: &ModelServerLoad) {
-        self.note_load(now, &load.instance, load.in_flight, 0);
+    pub fn observe_total_load(&mut self, now: Millis, load: &ModelServerLoad) {
+        self.observe_load(now, &load.instance, load.in_flight, 0);
         if let Some(known) = self.known.get_mut(&load.instance) {
-            (known.joint_errors, known.joint_errors_at) = (f64::from(load.error_permille) / 1_000.0, now);
+            (known.total_error_rate, known.total_error_rate_at) =
+                (f64::from(load.error_permille) / 1_000.0, now);
         }
     }
 
     /// An answer told the model server's load: requests running and waiting, this edge's among them.
-    pub fn note_load(&mut self, now: Millis, instance: &str, running: u32, waiting: u32) {
+    pub fn observe_load(&mut self, now: Millis, instance: &str, running: u32, waiting: u32) {
         if let Some(known) = self.known.get_mut(instance) {
-            known.others = (f64::from(running + waiting) - f64::from(known.in_flight)).max(0.0);
-            known.others_at = now;
+            known.others_in_flight = (f64::from(running + waiting) - f64::from(known.in_flight)).max(0.0);
+            known.load_at = now;
         }
     }
 }
--- a/crates/router/src/request_log.rs
+++ b/crates/router/src/request_log.rs
@@ -7,9 +7,9 @@
 use std::collections::{HashMap, VecDeque};
 
 /// Requests that are kept.
-pub const REQUESTS_KEPT: usize = 256;
+pub const MAX_REQUESTS: usize = 256;
 /// Steps of one request that are kept; a stream that is taken up again and again loses its later ones.
-const STEPS_KEPT: usize = 24;
+const MAX_STEPS: usize = 24;
 
 /// One step of a request's way.
 #[derive(Clone, Debug, PartialEq, Eq)]
@@ -77,14 +77,14 @@
 
 impl RequestLog {
     /// A step of the request with the client's id `id`; the first one tells of a request that has just come.
-    pub fn note(&mut self, now: Millis, id: &str, step: Step) {
+    pub fn record(&mut self, now: Millis, id: &str, step: Step) {
         if let Some(logged) = self.by_id.get_mut(id) {
-            if logged.steps.len() < STEPS_KEPT {
+            if logged.steps.len() < MAX_STEPS {
                 logged.steps.push(TimedStep { after_ms: now.saturating_sub(logged.arrived), step });
             }
             return;
         }
-        if self.order.len() >= REQUESTS_KEPT
+        if self.order.len() >= MAX_REQUESTS
             && let Some(oldest) = self.order.pop_front()
         {
             self.by_id.remove(&oldest);
--- a/crates/router/src/usage.rs
+++ b/crates/router/src/usage.rs
@@ -4,7 +4,7 @@
 use std::collections::{BTreeMap, BTreeSet};
 
 /// Windows that are told again and again; older ones are sealed long ago.
-const WINDOWS_KEPT: u64 = 6;
+const RETAINED_WINDOWS: u64 = 6;
 
 /// This edge's counts.
 #[derive(Clone, Debug)]
@@ -22,10 +22,10 @@
     }
 
     /// A request of a tenant began to run at a time of day, milliseconds since the start of 1970.
-    pub fn began(&mut self, wall_clock_ms: u64, tenant: &str) {
+    pub fn record_start(&mut self, wall_clock_ms: u64, tenant: &str) {
         let window = wall_clock_ms / self.window_ms;
         *self.windows.entry(window).or_default().entry(tenant.to_owned()).or_default() += 1;
-        self.windows.retain(|kept, _| *kept + WINDOWS_KEPT > window);
+        self.windows.retain(|kept, _| *kept + RETAINED_WINDOWS > window);
         self.changed.insert(window);
     }
 
--- a/crates/router/tests/core_choice.rs
+++ b/crates/router/tests/core_choice.rs
@@ -21,7 +21,7 @@
 fn three_cores() -> CoreChoice {
     let mut choice = CoreChoice::new("z2".into(), 7);
     for number in 1..=3 {
-        choice.told(0, core(number), &status(&format!("z{number}"), 1, 4, true));
+        choice.update_status(0, core(number), &status(&format!("z{number}"), 1, 4, true));
     }
     choice
 }
@@ -38,7 +38,7 @@
 fn when_it_is_lost_another_one_is_listened_to_at_once() {
     let mut choice = three_cores();
     choice.actions(0, 4);
-    choice.lost(core(2));
+    choice.disconnected(core(2));
     assert!(matches!(choice.actions(1, 4)[..], [CoreAction::Subscribe(other)] if other != core(2)));
 }
 
@@ -46,9 +46,9 @@
 fn one_that_is_cut_off_from_the_others_is_left_after_a_while() {
     let mut choice = three_cores();
     choice.actions(0, 4);
-    choice.told(500, core(2), &status("z2", 2, 4, false));
+    choice.update_status(500, core(2), &status("z2", 2, 4, false));
     assert!(choice.actions(600, 4).is_empty());
-    choice.told(700, core(2), &status("z2", 2, 4, false));
+    choice.update_status(700, core(2), &status("z2", 2, 4, false));
     let actions = choice.actions(800, 4);
     assert_eq!(actions.len(), 2);
     assert_eq!(actions[0], CoreAction::Unsubscribe(core(2)));
@@ -59,7 +59,7 @@
 fn a_configuration_that_was_announced_and_does_not_come_is_asked_for() {
     let mut choice = three_cores();
     choice.actions(0, 4);
-    choice.told(100, core(3), &status("z3", 1, 5, true));
+    choice.update_status(100, core(3), &status("z3", 1, 5, true));
     assert!(choice.actions(100, 4).is_empty());
     assert!(choice.actions(250, 4).is_empty());
     assert_eq!(choice.actions(300, 4), [CoreAction::Fetch(core(3))]);
@@ -71,13 +71,13 @@
 #[test]
 fn while_no_core_is_current_one_is_listened_to_all_the_same() {
     let mut choice = CoreChoice::new("z1".into(), 7);
-    choice.told(0, core(1), &status("z1", 1, 0, false));
+    choice.update_status(0, core(1), &status("z1", 1, 0, false));
     assert_eq!(choice.actions(0, 0), [CoreAction::Subscribe(core(1))]);
-    choice.told(400, core(2), &status("z2", 2, 0, false));
+    choice.update_status(400, core(2), &status("z2", 2, 0, false));
     assert!(choice.actions(900, 0).is_empty(), "no use in another one that knows as little");
-    choice.told(1_000, core(2), &status("z2", 2, 1, true));
+    choice.update_status(1_000, core(2), &status("z2", 2, 1, true));
     assert!(choice.actions(1_299, 0).is_empty(), "its own one may be as far in a moment");
-    choice.told(1_250, core(1), &status("z1", 1, 0, false));
+    choice.update_status(1_250, core(1), &status("z1", 1, 0, false));
     assert_eq!(choice.actions(1_300, 0).len(), 2);
 }
 
@@ -88,13 +88,13 @@
 fn nobody_runs_to_the_first_core_that_is_current_again() {
     let mut choice = CoreChoice::new("z1".into(), 7);
     for now in [0, 700] {
-        choice.told(now, core(1), &status("z1", 2, 0, false));
-        choice.told(now, core(2), &status("z2", 2, 0, false));
+        choice.update_status(now, core(1), &status("z1", 2, 0, false));
+        choice.update_status(now, core(2), &status("z2", 2, 0, false));
     }
     assert_eq!(choice.actions(700, 0), [CoreAction::Subscribe(core(1))]);
-    choice.told(1_230, core(2), &status("z2", 2, 1, true));
+    choice.update_status(1_230, core(2), &status("z2", 2, 1, true));
     assert!(choice.actions(1_230, 0).is_empty());
-    choice.told(1_290, core(1), &status("z1", 2, 1, true));
+    choice.update_status(1_290, core(1), &status("z1", 2, 1, true));
     assert!(choice.actions(1_290, 0).is_empty());
     assert!(choice.actions(2_000, 1).is_empty());
 }
@@ -104,27 +104,27 @@
 #[test]
 fn the_core_of_its_own_zone_is_waited_for_a_moment() {
     let mut choice = CoreChoice::new("z2".into(), 7);
-    choice.told(0, core(1), &status("z1", 1, 4, true));
+    choice.update_status(0, core(1), &status("z1", 1, 4, true));
     assert!(choice.actions(0, 4).is_empty());
-    choice.told(20, core(2), &status("z2", 1, 4, true));
+    choice.update_status(20, core(2), &status("z2", 1, 4, true));
     assert_eq!(choice.actions(20, 4), [CoreAction::Subscribe(core(2))]);
 }
 
 #[test]
 fn where_its_own_zone_has_no_core_another_one_is_listened_to_after_a_moment() {
     let mut choice = CoreChoice::new("z9".into(), 7);
-    choice.told(1_000, core(1), &status("z1", 1, 4, true));
+    choice.update_status(1_000, core(1), &status("z1", 1, 4, true));
     assert!(choice.actions(1_049, 4).is_empty());
     assert_eq!(choice.actions(1_050, 4), [CoreAction::Subscribe(core(1))]);
-    choice.told(1_060, core(2), &status("z2", 1, 4, true));
-    choice.lost(core(1));
+    choice.update_status(1_060, core(2), &status("z2", 1, 4, true));
+    choice.disconnected(core(1));
     assert_eq!(
         choice.actions(1_061, 4),
         [CoreAction::Subscribe(core(2))],
         "one that was lost is replaced at once"
     );
-    choice.lost(core(2));
-    choice.told(2_000, core(2), &status("z2", 1, 4, true));
+    choice.disconnected(core(2));
+    choice.update_status(2_000, core(2), &status("z2", 1, 4, true));
     assert!(
         choice.actions(2_000, 4).is_empty(),
         "all were lost: the first to be reached again is not the only one"
@@ -147,16 +147,16 @@
 fn waits_between_questions_double_until_something_comes() {
     let mut choice = three_cores();
     choice.actions(0, 4);
-    choice.told(0, core(3), &status("z3", 1, 5, true));
+    choice.update_status(0, core(3), &status("z3", 1, 5, true));
     let mut asked = Vec::new();
     for now in (0..=10_000).step_by(100) {
-        choice.told(now, core(2), &status("z2", 1, 4, true));
+        choice.update_status(now, core(2), &status("z2", 1, 4, true));
         if !choice.actions(now, 4).is_empty() {
             asked.push(now);
         }
     }
     assert_eq!(asked, [200, 400, 800, 1_600, 3_200, 4_800, 6_400, 8_000, 9_600]);
-    choice.told(10_000, core(3), &status("z3", 1, 7, true));
+    choice.update_status(10_000, core(3), &status("z3", 1, 7, true));
     assert!(choice.actions(10_100, 6).is_empty());
     assert_eq!(choice.actions(10_300, 6), [CoreAction::Fetch(core(3))], "after news it begins anew");
 }
@@ -166,13 +166,13 @@
     let mut asked = std::collections::BTreeMap::<CoreAddress, usize>::new();
     for seed in 0..200 {
         let mut choice = CoreChoice::new("z1".into(), seed);
-        choice.told(0, core(1), &status("z1", 1, 4, true));
+        choice.update_status(0, core(1), &status("z1", 1, 4, true));
         choice.actions(0, 4);
-        (2..=4).for_each(|number| choice.told(0, core(number), &status("z2", 1, 5, true)));
+        (2..=4).for_each(|number| choice.update_status(0, core(number), &status("z2", 1, 5, true)));
         choice.actions(0, 4);
         let actions = choice.actions(200, 4);
         let [CoreAction::Fetch(core)] = actions[..] else { panic!("{actions:?}") };
         *asked.entry(core).or_default() += 1;
     }
-    assert!(asked.len() == 3 && asked.values().all(|heads| *heads > 40), "{asked:?}");
+    assert!(asked.len() == 3 && asked.values().all(|edges| *edges > 40), "{asked:?}");
 }
--- a/crates/router/tests/dispatch.rs
+++ b/crates/router/tests/dispatch.rs
@@ -11,7 +11,7 @@
 use test_case::test_case;
 
 fn server(instance: &str, models: &[&str]) -> ModelServer {
-    let held = |name: &&str| LoadedModel { name: (*name).into(), version: 1, adapters: vec!["a1".into()] };
+    let loaded = |name: &&str| LoadedModel { name: (*name).into(), version: 1, adapters: vec!["a1".into()] };
     ModelServer {
         instance: instance.into(),
         backend: "llm".into(),
@@ -22,7 +22,7 @@
         state: ModelServerState::Ready,
         cold_remaining_ms: 0,
         remaining_ms: 0,
-        models: models.iter().map(held).collect(),
+        models: models.iter().map(loaded).collect(),
         sequence: 1,
         busy: false,
     }
@@ -38,11 +38,11 @@
         parts: Vec::new(),
         arrived,
         deadline: arrived + 10_000,
-        leaves_at: arrived + 10_000,
-        objective: 1_000,
-        gap_aim: 0,
+        abandon_at: arrived + 10_000,
+        target_latency_ms: 1_000,
+        target_gap_ms: 0,
         load_ms: Some(800),
-        returned: false,
+        previously_rejected: false,
         granted: None,
         excluded: BTreeSet::new(),
         resumable: false,
@@ -59,11 +59,11 @@
 impl Story {
     fn given(servers: Vec<ModelServer>) -> Story {
         let mut story = Story { dispatcher: Dispatcher::new("here".into(), 7), now: 1_000 };
-        story.told(servers);
+        story.update_servers(servers);
         story
     }
 
-    fn told(&mut self, servers: Vec<ModelServer>) -> Vec<Action> {
+    fn update_servers(&mut self, servers: Vec<ModelServer>) -> Vec<Action> {
         self.dispatcher.update_servers(self.now, ModelServerUpdate { complete: true, servers })
     }
 
@@ -89,15 +89,15 @@
 fn sent(actions: &[Action]) -> Vec<(u64, String)> {
     let send = |action: &Action| match action {
         Action::Send { id, instance, .. } => Some((*id, instance.clone())),
-        Action::Refuse { .. } | Action::Move { .. } => None,
+        Action::Reject { .. } | Action::Evacuate { .. } => None,
     };
     actions.iter().filter_map(send).collect()
 }
 
 fn refused(actions: &[Action]) -> Vec<(u64, ResultCode, u64)> {
     let refuse = |action: &Action| match action {
-        Action::Refuse { id, code, retry_after } => Some((*id, *code, *retry_after)),
-        Action::Send { .. } | Action::Move { .. } => None,
+        Action::Reject { id, code, retry_after } => Some((*id, *code, *retry_after)),
+        Action::Send { .. } | Action::Evacuate { .. } => None,
     };
     actions.iter().filter_map(refuse).collect()
 }
@@ -123,7 +123,7 @@
 fn the_slots_that_other_heads_take_are_left_to_them() {
     let mut story = Story::given(vec![server("i-1", &["a"])]);
     story.asked(1, "a");
-    story.dispatcher.note_load(story.now, "i-1", 2, 0);
+    story.dispatcher.observe_load(story.now, "i-1", 2, 0);
     assert!(sent(&story.asked(2, "a")).is_empty());
     assert_eq!(sent(&story.after(1_500)).len(), 0, "refused before that word is old");
 }
@@ -165,25 +165,28 @@
     let mut story = Story::given(vec![server("i-1", &["a"])]);
     (1..=3).for_each(|id| drop(story.asked(id, "a")));
     let leaving = ModelServer { state, sequence: 2, ..server("i-1", &["a"]) };
-    assert!(sent(&story.told(vec![leaving])).is_empty());
+    assert!(sent(&story.update_servers(vec![leaving])).is_empty());
     assert!(sent(&story.ended(1, AttemptOutcome::Answered)).is_empty());
-    assert_eq!(sent(&story.told(vec![server("i-2", &["a"])])), [(3, "i-2".into())]);
-    assert!(sent(&story.told(vec![server("i-1", &["a"])])).is_empty(), "an older word changes nothing");
+    assert_eq!(sent(&story.update_servers(vec![server("i-2", &["a"])])), [(3, "i-2".into())]);
+    assert!(
+        sent(&story.update_servers(vec![server("i-1", &["a"])])).is_empty(),
+        "an older word changes nothing"
+    );
 }
 
 #[test]
 fn what_no_server_holds_is_told_to_the_cores_while_it_waits_and_sent_when_one_does() {
     let mut story = Story::given(vec![server("i-1", &["b"])]);
     story.asked(1, "a");
-    assert!(story.dispatcher.take_urgent());
+    assert!(story.dispatcher.take_urgent_demand());
     let (demand, _) = story.dispatcher.take_report();
     assert_eq!((demand[0].model.as_str(), demand[0].arrived, demand[0].waiting), ("a", 1, 1));
     story.after(100);
-    assert!(!story.dispatcher.take_urgent());
+    assert!(!story.dispatcher.take_urgent_demand());
     let (demand, _) = story.dispatcher.take_report();
     assert_eq!((demand[0].arrived, demand[0].waiting), (0, 1), "no new demand, and it still waits");
     let loaded = ModelServer { sequence: 2, ..server("i-1", &["a", "b"]) };
-    assert_eq!(sent(&story.told(vec![loaded])), [(1, "i-1".into())]);
+    assert_eq!(sent(&story.update_servers(vec![loaded])), [(1, "i-1".into())]);
 }
 
 #[test]
@@ -208,19 +211,19 @@
 #[test]
 fn what_a_load_serves_within_its_objective_waits_for_it() {
     let mut story = Story::given(vec![server("i-1", &["b"])]);
-    let patient = Offer { objective: 4_000, ..offer(1, "a", story.now) };
+    let patient = Offer { target_latency_ms: 4_000, ..offer(1, "a", story.now) };
     story.dispatcher.offer(story.now, patient, true);
-    story.dispatcher.note_expected(story.now, expected("a", 2_000));
+    story.dispatcher.set_expected_models(story.now, expected("a", 2_000));
     assert!(story.after(2_500).is_empty());
     let loaded = ModelServer { sequence: 2, ..server("i-1", &["a", "b"]) };
-    assert_eq!(sent(&story.told(vec![loaded])).len(), 1);
+    assert_eq!(sent(&story.update_servers(vec![loaded])).len(), 1);
 }
 
 #[test]
 fn a_client_comes_back_when_the_leaders_load_is_done() {
     let mut story = Story::given(vec![server("i-1", &["b"])]);
     story.asked(1, "a");
-    story.dispatcher.note_expected(story.now, expected("a", 2_400));
+    story.dispatcher.set_expected_models(story.now, expected("a", 2_400));
     let refusals = refused(&story.after(170));
     assert_eq!(refusals.len(), 1);
     let (_, code, retry_after) = refusals[0];
@@ -233,17 +236,18 @@
 #[test]
 fn a_request_that_its_client_leaves_before_the_load_is_refused_at_once() {
     let mut story = Story::given(vec![server("i-1", &["b"])]);
-    let returned = Offer { returned: true, leaves_at: story.now + 2_000, ..offer(1, "a", story.now) };
-    story.dispatcher.offer(story.now, returned, true);
-    story.dispatcher.note_expected(story.now, expected("a", 5_000));
+    let previously_rejected =
+        Offer { previously_rejected: true, abandon_at: story.now + 2_000, ..offer(1, "a", story.now) };
+    story.dispatcher.offer(story.now, previously_rejected, true);
+    story.dispatcher.set_expected_models(story.now, expected("a", 5_000));
     assert_eq!(refused(&story.after(170)).len(), 1);
 }
 
 #[test]
 fn a_client_that_came_back_is_held_until_it_is_hopeless() {
     let mut story = Story::given(vec![server("i-1", &["b"])]);
-    let returned = Offer { returned: true, ..offer(1, "a", story.now) };
-    story.dispatcher.offer(story.now, returned, true);
+    let previously_rejected = Offer { previously_rejected: true, ..offer(1, "a", story.now) };
+    story.dispatcher.offer(story.now, previously_rejected, true);
     assert!(story.after(9_000).is_empty());
     assert_eq!(refused(&story.after(800)).len(), 1);
 }
@@ -260,9 +264,9 @@
     let mut story = Story::given(vec![server("i-1", &["a"])]);
     (1..=3).for_each(|id| drop(story.asked(id, "a")));
     story.asked(4, "nowhere");
-    let refusals = refused(&story.dispatcher.refuse_waiting(story.now, 50));
+    let refusals = refused(&story.dispatcher.reject_queued(story.now, 50));
     assert_eq!(refusals, [(3, ResultCode::Stopping, 50), (4, ResultCode::Stopping, 50)]);
-    assert_eq!(story.dispatcher.open(), 2);
+    assert_eq!(story.dispatcher.pending_requests(), 2);
 }
 
 #[test]
@@ -284,7 +288,7 @@
 fn a_server_that_lacks_the_model_is_not_asked_for_it_again_at_once() {
     let mut story = Story::given(vec![server("i-1", &["a"]), server("i-2", &["a"])]);
     let first = sent(&story.asked(1, "a"))[0].1.clone();
-    story.ended(1, AttemptOutcome::NotThere);
+    story.ended(1, AttemptOutcome::Misdirected);
     for id in 2..6 {
         assert_ne!(sent(&story.asked(id, "a"))[0].1, first);
         story.ended(id, AttemptOutcome::Answered);
@@ -310,18 +314,22 @@
 #[test]
 fn a_server_that_only_fell_silent_comes_back_with_the_same_word() {
     let mut story = Story::given(vec![server("i-1", &["a"])]);
-    story.told(vec![ModelServer { state: ModelServerState::Removed, ..server("i-1", &["a"]) }]);
+    story.update_servers(vec![ModelServer { state: ModelServerState::Removed, ..server("i-1", &["a"]) }]);
     assert!(sent(&story.asked(1, "a")).is_empty());
-    assert_eq!(sent(&story.told(vec![server("i-1", &["a"])])), [(1, "i-1".into())]);
-    story.told(vec![ModelServer { state: ModelServerState::Removed, sequence: 2, ..server("i-1", &["a"]) }]);
-    story.told(vec![server("i-1", &["a"])]);
+    assert_eq!(sent(&story.update_servers(vec![server("i-1", &["a"])])), [(1, "i-1".into())]);
+    story.update_servers(vec![ModelServer {
+        state: ModelServerState::Removed,
+        sequence: 2,
+        ..server("i-1", &["a"])
+    }]);
+    story.update_servers(vec![server("i-1", &["a"])]);
     assert!(sent(&story.asked(2, "a")).is_empty(), "what said that it ends does not");
 }
 
 #[test]
 fn a_server_that_no_list_names_goes_after_a_while() {
     let mut story = Story::given(vec![server("i-1", &["a"])]);
-    story.told(Vec::new());
+    story.update_servers(Vec::new());
     story.after(9_000);
     assert_eq!(sent(&story.asked(1, "a")).len(), 1, "a core that has just started knows few model servers");
     story.ended(1, AttemptOutcome::Answered);
@@ -334,9 +342,9 @@
     let mut story = Story::given(vec![server("i-1", &["a"])]);
     (1..=3).for_each(|id| drop(story.asked(id, "a")));
     let address = server("i-1", &[]).address;
-    story.told(vec![ModelServer { address, ..server("i-next", &[]) }]);
+    story.update_servers(vec![ModelServer { address, ..server("i-next", &[]) }]);
     assert!(sent(&story.ended(1, AttemptOutcome::Failed)).is_empty(), "the old one gets nothing more");
-    story.told(vec![server("i-1", &["a"])]);
+    story.update_servers(vec![server("i-1", &["a"])]);
     assert!(sent(&story.asked(4, "a")).is_empty(), "nor by a late word");
 }
 
@@ -345,7 +353,7 @@
     let mut story = Story::given(vec![server("i-1", &["a", "b", "c", "d"])]);
     for (id, model) in [(1, "a"), (2, "b"), (3, "c")] {
         assert_eq!(sent(&story.asked(id, model)).len(), 1);
-        story.ended(id, AttemptOutcome::NotThere);
+        story.ended(id, AttemptOutcome::Misdirected);
     }
     assert!(sent(&story.asked(4, "d")).is_empty());
 }
@@ -363,7 +371,7 @@
             at_grey += u64::from(grey);
             story.ended(
                 id,
-                if grey && id % 2 == 0 { AttemptOutcome::Erred } else { AttemptOutcome::Answered },
+                if grey && id % 2 == 0 { AttemptOutcome::ServerError } else { AttemptOutcome::Answered },
             );
             story.after(20);
         }
@@ -373,8 +381,8 @@
     assert!(round(&mut story, 100) <= 20, "most go to the other one");
     story.after(30_000);
     let other_is_busy = ModelServer { capacity: 1, sequence: 2, ..server("i-2", &["a"]) };
-    story.told(vec![other_is_busy]);
-    story.dispatcher.note_load(story.now, "i-2", 1, 0);
+    story.update_servers(vec![other_is_busy]);
+    story.dispatcher.observe_load(story.now, "i-2", 1, 0);
     assert_eq!(sent(&story.asked(900, "a"))[0].1, "i-1", "never shut out");
 }
 
@@ -383,7 +391,7 @@
     let mut story = Story::given(vec![server("i-1", &["a"]), server("i-2", &["a"])]);
     for id in 1..40 {
         assert_eq!(sent(&story.asked(id, "a")).len(), 1);
-        story.ended(id, AttemptOutcome::Erred);
+        story.ended(id, AttemptOutcome::ServerError);
     }
 }
 
@@ -469,7 +477,7 @@
         instance
     };
     let first = chosen(&mut story, 1);
-    story.dispatcher.note_totals(story.now, &[joint(&first, 600)]);
+    story.dispatcher.observe_total_loads(story.now, &[joint(&first, 600)]);
     assert_ne!(chosen(&mut story, 2), first);
     story.now += 10_000;
     let later: BTreeSet<String> = (3..9).map(|id| chosen(&mut story, id)).collect();
@@ -492,8 +500,8 @@
 
 /// A model server that holds a model in a version.
 fn server_of_version(instance: &str, version: u64) -> ModelServer {
-    let held = LoadedModel { name: "a".into(), version, adapters: Vec::new() };
-    ModelServer { models: vec![held], ..server(instance, &[]) }
+    let loaded = LoadedModel { name: "a".into(), version, adapters: Vec::new() };
+    ModelServer { models: vec![loaded], ..server(instance, &[]) }
 }
 
 #[test]
@@ -513,5 +521,5 @@
     let mut story = Story::given(vec![server_of_version("i-1", 2)]);
     let of_one = Offer { version: Some(1), resumable: true, ..offer(1, "a", story.now) };
     assert_eq!(story.dispatcher.offer(story.now, of_one, false), []);
-    assert!(!story.dispatcher.take_urgent() && story.dispatcher.take_report().0.is_empty());
+    assert!(!story.dispatcher.take_urgent_demand() && story.dispatcher.take_report().0.is_empty());
 }
--- a/crates/router/tests/evacuation.rs
+++ b/crates/router/tests/evacuation.rs
@@ -2,7 +2,7 @@
 
 use pathbank_protocol::message::{LoadedModel, ModelServer, ModelServerState, ModelServerUpdate};
 use pathbank_router::dispatcher::{Action, Dispatcher, Offer};
-use pathbank_router::evacuation::{EventRate, LAST_LEAVES, Progress, Stream, plan};
+use pathbank_router::evacuation::{EVACUATION_MARGIN_MS, EventRate, Progress, Stream, plan};
 use pathbank_router::model_servers::AttemptOutcome;
 use pathbank_router::prompt::ModelName;
 use std::collections::BTreeSet;
@@ -40,7 +40,7 @@
     fn given(streams: &[(u64, u64, bool)]) -> Story {
         let mut story =
             Story { dispatcher: Dispatcher::new("here".into(), 7), now: 1_000, moves: Vec::new() };
-        story.told(server("i-1", ModelServerState::Ready, 0, 1));
+        story.update_servers(server("i-1", ModelServerState::Ready, 0, 1));
         for (id, deadline, resumable) in streams {
             let offer = Offer {
                 id: *id,
@@ -51,11 +51,11 @@
                 parts: Vec::new(),
                 arrived: story.now,
                 deadline: *deadline,
-                leaves_at: *deadline,
-                objective: 1_000,
-                gap_aim: 0,
+                abandon_at: *deadline,
+                target_latency_ms: 1_000,
+                target_gap_ms: 0,
                 load_ms: None,
-                returned: false,
+                previously_rejected: false,
                 granted: None,
                 excluded: BTreeSet::new(),
                 resumable: *resumable,
@@ -68,7 +68,7 @@
         story
     }
 
-    fn told(&mut self, server: ModelServer) {
+    fn update_servers(&mut self, server: ModelServer) {
         let update = ModelServerUpdate { complete: false, servers: vec![server] };
         let actions = self.dispatcher.update_servers(self.now, update);
         self.note(actions);
@@ -84,8 +84,8 @@
 
     fn note(&mut self, actions: Vec<Action>) {
         for action in actions {
-            if let Action::Move { id, gone_at } = action {
-                assert!(gone_at > self.now, "told before it is gone");
+            if let Action::Evacuate { id, ends_at } = action {
+                assert!(ends_at > self.now, "told before it is gone");
                 self.moves.push((id, self.now));
             }
         }
@@ -103,18 +103,18 @@
     let noticed = story.now;
     // When their model server says that it is gone in two seconds, then they leave by deadline, apart, and in
     // time.
-    story.told(server("i-1", ModelServerState::Draining, NOTICE, 2));
+    story.update_servers(server("i-1", ModelServerState::Draining, NOTICE, 2));
     story.after(NOTICE);
     assert_eq!(story.moved(), [2, 4, 1]);
     let times: Vec<u64> = story.moves.iter().map(|(_, at)| at - noticed).collect();
     assert!(times.windows(2).all(|pair| pair[1] > pair[0] + 200), "{times:?}");
-    assert!(times[2] <= NOTICE - LAST_LEAVES + TICK, "{times:?}");
+    assert!(times[2] <= NOTICE - EVACUATION_MARGIN_MS + TICK, "{times:?}");
 }
 
 #[test]
 fn a_server_that_drains_without_notice_keeps_its_streams() {
     let mut story = Story::given(&[(1, 9_000, true)]);
-    story.told(server("i-1", ModelServerState::Draining, 0, 2));
+    story.update_servers(server("i-1", ModelServerState::Draining, 0, 2));
     story.after(8_000);
     assert_eq!(story.moved(), [0; 0]);
 }
@@ -122,7 +122,7 @@
 #[test]
 fn a_stream_that_ended_is_not_moved() {
     let mut story = Story::given(&[(1, 9_000, true), (2, 9_500, true)]);
-    story.told(server("i-1", ModelServerState::Draining, NOTICE, 2));
+    story.update_servers(server("i-1", ModelServerState::Draining, NOTICE, 2));
     story.dispatcher.finish(story.now, 1, AttemptOutcome::Answered);
     story.after(NOTICE);
     assert_eq!(story.moved(), [2]);
@@ -131,12 +131,12 @@
 #[test]
 fn a_later_word_neither_moves_a_stream_twice_nor_gives_it_longer() {
     let mut story = Story::given(&[(1, 9_000, true)]);
-    story.told(server("i-1", ModelServerState::Draining, NOTICE, 2));
+    story.update_servers(server("i-1", ModelServerState::Draining, NOTICE, 2));
     story.after(400);
-    story.told(server("i-1", ModelServerState::Draining, NOTICE, 3));
+    story.update_servers(server("i-1", ModelServerState::Draining, NOTICE, 3));
     story.after(NOTICE);
     assert_eq!(story.moved(), [1]);
-    assert!(story.moves[0].1 <= 1_000 + NOTICE - LAST_LEAVES + TICK);
+    assert!(story.moves[0].1 <= 1_000 + NOTICE - EVACUATION_MARGIN_MS + TICK);
 }
 
 #[test]
@@ -152,7 +152,7 @@
     let streams: Vec<Stream> = (0..10).map(|id| Stream { id, deadline: 9_000 - id }).collect();
     let leaves = plan(1_000, 3_000, streams, draw);
     assert_eq!(leaves.len(), 10);
-    assert!(leaves.values().all(|at| (1_000..=3_000 - LAST_LEAVES).contains(at)));
+    assert!(leaves.values().all(|at| (1_000..=3_000 - EVACUATION_MARGIN_MS).contains(at)));
     assert!(leaves[&9] < leaves[&0]);
 }
 
@@ -160,13 +160,13 @@
 fn a_stream_that_will_be_complete_in_time_is_known_by_its_pace() {
     let mut rate = EventRate::default();
     assert_eq!(rate.expected(100), None, "nothing is known yet");
-    (0..50).for_each(|_| rate.note(100, 20));
+    (0..50).for_each(|_| rate.observe(100, 20));
     let expected = rate.expected(200).unwrap();
     assert!((39.0..41.0).contains(&expected));
     // Ten events in 450 ms: thirty more take 1.5 s.
-    let progress = Progress { began: 1_000, events: 10, expected: Some(expected) };
-    assert!(progress.ends_before(1_450, 1_450 + 1_700));
-    assert!(!progress.ends_before(1_450, 1_450 + 1_600));
-    assert!(!Progress { expected: None, ..progress }.ends_before(1_450, 9_000), "unknown: it is moved");
-    assert!(!Progress { events: 1, ..progress }.ends_before(1_450, 9_000), "no pace yet");
+    let progress = Progress { started_at: 1_000, events: 10, expected: Some(expected) };
+    assert!(progress.completes_before(1_450, 1_450 + 1_700));
+    assert!(!progress.completes_before(1_450, 1_450 + 1_600));
+    assert!(!Progress { expected: None, ..progress }.completes_before(1_450, 9_000), "unknown: it is moved");
+    assert!(!Progress { events: 1, ..progress }.completes_before(1_450, 9_000), "no pace yet");
 }
--- a/crates/router/tests/model_servers.rs
+++ b/crates/router/tests/model_servers.rs
@@ -38,11 +38,11 @@
 
     fn sends(&mut self) {
         self.next += 1;
-        self.table.sent(INSTANCE, self.next, 100);
+        self.table.request_sent(INSTANCE, self.next, 100);
     }
 
     fn ends(&mut self, now: u64, outcome: AttemptOutcome) {
-        self.table.ended(now, INSTANCE, &ModelName::parse("a"), outcome);
+        self.table.request_ended(now, INSTANCE, &ModelName::parse("a"), outcome);
     }
 
     fn sends_and_ends(&mut self, now: u64, outcome: AttemptOutcome) {
@@ -75,7 +75,7 @@
         head.sends_and_ends(now, AttemptOutcome::Failed);
     }
     assert!(rests[0] >= 150 && rests[2] > 2 * rests[0], "{rests:?}");
-    assert!(rests.iter().all(|rest| *rest <= 6_500), "{rests:?}");
+    assert!(rests.iter().all(|duration| *duration <= 6_500), "{rests:?}");
 }
 
 #[test]
--- a/crates/router/tests/parts.rs
+++ b/crates/router/tests/parts.rs
@@ -2,25 +2,25 @@
 
 use pathbank_router::events::EventTracker;
 use pathbank_router::prompt::{ModelName, PromptPart, TokenCount, parse_parts};
-use pathbank_router::retry_budget::{BudgetBounds, RetryBudget};
+use pathbank_router::retry_budget::{RetryBudget, RetryBudgetLimits};
 use pathbank_router::usage::UsageCounter;
 use pathbank_router::wall_clock::WallClock;
 use test_case::test_case;
 
-const BOUNDS: BudgetBounds = BudgetBounds { ratio: 0.2, slack: 56.0, window: 10_000 };
+const BOUNDS: RetryBudgetLimits = RetryBudgetLimits { ratio: 0.2, slack: 56.0, window: 10_000 };
 
 /// All edges send again whatever they may, whenever they may; some of them start anew in between.
 #[test_case(1, 10; "one head")]
 #[test_case(8, 40; "eight heads")]
 #[test_case(82, 400; "eighty-two heads")]
-fn all_heads_together_keep_to_the_budget_in_any_window(heads: u32, requests_per_s: u64) {
+fn all_heads_together_keep_to_the_budget_in_any_window(edges: u32, requests_per_s: u64) {
     let fresh = || {
         let mut budget = RetryBudget::new(BOUNDS);
-        budget.set_heads(heads);
+        budget.set_edges(edges);
         budget
     };
-    let mut budgets: Vec<RetryBudget> = (0..heads).map(|_| fresh()).collect();
-    let mut random = fastrand::Rng::with_seed(u64::from(heads));
+    let mut budgets: Vec<RetryBudget> = (0..edges).map(|_| fresh()).collect();
+    let mut random = fastrand::Rng::with_seed(u64::from(edges));
     let mut again: Vec<u64> = Vec::new();
     for now in (0..60_000).step_by(10) {
         // Requests stop for a while: what was saved up then must not come on top.
@@ -30,13 +30,13 @@
             requests_per_s / 100 + u64::from(now % 100 == 0)
         };
         for _ in 0..requests {
-            budgets[random.usize(0..heads as usize)].note_request(now, "s");
+            budgets[random.usize(0..edges as usize)].record_request(now, "s");
         }
         if now % 7_000 == 0 {
-            budgets[random.usize(0..heads as usize)] = fresh();
+            budgets[random.usize(0..edges as usize)] = fresh();
         }
         for budget in &mut budgets {
-            while budget.take(now, "s") {
+            while budget.try_spend(now, "s") {
                 again.push(now);
             }
         }
@@ -56,18 +56,18 @@
 #[test_case(1, 10; "one head")]
 #[test_case(8, 40; "eight heads")]
 #[test_case(82, 400; "eighty-two heads")]
-fn what_heads_have_saved_up_keeps_to_the_budget_too(heads: u32, requests_per_s: u64) {
+fn what_heads_have_saved_up_keeps_to_the_budget_too(edges: u32, requests_per_s: u64) {
     let mut random = fastrand::Rng::with_seed(9);
-    let mut budgets: Vec<RetryBudget> = (0..heads).map(|_| RetryBudget::new(BOUNDS)).collect();
-    budgets.iter_mut().for_each(|budget| budget.set_heads(heads));
+    let mut budgets: Vec<RetryBudget> = (0..edges).map(|_| RetryBudget::new(BOUNDS)).collect();
+    budgets.iter_mut().for_each(|budget| budget.set_edges(edges));
     let mut again: Vec<u64> = Vec::new();
     for now in (0..60_000).step_by(10) {
         for _ in 0..requests_per_s / 100 + u64::from(now % 100 == 0) {
-            budgets[random.usize(0..heads as usize)].note_request(now, "s");
+            budgets[random.usize(0..edges as usize)].record_request(now, "s");
         }
         let spends = now % 25_000 >= 15_000;
         for budget in budgets.iter_mut().filter(|_| spends) {
-            while budget.take(now, "s") {
+            while budget.try_spend(now, "s") {
                 again.push(now);
             }
         }
@@ -84,39 +84,39 @@
 fn a_head_of_many_takes_up_several_streams_of_one_lost_server_at_once() {
     // Given one edge of eighty-two, with five requests a second.
     let mut budget = RetryBudget::new(BOUNDS);
-    budget.set_heads(82);
-    (0..20_000).step_by(200).for_each(|now| budget.note_request(now, "s"));
+    budget.set_edges(82);
+    (0..20_000).step_by(200).for_each(|now| budget.record_request(now, "s"));
     // When a model server is lost, then a handful may be sent again in that moment, and not more of them
     // without end.
-    let at_once = (0..100).take_while(|_| budget.take(20_000, "s")).count();
+    let at_once = (0..100).take_while(|_| budget.try_spend(20_000, "s")).count();
     assert!((3..=6).contains(&at_once), "{at_once}");
     // What traffic earned goes with the traffic.
-    (20_000..40_000).step_by(200).for_each(|now| budget.note_request(now, "s"));
-    let much_later = (0..100).take_while(|_| budget.take(200_000, "s")).count();
+    (20_000..40_000).step_by(200).for_each(|now| budget.record_request(now, "s"));
+    let much_later = (0..100).take_while(|_| budget.try_spend(200_000, "s")).count();
     assert!(much_later <= 1, "{much_later}");
 }
 
 #[test]
 fn a_head_that_does_not_know_how_many_there_are_sends_nothing_again_at_once() {
     let mut budget = RetryBudget::new(BOUNDS);
-    budget.note_request(0, "s");
-    assert!(!budget.take(0, "s"));
+    budget.record_request(0, "s");
+    assert!(!budget.try_spend(0, "s"));
 }
 
 #[test]
 fn requests_are_counted_in_the_window_of_true_time() {
     let mut usage = UsageCounter::new(5_000);
-    usage.began(9_999, "a");
-    usage.began(10_000, "a");
-    usage.began(10_001, "b");
+    usage.record_start(9_999, "a");
+    usage.record_start(10_000, "a");
+    usage.record_start(10_001, "b");
     assert_eq!(usage.take_changed().len(), 2);
-    usage.began(10_002, "b");
+    usage.record_start(10_002, "b");
     assert_eq!(usage.take_changed().iter().map(|window| window.window).collect::<Vec<_>>(), [2]);
     assert!(usage.take_changed().is_empty());
     let windows = usage.windows();
     assert_eq!((windows[0].window, windows[0].counts.as_slice()), (1, &[("a".to_owned(), 1)][..]));
     assert_eq!(windows[1].counts, [("a".to_owned(), 1), ("b".to_owned(), 2)]);
-    usage.began(100_000, "a");
+    usage.record_start(100_000, "a");
     assert_eq!(usage.windows().len(), 1, "old windows are sealed long ago");
 }
 
@@ -125,7 +125,7 @@
     let mut clock = WallClock::default();
     assert_eq!(clock.now(5, 42), 42, "nothing is told yet");
     for (core, wall) in [("a", 1_000_000), ("b", 1_000_010), ("c", 9_000_000)] {
-        clock.note(100, core, wall);
+        clock.observe(100, core, wall);
     }
     assert_eq!(clock.now(150, 0), 1_000_060);
     assert_eq!(clock.now(60_000, 7), 1_059_910, "without a core the steady clock goes on");
--- a/crates/router/tests/request_log.rs
+++ b/crates/router/tests/request_log.rs
@@ -1,7 +1,7 @@
 //! What became of a request, as operators are told.
 
 use pathbank_control::result_code::ResultCode;
-use pathbank_router::request_log::{REQUESTS_KEPT, RequestLog, Step, TimedStep};
+use pathbank_router::request_log::{MAX_REQUESTS, RequestLog, Step, TimedStep};
 
 fn sent(instance: &str) -> Step {
     Step::Sent { instance: instance.into() }
@@ -10,10 +10,10 @@
 #[test]
 fn the_steps_of_a_request_come_in_order_with_their_times() {
     let mut log = RequestLog::default();
-    log.note(100, "a", sent("i-1"));
-    log.note(105, "b", Step::Refused { code: ResultCode::Overloaded });
-    log.note(130, "a", Step::Broken);
-    log.note(190, "a", sent("i-2"));
+    log.record(100, "a", sent("i-1"));
+    log.record(105, "b", Step::Refused { code: ResultCode::Overloaded });
+    log.record(130, "a", Step::Broken);
+    log.record(190, "a", sent("i-2"));
     let expected = [(0, sent("i-1")), (30, Step::Broken), (90, sent("i-2"))]
         .map(|(after_ms, step)| TimedStep { after_ms, step });
     assert_eq!(log.steps("a"), Some(&expected[..]));
@@ -24,9 +24,9 @@
 #[test]
 fn the_oldest_request_is_forgotten_first_and_each_is_bounded() {
     let mut log = RequestLog::default();
-    (0..=REQUESTS_KEPT).for_each(|number| log.note(number as u64, &format!("r{number}"), Step::NotRun));
+    (0..=MAX_REQUESTS).for_each(|number| log.record(number as u64, &format!("r{number}"), Step::NotRun));
     assert_eq!(log.steps("r0"), None);
     assert!(log.steps("r1").is_some());
-    (0..1_000).for_each(|_| log.note(5_000, "r1", Step::Resuming));
+    (0..1_000).for_each(|_| log.record(5_000, "r1", Step::Resuming));
     assert!(log.steps("r1").unwrap().len() < 100);
 }
--- a/crates/system/src/core/node/links.rs
+++ b/crates/system/src/core/node/links.rs
@@ -80,7 +80,7 @@
             }
             Frame::Core(status) => {
                 if let Some(peer) = self.peers.get(&id) {
-                    self.wall_clock.note(now, &peer.hello.name, status.wall_clock_ms);
+                    self.wall_clock.observe(now, &peer.hello.name, status.wall_clock_ms);
                 }
             }
             Frame::Subscribe(subscription) => self.on_subscribe(now, id, subscription),
@@ -144,7 +144,7 @@
     }
 
     pub(super) fn publish_status(&mut self) {
-        self.wall_clock.note(clock::now(), &self.settings.node_name, clock::wall_clock());
+        self.wall_clock.observe(clock::now(), &self.settings.node_name, clock::wall_clock());
         self.status_round += 1;
         let with_members = self.status_round.is_multiple_of(STATUSES_PER_MEMBERSHIP);
         let frame = Frame::Core(self.core_status(with_members));
--- a/crates/system/src/edge/admission.rs
+++ b/crates/system/src/edge/admission.rs
@@ -88,7 +88,7 @@
         shared.admissions.unanswered(clock::now(), offer.id);
         return None;
     };
-    let longest = (WAIT_PART * offer.objective as f64) as u64;
+    let longest = (WAIT_PART * offer.target_latency_ms as f64) as u64;
     let wait = u64::from(grant.wait_ms).min(longest);
     if wait > 0 {
         tokio::time::sleep(Duration::from_millis(wait)).await;
--- a/crates/system/src/edge/core_links.rs
+++ b/crates/system/src/edge/core_links.rs
@@ -126,8 +126,10 @@
         Frame::DrawOffer(offer) => generation::offered(shared, address, offer),
         Frame::DrawGrant(grant) => generation::granted(shared, grant),
         Frame::ModelVersions(versions) => shared.model_versions.store(Arc::new(versions)),
-        Frame::ExpectedModels(models) => shared.deciding().dispatcher.note_expected(clock::now(), models),
-        Frame::Loads(loads) => shared.deciding().dispatcher.note_totals(clock::now(), &loads),
+        Frame::ExpectedModels(models) => {
+            shared.deciding().dispatcher.set_expected_models(clock::now(), models)
+        }
+        Frame::Loads(loads) => shared.deciding().dispatcher.observe_total_loads(clock::now(), &loads),
         _ => {}
     }
 }
@@ -136,10 +138,10 @@
     let now = clock::now();
     {
         let mut deciding = shared.deciding();
-        deciding.wall_clock.note(now, &address.to_string(), status.wall_clock_ms);
-        deciding.core_choice.told(now, address, status);
+        deciding.wall_clock.observe(now, &address.to_string(), status.wall_clock_ms);
+        deciding.core_choice.update_status(now, address, status);
         let edges = deciding.core_choice.edges();
-        deciding.budget.set_heads(edges);
+        deciding.budget.set_edges(edges);
     }
     speak(shared);
     let members: Vec<SocketAddr> =
--- a/crates/system/src/edge/proxy.rs
+++ b/crates/system/src/edge/proxy.rs
@@ -54,7 +54,7 @@
 async fn serve(shared: Arc<Shared>, mut job: Job) -> Answer {
     {
         let mut deciding = shared.deciding();
-        deciding.budget.note_request(clock::now(), &job.backend);
+        deciding.budget.record_request(clock::now(), &job.backend);
     }
     loop {
         let (last_answer, code) = match attempt(&shared, &mut job).await {
@@ -86,7 +86,7 @@
 /// Whether the request may be sent once more; what was never sent draws on no budget.
 pub(super) fn may_send_again(shared: &Shared, job: &Job) -> bool {
     let now = clock::now();
-    job.has_attempts() && (job.sends == 0 || shared.deciding().budget.take(now, &job.backend))
+    job.has_attempts() && (job.sends == 0 || shared.deciding().budget.try_spend(now, &job.backend))
 }
 
 /// Waits for a model server and tries it.
@@ -99,7 +99,7 @@
     let decided = tokio::time::timeout(clock::until(job.deadline), ticket.offer(offer, first)).await;
     let (instance, address) = match decided {
         Ok(Some(Decision::Send { instance, address })) => (instance, address),
-        Ok(Some(Decision::Refuse { code, retry_after })) => {
+        Ok(Some(Decision::Reject { code, retry_after })) => {
             let (id, name) = job.told();
             tracing::debug!(id, ?name, ?code, retry_after, returned = job.returned, "refused");
             job.note(shared, Step::Refused { code });
@@ -156,7 +156,11 @@
 ) -> Try {
     job.sends += 1;
     let headers = exchange.response.headers();
-    shared.deciding().dispatcher.began(clock::now(), ticket.id(), exchange.response.status().is_success());
+    shared.deciding().dispatcher.response_started(
+        clock::now(),
+        ticket.id(),
+        exchange.response.status().is_success(),
+    );
     note_load(shared, &instance, headers);
     let own_id = headers.get(REQUEST_ID) == job.headers.get(REQUEST_ID);
     // An answer without a length ends with its connection. Read whole before it goes on, it is complete
@@ -176,7 +180,7 @@
         let missing = status == StatusCode::MISDIRECTED_REQUEST;
         ticket.end(match (missing, job.version) {
             (false, _) => AttemptOutcome::Full,
-            (true, None) => AttemptOutcome::NotThere,
+            (true, None) => AttemptOutcome::Misdirected,
             // It may hold the model, in another version.
             (true, Some(_)) => AttemptOutcome::Abandoned,
         });
@@ -200,7 +204,7 @@
     let Some(load) = text(headers, &INSTANCE_LOAD) else { return };
     let mut figures = load.split(',').map(|figure| figure.trim().parse::<u32>());
     if let (Some(Ok(running)), Some(Ok(waiting))) = (figures.next(), figures.next()) {
-        shared.deciding().dispatcher.note_load(clock::now(), instance, running, waiting);
+        shared.deciding().dispatcher.observe_load(clock::now(), instance, running, waiting);
     }
 }
 
@@ -223,7 +227,7 @@
     match whole {
         Ok(Ok(answer)) => {
             let erred = answer.status().is_server_error();
-            ticket.end(if erred { AttemptOutcome::Erred } else { AttemptOutcome::Answered });
+            ticket.end(if erred { AttemptOutcome::ServerError } else { AttemptOutcome::Answered });
             job.note(shared, Step::Complete);
             Ok(answer)
         }
--- a/crates/system/src/edge/relay.rs
+++ b/crates/system/src/edge/relay.rs
@@ -11,7 +11,7 @@
 use futures_util::stream;
 use http_body_util::{BodyExt, Limited, StreamBody};
 use hyper::body::{Frame, Incoming};
-use pathbank_router::evacuation::{LAST_LEAVES, Progress};
+use pathbank_router::evacuation::{EVACUATION_MARGIN_MS, Progress};
 use pathbank_router::events::EventTracker;
 use pathbank_router::model_servers::AttemptOutcome;
 use pathbank_router::request_log::Step;
@@ -180,10 +180,10 @@
     fn complete(&mut self) -> Option<Result<Frame<Bytes>, BodyError>> {
         self.done = true;
         if let Some(pace) = self.pauses.pace() {
-            self.shared.deciding().dispatcher.note_pace(clock::now(), self.ticket.id(), pace);
+            self.shared.deciding().dispatcher.observe_decode_pace(clock::now(), self.ticket.id(), pace);
         }
         self.ticket.end(AttemptOutcome::Answered);
-        self.shared.deciding().event_rate.note(self.job.output_tokens(), self.tracker.events());
+        self.shared.deciding().event_rate.observe(self.job.output_tokens(), self.tracker.events());
         let first_ms = self.pauses.began.saturating_sub(self.job.arrived());
         let (longest_pause_ms, took_ms) =
             (self.pauses.longest, clock::now().saturating_sub(self.pauses.began));
@@ -202,10 +202,10 @@
     fn plan_to_leave(&mut self, gone_at: u64) {
         let now = clock::now();
         let expected = self.shared.deciding().event_rate.expected(self.job.output_tokens());
-        let progress = Progress { began: self.pauses.began, events: self.tracker.events(), expected };
-        let stays = progress.ends_before(now, gone_at);
+        let progress = Progress { started_at: self.pauses.began, events: self.tracker.events(), expected };
+        let stays = progress.completes_before(now, gone_at);
         self.departure = None;
-        self.leaves_at = Some(if stays { gone_at.saturating_sub(LAST_LEAVES) } else { now });
+        self.leaves_at = Some(if stays { gone_at.saturating_sub(EVACUATION_MARGIN_MS) } else { now });
     }
 
     /// Leaves its model server for another one; where it may not be sent once more it stays. Returns whether
--- a/crates/system/src/edge/shared.rs
+++ b/crates/system/src/edge/shared.rs
@@ -18,7 +18,7 @@
 use pathbank_router::model_servers::{AttemptOutcome, Instance};
 use pathbank_router::prompt::ModelName;
 use pathbank_router::request_log::{RequestLog, Step};
-use pathbank_router::retry_budget::{BudgetBounds, RetryBudget};
+use pathbank_router::retry_budget::{RetryBudget, RetryBudgetLimits};
 use pathbank_router::usage::UsageCounter;
 use pathbank_router::wall_clock::WallClock;
 use std::collections::{BTreeMap, VecDeque};
@@ -38,7 +38,7 @@
         address: String,
     },
     /// Its final answer: it has not run.
-    Refuse {
+    Reject {
         /// Why.
         code: ResultCode,
         /// When to come back, milliseconds.
@@ -179,7 +179,7 @@
 impl Shared {
     /// The state of an edge that has just started.
     pub fn new(settings: Settings, startup: Startup) -> Arc<Shared> {
-        let bounds = BudgetBounds {
+        let bounds = RetryBudgetLimits {
             ratio: settings.bounds.retry_budget_ratio,
             slack: settings.bounds.retry_budget_slack,
             window: settings.bounds.budget_window_ms,
@@ -230,7 +230,7 @@
 
     /// Requests that are not answered yet.
     pub fn open_requests(&self) -> usize {
-        self.deciding().dispatcher.open()
+        self.deciding().dispatcher.pending_requests()
     }
 
     /// A number for a request, unique in this process's incarnation.
@@ -267,7 +267,7 @@
     /// What a request that is at no model server waits for, and since when it has been here.
     pub fn waiting(&self, id: RequestId) -> Option<(ModelName, u64, &'static str)> {
         let deciding = self.deciding();
-        let (offer, stage) = deciding.dispatcher.waiting(id)?;
+        let (offer, stage) = deciding.dispatcher.queued(id)?;
         Some((offer.name.clone(), clock::now().saturating_sub(offer.arrived), stage))
     }
 
@@ -281,7 +281,7 @@
     /// The process stops: whatever is not at a model server is refused.
     pub fn refuse_waiting(&self, retry_after: u64) {
         let mut deciding = self.deciding();
-        let actions = deciding.dispatcher.refuse_waiting(clock::now(), retry_after);
+        let actions = deciding.dispatcher.reject_queued(clock::now(), retry_after);
         self.carry_out(deciding, actions);
     }
 
@@ -296,10 +296,10 @@
         for action in actions {
             let (id, decision) = match action {
                 Action::Send { id, instance, address } => (id, Decision::Send { instance, address }),
-                Action::Refuse { id, code, retry_after } => (id, Decision::Refuse { code, retry_after }),
-                Action::Move { id, gone_at } => {
+                Action::Reject { id, code, retry_after } => (id, Decision::Reject { code, retry_after }),
+                Action::Evacuate { id, ends_at } => {
                     if let Some(departure) = deciding.movable.get(&id) {
-                        departure.tell(gone_at);
+                        departure.tell(ends_at);
                     }
                     continue;
                 }
@@ -309,21 +309,21 @@
                 let _ = waiting.send(decision);
             }
         }
-        if deciding.dispatcher.take_urgent() {
+        if deciding.dispatcher.take_urgent_demand() {
             self.urgent.notify_one();
         }
     }
 
     /// A step of a request's way, by the client's id.
     pub fn note_step(&self, id: &str, step: Step) {
-        self.deciding().request_log.note(clock::now(), id, step);
+        self.deciding().request_log.record(clock::now(), id, step);
     }
 
     /// A request of a tenant began to run.
     pub fn began(&self, tenant: &str) {
         let mut deciding = self.deciding();
         let wall_clock = deciding.wall_clock.now(clock::now(), clock::wall_clock());
-        deciding.usage.began(wall_clock, tenant);
+        deciding.usage.record_start(wall_clock, tenant);
     }
 
     /// What the leader should hear now, and where it is; `None`: nothing has changed, or no leader is
@@ -367,7 +367,7 @@
     /// The link to a core has ended. If it leads again, it may have forgotten what it was told.
     pub fn core_lost(&self, address: SocketAddr) {
         let mut deciding = self.deciding();
-        deciding.core_choice.lost(address);
+        deciding.core_choice.disconnected(address);
         if deciding.reports.told_to == Some(address) {
             deciding.reports.told_to = None;
         }
--- a/crates/system/src/edge/status.rs
+++ b/crates/system/src/edge/status.rs
@@ -42,9 +42,9 @@
     let now = clock::now();
     let deciding = shared.deciding();
     let engines = deciding.dispatcher.engines();
-    let reading: BTreeMap<&String, f64> = engines.reading(now).collect();
-    let answers: BTreeMap<&String, f64> = engines.answers(now).collect();
-    let servers: BTreeMap<&String, f64> = engines.servers(now).collect();
+    let reading: BTreeMap<&String, f64> = engines.prefill_rates(now).collect();
+    let answers: BTreeMap<&String, f64> = engines.slot_times(now).collect();
+    let servers: BTreeMap<&String, f64> = engines.server_factors(now).collect();
     json!({
         "read_tokens_per_ms": reading,
         "answer_ms": answers,
--- a/crates/system/src/edge/ticket.rs
+++ b/crates/system/src/edge/ticket.rs
@@ -29,7 +29,7 @@
     pub async fn offer(&mut self, offer: Offer, first: bool) -> Option<Decision> {
         self.open = true;
         let decision = self.shared.offer(offer, first).await.ok();
-        if matches!(decision, Some(Decision::Refuse { .. })) {
+        if matches!(decision, Some(Decision::Reject { .. })) {
             self.open = false;
         }
         decision
--- a/crates/system/tests/fleet/world.rs
+++ b/crates/system/tests/fleet/world.rs
@@ -18,7 +18,7 @@
 use pathbank_router::dispatcher::{Action, Dispatcher, Offer};
 use pathbank_router::model_servers::AttemptOutcome;
 use pathbank_router::prompt::ModelName;
-use pathbank_router::retry_budget::{BudgetBounds, RetryBudget};
+use pathbank_router::retry_budget::{RetryBudget, RetryBudgetLimits};
 use std::collections::{BTreeMap, BTreeSet};
 
 const STEP: u64 = 5;
@@ -142,11 +142,11 @@
             runtime: Some(runtime),
             autoscaling: None,
         };
-        let bounds = BudgetBounds { ratio: 0.2, slack: 200.0, window: 10_000 };
+        let bounds = RetryBudgetLimits { ratio: 0.2, slack: 200.0, window: 10_000 };
         let head = |number: usize| {
             let zone = format!("z{}", number % ZONES);
             let mut budget = RetryBudget::new(bounds);
-            budget.set_heads(heads as u32);
+            budget.set_edges(heads as u32);
             Head { dispatcher: Dispatcher::new(zone, seed * 1_000 + number as u64), budget, cut_off: false }
         };
         let mut world = World {
@@ -252,7 +252,8 @@
         for number in 0..self.servers.len() {
             for request in self.servers[number].began(self.now) {
                 let head = self.tries.get(&request).map(|attempt| attempt.head);
-                head.into_iter().for_each(|head| self.heads[head].dispatcher.began(self.now, request, true));
+                head.into_iter()
+                    .for_each(|head| self.heads[head].dispatcher.response_started(self.now, request, true));
             }
             for request in self.servers[number].finished(self.now) {
                 self.ended(request, AttemptOutcome::Answered, Some(true));
@@ -293,7 +294,7 @@
         self.leader.demand.record(self.now, &report);
         self.leader.outliers.record(self.now, &report.loads);
         let totals = self.joint_loads();
-        self.heads[head].dispatcher.note_totals(self.now, &totals);
+        self.heads[head].dispatcher.observe_total_loads(self.now, &totals);
     }
 
     /// What the leader tells of model servers, as cores make it.
@@ -332,7 +333,7 @@
             refused: false,
         };
         self.ledger.asked.insert(client, asked);
-        self.heads[head].budget.note_request(self.now, "llm");
+        self.heads[head].budget.record_request(self.now, "llm");
         let offer = Offer {
             id: 0,
             backend: "llm".into(),
@@ -342,11 +343,11 @@
             parts: Vec::new(),
             arrived: self.now,
             deadline: self.now + DEADLINE,
-            leaves_at: self.now + DEADLINE,
-            objective: OBJECTIVE,
-            gap_aim: 0,
+            abandon_at: self.now + DEADLINE,
+            target_latency_ms: OBJECTIVE,
+            target_gap_ms: 0,
             load_ms: Some(LOAD_MS),
-            returned: false,
+            previously_rejected: false,
             granted: None,
             excluded: BTreeSet::new(),
             resumable: repeatable,
@@ -388,8 +389,8 @@
         for action in actions {
             match action {
                 Action::Send { id, instance, .. } => self.send(head, id, &instance),
-                Action::Move { id, .. } => self.moved(id),
-                Action::Refuse { id, retry_after, .. } => self.refused(id, retry_after),
+                Action::Evacuate { id, .. } => self.moved(id),
+                Action::Reject { id, retry_after, .. } => self.refused(id, retry_after),
             }
         }
     }
@@ -398,10 +399,10 @@
     fn refused(&mut self, id: u64, retry_after: u64) {
         let Some(mut attempt) = self.tries.remove(&id) else { return };
         let ran = self.ledger.asked[&attempt.client].runs > 0;
-        if attempt.offer.returned || ran {
+        if attempt.offer.previously_rejected || ran {
             return self.end_client(attempt.client, false, true);
         }
-        attempt.offer.returned = true;
+        attempt.offer.previously_rejected = true;
         attempt.offer.granted = None;
         attempt.offer.id = self.next_id();
         attempt.head = (attempt.head + 1) % self.heads.len();
@@ -413,7 +414,7 @@
         let Some(attempt) = self.tries.get(&id) else { return };
         let head = attempt.head;
         let left = self.ledger.asked[&attempt.client].sends.len() < MAX_ATTEMPTS;
-        if !left || !self.heads[head].budget.take(self.now, "llm") {
+        if !left || !self.heads[head].budget.try_spend(self.now, "llm") {
             return;
         }
         let Some(attempt) = self.tries.remove(&id) else { return };
@@ -452,7 +453,7 @@
             }
             Arrival::RanBadly => self.ended_at(id, instance, AttemptOutcome::Failed, true),
             Arrival::Full => self.ended_at(id, instance, AttemptOutcome::Full, false),
-            Arrival::NotThere => self.ended_at(id, instance, AttemptOutcome::NotThere, false),
+            Arrival::NotThere => self.ended_at(id, instance, AttemptOutcome::Misdirected, false),
             Arrival::Refused => self.ended_at(id, instance, AttemptOutcome::Failed, false),
         }
     }
@@ -477,7 +478,7 @@
             let may = served == Some(false) || asked.repeatable;
             let left = asked.sends.len() < MAX_ATTEMPTS && self.now < attempt.offer.deadline;
             let first = asked.sends.is_empty();
-            if may && left && (first || self.heads[head].budget.take(self.now, "llm")) {
+            if may && left && (first || self.heads[head].budget.try_spend(self.now, "llm")) {
                 self.try_again(attempt);
             } else {
                 self.end_client(attempt.client, false, served == Some(false));
