--- a/crates/system/src/core/mod.rs
+++ b/crates/system/src/core/mod.rs
@@ -2,16 +2,28 @@
 //! duties.
 
 mod api;
+mod autoscaling;
 pub mod configuration_updates;
 mod disk;
+mod edge_reports;
 mod event;
+mod leader_lease;
 pub mod lease;
+mod links;
 pub mod model_server_json;
+mod model_servers;
 mod node;
 pub mod orders;
-mod peers;
+mod overview;
+mod peer_listener;
+mod placement;
+mod publication;
+mod replication;
 mod singleton_roles;
+mod state_machine;
+mod status;
 mod training;
+mod usage;
 
 use crate::clock;
 use crate::net::server::{self, ConnectionCount, Limits};
@@ -60,7 +72,7 @@
         closing,
         ConnectionCount::default(),
     ));
-    tokio::spawn(peers::accept(internal_listener, events.clone()));
+    tokio::spawn(peer_listener::accept(internal_listener, events.clone()));
     tracing::info!(node = settings.node_name, %control, "core started");
     node.listens();
     let mut next_tick = tokio::time::Instant::now();
@@ -75,7 +87,7 @@
             // Links and callers get their turn first.
             () = tokio::task::yield_now(), if node.has_more_to_apply() => node.apply_more(clock::now()),
         }
-        if let Some(error) = node.take_fatal() {
+        if let Some(error) = node.take_failure() {
             return Err(error).context(CANNOT_PARTICIPATE);
         }
         if node.may_end(clock::now()) {
--- a/crates/system/src/core/node/training.rs
+++ b/crates/system/src/core/node/training.rs
@@ -4,6 +4,7 @@
 mod generations;
 
 use super::Node;
+use crate::clock;
 use crate::core::event::Event;
 use crate::core::lease::LeaseGuard;
 use crate::core::model_server_json::ReportJson;
@@ -57,13 +58,13 @@
 
     /// Looks at the steps that are under way. Without the lead, nothing of them is this head's.
     pub(super) fn train(&mut self, now: u64) {
-        if now < self.leadership.training.look_at {
+        if now < self.training.look_at {
             return;
         }
-        self.leadership.training.look_at = now + TRAINING_INTERVAL_MS;
+        self.training.look_at = now + TRAINING_INTERVAL_MS;
         self.answer_watchers(now);
-        let open = self.state.training().step_table().models();
-        let idle = open.is_empty() && self.leadership.training.models.is_empty();
+        let open = self.machine.state().training().step_table().models();
+        let idle = open.is_empty() && self.training.models.is_empty();
         let models: Vec<String> = open.into_iter().map(str::to_owned).collect();
         if idle {
             return;
@@ -75,20 +76,19 @@
             self.look_at_workers(now, model);
             self.act(now, model, 0, &guard);
         }
-        let hold = self.leadership.training.hold(self.state.training());
-        self.leadership.placer.set_training_reservations(hold);
+        let hold = self.training.hold(self.machine.state().training());
+        self.placement.set_training_reservations(hold);
         self.offer_generations(now, &models);
     }
 
     /// Models without a step under way: their workers are placement's again.
     fn forget_models(&mut self, open: &[String]) {
         let over: Vec<String> =
-            self.leadership.training.models.keys().filter(|model| !open.contains(model)).cloned().collect();
+            self.training.models.keys().filter(|model| !open.contains(model)).cloned().collect();
         for model in over {
-            let Some(training) = self.leadership.training.models.remove(&model) else { continue };
+            let Some(training) = self.training.models.remove(&model) else { continue };
             for (worker, _) in training.changing.iter().filter(|(_, phase)| phase.is_none()) {
-                self.directory.release(worker);
-                self.publish_order_update(worker, false);
+                self.servers.release(&self.links, worker);
             }
         }
     }
@@ -96,10 +96,10 @@
     /// Chooses a model's workers, forgets those that are gone, and asks each for its report when that is due.
     fn look_at_workers(&mut self, now: u64, model: &str) {
         let Some(place) = self.place_of(model) else { return };
-        let Some(step) = self.state.training().step_table().current(model) else { return };
+        let Some(step) = self.machine.state().training().step_table().current(model) else { return };
         let settings = settings_of(&place, self.longest_generation(model));
         let backend = step.request.backend.clone();
-        let training = self.leadership.training.models.entry(model.to_owned()).or_insert_with(|| {
+        let training = self.training.models.entry(model.to_owned()).or_insert_with(|| {
             ModelTraining::new(backend, StepController::new(model.to_owned(), settings, now))
         });
         training.controller.set_settings(settings);
@@ -125,12 +125,12 @@
     }
 
     fn place_of(&self, model: &str) -> Option<Place> {
-        let step = self.state.training().step_table().current(model)?;
+        let step = self.machine.state().training().step_table().current(model)?;
         let request: &StepRequest = &step.request;
-        let backend = self.state.backends()?.iter().find(|known| known.name == request.backend)?;
+        let backend = self.machine.state().backends()?.iter().find(|known| known.name == request.backend)?;
         let runtime = backend.runtime.clone()?;
-        let servers: Vec<ModelServer> = self.directory.ready().collect();
-        let known = self.leadership.training.models.get(model);
+        let servers = self.servers.ready();
+        let known = self.training.models.get(model);
         // After a change of leaders a step's own members come first.
         let members: BTreeSet<String> = step.active_workers().cloned().collect();
         let before = known.map_or(&members, |training| &training.workers);
@@ -144,13 +144,17 @@
 
     /// The longest time that a generation of a model's steps may take.
     fn longest_generation(&self, model: &str) -> Millis {
-        let steps = self.state.training().step_table().steps().filter(|step| step.request.model == model);
+        let steps =
+            self.machine.state().training().step_table().steps().filter(|step| step.request.model == model);
         steps.map(|step| step.request.generation_ms).max().unwrap_or(0)
     }
 
     fn ask_worker(&self, model: &str, worker: String) {
-        let address =
-            self.directory.server(&worker).and_then(|server| server.address.parse::<SocketAddr>().ok());
+        let address = self
+            .servers
+            .directory()
+            .server(&worker)
+            .and_then(|server| server.address.parse::<SocketAddr>().ok());
         let Some(address) = address else { return };
         let (pool, events, model) = (self.pool.clone(), self.events.clone(), model.to_owned());
         tokio::spawn(async move {
@@ -161,8 +165,8 @@
     }
 
     pub(super) fn on_worker_reported(&mut self, now: u64, model: &str, worker: &str, report: &ReportJson) {
-        let Some(server) = self.directory.server(worker) else { return };
-        let Some(training) = self.leadership.training.models.get_mut(model) else { return };
+        let Some(server) = self.servers.directory().server(worker) else { return };
+        let Some(training) = self.training.models.get_mut(model) else { return };
         if training.workers.contains(worker) {
             training.controller.observe_report(now, worker_report(&server, model, report));
         }
@@ -172,9 +176,12 @@
 
     /// Carries out what is due for a model. Returns the generations that begin, `most_draws` at the most.
     fn act(&mut self, now: u64, model: &str, most_draws: usize, guard: &LeaseGuard) -> Vec<Draw> {
-        let Some(training) = self.leadership.training.models.get_mut(model) else { return Vec::new() };
-        let actions =
-            training.controller.tick_with_limit(now, self.state.training().step_table(), most_draws);
+        let Some(training) = self.training.models.get_mut(model) else { return Vec::new() };
+        let actions = training.controller.tick_with_limit(
+            now,
+            self.machine.state().training().step_table(),
+            most_draws,
+        );
         let mut draws = Vec::new();
         for action in actions {
             match action {
@@ -193,9 +200,8 @@
 
     /// A worker gets nothing new of the model from now on.
     fn drain_worker(&mut self, model: &str, worker: String) {
-        self.directory.withhold(&worker, model, "");
-        self.publish_order_update(&worker, false);
-        if let Some(training) = self.leadership.training.models.get_mut(model) {
+        self.servers.withhold(&self.links, &worker, model, "");
+        if let Some(training) = self.training.models.get_mut(model) {
             training.changing.insert(worker, None);
         }
     }
@@ -203,13 +209,10 @@
     /// Brings a worker to the newest version: what it holds is dropped, then loaded anew. An order to load a
     /// model that is held would change nothing.
     fn change_worker(&mut self, now: u64, model: &str, worker: &str, guard: &LeaseGuard) {
-        let Some(server) = self.directory.server(worker) else { return };
+        let Some(server) = self.servers.directory().server(worker) else { return };
         let Some(runtime) = self.runtime_of(worker) else { return };
-        let Some(training) = self.leadership.training.models.get_mut(model) else { return };
-        let placer = &mut self.leadership.placer;
-        let may = !placer.has_pending_order(worker)
-            && placer.try_take_training_load(now, &training.backend, runtime.loads_per_s);
-        if !may {
+        let Some(training) = self.training.models.get_mut(model) else { return };
+        if !self.placement.take_training_load(now, worker, &training.backend, runtime.loads_per_s) {
             return training.controller.defer_load(now, worker);
         }
         let holds = training
@@ -228,25 +231,21 @@
     fn give_version_order(&mut self, order: Order, guard: LeaseGuard) {
         let Some(runtime) = self.runtime_of(&order.instance) else { return };
         tracing::info!(worker = order.instance, model = order.model, operation = ?order.operation, "version order");
-        let (pool, events) = (self.pool.clone(), self.events.clone());
-        self.leadership.contents.remove(&order.instance);
+        self.placement.take_contents(&order.instance);
         let task = OrderTask { order, runtime, guard, known: None, version: 0 };
-        tokio::spawn(async move {
-            let end = orders::execute(pool, task).await;
-            let _ = events.send(Event::VersionOrderFinished(Box::new(end)));
-        });
+        self.spawn_order(task, Event::VersionOrderFinished);
     }
 
-    pub(super) fn on_version_order_finished(&mut self, now: u64, end: OrderOutcome) {
-        let OrderOutcome { order, report, .. } = end;
+    pub(super) fn on_version_order_finished(&mut self, now: u64, outcome: &OrderOutcome) {
+        let OrderOutcome { order, report, .. } = outcome;
         let has_dropped = report
             .as_ref()
             .is_some_and(|report| !report.busy && !report.models().any(|held| held.name == order.model));
-        if order.operation == Operation::Unload && has_dropped && self.load_next(now, &order) {
+        if order.operation == Operation::Unload && has_dropped && self.load_next(now, order) {
             return;
         }
-        let server = self.directory.server(&order.instance);
-        if let Some(training) = self.leadership.training.models.get_mut(&order.model) {
+        let server = self.servers.directory().server(&order.instance);
+        if let Some(training) = self.training.models.get_mut(&order.model) {
             training.changing.remove(&order.instance);
             match (&server, &report) {
                 (Some(server), Some(report)) => {
@@ -260,7 +259,7 @@
                 training.controller.order_failed(&order.instance);
             }
         }
-        self.order_is_known(&order.instance, report);
+        self.on_server_released(clock::now(), outcome);
     }
 
     /// A worker has dropped a model: it loads the newest version, if this head still leads, also where the
@@ -268,9 +267,9 @@
     fn load_next(&mut self, now: u64, order: &Order) -> bool {
         let Some(permit) = self.permit(now) else { return false };
         let guard = self.guard(permit);
-        let Some(server) = self.directory.server(&order.instance) else { return false };
+        let Some(server) = self.servers.directory().server(&order.instance) else { return false };
         let Some(runtime) = self.runtime_of(&order.instance) else { return false };
-        if let Some(training) = self.leadership.training.models.get_mut(&order.model) {
+        if let Some(training) = self.training.models.get_mut(&order.model) {
             training.changing.insert(order.instance.clone(), Some(ChangePhase::Loading));
         }
         self.give_version_order(workers::load_order(&server, &order.model, &runtime), guard);
--- a/crates/system/src/core/node/training/calls.rs
+++ b/crates/system/src/core/node/training/calls.rs
@@ -1,6 +1,6 @@
 //! Trainers' calls at the leader, and what came of the commands that they ask for.
 
-use crate::core::node::Node;
+use crate::core::node::{Node, send_json};
 use crate::core::training::call::{self, TrainingCall};
 use crate::core::training::lead::{WATCH_TIMEOUT_MS, Watcher};
 use crate::core::training::view;
@@ -22,8 +22,8 @@
     ) {
         let Some(reply) = self.as_leader(now, reply) else { return };
         // Whoever waits for a step waits at the leader of this term.
-        self.leadership.enter_term(now, self.replication.replica.term());
-        let certain = self.replication.replica.lease_until() > now;
+        self.enter_term(now);
+        let certain = self.replication.replica().lease_until() > now;
         if !certain {
             let message = "the lease is not certain".to_owned();
             let _ = reply.send(Reply::Result(ResultCode::NoLeader, message));
@@ -41,7 +41,7 @@
         let ledger = |command| Ok(Some(TrainingCommand::Step(command)));
         match call {
             TrainingCall::Open(body) => {
-                let Some(backends) = self.state.backends() else {
+                let Some(backends) = self.machine.state().backends() else {
                     return Err(Rejection::new(ResultCode::NoConfiguration, "there is no configuration yet"));
                 };
                 ledger(StepCommand::Announce(body.clone().request(backends)?))
@@ -61,7 +61,7 @@
     }
 
     fn read_training(&mut self, now: u64, call: TrainingCall, reply: oneshot::Sender<Reply>) {
-        let state = self.state.training();
+        let state = self.machine.state().training();
         let number = match call {
             TrainingCall::Read { step, .. } | TrainingCall::Results { step, .. } => step,
             TrainingCall::Explain(step) => step,
@@ -84,24 +84,24 @@
                 send_json(reply, &view::results(state, step, after, most.min(call::MAX_RESULTS)));
             }
             TrainingCall::Explain(_) => {
-                let training = self.leadership.training.models.get(&step.request.model);
+                let training = self.training.models.get(&step.request.model);
                 send_json(reply, &view::explain(state, step, training, now, number));
             }
             TrainingCall::Read { seen: Some(seen), .. } if state.last_changed(number) <= seen => {
                 let until = now + WATCH_TIMEOUT_MS;
-                self.leadership.training.watchers.push(Watcher { step: number, seen, until, reply });
+                self.training.watchers.push(Watcher { step: number, seen, until, reply });
             }
             _ => send_json(reply, &view::step(state, step, self.waits(now, step))),
         }
     }
 
     fn waits(&self, now: u64, step: &Step) -> Option<pathbank_rollout::controller::WaitReason> {
-        let training = self.leadership.training.models.get(&step.request.model)?;
-        training.controller.wait_reason(now, self.state.training().step_table(), step.number)
+        let training = self.training.models.get(&step.request.model)?;
+        training.controller.wait_reason(now, self.machine.state().training().step_table(), step.number)
     }
 
     pub(super) fn answer_watchers(&mut self, now: u64) {
-        let due = self.leadership.training.due_watchers(now, self.state.training());
+        let due = self.training.due_watchers(now, self.machine.state().training());
         for watcher in due {
             let call = TrainingCall::Read { step: watcher.step, seen: None };
             self.read_training(now, call, watcher.reply);
@@ -117,22 +117,18 @@
     ) {
         if refused {
             // What was proposed and is refused may be proposed again, on what stands then.
-            for training in self.leadership.training.models.values_mut() {
+            for training in self.training.models.values_mut() {
                 training.controller.proposal_lost();
             }
         }
         if let TrainingCommand::Step(command) = command {
             log_step(command, refused);
         }
-        self.leadership.training.look_at = now;
+        self.training.look_at = now;
         self.answer_watchers(now);
     }
 }
 
-fn send_json(reply: oneshot::Sender<Reply>, value: &serde_json::Value) {
-    let _ = reply.send(Reply::Json(value.to_string().into_bytes()));
-}
-
 /// Changes of a step's state, for operators.
 fn log_step(command: &StepCommand, refused: bool) {
     match command {
--- a/crates/system/src/core/node/training/generations.rs
+++ b/crates/system/src/core/node/training/generations.rs
@@ -6,7 +6,7 @@
 use crate::core::training::lead::{MAX_OFFERED_GENERATIONS, MIN_OFFER_INTERVAL_MS};
 use pathbank_control::training::{Output, TrainingCommand};
 use pathbank_protocol::message::{
-    DrawEnding, DrawGrant, DrawId, DrawOffer, DrawRequest, DrawResult, DrawTask, Frame, ProcessRole,
+    DrawEnding, DrawGrant, DrawId, DrawOffer, DrawRequest, DrawResult, DrawTask, Frame,
 };
 use pathbank_rollout::StepNumber;
 use pathbank_rollout::controller::{Action, Draw, DrawEnd, DrawOutcome};
@@ -16,8 +16,8 @@
 impl Node {
     /// Tells edges that generations wait, as many as could begin, spread over all of them.
     pub(super) fn offer_generations(&mut self, now: u64, models: &[String]) {
-        let ledger = self.state.training().step_table();
-        let training = &self.leadership.training;
+        let ledger = self.machine.state().training().step_table();
+        let training = &self.training;
         let of_model =
             |model: &String| Some(training.models.get(model)?.controller.drawable_prompts(now, ledger));
         let waiting: usize = models.iter().filter_map(of_model).sum();
@@ -25,19 +25,12 @@
             return;
         }
         let free = |name: &str| now >= training.offer_at.get(name).copied().unwrap_or(0);
-        let edges: Vec<(String, LinkId)> = self
-            .peers
-            .iter()
-            .filter(|(_, peer)| peer.hello.role == ProcessRole::Edge && !peer.link.is_closed())
-            .filter(|(_, peer)| free(&peer.hello.name))
-            .map(|(id, peer)| (peer.hello.name.clone(), *id))
-            .collect();
+        let edges = self.links.edges().filter(|(_, name)| free(name));
+        let edges: Vec<(String, LinkId)> = edges.map(|(id, name)| (name.to_owned(), id)).collect();
         let each = waiting.div_ceil(edges.len().max(1)).clamp(1, MAX_OFFERED_GENERATIONS);
         for (name, id) in edges.into_iter().take(waiting.div_ceil(each)) {
-            if let Some(peer) = self.peers.get(&id) {
-                peer.link.send(&Frame::DrawOffer(DrawOffer { count: each as u32 }));
-            }
-            self.leadership.training.offer_at.insert(name, now + MIN_OFFER_INTERVAL_MS);
+            self.links.send(id, &Frame::DrawOffer(DrawOffer { count: each as u32 }));
+            self.training.offer_at.insert(name, now + MIN_OFFER_INTERVAL_MS);
         }
     }
 
@@ -45,7 +38,7 @@
     pub(in crate::core::node) fn on_draw_request(&mut self, now: u64, id: LinkId, request: DrawRequest) {
         let Some(permit) = self.permit(now) else { return };
         let guard = self.guard(permit);
-        let models: Vec<String> = self.leadership.training.models.keys().cloned().collect();
+        let models: Vec<String> = self.training.models.keys().cloned().collect();
         let mut draws: Vec<(String, Draw)> = Vec::new();
         for model in models {
             let room = (request.count as usize).saturating_sub(draws.len());
@@ -58,7 +51,7 @@
         let tasks: Vec<DrawTask> = draws.iter().filter_map(|(model, draw)| self.task(model, draw)).collect();
         let grant =
             DrawGrant { requested_at: request.requested_at, start_timeout_ms: START_TIMEOUT_MS, tasks };
-        let sent = self.peers.get(&id).is_some_and(|peer| peer.link.send(&Frame::DrawGrant(grant)));
+        let sent = self.links.send(id, &Frame::DrawGrant(grant));
         if !sent {
             draws.into_iter().for_each(|(model, draw)| {
                 self.draw_ended(now, &model, draw, DrawOutcome::Over, 0, Output::default());
@@ -67,10 +60,10 @@
     }
 
     fn task(&self, model: &str, draw: &Draw) -> Option<DrawTask> {
-        let state = self.state.training();
+        let state = self.machine.state().training();
         let step = state.step_table().step(draw.step)?;
         let prompt = state.prompt(draw.step, draw.prompt)?;
-        let address = self.directory.server(&draw.worker)?.address;
+        let address = self.servers.directory().server(&draw.worker)?.address;
         let stride = self.runtime_of(&draw.worker).map_or(1.0, |runtime| runtime.stride);
         Some(DrawTask {
             id: DrawId {
@@ -94,7 +87,7 @@
 
     /// An edge tells how a generation ended. Only the leader puts it into the log.
     pub(in crate::core::node) fn on_draw_result(&mut self, now: u64, result: DrawResult) {
-        if !self.replication.replica.is_established_leader() {
+        if !self.replication.replica().is_established_leader() {
             return;
         }
         let DrawId { step, epoch, prompt, instance, version } = result.id;
@@ -115,7 +108,7 @@
     }
 
     fn model_of(&self, step: StepNumber) -> Option<String> {
-        Some(self.state.training().step_table().step(step)?.request.model.clone())
+        Some(self.machine.state().training().step_table().step(step)?.request.model.clone())
     }
 
     fn draw_ended(
@@ -127,9 +120,9 @@
         tokens: u64,
         output: Output,
     ) {
-        let Some(training) = self.leadership.training.models.get_mut(model) else { return };
+        let Some(training) = self.training.models.get_mut(model) else { return };
         let end = DrawEnd { draw, outcome, tokens };
-        let actions = training.controller.draw_ended(end, self.state.training().step_table());
+        let actions = training.controller.draw_ended(end, self.machine.state().training().step_table());
         for action in actions {
             let Action::Propose(command) = action else { continue };
             let command = match command {
--- a/crates/system/tests/configuration_updates.rs
+++ b/crates/system/tests/configuration_updates.rs
@@ -51,10 +51,10 @@
     let mut wholes = Vec::new();
     for version in 1..=versions {
         let document = document(version);
-        updates.note(version, &document, 200);
+        updates.record(version, &document, 200);
         updates.publish(version, &document);
         let update = updates.update_from(1_000 + version * apart_ms, 0);
-        assert!(update.is_whole);
+        assert!(update.is_full);
         wholes.push(update.messages);
     }
     (updates, wholes)
@@ -68,7 +68,7 @@
         assert_eq!((table.index, table.version), (version, version));
         assert!(table.route("shop.example", &format!("/{}/x", ROUTES + version - 1)).is_some());
         let update = updates.update_from(9_000, version);
-        assert!(!update.is_whole, "from version {version}");
+        assert!(!update.is_full, "from version {version}");
         let table = update.messages.iter().fold(table, |table, message| taken_over(&table, message));
         assert_eq!((table.index, table.version), (40, 40), "from version {version}");
     }
