--- a/crates/control/src/address_index.rs
+++ b/crates/control/src/address_index.rs
@@ -1,4 +1,4 @@
-//! Which instances are known at each address, so that a first word of one does not cost a look at all others.
+//! Which instances are known at each address, so that the first heartbeat of one is not compared with all others.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -9,7 +9,7 @@
 }
 
 impl AddressIndex {
-    /// An instance is at that address.
+    /// Adds an instance at an address.
     pub fn insert(&mut self, address: &str, instance: &str) {
         match self.instances.get_mut(address) {
             Some(instances) => drop(instances.insert(instance.to_owned())),
@@ -17,7 +17,7 @@
         }
     }
 
-    /// An instance is no longer at that address, or forgotten.
+    /// Removes an instance from an address.
     pub fn remove(&mut self, address: &str, instance: &str) {
         let Some(instances) = self.instances.get_mut(address) else { return };
         instances.remove(instance);
@@ -26,8 +26,8 @@
         }
     }
 
-    /// An instance that was at an address may have another one now.
-    pub fn change(&mut self, before: &str, now: &str, instance: &str) {
+    /// Moves an instance to another address, if that differs from the one before.
+    pub fn relocate(&mut self, before: &str, now: &str, instance: &str) {
         if before != now {
             self.remove(before, instance);
             self.insert(now, instance);
--- a/crates/control/src/autoscaling.rs
+++ b/crates/control/src/autoscaling.rs
@@ -128,11 +128,11 @@
 /// its prompts, and by the slots that its answers take.
 fn servers_wanted(now: Millis, backend: &Backend, servers: &[ModelServer], demand: &DemandTable) -> f64 {
     let keys = || demand.keys().filter(|key| key.backend == backend.name);
-    let read_ms_per_s: f64 = keys().map(|key| demand.read_ms_per_s(now, key)).sum();
+    let prefill_ms_per_s: f64 = keys().map(|key| demand.prefill_ms_per_s(now, key)).sum();
     let slot_time_ms_per_s: f64 = keys().map(|key| demand.slot_time_ms_per_s(now, key)).sum();
     let own = servers.iter().filter(|server| server.backend == backend.name);
     let capacity = own.map(|server| server.capacity).max().unwrap_or(1).max(1);
-    let reading = read_ms_per_s / 1_000.0 / READING_PART;
+    let reading = prefill_ms_per_s / 1_000.0 / READING_PART;
     let slots = slot_time_ms_per_s / 1_000.0 / (f64::from(capacity) * SLOTS_PART);
     reading.max(slots) / demand.known_fraction(now).max(LEAST_KNOWN)
 }
--- a/crates/control/src/change_log.rs
+++ b/crates/control/src/change_log.rs
@@ -1,12 +1,12 @@
-//! What is remembered of operators' changes, so that one that comes again is acknowledged again.
+//! The operators' changes that were accepted, so that one that is sent again is acknowledged and not applied again.
 
 use serde::{Deserialize, Serialize};
 use std::collections::{BTreeSet, VecDeque};
 
-/// Changes that are remembered: at 4,600 a day, those of one day and three quarters.
+/// Changes that are recorded, the newest ones; at 4,600 a day these are the changes of 42 hours.
 pub const MAX_RECORDED_CHANGES: usize = 8_192;
 
-/// A change that was taken.
+/// A change that was accepted.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 struct AcceptedChange {
     digest: u128,
@@ -14,72 +14,75 @@
     base: u64,
 }
 
-/// What is known of a change that comes.
+/// Whether a change that arrives was accepted before.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ChangeLookup {
     /// It was accepted.
     Accepted,
     /// It is not recorded, and would be if it had been accepted.
     Unknown,
-    /// It builds on a version so old that what was taken on it is forgotten: it may have been taken.
+    /// It builds on a version whose changes are no longer recorded: it may have been accepted.
     Evicted,
 }
 
-/// The changes that were taken, the newest ones by their digests. Bases rise from change to change, so what
-/// is forgotten is known by its base.
+/// The newest accepted changes by their digests. Bases rise from change to change, so that a base alone tells whether
+/// changes on it are still recorded.
 #[derive(Clone, Debug, Default, Serialize, Deserialize)]
 #[serde(from = "StoredChangeLog", into = "StoredChangeLog")]
 pub struct ChangeLog {
-    taken: VecDeque<AcceptedChange>,
+    /// Oldest first.
+    accepted: VecDeque<AcceptedChange>,
     digests: BTreeSet<u128>,
-    /// Changes on bases below this may be forgotten.
-    remembered_from: u64,
+    /// All changes on this base and later ones are recorded.
+    complete_from: u64,
 }
 
-/// As it lies in a snapshot.
+/// The form in a snapshot.
 #[derive(Clone, Serialize, Deserialize)]
 struct StoredChangeLog {
-    taken: VecDeque<AcceptedChange>,
-    remembered_from: u64,
+    #[serde(rename = "taken")]
+    accepted: VecDeque<AcceptedChange>,
+    #[serde(rename = "remembered_from")]
+    complete_from: u64,
 }
 
 impl From<StoredChangeLog> for ChangeLog {
     fn from(stored: StoredChangeLog) -> ChangeLog {
-        let digests = stored.taken.iter().map(|change| change.digest).collect();
-        ChangeLog { taken: stored.taken, digests, remembered_from: stored.remembered_from }
+        let digests = stored.accepted.iter().map(|change| change.digest).collect();
+        ChangeLog { accepted: stored.accepted, digests, complete_from: stored.complete_from }
     }
 }
 
 impl From<ChangeLog> for StoredChangeLog {
     fn from(log: ChangeLog) -> StoredChangeLog {
-        StoredChangeLog { taken: log.taken, remembered_from: log.remembered_from }
+        StoredChangeLog { accepted: log.accepted, complete_from: log.complete_from }
     }
 }
 
 impl ChangeLog {
-    /// A log that knows nothing of changes on bases below `base`.
-    pub fn remembering_from(base: u64) -> ChangeLog {
-        ChangeLog { remembered_from: base, ..ChangeLog::default() }
+    /// An empty log that has no record of changes on bases below `base`.
+    pub fn complete_from(base: u64) -> ChangeLog {
+        ChangeLog { complete_from: base, ..ChangeLog::default() }
     }
 
-    /// What is known of a change.
+    /// Looks a change up by its digest and the version on which it builds.
     pub fn lookup(&self, digest: u128, base: u64) -> ChangeLookup {
         match self.digests.contains(&digest) {
             true => ChangeLookup::Accepted,
-            false if base < self.remembered_from => ChangeLookup::Evicted,
+            false if base < self.complete_from => ChangeLookup::Evicted,
             false => ChangeLookup::Unknown,
         }
     }
 
-    /// A change was taken. The oldest one is forgotten for it where there are too many.
+    /// Records an accepted change. Beyond `MAX_RECORDED_CHANGES` the oldest one is evicted.
     pub fn record(&mut self, digest: u128, base: u64) {
-        self.taken.push_back(AcceptedChange { digest, base });
+        self.accepted.push_back(AcceptedChange { digest, base });
         self.digests.insert(digest);
-        if self.taken.len() > MAX_RECORDED_CHANGES
-            && let Some(oldest) = self.taken.pop_front()
+        if self.accepted.len() > MAX_RECORDED_CHANGES
+            && let Some(oldest) = self.accepted.pop_front()
         {
             self.digests.remove(&oldest.digest);
-            self.remembered_from = oldest.base + 1;
+            self.complete_from = oldest.base + 1;
         }
     }
 }
--- a/crates/control/src/checked_document.rs
+++ b/crates/control/src/checked_document.rs
@@ -1,5 +1,5 @@
-//! A document that keeps all that a configuration has to keep. Of a change only what it touches is read and checked; what
-//! that has to be checked against (places of routes, services that routes name, keys) is kept beside the document.
+//! A valid configuration document. Of a change only the touched items are parsed and checked; what they are checked
+//! against (hosts and prefixes of routes, services that routes name, keys) is indexed beside the document.
 
 use crate::configuration::{Backend, Limits, Rejection, Route, Tenant};
 use crate::document::{Document, Field, Touched};
@@ -16,14 +16,14 @@
 const LIMITS: &str = "limits";
 const VERSION: &str = "version";
 
-/// A document that was checked, with its typed services.
+/// A document that passed all checks, with its parsed services.
 #[derive(Clone, Debug, Default, Serialize, Deserialize)]
 #[serde(into = "Document", try_from = "Map<String, Value>")]
 pub struct CheckedDocument {
     document: Document,
     version: u64,
     backends: Arc<[Backend]>,
-    inventory: Inventory,
+    index: DocumentIndex,
 }
 
 impl From<CheckedDocument> for Document {
@@ -41,14 +41,22 @@
 }
 
 impl CheckedDocument {
-    /// A whole configuration, whose version has to be above another one's.
+    /// Checks a complete configuration.
+    ///
+    /// # Errors
+    ///
+    /// It is invalid, or its version is not greater than `above`.
     pub fn replaced(object: Map<String, Value>, above: u64) -> Result<CheckedDocument, Rejection> {
         let document = Document::from(object);
         let touched = document.all_items();
         CheckedDocument::default().changed(document, &touched, above)
     }
 
-    /// What an update makes of this configuration; its version has to be above another one's.
+    /// Applies an update to this configuration, and checks what it touches.
+    ///
+    /// # Errors
+    ///
+    /// The result is invalid, or its version is not greater than `above`.
     pub fn updated(&self, update: &Value, above: u64) -> Result<CheckedDocument, Rejection> {
         let (document, touched) = self.document.updated(update)?;
         self.changed(document, &touched, above)
@@ -72,36 +80,36 @@
     fn changed(&self, after: Document, touched: &Touched, above: u64) -> Result<CheckedDocument, Rejection> {
         let version = read_version(&after)?;
         check_fields(&after)?;
-        let routes: Items<Route> = Items::read(&self.document, &after, touched, ROUTES)?;
-        let tenants: Items<Tenant> = Items::read(&self.document, &after, touched, TENANTS)?;
-        let backends: Items<Backend> = Items::read(&self.document, &after, touched, BACKENDS)?;
+        let routes: TouchedItems<Route> = TouchedItems::read(&self.document, &after, touched, ROUTES)?;
+        let tenants: TouchedItems<Tenant> = TouchedItems::read(&self.document, &after, touched, TENANTS)?;
+        let backends: TouchedItems<Backend> = TouchedItems::read(&self.document, &after, touched, BACKENDS)?;
         if version <= above {
             let message = format!("version {version} is not above {above}");
             return Err(Rejection::new(ResultCode::VersionNotAbove, message));
         }
-        let mut inventory = self.inventory.clone();
-        routes.removed.iter().for_each(|route| inventory.remove_route(route));
-        tenants.removed.iter().for_each(|tenant| inventory.remove_tenant(tenant));
+        let mut index = self.index.clone();
+        routes.removed.iter().for_each(|route| index.remove_route(route));
+        tenants.removed.iter().for_each(|tenant| index.remove_tenant(tenant));
         let typed_backends: Arc<[Backend]> = match backends.is_untouched() {
             true => self.backends.clone(),
             false => read_list(&after, BACKENDS)?.into(),
         };
-        // As they are read, not as they are written: a name that is a number is read as its text.
+        // By their parsed names: a name that is written as a number is parsed as its text.
         let has_backend = |name: &str| typed_backends.iter().any(|backend| backend.name == name);
         for route in &routes.added {
             check_route(route, has_backend)?;
-            inventory.add_route(route)?;
+            index.add_route(route)?;
         }
         for tenant in &tenants.added {
-            inventory.add_tenant(tenant)?;
+            index.add_tenant(tenant)?;
         }
         for backend in &backends.removed {
-            if !has_backend(&backend.name) && inventory.is_named_by_a_route(&backend.name) {
+            if !has_backend(&backend.name) && index.is_named_by_a_route(&backend.name) {
                 let message = format!("service {}: a route names it still", backend.name);
                 return Err(Rejection::new(ResultCode::UnknownBackend, message));
             }
         }
-        Ok(CheckedDocument { document: after, version, backends: typed_backends, inventory })
+        Ok(CheckedDocument { document: after, version, backends: typed_backends, index })
     }
 }
 
@@ -123,7 +131,7 @@
     version.ok_or_else(|| unreadable("version is missing or no whole number"))
 }
 
-/// Fields of which the form is known have it.
+/// Checks the JSON types of the fields that the system reads.
 fn check_fields(document: &Document) -> Result<(), Rejection> {
     for section in [ROUTES, BACKENDS, TENANTS] {
         if let Some(Field::Plain(_)) = document.field(section) {
@@ -137,22 +145,22 @@
     }
 }
 
-/// What a change does to the items of one section.
-struct Items<T> {
-    /// As they were before.
+/// The items of one section that a change touches.
+struct TouchedItems<T> {
+    /// As they were before the change.
     removed: Vec<T>,
-    /// As they are now. One that was replaced is in both.
+    /// As they are after it. One that is replaced is in both.
     added: Vec<T>,
 }
 
-impl<T: for<'f> Facet<'f>> Items<T> {
+impl<T: for<'f> Facet<'f>> TouchedItems<T> {
     fn read(
         before: &Document,
         after: &Document,
         touched: &Touched,
         section: &str,
-    ) -> Result<Items<T>, Rejection> {
-        let mut items = Items { removed: Vec::new(), added: Vec::new() };
+    ) -> Result<TouchedItems<T>, Rejection> {
+        let mut items = TouchedItems { removed: Vec::new(), added: Vec::new() };
         let first = (section.to_owned(), 0);
         for (_, position) in touched.range(first..).take_while(|(name, _)| name == section) {
             let item_of = |document: &Document| document.list(section)?.get(*position).cloned();
@@ -171,7 +179,7 @@
     }
 }
 
-/// Checks what a route has to keep by itself.
+/// Checks a route by itself.
 fn check_route(route: &Route, has_backend: impl Fn(&str) -> bool) -> Result<(), Rejection> {
     let reject = |code, what: &str| Err(Rejection::new(code, format!("route {}: {what}", route.name)));
     if let Some(backend) = route.named_backends().find(|backend| !has_backend(backend)) {
@@ -194,51 +202,52 @@
     }
 }
 
-/// What items of a document are checked against.
+/// An index of what items are checked against.
 #[derive(Clone, Debug, Default)]
-struct Inventory {
+struct DocumentIndex {
     /// Host, in lower case, and prefix of each route.
-    places: RedBlackTreeSetSync<(String, String)>,
+    route_keys: RedBlackTreeSetSync<(String, String)>,
     /// How often routes name each service.
     named_backends: RedBlackTreeMapSync<String, usize>,
     /// Each key with its tenant, and how often it is listed there.
     keys: RedBlackTreeMapSync<(String, String), usize>,
 }
 
-fn place_of(route: &Route) -> (String, String) {
+/// By what a route is unique: its host, in lower case, and its prefix.
+fn route_key(route: &Route) -> (String, String) {
     (route.hostname.to_ascii_lowercase(), route.path_prefix.clone())
 }
 
-fn count<K: Ord + Clone>(counts: &mut RedBlackTreeMapSync<K, usize>, key: K) {
+fn increment<K: Ord + Clone>(counts: &mut RedBlackTreeMapSync<K, usize>, key: K) {
     let times = counts.get(&key).copied().unwrap_or(0);
     counts.insert_mut(key, times + 1);
 }
 
-fn discount<K: Ord + Clone>(counts: &mut RedBlackTreeMapSync<K, usize>, key: K) {
+fn decrement<K: Ord + Clone>(counts: &mut RedBlackTreeMapSync<K, usize>, key: K) {
     match counts.get(&key).copied() {
         Some(times) if times > 1 => counts.insert_mut(key, times - 1),
         _ => drop(counts.remove_mut(&key)),
     }
 }
 
-impl Inventory {
+impl DocumentIndex {
     fn add_route(&mut self, route: &Route) -> Result<(), Rejection> {
-        let place = place_of(route);
-        if self.places.contains(&place) {
+        let key = route_key(route);
+        if self.route_keys.contains(&key) {
             let message = format!("route {}: host and prefix are another route's as well", route.name);
             return Err(Rejection::new(ResultCode::DuplicateRoute, message));
         }
-        self.places.insert_mut(place);
+        self.route_keys.insert_mut(key);
         for backend in route.named_backends() {
-            count(&mut self.named_backends, backend.to_owned());
+            increment(&mut self.named_backends, backend.to_owned());
         }
         Ok(())
     }
 
     fn remove_route(&mut self, route: &Route) {
-        self.places.remove_mut(&place_of(route));
+        self.route_keys.remove_mut(&route_key(route));
         for backend in route.named_backends() {
-            discount(&mut self.named_backends, backend.to_owned());
+            decrement(&mut self.named_backends, backend.to_owned());
         }
     }
 
@@ -249,19 +258,19 @@
     fn add_tenant(&mut self, tenant: &Tenant) -> Result<(), Rejection> {
         for key in &tenant.api_keys {
             let first = (key.clone(), String::new());
-            let mut holders = self.keys.range(first..).take_while(|((held, _), _)| held == key);
-            if holders.any(|((_, holder), _)| *holder != tenant.name) {
+            let mut owners = self.keys.range(first..).take_while(|((owned, _), _)| owned == key);
+            if owners.any(|((_, owner), _)| *owner != tenant.name) {
                 let message = format!("tenant {}: a key is another tenant's as well", tenant.name);
                 return Err(Rejection::new(ResultCode::SharedKey, message));
             }
-            count(&mut self.keys, (key.clone(), tenant.name.clone()));
+            increment(&mut self.keys, (key.clone(), tenant.name.clone()));
         }
         Ok(())
     }
 
     fn remove_tenant(&mut self, tenant: &Tenant) {
         for key in &tenant.api_keys {
-            discount(&mut self.keys, (key.clone(), tenant.name.clone()));
+            decrement(&mut self.keys, (key.clone(), tenant.name.clone()));
         }
     }
 }
--- a/crates/control/src/configuration.rs
+++ b/crates/control/src/configuration.rs
@@ -1,18 +1,18 @@
-//! The items of the operators' configuration as the system works with them. Unknown keys are left alone.
+//! The items of the operators' configuration, parsed. Unknown keys are ignored.
 
 use crate::result_code::ResultCode;
 use facet::Facet;
 
-/// What a route's requests are.
+/// How a route's requests may be repeated and answered.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Facet)]
 #[repr(u8)]
 #[facet(rename_all = "snake_case")]
 pub enum RouteType {
-    /// May run more than once.
+    /// Idempotent: may run more than once.
     Idempotent,
-    /// May run at most once per try.
+    /// Runs at most once per attempt.
     NonIdempotent,
-    /// Answered by a series of events.
+    /// Answered by a stream of events.
     Streaming,
 }
 
@@ -39,12 +39,12 @@
     /// What its requests are.
     #[facet(rename = "type")]
     pub kind: RouteType,
-    /// The longest time that a request is held, milliseconds.
+    /// The time-out of a request, milliseconds.
     pub timeout_ms: f64,
-    /// The time inside which an answer earns its full worth, milliseconds.
+    /// The latency inside which an answer has its full value, milliseconds.
     #[facet(default)]
     pub target_latency_ms: f64,
-    /// 0 goes first.
+    /// The priority; 0 is the highest.
     #[facet(default)]
     pub priority: i64,
     /// The one service.
@@ -53,19 +53,19 @@
     /// Or several, by weight.
     #[facet(default)]
     pub traffic_split: Vec<Split>,
-    /// Model servers that one try may be sent to.
+    /// Attempts for one request.
     #[facet(default)]
     pub max_attempts: Option<u32>,
-    /// Needs no key.
+    /// Requests need no key.
     #[facet(default)]
     pub public: bool,
-    /// Prompts share parts.
+    /// Prompts share prefixes: requests prefer model servers that have them in their prefix cache.
     #[facet(default)]
     pub session_affinity: bool,
-    /// A stream may be taken up at another model server.
+    /// A broken stream may be resumed at another model server.
     #[facet(default)]
     pub resumable: bool,
-    /// The longest pause between events of an answer in time, milliseconds.
+    /// The longest pause between events of a stream that is on time, milliseconds.
     #[facet(default, rename = "gap_aim_ms")]
     pub target_gap_ms: Option<f64>,
     /// Which version of a model in training answers; left out: whichever the model server holds.
@@ -76,17 +76,17 @@
 impl Route {
     /// The services that its requests may go to.
     pub fn named_backends(&self) -> impl Iterator<Item = &str> {
-        let parts = self.traffic_split.iter().map(|split| split.backend.as_str());
-        parts.chain(self.backend.as_deref())
+        let split = self.traffic_split.iter().map(|split| split.backend.as_str());
+        split.chain(self.backend.as_deref())
     }
 }
 
-/// A service and its part of a route's requests.
+/// A service and its weight among a route's services.
 #[derive(Clone, Debug, Facet)]
 pub struct Split {
     /// The service.
     pub backend: String,
-    /// Its part, relative to the others.
+    /// Its weight, relative to the others.
     pub weight: f64,
 }
 
@@ -115,22 +115,22 @@
     /// Requests that a model server runs at once.
     #[facet(default)]
     pub capacity: f64,
-    /// Tokens that a model server keeps.
+    /// Tokens that fit the KV cache of a model server.
     #[facet(default)]
     pub kv_capacity: f64,
     /// The models.
     #[facet(default)]
     pub models: Vec<Model>,
-    /// Room of a model server for weights and adapters, megabytes.
+    /// Memory of a model server for weights and adapters, megabytes.
     #[facet(default)]
     pub weights_mb: f64,
-    /// Adapters that a model server holds at most.
+    /// Adapters that a model server has loaded at most.
     #[facet(default)]
     pub max_adapters: u32,
     /// Loads that the weight store permits over all model servers.
     #[facet(default)]
     pub loads_per_s: f64,
-    /// Tokens that one event of a stream holds; 0: not told.
+    /// Tokens in one event of a stream; 0: unknown.
     #[facet(default)]
     pub stride: f64,
 }
@@ -174,10 +174,10 @@
     /// Bytes of a request's body.
     #[facet(default)]
     pub max_body_bytes: Option<u64>,
-    /// Until a head is whole.
+    /// Until the request head is complete, milliseconds.
     #[facet(default)]
     pub header_timeout_ms: Option<f64>,
-    /// For how long a connection may rest.
+    /// For how long a connection may be idle, milliseconds.
     #[facet(default)]
     pub idle_timeout_ms: Option<f64>,
 }
@@ -185,17 +185,17 @@
 /// Who may send requests.
 #[derive(Clone, Debug, Facet)]
 pub struct Tenant {
-    /// Its name, which model servers are told.
+    /// Its name, which goes to model servers with each request.
     pub name: String,
     /// Its keys.
     #[facet(default)]
     pub api_keys: Vec<String>,
-    /// Goes before the route's priority.
+    /// Its priority, which counts before the route's; 0 is the highest.
     #[facet(default)]
     pub priority: Option<i64>,
 }
 
-/// Why a document or a change was not taken.
+/// Why a document, a change or a command was rejected.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 #[error("{message}")]
 pub struct Rejection {
--- a/crates/control/src/demand.rs
+++ b/crates/control/src/demand.rs
@@ -1,20 +1,24 @@
-//! What clients ask of each model, from the edges' reports.
+//! Demand of clients by model and adapter, and requests in flight by model server, from the edges' reports.
 
+use crate::decay::decay;
 use crate::directory::Millis;
+use crate::timestamped::Timestamped;
 use pathbank_protocol::message::{EdgeReport, ModelDemand, ModelServerLoad};
 use std::collections::BTreeMap;
 
-/// The memory of the running means, milliseconds.
-const SPAN: f64 = 4_000.0;
-/// The memory of a mean that follows a rise sooner, milliseconds.
-const SHORT_SPAN: f64 = 1_000.0;
-/// The shortest objective that was told holds for so long, milliseconds.
-const OBJECTIVE_HOLDS: Millis = 30_000;
-/// Word that requests wait for a model counts for so long.
-const WAITING_COUNTS: Millis = 1_500;
+/// The time constant of the running means, milliseconds.
+const TIME_CONSTANT_MS: f64 = 4_000.0;
+/// The time constant of the mean that follows a rise sooner, milliseconds.
+const SHORT_TIME_CONSTANT_MS: f64 = 1_000.0;
+/// For how long the shortest reported objective counts.
+const OBJECTIVE_TTL_MS: Millis = 30_000;
+/// For how long a report of waiting requests counts.
+const WAITING_TTL_MS: Millis = 1_500;
 
-/// What an edge said of its requests at model servers counts for so long.
-const LOAD_COUNTS: Millis = 1_500;
+/// For how long an edge's report of its requests in flight counts.
+const LOAD_TTL_MS: Millis = 1_500;
+/// For how long a key without new reports is kept.
+const KEY_RETENTION_MS: Millis = 60_000;
 
 /// A model of a service, or one of its adapters.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
@@ -27,62 +31,64 @@
     pub adapter: String,
 }
 
+/// Sums of one key's demand, which decay from `updated_at` on.
 #[derive(Clone, Debug, Default)]
 struct Demand {
     tokens: f64,
     requests: f64,
-    /// Requests, remembered for a short while.
-    lately: f64,
+    /// The same, with the short time constant.
+    recent_requests: f64,
     prefill_ms: f64,
     slot_time_ms: f64,
-    at: Millis,
-    waiting: f64,
-    waiting_at: Millis,
-    /// When a request came last.
-    asked_at: Millis,
-    objective: Option<(Millis, u32)>,
+    updated_at: Millis,
+    /// Requests that no model server could take.
+    waiting: Timestamped<f64>,
+    /// When the last request was reported; 0: never.
+    last_request_at: Millis,
+    /// The shortest objective, milliseconds.
+    objective_ms: Option<Timestamped<u32>>,
 }
 
 impl Demand {
-    fn fade(&mut self, now: Millis) {
-        let passed = now.saturating_sub(self.at) as f64;
-        let faded = (-passed / SPAN).exp();
+    fn decay(&mut self, now: Millis) {
+        let factor = decay(self.updated_at, now, TIME_CONSTANT_MS);
         for mean in [&mut self.tokens, &mut self.requests, &mut self.prefill_ms, &mut self.slot_time_ms] {
-            *mean *= faded;
+            *mean *= factor;
         }
-        self.lately *= (-passed / SHORT_SPAN).exp();
-        self.at = now;
+        self.recent_requests *= decay(self.updated_at, now, SHORT_TIME_CONSTANT_MS);
+        self.updated_at = now;
     }
 
-    fn record_objective(&mut self, now: Millis, told: u32) {
-        let holds = self.objective.filter(|(at, known)| now < at + OBJECTIVE_HOLDS && *known < told);
-        if told > 0 && holds.is_none() {
-            self.objective = Some((now, told));
+    fn record_objective(&mut self, now: Millis, reported: u32) {
+        let shorter =
+            self.objective_ms.filter(|known| known.is_fresh(now, OBJECTIVE_TTL_MS) && known.value < reported);
+        if reported > 0 && shorter.is_none() {
+            self.objective_ms = Some(Timestamped { at: now, value: reported });
         }
     }
 }
 
-/// Running means of demand by model and adapter, and what is out at each model server.
+/// Running means of demand by model and adapter, and the requests in flight at each model server.
 #[derive(Clone, Debug, Default)]
 pub struct DemandTable {
     by_key: BTreeMap<ModelKey, Demand>,
-    /// What each edge has out at model servers, and when it said so.
-    loads: BTreeMap<String, (Millis, Vec<ModelServerLoad>)>,
-    /// When the first demand was told.
-    since: Option<Millis>,
-    /// How far back the first words of edges reached.
-    remembered: Millis,
+    /// The last report of each edge about its requests at model servers.
+    loads: BTreeMap<String, Timestamped<Vec<ModelServerLoad>>>,
+    /// When the first demand was reported.
+    first_report_at: Option<Millis>,
+    /// How far back the edges' reports reach, milliseconds.
+    reported_span_ms: Millis,
 }
 
 impl DemandTable {
-    /// Takes an edge's report.
+    /// Adds an edge's report.
     pub fn record(&mut self, now: Millis, report: &EdgeReport) {
         if !report.demand.is_empty() {
-            self.since.get_or_insert(now);
-            self.remembered = self.remembered.max(report.demand_span_ms);
+            self.first_report_at.get_or_insert(now);
+            self.reported_span_ms = self.reported_span_ms.max(report.demand_span_ms);
         }
         report.demand.iter().for_each(|demand| self.record_demand(now, demand));
-        self.loads.insert(report.edge.clone(), (now, report.loads.clone()));
+        self.loads.insert(report.edge.clone(), Timestamped { at: now, value: report.loads.clone() });
     }
 
     fn record_demand(&mut self, now: Millis, demand: &ModelDemand) {
@@ -92,85 +98,85 @@
             adapter: demand.adapter.clone(),
         };
         let known = self.by_key.entry(key).or_default();
-        known.fade(now);
+        known.decay(now);
         known.tokens += demand.tokens as f64;
         known.requests += demand.arrived as f64;
-        known.lately += demand.arrived as f64;
+        known.recent_requests += demand.arrived as f64;
         if demand.arrived > 0 {
-            known.asked_at = now;
+            known.last_request_at = now;
         }
         known.prefill_ms += demand.prefill_ms as f64;
         known.slot_time_ms += demand.slot_time_ms as f64;
         known.record_objective(now, demand.objective_ms);
         if demand.waiting > 0 {
-            let still = now < known.waiting_at + WAITING_COUNTS;
-            known.waiting = f64::from(demand.waiting) + if still { known.waiting / 2.0 } else { 0.0 };
-            known.waiting_at = now;
+            let before = known.waiting.fresh(now, WAITING_TTL_MS).map_or(0.0, |before| before / 2.0);
+            known.waiting = Timestamped { at: now, value: f64::from(demand.waiting) + before };
         }
     }
 
-    /// The part of the demand that is not known yet: 1 before the first word, 0 after some time.
+    /// The fraction of the demand that is not known yet: 1 before the first report, near 0 after some time constants.
     pub fn unknown_fraction(&self, now: Millis) -> f64 {
-        let passed = self.since.map_or(0, |since| now.saturating_sub(since));
-        (-(passed as f64) / SPAN).exp()
+        self.first_report_at.map_or(1.0, |first| decay(first, now, TIME_CONSTANT_MS))
     }
 
-    /// The part of the rates that is known, once all edges have said something: what they remembered from
-    /// before the first word counts whole, as if it had just come.
+    /// The fraction of the rates that is known once all edges have reported. What their reports cover of the time before
+    /// counts in full, as if it had just come.
     pub fn known_fraction(&self, now: Millis) -> f64 {
-        let not_remembered = (1.0 - self.remembered as f64 / SPAN).max(0.0);
-        1.0 - self.unknown_fraction(now) * not_remembered
+        let not_covered = (1.0 - self.reported_span_ms as f64 / TIME_CONSTANT_MS).max(0.0);
+        1.0 - self.unknown_fraction(now) * not_covered
     }
 
-    /// Tokens a second asked of a key.
+    /// Tokens a second requested of a key.
     pub fn tokens_per_s(&self, now: Millis, key: &ModelKey) -> f64 {
         self.mean(now, key, |demand| demand.tokens)
     }
 
-    /// Requests a second asked of a key. A rise beyond chance counts sooner than the mean has it.
+    /// Requests a second for a key. A rise that chance does not explain counts before the mean has followed it.
     pub fn requests_per_s(&self, now: Millis, key: &ModelKey) -> f64 {
         let mean = self.mean_requests_per_s(now, key);
         let Some(demand) = self.by_key.get(key) else { return mean };
-        let lately = demand.lately * (-(now.saturating_sub(demand.at) as f64) / SHORT_SPAN).exp();
-        let beyond_chance = (lately - lately.sqrt()).max(0.0) * 1_000.0 / SHORT_SPAN;
+        let recent = demand.recent_requests * decay(demand.updated_at, now, SHORT_TIME_CONSTANT_MS);
+        let beyond_chance = (recent - recent.sqrt()).max(0.0) * 1_000.0 / SHORT_TIME_CONSTANT_MS;
         mean.max(beyond_chance)
     }
 
-    /// The same without what rises beyond the mean.
+    /// The mean of requests a second for a key.
     pub fn mean_requests_per_s(&self, now: Millis, key: &ModelKey) -> f64 {
         self.mean(now, key, |demand| demand.requests)
     }
 
-    /// Time that model servers take a second to read prompts for a key, milliseconds.
-    pub fn read_ms_per_s(&self, now: Millis, key: &ModelKey) -> f64 {
+    /// Prefill time that a key takes of model servers, milliseconds a second.
+    pub fn prefill_ms_per_s(&self, now: Millis, key: &ModelKey) -> f64 {
         self.mean(now, key, |demand| demand.prefill_ms)
     }
 
-    /// Slots that answers to a key take at a time, in milliseconds a second.
+    /// Slot time that answers to a key take of model servers, milliseconds a second.
     pub fn slot_time_ms_per_s(&self, now: Millis, key: &ModelKey) -> f64 {
         self.mean(now, key, |demand| demand.slot_time_ms)
     }
 
-    /// Whether a request for a key came within some time, milliseconds.
+    /// Whether a request for a key was reported within the last `within` milliseconds.
     pub fn requested_within(&self, now: Millis, key: &ModelKey, within: Millis) -> bool {
-        self.by_key.get(key).is_some_and(|demand| demand.asked_at > 0 && now < demand.asked_at + within)
+        self.by_key
+            .get(key)
+            .is_some_and(|demand| demand.last_request_at > 0 && now < demand.last_request_at + within)
     }
 
-    /// The shortest objective of requests for a key, milliseconds; `None`: none was told lately.
+    /// The shortest objective that was reported for a key, milliseconds; `None`: none was.
     pub fn objective_ms(&self, key: &ModelKey) -> Option<u32> {
-        self.by_key.get(key)?.objective.map(|(_, objective)| objective)
+        self.by_key.get(key)?.objective_ms.map(|objective| objective.value)
     }
 
-    fn mean(&self, now: Millis, key: &ModelKey, figure: impl Fn(&Demand) -> f64) -> f64 {
+    fn mean(&self, now: Millis, key: &ModelKey, sum: impl Fn(&Demand) -> f64) -> f64 {
         let Some(demand) = self.by_key.get(key) else { return 0.0 };
-        let faded = (-(now.saturating_sub(demand.at) as f64) / SPAN).exp();
-        figure(demand) * faded * 1_000.0 / SPAN
+        let factor = decay(demand.updated_at, now, TIME_CONSTANT_MS);
+        sum(demand) * factor * 1_000.0 / TIME_CONSTANT_MS
     }
 
-    /// Requests that no model server could take lately.
+    /// Requests for a key that no model server could take, by the latest reports.
     pub fn waiting(&self, now: Millis, key: &ModelKey) -> f64 {
         let demand = self.by_key.get(key);
-        demand.filter(|demand| now < demand.waiting_at + WAITING_COUNTS).map_or(0.0, |demand| demand.waiting)
+        demand.and_then(|demand| demand.waiting.fresh(now, WAITING_TTL_MS)).copied().unwrap_or(0.0)
     }
 
     /// All keys with demand.
@@ -178,18 +184,17 @@
         self.by_key.keys()
     }
 
-    /// Requests out at each model server, from all edges that said so lately.
+    /// Requests in flight at each model server, all edges together.
     pub fn in_flight(&self, now: Millis) -> BTreeMap<String, u32> {
-        let lately = self.loads.values().filter(|(at, _)| now < at + LOAD_COUNTS);
+        let fresh = self.loads.values().filter_map(|loads| loads.fresh(now, LOAD_TTL_MS));
         let mut totals: BTreeMap<String, u32> = BTreeMap::new();
-        for load in lately.flat_map(|(_, loads)| loads) {
+        for load in fresh.flatten() {
             *totals.entry(load.instance.clone()).or_default() += load.in_flight;
         }
         totals
     }
 
-    /// The same, to be told to edges, with the model servers that fail much and the part of requests that
-    /// failed there.
+    /// The requests in flight as they are published to edges, with the fraction of failed requests at each outlier.
     pub fn joint_loads(&self, now: Millis, mut outliers: BTreeMap<String, f64>) -> Vec<ModelServerLoad> {
         let permille = |errors: f64| (errors * 1_000.0) as u16;
         let in_flight = self.in_flight(now).into_iter();
@@ -208,9 +213,9 @@
         loads
     }
 
-    /// Forgets what has faded.
+    /// Removes keys and reports that no longer count.
     pub fn expire(&mut self, now: Millis) {
-        self.by_key.retain(|_, demand| now < demand.at + 60_000);
-        self.loads.retain(|_, (at, _)| now < *at + LOAD_COUNTS);
+        self.by_key.retain(|_, demand| now < demand.updated_at + KEY_RETENTION_MS);
+        self.loads.retain(|_, loads| loads.is_fresh(now, LOAD_TTL_MS));
     }
 }
--- a/crates/control/src/directory.rs
+++ b/crates/control/src/directory.rs
@@ -1,4 +1,4 @@
-//! The model servers that exist, from their heartbeats, as one core knows them.
+//! The list of model servers as one core knows it: from heartbeats, reports and the leader's order status.
 
 use crate::address_index::AddressIndex;
 use pathbank_protocol::message::{LoadedModel, ModelServer, ModelServerState, OrderStatus, WithheldModel};
@@ -7,70 +7,70 @@
 /// Milliseconds of a steady clock that the caller supplies.
 pub type Millis = u64;
 
-/// A model server that says nothing for so many of its heartbeats, and never less than the time below, is
-/// taken for gone.
+/// Heartbeats that a model server may miss before it counts as removed, but never in less than
+/// `MIN_HEARTBEAT_TIMEOUT_MS`.
 const MAX_MISSED_HEARTBEATS: u64 = 5;
 const MIN_HEARTBEAT_TIMEOUT_MS: Millis = 4_000;
-/// A model server that has gone is remembered for so long, so that a late heartbeat does not bring it back.
+/// For how long a removed model server is kept, so that a late heartbeat does not bring it back.
 const REMOVED_RETENTION_MS: Millis = 60_000;
-/// What the leader said of a model server that drops something holds for so long without another word.
+/// For how long the leader's order status counts without being repeated.
 const ORDER_STATUS_TTL_MS: Millis = 8_000;
-/// What a model server says of its models may be as old as this: word of an order's end holds against it for
-/// so long.
+/// A heartbeat may have been written this long before it arrives: one that arrives sooner after an order's end
+/// does not change the list of models.
 const HEARTBEAT_STALENESS_MS: Millis = 600;
-/// An unchanged model server is told to the other cores this often.
+/// The interval at which an unchanged model server is relayed to the other cores.
 const RELAY_INTERVAL_MS: Millis = 2_000;
 
 #[derive(Clone, Debug)]
 struct ServerRecord {
     server: ModelServer,
-    last_seen: Millis,
+    last_seen_at: Millis,
     last_relayed_at: Millis,
-    /// It said itself that it ended.
+    /// It deregistered itself, or another incarnation took its address: no heartbeat brings it back.
     deregistered: bool,
-    /// Ended by the system's own orders; not to be used until an order's end is known.
+    /// What orders have unloaded; not to be used until the order's end is record.
     withheld: Vec<WithheldModel>,
-    /// When the end of an order there was told.
-    order_ended: Option<Millis>,
-    /// Until when that holds; the leader knows the end, the other cores hear of it.
+    /// When `withheld` expires: never at the leader, which learns of the order's end.
     withheld_until: Millis,
+    /// When the end of an order was last reported.
+    order_ended_at: Option<Millis>,
 }
 
-/// The models that the model server at an address has held, and so has on its own disk.
+/// Models whose weights are on the disk of the machine at an address, because a model server there has held them.
 pub type CachedWeights = BTreeMap<String, BTreeSet<String>>;
 
-/// All model servers of which one core knows.
+/// All model servers that one core knows, with what it knows of their machines' disks.
 #[derive(Clone, Debug, Default)]
 pub struct Directory {
     cached_weights: CachedWeights,
-    known: BTreeMap<String, ServerRecord>,
+    records: BTreeMap<String, ServerRecord>,
     addresses: AddressIndex,
     heartbeat_ms: Millis,
 }
 
-/// What a heartbeat changed.
+/// What a heartbeat changed, and who has to be notified.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct HeartbeatOutcome {
-    /// Other incarnations at its address, which are gone by this.
+    /// Other incarnations at its address, which are removed by this.
     pub displaced: Vec<ModelServer>,
-    /// Edges have to know.
+    /// Subscribed edges have to be notified.
     pub changed: bool,
-    /// The other cores have to know, if this core heard it first.
+    /// The other cores have to be notified, by the core that received the heartbeat from the model server itself.
     pub relay: bool,
 }
 
 impl Directory {
-    /// `heartbeat_ms`: how often model servers say something.
+    /// An empty list. `heartbeat_ms` is the interval of the model servers' heartbeats.
     pub fn new(heartbeat_ms: Millis) -> Directory {
         Directory { heartbeat_ms, ..Directory::default() }
     }
 
-    /// The model servers that edges should know, those that have gone among them.
+    /// All model servers as edges should see them, removed ones included.
     pub fn servers(&self) -> impl Iterator<Item = ModelServer> {
-        self.known.values().map(ServerRecord::published)
+        self.records.values().map(ServerRecord::published)
     }
 
-    /// What model servers have held, by address.
+    /// Models on the disks of the machines, by address.
     pub fn cached_weights(&self) -> &CachedWeights {
         &self.cached_weights
     }
@@ -79,8 +79,8 @@
         if models.is_empty() {
             return;
         }
-        let held = self.cached_weights.entry(address.to_owned()).or_default();
-        held.extend(models.iter().map(|model| model.name.clone()));
+        let cached = self.cached_weights.entry(address.to_owned()).or_default();
+        cached.extend(models.iter().map(|model| model.name.clone()));
     }
 
     /// Model servers that take requests.
@@ -88,90 +88,91 @@
         self.servers().filter(|server| server.state == ModelServerState::Ready)
     }
 
-    /// One model server.
+    /// One model server as edges should see it.
     pub fn server(&self, instance: &str) -> Option<ModelServer> {
-        self.known.get(instance).map(ServerRecord::published)
+        self.records.get(instance).map(ServerRecord::published)
     }
 
-    /// The newest version of a model's weights that a model server holds; 0: none does.
+    /// The newest version of a model's weights that is loaded anywhere; 0 where the model is loaded nowhere.
     pub fn newest_version(&self, model: &str) -> u64 {
-        let held = self.known.values().flat_map(|known| &known.server.models);
-        held.filter(|held| held.name == model).map(|held| held.version).max().unwrap_or(0)
+        let loaded = self.records.values().flat_map(|record| &record.server.models);
+        loaded.filter(|loaded| loaded.name == model).map(|loaded| loaded.version).max().unwrap_or(0)
     }
 
-    /// How one model server stands.
+    /// The state of one model server.
     pub fn state(&self, instance: &str) -> Option<ModelServerState> {
-        self.known.get(instance).map(|known| known.server.state)
+        self.records.get(instance).map(|record| record.server.state)
     }
 
-    /// A heartbeat, heard from the model server or from another core.
+    /// Applies a heartbeat that came from the model server itself or was relayed by another core. One that is not
+    /// newer than what is known, or comes after the deregistration, changes nothing.
     pub fn observe_heartbeat(&mut self, now: Millis, server: ModelServer) -> HeartbeatOutcome {
         self.record_cached_weights(&server.address, &server.models);
-        let Some(known) = self.known.get(&server.instance) else { return self.insert_first(now, server) };
-        if server.sequence <= known.server.sequence || known.deregistered {
+        let Some(record) = self.records.get(&server.instance) else { return self.insert_first(now, server) };
+        if server.sequence <= record.server.sequence || record.deregistered {
             return HeartbeatOutcome::default();
         }
-        self.addresses.change(&known.server.address, &server.address, &server.instance);
-        let Some(known) = self.known.get_mut(&server.instance) else { return HeartbeatOutcome::default() };
-        known.last_seen = now;
-        let before = known.published();
-        let draining =
-            known.server.state == ModelServerState::Draining && server.state == ModelServerState::Ready;
-        let is_older = known.order_ended.is_some_and(|ended| now < ended + HEARTBEAT_STALENESS_MS);
-        let models = std::mem::take(&mut known.server.models);
-        known.server = server;
-        if is_older {
-            known.server.models = models;
+        self.addresses.relocate(&record.server.address, &server.address, &server.instance);
+        let Some(record) = self.records.get_mut(&server.instance) else { return HeartbeatOutcome::default() };
+        record.last_seen_at = now;
+        let before = record.published();
+        let was_draining =
+            record.server.state == ModelServerState::Draining && server.state == ModelServerState::Ready;
+        let is_stale = record.order_ended_at.is_some_and(|ended| now < ended + HEARTBEAT_STALENESS_MS);
+        let models = std::mem::take(&mut record.server.models);
+        record.server = server;
+        if is_stale {
+            record.server.models = models;
         }
-        if draining {
-            known.server.state = ModelServerState::Draining;
+        if was_draining {
+            record.server.state = ModelServerState::Draining;
         }
-        known.deregistered = known.server.state == ModelServerState::Removed;
-        let changed = !same_but_sequence(&before, &known.published());
-        let relay = changed || now >= known.last_relayed_at + RELAY_INTERVAL_MS;
+        record.deregistered = record.server.state == ModelServerState::Removed;
+        let changed = !equal_but_for_times(&before, &record.published());
+        let relay = changed || now >= record.last_relayed_at + RELAY_INTERVAL_MS;
         if relay {
-            known.last_relayed_at = now;
+            record.last_relayed_at = now;
         }
         HeartbeatOutcome { displaced: Vec::new(), changed, relay }
     }
 
-    /// The first heartbeat of an instance, which ends any other one at its address.
+    /// Applies the first heartbeat of an instance, which removes any other one at its address.
     fn insert_first(&mut self, now: Millis, server: ModelServer) -> HeartbeatOutcome {
         let displaced = match server.state {
             ModelServerState::Removed => Vec::new(),
             ModelServerState::Ready | ModelServerState::Draining => self.displace(&server.address),
         };
         self.addresses.insert(&server.address, &server.instance);
-        self.known.insert(server.instance.clone(), ServerRecord::new(now, server));
+        self.records.insert(server.instance.clone(), ServerRecord::new(now, server));
         HeartbeatOutcome { displaced, changed: true, relay: true }
     }
 
-    /// Whatever was at that address has ended.
+    /// Removes the instances at an address, and returns those that were not removed before.
     fn displace(&mut self, address: &str) -> Vec<ModelServer> {
         let mut displaced = Vec::new();
         for instance in self.addresses.at(address) {
-            let Some(known) = self.known.get_mut(instance) else { continue };
-            if known.server.state == ModelServerState::Removed {
+            let Some(record) = self.records.get_mut(instance) else { continue };
+            if record.server.state == ModelServerState::Removed {
                 continue;
             }
-            known.server.state = ModelServerState::Removed;
-            known.server.sequence += 1;
-            known.deregistered = true;
-            displaced.push(known.published());
+            record.server.state = ModelServerState::Removed;
+            record.server.sequence += 1;
+            record.deregistered = true;
+            displaced.push(record.published());
         }
         displaced
     }
 
-    /// A model server said that it ends.
+    /// Applies a model server's own deregistration. `None`: it is not known.
     pub fn deregister(&mut self, now: Millis, instance: &str) -> Option<ModelServer> {
-        let known = self.known.get_mut(instance)?;
-        known.server.state = ModelServerState::Removed;
-        known.server.sequence += 1;
-        (known.deregistered, known.last_seen) = (true, now);
-        Some(known.published())
+        let record = self.records.get_mut(instance)?;
+        record.server.state = ModelServerState::Removed;
+        record.server.sequence += 1;
+        (record.deregistered, record.last_seen_at) = (true, now);
+        Some(record.published())
     }
 
-    /// A model server's own report of what it holds, newer than its heartbeats.
+    /// Applies a model server's own report of its loaded models, which is newer than its heartbeats.
     pub fn observe_report(
         &mut self,
         now: Millis,
@@ -179,100 +180,104 @@
         models: Vec<LoadedModel>,
         busy: bool,
     ) -> Option<ModelServer> {
-        let address = self.known.get(instance)?.server.address.clone();
+        let address = self.records.get(instance)?.server.address.clone();
         self.record_cached_weights(&address, &models);
-        let known = self.known.get_mut(instance)?;
-        (known.server.models, known.server.busy, known.order_ended) = (models, busy, Some(now));
-        Some(known.published())
+        let record = self.records.get_mut(instance)?;
+        (record.server.models, record.server.busy, record.order_ended_at) = (models, busy, Some(now));
+        Some(record.published())
     }
 
-    /// An order to unload goes out: nobody is to use the model there any more. An empty adapter means the
-    /// whole model.
+    /// Withholds a model from use before the order to unload it goes out. An empty adapter means the model with all
+    /// its adapters.
     pub fn withhold(&mut self, instance: &str, model: &str, adapter: &str) -> Option<ModelServer> {
-        let known = self.known.get_mut(instance)?;
-        known.withheld.push(WithheldModel { model: model.to_owned(), adapter: adapter.to_owned() });
-        known.withheld_until = Millis::MAX;
-        Some(known.published())
+        let record = self.records.get_mut(instance)?;
+        record.withheld.push(WithheldModel { model: model.to_owned(), adapter: adapter.to_owned() });
+        record.withheld_until = Millis::MAX;
+        Some(record.published())
     }
 
-    /// What the other cores should know of a model server by the leader's orders. `observe_report`: the model
-    /// server just said what it holds.
-    pub fn order_status(&self, instance: &str, observe_report: bool) -> Option<OrderStatus> {
-        let known = self.known.get(instance)?;
+    /// What the leader sends the other cores about its orders at a model server. `with_models`: the model server has
+    /// just reported its loaded models, and they go along.
+    pub fn order_status(&self, instance: &str, with_models: bool) -> Option<OrderStatus> {
+        let record = self.records.get(instance)?;
         Some(OrderStatus {
             instance: instance.to_owned(),
-            withheld: known.withheld.clone(),
-            models: observe_report.then(|| known.server.models.clone()),
-            busy: known.server.busy,
+            withheld: record.withheld.clone(),
+            models: with_models.then(|| record.server.models.clone()),
+            busy: record.server.busy,
         })
     }
 
-    /// Model servers that drop something by this leader's orders.
-    pub fn withheld(&self) -> impl Iterator<Item = &str> {
-        let dropping = self.known.iter().filter(|(_, known)| !known.withheld.is_empty());
-        dropping.map(|(instance, _)| instance.as_str())
+    /// Instances at which an order withholds something.
+    pub fn withholding(&self) -> impl Iterator<Item = &str> {
+        let withholding = self.records.iter().filter(|(_, record)| !record.withheld.is_empty());
+        withholding.map(|(instance, _)| instance.as_str())
     }
 
-    /// The leader told what its orders have made of a model server. Returns the model server, if that is
-    /// news.
-    pub fn apply_order_status(&mut self, now: Millis, order_status: OrderStatus) -> Option<ModelServer> {
-        let known = self.known.get_mut(&order_status.instance)?;
-        let before = known.published();
-        (known.withheld, known.withheld_until) = (order_status.withheld, now + ORDER_STATUS_TTL_MS);
-        if let Some(models) = order_status.models {
-            (known.server.models, known.server.busy, known.order_ended) =
-                (models, order_status.busy, Some(now));
+    /// Applies the leader's order status. Returns the model server if that changed how edges see it.
+    pub fn apply_order_status(&mut self, now: Millis, status: OrderStatus) -> Option<ModelServer> {
+        let record = self.records.get_mut(&status.instance)?;
+        let before = record.published();
+        (record.withheld, record.withheld_until) = (status.withheld, now + ORDER_STATUS_TTL_MS);
+        if let Some(models) = status.models {
+            (record.server.models, record.server.busy, record.order_ended_at) =
+                (models, status.busy, Some(now));
         }
-        let after = known.published();
+        let after = record.published();
         (before != after).then_some(after)
     }
 
-    /// Time has passed: model servers of which the leader said something that holds no more, as they are
-    /// without it.
+    /// Drops order status that has expired, and returns the model servers as they are without it.
     pub fn expire_withheld(&mut self, now: Millis) -> Vec<ModelServer> {
-        let lapsed = |known: &&mut ServerRecord| !known.withheld.is_empty() && now >= known.withheld_until;
-        let release = |known: &mut ServerRecord| {
-            known.withheld.clear();
-            known.published()
+        let has_expired =
+            |record: &&mut ServerRecord| !record.withheld.is_empty() && now >= record.withheld_until;
+        let release = |record: &mut ServerRecord| {
+            record.withheld.clear();
+            record.published()
         };
-        self.known.values_mut().filter(lapsed).map(release).collect()
+        self.records.values_mut().filter(has_expired).map(release).collect()
     }
 
-    /// The end of a model server's order is known.
+    /// Ends what is withheld at a model server, once the end of its order is known.
     pub fn release(&mut self, instance: &str) -> Option<ModelServer> {
-        let known = self.known.get_mut(instance)?;
-        known.withheld.clear();
-        Some(known.published())
+        let record = self.records.get_mut(instance)?;
+        record.withheld.clear();
+        Some(record.published())
     }
 
-    /// This core was cut off: what it did not hear meanwhile says nothing of any model server.
+    /// Restarts all heartbeat time-outs. A core that was partitioned from the others cannot tell which heartbeats it
+    /// missed.
     pub fn reset_timeouts(&mut self, now: Millis) {
-        for known in self.known.values_mut().filter(|known| known.server.state != ModelServerState::Removed) {
-            known.last_seen = now;
+        for record in
+            self.records.values_mut().filter(|record| record.server.state != ModelServerState::Removed)
+        {
+            record.last_seen_at = now;
         }
     }
 
-    /// Time has passed: the model servers that are taken for gone now. Only a core that is in touch with the
-    /// others may say so.
+    /// Removes model servers whose heartbeats have timed out, and returns them. Only a core that is in touch with the
+    /// others may call it.
     pub fn expire(&mut self, now: Millis) -> Vec<ModelServer> {
-        let silence = (MAX_MISSED_HEARTBEATS * self.heartbeat_ms).max(MIN_HEARTBEAT_TIMEOUT_MS);
-        let mut gone = Vec::new();
-        for known in self.known.values_mut() {
-            let silent = now >= known.last_seen + silence && known.server.state != ModelServerState::Removed;
-            if silent {
-                known.server.state = ModelServerState::Removed;
-                gone.push(known.published());
+        let timeout_ms = (MAX_MISSED_HEARTBEATS * self.heartbeat_ms).max(MIN_HEARTBEAT_TIMEOUT_MS);
+        let mut expired = Vec::new();
+        for record in self.records.values_mut() {
+            let timed_out =
+                now >= record.last_seen_at + timeout_ms && record.server.state != ModelServerState::Removed;
+            if timed_out {
+                record.server.state = ModelServerState::Removed;
+                expired.push(record.published());
             }
         }
-        let is_over = |known: &ServerRecord| {
-            known.server.state == ModelServerState::Removed && now >= known.last_seen + REMOVED_RETENTION_MS
+        let is_obsolete = |record: &ServerRecord| {
+            record.server.state == ModelServerState::Removed
+                && now >= record.last_seen_at + REMOVED_RETENTION_MS
         };
-        let forgotten: Vec<(String, ServerRecord)> =
-            self.known.extract_if(.., |_, known| is_over(known)).collect();
-        for (instance, known) in forgotten {
-            self.addresses.remove(&known.server.address, &instance);
+        let obsolete: Vec<(String, ServerRecord)> =
+            self.records.extract_if(.., |_, record| is_obsolete(record)).collect();
+        for (instance, record) in obsolete {
+            self.addresses.remove(&record.server.address, &instance);
         }
-        gone
+        expired
     }
 }
 
@@ -280,16 +285,16 @@
     fn new(now: Millis, server: ModelServer) -> ServerRecord {
         ServerRecord {
             server,
-            last_seen: now,
+            last_seen_at: now,
             last_relayed_at: now,
             deregistered: false,
             withheld: Vec::new(),
             withheld_until: 0,
-            order_ended: None,
+            order_ended_at: None,
         }
     }
 
-    /// The model server as edges should see it.
+    /// The model server as edges should see it: without what is withheld.
     fn published(&self) -> ModelServer {
         let mut server = self.server.clone();
         for WithheldModel { model, adapter } in &self.withheld {
@@ -306,7 +311,8 @@
     }
 }
 
-fn same_but_sequence(one: &ModelServer, other: &ModelServer) -> bool {
+/// Whether two heartbeats say the same but for their order and for times that run down.
+fn equal_but_for_times(one: &ModelServer, other: &ModelServer) -> bool {
     let mut one = one.clone();
     one.sequence = other.sequence;
     one.cold_remaining_ms = other.cold_remaining_ms;
--- a/crates/control/src/document.rs
+++ b/crates/control/src/document.rs
@@ -12,7 +12,7 @@
 use std::collections::BTreeSet;
 use std::sync::Arc;
 
-/// Reads a body as a JSON object.
+/// Parses a body that has to be a JSON object.
 pub fn parse_object(body: &[u8]) -> Result<Value, Rejection> {
     let value: Value = serde_json::from_slice(body).map_err(|error| unreadable(error.to_string()))?;
     match value.is_object() {
@@ -30,7 +30,7 @@
 pub enum Field {
     /// A list, whose items can be changed by name.
     List(ItemList),
-    /// Anything else, changed as a whole.
+    /// Anything else, which is replaced as one value.
     Plain(Arc<Value>),
 }
 
@@ -114,6 +114,7 @@
     }
 
     /// The document as JSON text.
+    #[expect(clippy::expect_used, reason = "a document holds nothing that JSON cannot")]
     pub fn to_json(&self) -> Vec<u8> {
         serde_json::to_vec(self).expect("a document holds nothing that JSON cannot")
     }
@@ -124,7 +125,11 @@
         lists.flat_map(|(name, list)| list.positions().map(|at| (name.clone(), at))).collect()
     }
 
-    /// The document that an update makes of this one, and the items that it touches.
+    /// Applies an update. Returns the resulting document, and the items that the update touched.
+    ///
+    /// # Errors
+    ///
+    /// The update has no version, or its sections have another form than `delete` and `upsert` need.
     pub fn updated(&self, update: &Value) -> Result<(Document, Touched), Rejection> {
         let mut document = self.clone();
         let mut touched = Touched::new();
--- a/crates/control/src/edge_update.rs
+++ b/crates/control/src/edge_update.rs
@@ -1,7 +1,7 @@
-//! What an edge is told of a configuration: a whole one, or what changed.
+//! Parsing of the configuration updates that edges receive: a full configuration, or a difference.
 //!
-//! Thousands of items may come at once, at a head with a tenth of a core that has streams to pass on
-//! meanwhile. So an update is cut into its items first, and these are read a few at a time.
+//! An update may hold thousands of items, and reach an edge with a tenth of a processor core that forwards streams
+//! meanwhile. So an update is split into its items first, and these are parsed a few at a time.
 
 use crate::configuration::{Backend, Limits, Rejection, Route, Tenant};
 use crate::result_code::ResultCode;
@@ -9,7 +9,7 @@
 use serde::Deserialize;
 use serde_json::value::RawValue;
 
-/// Items of one section that came or changed, and the names of those that are gone.
+/// Items of one section that were added or changed, and the names of those that were removed.
 #[derive(Debug)]
 pub struct SectionUpdate<T> {
     /// Items to add, or to put in the place of those with their names.
@@ -24,10 +24,10 @@
     }
 }
 
-/// What makes a configuration of the one before, typed.
+/// A parsed update.
 #[derive(Debug, Default)]
 pub struct EdgeUpdate {
-    /// Nothing of the configuration before stays.
+    /// It is a full configuration, and replaces the one before.
     pub is_full: bool,
     /// The configuration's version.
     pub version: u64,
@@ -41,7 +41,7 @@
     pub limits: Option<Limits>,
 }
 
-/// Items of the sections that edges know, not read yet.
+/// Items of the sections that edges use, not parsed yet.
 #[derive(Default, Deserialize)]
 struct RawSections<'a> {
     #[serde(borrow, default)]
@@ -79,14 +79,18 @@
     delete: RawNames,
 }
 
-/// An update that is being read. It borrows the bytes that came.
+/// An update that is being parsed. It borrows the received bytes.
 pub struct EdgeUpdateReader<'a> {
     sections: RawSections<'a>,
     update: EdgeUpdate,
 }
 
 impl<'a> EdgeUpdateReader<'a> {
-    /// Cuts an update into its items; `is_full`: it is a whole configuration, not a change.
+    /// Splits an update into its items. `is_full`: it is a full configuration, not a difference.
+    ///
+    /// # Errors
+    ///
+    /// The update is no JSON of that form.
     pub fn new(bytes: &'a [u8], is_full: bool) -> Result<EdgeUpdateReader<'a>, Rejection> {
         let (version, sections, delete) = match is_full {
             true => {
@@ -107,23 +111,31 @@
         Ok(EdgeUpdateReader { sections, update })
     }
 
-    /// Reads so many items at most. Returns whether all are read.
-    pub fn read_some(&mut self, most: usize) -> Result<bool, Rejection> {
-        let left = read_section(&mut self.sections.routes, &mut self.update.routes, most)?;
+    /// Parses up to `max` items. Returns whether all items are parsed.
+    ///
+    /// # Errors
+    ///
+    /// An item does not have the form that its section needs.
+    pub fn read_some(&mut self, max: usize) -> Result<bool, Rejection> {
+        let left = read_section(&mut self.sections.routes, &mut self.update.routes, max)?;
         let left = read_section(&mut self.sections.backends, &mut self.update.backends, left)?;
         read_section(&mut self.sections.tenants, &mut self.update.tenants, left)?;
         let sections = &self.sections;
         Ok(sections.routes.is_empty() && sections.backends.is_empty() && sections.tenants.is_empty())
     }
 
-    /// The update, once all its items are read.
+    /// The update, once all its items are parsed.
     pub fn finish(self) -> EdgeUpdate {
         self.update
     }
 }
 
 impl EdgeUpdate {
-    /// Reads an update at once.
+    /// Parses an update at once.
+    ///
+    /// # Errors
+    ///
+    /// The update or one of its items cannot be parsed.
     pub fn read(bytes: &[u8], is_full: bool) -> Result<EdgeUpdate, Rejection> {
         let mut reader = EdgeUpdateReader::new(bytes, is_full)?;
         reader.read_some(usize::MAX)?;
@@ -131,19 +143,18 @@
     }
 }
 
-/// Moves items from the end of the section's list, which saves moving the others. Returns how many more may
-/// be read.
+/// Parses items from the end of the section's list, which saves moving the others. Returns how many more may be parsed.
 fn read_section<T: for<'f> Facet<'f>>(
     raw: &mut Vec<&RawValue>,
     section: &mut SectionUpdate<T>,
-    most: usize,
+    max: usize,
 ) -> Result<usize, Rejection> {
-    let first = raw.len().saturating_sub(most);
+    let first = raw.len().saturating_sub(max);
     let count = raw.len() - first;
     for item in raw.drain(first..) {
         section.upsert.push(read_item(item)?);
     }
-    Ok(most - count)
+    Ok(max - count)
 }
 
 fn read_item<T: for<'f> Facet<'f>>(item: &RawValue) -> Result<T, Rejection> {
--- a/crates/control/src/item_list.rs
+++ b/crates/control/src/item_list.rs
@@ -1,4 +1,4 @@
-//! A list of a document's items, told apart by their names. Versions of a list share the items that they have in common, so
+//! A list of a document's items, addressed by their names. Versions of a list share the items that they have in common, so
 //! that a change costs what it changes, however long the list is.
 
 use rpds::{RedBlackTreeMapSync, RedBlackTreeSetSync};
@@ -74,8 +74,8 @@
 
     /// Puts an item in the place of the first one with its name, or else at the end. Returns its position.
     pub fn upsert(&mut self, item: Value) -> Position {
-        let place = name_of(&item).and_then(|name| self.named(name).next());
-        match place {
+        let existing = name_of(&item).and_then(|name| self.named(name).next());
+        match existing {
             Some(position) => {
                 self.put(position, item);
                 position
--- a/crates/control/src/lib.rs
+++ b/crates/control/src/lib.rs
@@ -1,28 +1,35 @@
 //! What the control plane decides, without I/O, clock or randomness.
 //!
-//! * [`address_index`]: which instances are at which address.
-//! * [`configuration`]: the typed view of the operators' document.
+//! Replicated state:
+//! * [`state`]: the state machine, its commands and snapshots; [`command_outcome`]: the results of commands.
+//! * [`change_log`]: accepted changes, which are recognised when they are sent again.
+//! * [`training`]: training steps with their prompts and generations.
+//!
+//! Configuration:
+//! * [`configuration`]: the parsed items of the operators' document.
+//! * [`document`]: the document, and updates to it; [`item_list`]: its lists; [`document_history`]: the latest ones.
+//! * [`checked_document`]: a valid document, and the checks of a change to it.
+//! * [`edge_document`]: what is sent to edges of a document; [`edge_update`]: how edges parse it.
+//! * [`routes`]: the routing table of an edge.
 //! * [`edge_configurations`]: which edge has which configuration in force.
-//! * [`change_log`]: what is remembered of changes, for those that come again.
-//! * [`document`]: the document itself, and changes to it; [`item_list`]: its lists.
-//! * [`checked_document`]: a document with what its changes are checked against.
-//! * [`document_history`]: the latest documents.
-//! * [`edge_document`]: what an edge is told of a document.
-//! * [`edge_update`]: what an edge is told of a configuration, read bit by bit.
-//! * [`state`]: the replicated state machine: configuration, accepted changes, sealed usage.
-//! * [`pending_changes`]: what is new of model servers and when it is told.
-//! * [`directory`]: the model servers that exist, from their heartbeats.
-//! * [`demand`]: what clients ask of each model, from the edges' reports.
-//! * [`admission`]: at which model server a prompt is read next, and when, over all heads.
-//! * [`autoscaling`]: how many model servers of a service run in each zone.
-//! * [`estimate`]: running estimates of what is seen of model servers.
-//! * [`order_progress`]: what became of an order, and how long orders take.
-//! * [`operator_calls`]: what an operator's call gets, by how the head that was called stands.
-//! * [`outliers`]: which model servers fail more than others, by what all heads saw.
+//! * [`operator_calls`]: how a core answers an operator's call; [`result_code`]: the numbered results.
+//!
+//! Model servers:
+//! * [`directory`]: the list of model servers; [`address_index`]: their instances by address.
+//! * [`pending_changes`]: changes of model servers that wait for their publication.
+//! * [`outliers`]: model servers that fail much more than the others.
+//!
+//! Decisions of the leader:
+//! * [`demand`]: demand by model and adapter, from the edges' reports.
 //! * [`placement`]: which model server is ordered to load or unload what.
-//! * [`training`]: training steps as part of the replicated state, with their prompts and generations.
+//! * [`order`]: orders; [`order_progress`]: what a report says of an order; [`order_durations`]: how long orders take.
+//! * [`admission`]: which model server reads a prompt next, and when, over all edges.
+//! * [`autoscaling`]: how many model servers of a service run in each zone.
 //! * [`usage`]: requests begun, by tenant and window.
-//! * [`result_code`]: the numbered results that callers get.
+//!
+//! Shared with the edges:
+//! * [`estimate`]: running estimates with priors; [`decay`]: exponential decay; [`timestamped`]: values that expire.
+//! * [`urgency`]: priorities of requests, and the slots that are reserved for urgent ones.
 
 pub mod address_index;
 pub mod admission;
@@ -31,6 +38,7 @@
 pub mod checked_document;
 pub mod command_outcome;
 pub mod configuration;
+pub mod decay;
 pub mod demand;
 pub mod directory;
 pub mod document;
@@ -50,6 +58,7 @@
 pub mod result_code;
 pub mod routes;
 pub mod state;
+pub mod timestamped;
 pub mod training;
 pub mod urgency;
 pub mod usage;
--- a/crates/control/src/operator_calls.rs
+++ b/crates/control/src/operator_calls.rs
@@ -1,9 +1,9 @@
-//! What an operator's call gets at a head, by how the head stands in the group.
+//! How a core answers an operator's call, by its role in the replication group.
 //!
-//! Whatever is answered from the state (a refusal, an acknowledgement of what was taken before, a read) is
-//! answered within the leader's lease only: no other head can have changed the state meanwhile. A change is
-//! acknowledged once its entry is committed, with what the state machine made of it. All else is turned away,
-//! with nothing decided.
+//! Whatever is answered from the state (a rejection, the acknowledgement of a change that was accepted before, a read) is
+//! answered within the leader's lease only: no other core can have changed the state meanwhile. A change is acknowledged
+//! once its entry is committed, with the outcome from the state machine. All other calls are redirected or rejected
+//! undecided.
 
 use crate::command_outcome::CommandOutcome;
 use crate::configuration::Rejection;
@@ -12,27 +12,27 @@
 use pathbank_coordination::replica::Replica;
 use pathbank_coordination::types::Millis;
 
-/// A head that has heard no leader for so long does not know what is newest, milliseconds.
+/// A core that has not heard from a leader for this long does not know which state is newest, milliseconds.
 pub const LEADER_TIMEOUT_MS: Millis = 1_500;
 
-/// What a call to the control plane gets.
+/// The answer to a call.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Reply {
     /// A JSON body.
     Json(Vec<u8>),
-    /// A numbered result and its reason.
+    /// A result code and its reason.
     Result(ResultCode, String),
-    /// Another head leads, with its control plane at this address.
+    /// Another core is the leader, and takes calls at this address.
     LeaderAt(String),
 }
 
 impl Reply {
-    /// The call may have been carried out or not: whoever made it makes it again.
+    /// The change may have taken effect or not: the caller has to send it again.
     pub fn unclear() -> Reply {
         Reply::Result(ResultCode::Unclear, "another leader may have decided otherwise".into())
     }
 
-    /// What came of a committed command.
+    /// The answer to a call whose command is committed, by its outcome.
     pub fn from_outcome(result: &Result<CommandOutcome, Rejection>) -> Reply {
         match result {
             Ok(CommandOutcome::Applied | CommandOutcome::AlreadyApplied) => {
@@ -47,27 +47,27 @@
     }
 }
 
-/// How a head stands in the group.
+/// The role of a core in the replication group.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum LeadershipStatus {
-    /// It leads, and has applied all that was committed before.
+    /// It is the leader, and has applied all entries that were committed before its term.
     Leader {
-        /// Nobody else can lead at this moment.
+        /// Its lease holds: no other core can be the leader now.
         lease_valid: bool,
     },
-    /// Another head was heard to lead a moment ago, with its control plane at this address.
+    /// Another core led within `LEADER_TIMEOUT_MS`, and takes calls at this address.
     Follower(String),
-    /// It knows of no leader.
+    /// No leader is known.
     NoLeader,
 }
 
 impl LeadershipStatus {
-    /// How the head of a replica stands.
+    /// The role of the core that runs this replica.
     pub fn of(replica: &Replica, now: Millis) -> LeadershipStatus {
         if replica.is_established_leader() {
             return LeadershipStatus::Leader { lease_valid: replica.lease_until() > now };
         }
-        // A leader that fell silent may lead no longer: its callers would be sent back and forth.
+        // Callers redirected to a leader that has timed out could be sent back and forth.
         let leader = replica.leader_within(now, LEADER_TIMEOUT_MS);
         match leader.filter(|leader| leader.id != replica.me().id) {
             Some(leader) => LeadershipStatus::Follower(leader.control_address.clone()),
@@ -75,7 +75,7 @@
         }
     }
 
-    /// What a call for the leader gets at a head that does not lead; `None`: it leads.
+    /// The answer to a call that only the leader takes; `None`: this core is the leader.
     pub fn redirect(&self) -> Option<Reply> {
         match self {
             LeadershipStatus::Leader { .. } => None,
@@ -91,21 +91,26 @@
     }
 }
 
-/// Whether a change is to be proposed; otherwise what it gets at once.
+/// Whether a change is to be proposed.
+///
+/// # Errors
+///
+/// The answer, where the change is not to be proposed: a redirection, a rejection, or the acknowledgement of a change
+/// that was accepted before.
 pub fn check_change(state: &ControlState, status: &LeadershipStatus, change: &Change) -> Result<(), Reply> {
     if let Some(reply) = status.redirect() {
         return Err(reply);
     }
     match state.evaluate(change) {
         Ok(ChangeEvaluation::Applicable { .. }) => Ok(()),
-        // What stands may have been changed by a later leader.
+        // A later leader may have changed the state.
         _ if !status.lease_valid() => Err(Reply::unclear()),
         Ok(ChangeEvaluation::AlreadyApplied) => Err(Reply::from_outcome(&Ok(CommandOutcome::AlreadyApplied))),
         Err(rejection) => Err(Reply::from_outcome(&Err(rejection))),
     }
 }
 
-/// What a read of the configuration gets.
+/// The answer to a read of the configuration.
 pub fn read_configuration(state: &ControlState, status: &LeadershipStatus) -> Reply {
     if let Some(reply) = status.redirect() {
         return reply;
--- a/crates/control/src/pending_changes.rs
+++ b/crates/control/src/pending_changes.rs
@@ -1,24 +1,24 @@
-//! What is new of model servers and waits to be told, and when it is due.
+//! Changes of model servers that are collected before they are published, and when that is.
 
 use crate::directory::Millis;
 use std::collections::BTreeSet;
 
-/// That model servers leave is told at once, but no more often than this: where many leave, what came
-/// meanwhile goes together.
+/// The least time between two publications of model servers that became unavailable: where many do, they are
+/// published in batches.
 const MIN_UNAVAILABLE_INTERVAL_MS: Millis = 25;
 
-/// Instances of which something is to be told.
+/// Instances whose changes are to be published.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct ServerChanges {
-    /// They take no new work: for all edges.
+    /// They take no new work: published to all edges.
     pub unavailable: BTreeSet<String>,
-    /// Otherwise changed: for edges that listen to this core.
+    /// Otherwise changed: published to the edges that subscribe to this core.
     pub changed: BTreeSet<String>,
-    /// Heard here first: for the other cores.
+    /// Their heartbeats came to this core: relayed to the other cores.
     pub relayed: BTreeSet<String>,
 }
 
-/// News of model servers that waits.
+/// Collects changes of model servers until they are published.
 #[derive(Clone, Debug, Default)]
 pub struct PendingChanges {
     pending: ServerChanges,
@@ -26,7 +26,7 @@
 }
 
 impl PendingChanges {
-    /// A model server takes no new work any more.
+    /// A model server takes no new work any more, which goes before its other changes.
     pub fn record_unavailable(&mut self, instance: String) {
         self.pending.changed.remove(&instance);
         self.pending.unavailable.insert(instance);
@@ -39,19 +39,19 @@
         }
     }
 
-    /// The other cores have to hear of a model server.
+    /// A model server has to be relayed to the other cores.
     pub fn record_relayed(&mut self, instance: String) {
         self.pending.relayed.insert(instance);
     }
 
-    /// All that waits, if some of it cannot wait for others.
+    /// All pending changes, if a model server became unavailable and no such change was published lately.
     pub fn take_urgent(&mut self, now: Millis) -> Option<ServerChanges> {
         let sent_recently =
             self.unavailable_sent_at.is_some_and(|sent_at| now < sent_at + MIN_UNAVAILABLE_INTERVAL_MS);
         (!self.pending.unavailable.is_empty() && !sent_recently).then(|| self.take(now))
     }
 
-    /// All that waits.
+    /// All pending changes.
     pub fn take(&mut self, now: Millis) -> ServerChanges {
         if !self.pending.unavailable.is_empty() {
             self.unavailable_sent_at = Some(now);
--- a/crates/control/src/placement/worth.rs
+++ b/crates/control/src/placement/worth.rs
@@ -42,7 +42,7 @@
     /// above 1: it would need more.
     fn demand_on_one(&self, model: &str) -> f64 {
         let load = self.model_loads.get(model).copied().unwrap_or_default();
-        let reading = load.read_ms_per_s / 1_000.0;
+        let reading = load.prefill_ms_per_s / 1_000.0;
         let slots = load.slot_time_ms_per_s / 1_000.0 / self.capacity;
         reading.max(SLOTS_HARM * slots)
     }
@@ -105,7 +105,7 @@
 #[derive(Clone, Copy, Debug, Default)]
 pub(super) struct ModelLoad {
     /// Time that model servers take to read prompts, milliseconds a second.
-    read_ms_per_s: f64,
+    prefill_ms_per_s: f64,
     /// Slots taken, in milliseconds a second.
     slot_time_ms_per_s: f64,
 }
@@ -116,7 +116,7 @@
         let told = plan.demand.mean_requests_per_s(plan.now, key);
         if told > 0.0 {
             let rise = requests_per_s / told;
-            self.read_ms_per_s += rise * plan.demand.read_ms_per_s(plan.now, key);
+            self.prefill_ms_per_s += rise * plan.demand.prefill_ms_per_s(plan.now, key);
             self.slot_time_ms_per_s += rise * plan.demand.slot_time_ms_per_s(plan.now, key);
         }
     }
--- a/crates/control/src/routes.rs
+++ b/crates/control/src/routes.rs
@@ -1,15 +1,15 @@
-//! A configuration made ready for looking requests up.
+//! The routing table of an edge: a configuration indexed for the requests that come.
 
 use crate::configuration::{Backend, Limits, Route, Tenant};
 use crate::edge_update::{EdgeUpdate, SectionUpdate};
 use rpds::HashTrieMapSync;
 use std::sync::Arc;
 
-/// Routes by host and prefix, keys by tenant. What did not change is shared with the tables of earlier
-/// configurations, so that an update costs what it brings.
+/// Routes by host and prefix, tenants by key. What did not change is shared with the tables of earlier configurations,
+/// so that an update costs what it brings.
 #[derive(Clone, Debug, Default)]
 pub struct RouteTable {
-    /// The log's entry that brought this configuration.
+    /// The index of the log entry that brought this configuration.
     pub index: u64,
     /// The configuration's version.
     pub version: u64,
@@ -26,26 +26,26 @@
 /// Items by name, which several may share.
 type ByName<T> = HashTrieMapSync<Arc<str>, Vec<Arc<T>>>;
 
-fn push<T>(items: &mut ByName<T>, name: Arc<str>, item: Arc<T>) {
+fn add_named<T>(items: &mut ByName<T>, name: Arc<str>, item: Arc<T>) {
     let mut of_name = items.get(&name).cloned().unwrap_or_default();
     of_name.push(item);
     items.insert_mut(name, of_name);
 }
 
-fn take<T>(items: &mut ByName<T>, name: &str) -> Vec<Arc<T>> {
+fn take_named<T>(items: &mut ByName<T>, name: &str) -> Vec<Arc<T>> {
     let of_name = items.get(name).cloned().unwrap_or_default();
     items.remove_mut(name);
     of_name
 }
 
 impl RouteTable {
-    /// Whether an update leads on from this table: it is newer, and whole or one of what stands here. Nothing
-    /// leads back.
+    /// Whether an update may be applied to this table: it is newer, and either full (`base_index` 0) or a difference to
+    /// this configuration. Nothing leads back to an older configuration.
     pub fn accepts(&self, index: u64, base_index: u64) -> bool {
         index > self.index && (base_index == 0 || base_index == self.index)
     }
 
-    /// The table that an update makes of this one. `index`: the log's entry that brought it.
+    /// This table with an update applied, which the log entry `index` brought.
     pub fn with_update(&self, index: u64, update: EdgeUpdate) -> RouteTable {
         let mut table = if update.is_full { RouteTable::default() } else { self.clone() };
         (table.index, table.version) = (index, update.version);
@@ -65,7 +65,7 @@
     fn change_routes(&mut self, update: SectionUpdate<Route>) {
         let SectionUpdate { upsert, delete } = update;
         delete.iter().for_each(|name| self.remove_routes(name));
-        // Two routes may have changed places: all go before any comes.
+        // Two routes may have swapped prefixes: all are removed before any is added.
         upsert.iter().for_each(|route| self.remove_routes(&route.name));
         for route in upsert {
             let host: Arc<str> = route.hostname.to_ascii_lowercase().into();
@@ -73,12 +73,12 @@
             let route = Arc::new(route);
             let of_host = self.by_host.get(&host).cloned().unwrap_or_default();
             self.by_host.insert_mut(host, of_host.insert(prefix, route.clone()));
-            push(&mut self.routes, name, route);
+            add_named(&mut self.routes, name, route);
         }
     }
 
     fn remove_routes(&mut self, name: &str) {
-        for route in take(&mut self.routes, name) {
+        for route in take_named(&mut self.routes, name) {
             let host = route.hostname.to_ascii_lowercase();
             if let Some(of_host) = self.by_host.get(host.as_str()) {
                 let left = of_host.remove(route.path_prefix.as_str());
@@ -90,19 +90,19 @@
     fn change_tenants(&mut self, update: SectionUpdate<Tenant>) {
         let SectionUpdate { upsert, delete } = update;
         delete.iter().for_each(|name| self.remove_tenants(name));
-        // A key may have gone from one tenant to another.
+        // A key may have moved from one tenant to another.
         upsert.iter().for_each(|tenant| self.remove_tenants(&tenant.name));
         for tenant in upsert {
             let tenant = Arc::new(tenant);
             for key in &tenant.api_keys {
                 self.by_key.insert_mut(Arc::from(key.as_str()), tenant.clone());
             }
-            push(&mut self.tenants, Arc::from(tenant.name.as_str()), tenant);
+            add_named(&mut self.tenants, Arc::from(tenant.name.as_str()), tenant);
         }
     }
 
     fn remove_tenants(&mut self, name: &str) {
-        for key in take(&mut self.tenants, name).iter().flat_map(|tenant| &tenant.api_keys) {
+        for key in take_named(&mut self.tenants, name).iter().flat_map(|tenant| &tenant.api_keys) {
             self.by_key.remove_mut(key.as_str());
         }
     }
@@ -116,7 +116,7 @@
         ends.filter_map(|end| of_host.get(&path[..end])).next()
     }
 
-    /// The tenant that holds a key.
+    /// The tenant to which a key belongs.
     pub fn tenant(&self, key: &str) -> Option<&Arc<Tenant>> {
         self.by_key.get(key)
     }
--- a/crates/control/src/state.rs
+++ b/crates/control/src/state.rs
@@ -1,5 +1,5 @@
-//! The replicated state machine. Every replica applies the same commands in the same order and comes to the
-//! same state.
+//! The replicated state machine: configuration, accepted changes, sealed usage, training steps. All replicas apply the
+//! same commands in the same order and come to the same state.
 
 use crate::change_log::{ChangeLog, ChangeLookup};
 use crate::checked_document::CheckedDocument;
@@ -20,7 +20,7 @@
 /// How an operator changes the configuration.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum ChangeKind {
-    /// The body is a whole configuration.
+    /// The body is a complete configuration.
     Replace,
     /// The body names items to add, replace or remove.
     Update,
@@ -37,30 +37,34 @@
     pub body: String,
 }
 
-/// What the log's commands are. A command whose meaning changes becomes another kind, which is proposed only
-/// once all members of the group know it: a replica that does not know a command stops.
+/// A command of the replicated log. One whose meaning changes becomes another variant, which is proposed only once all
+/// members of the group can decode it: a replica that cannot decode a command stops.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Command {
     /// An operator's change.
     Change(Change),
-    /// The usage of a window, as it is to be reported, word for word.
+    /// The usage of a window becomes final, exactly as it is reported to the platform.
     SealUsage {
         /// The window's number.
         window: u64,
-        /// Requests by tenant.
+        /// Requests begun, by tenant.
         counts: BTreeMap<String, u64>,
     },
-    /// About a training step.
+    /// A command of a training step.
     Training(TrainingCommand),
 }
 
 impl Command {
-    /// As it lies in the log.
+    /// The bytes of its log entry, which are JSON.
     pub fn encode(&self) -> Vec<u8> {
         serde_json::to_vec(self).unwrap_or_default()
     }
 
-    /// From the log.
+    /// Decodes the bytes of a log entry.
+    ///
+    /// # Errors
+    ///
+    /// `StateError::UnknownCommand`: a newer program wrote it, or it is damaged.
     pub fn decode(bytes: &[u8]) -> Result<Command, StateError> {
         serde_json::from_slice(bytes).map_err(StateError::UnknownCommand)
     }
@@ -69,52 +73,52 @@
 /// The format of snapshots that this program writes.
 const SNAPSHOT_FORMAT: u32 = 2;
 
-/// Why a replica cannot go on: what it would come to is not what the others come to.
+/// Why a replica cannot go on: its state would differ from that of the others.
 #[derive(Debug, thiserror::Error)]
 pub enum StateError {
     /// A snapshot does not decode.
     #[error("the snapshot cannot be read: {0}")]
     UnreadableSnapshot(serde_json::Error),
-    /// A snapshot is of a newer program.
+    /// A snapshot was written by a newer program.
     #[error("the snapshot has format {0}, and this program knows formats up to {SNAPSHOT_FORMAT}")]
     UnknownFormat(u32),
-    /// A command does not decode: another program wrote it.
+    /// A command does not decode: a newer program wrote it.
     #[error("a command of the log cannot be read: {0}")]
     UnknownCommand(serde_json::Error),
 }
 
-/// What comes of a change on a state.
+/// What applying a change to a state would do.
 #[derive(Clone, Debug)]
 pub enum ChangeEvaluation {
-    /// It is in force once it is committed: the document, and the change's digest.
+    /// It will be in force once it is committed.
     Applicable {
-        /// The document that it makes.
+        /// The document that results.
         document: CheckedDocument,
-        /// What it is known by if it comes again.
+        /// By which it is recognised if it is sent again.
         digest: u128,
     },
-    /// It was taken before.
+    /// It was accepted before, and changes nothing.
     AlreadyApplied,
 }
 
 /// The replicated state.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct ControlState {
-    /// The format of the snapshot; one without is of the first program.
+    /// The format of the snapshot; one without it is of format 1.
     #[serde(default)]
     format: u32,
     /// The document in force.
     document: Option<CheckedDocument>,
-    /// The log's entry that brought it.
+    /// The index of the log entry that brought it.
     index: u64,
     version: u64,
-    /// The first format had digests of another kind in its place.
+    /// Format 1 had digests of another kind in its place.
     #[serde(default)]
     changes: ChangeLog,
     sealed: BTreeMap<u64, BTreeMap<String, u64>>,
     /// The highest window that was ever sealed.
     last_sealed: u64,
-    /// Training steps; a snapshot of an earlier program has none.
+    /// A snapshot of an earlier program has none.
     #[serde(default)]
     training: TrainingState,
 }
@@ -135,7 +139,11 @@
 }
 
 impl ControlState {
-    /// The state of a snapshot; without bytes the one before the first command.
+    /// The state of a snapshot; without bytes the state before the first command.
+    ///
+    /// # Errors
+    ///
+    /// The snapshot cannot be decoded, or a newer program wrote it.
     pub fn decode(bytes: &[u8]) -> Result<ControlState, StateError> {
         if bytes.is_empty() {
             return Ok(ControlState::default());
@@ -147,17 +155,18 @@
         }
         if state.format < SNAPSHOT_FORMAT {
             state.format = SNAPSHOT_FORMAT;
-            state.changes = ChangeLog::remembering_from(state.version);
+            state.changes = ChangeLog::complete_from(state.version);
         }
         Ok(state)
     }
 
-    /// For a snapshot.
+    /// The bytes of a snapshot, which are JSON.
+    #[expect(clippy::expect_used, reason = "the state holds nothing that JSON cannot")]
     pub fn encode(&self) -> Vec<u8> {
         serde_json::to_vec(self).expect("the state holds nothing that JSON cannot")
     }
 
-    /// The document in force, and the entry that brought it.
+    /// The document in force, and the index of the log entry that brought it.
     pub fn document(&self) -> Option<(&Document, u64)> {
         self.document.as_ref().map(|checked| (checked.document(), self.index))
     }
@@ -187,7 +196,12 @@
         &self.training
     }
 
-    /// What would come of a change on this state, without making it.
+    /// Checks what a change would do to this state, without applying it.
+    ///
+    /// # Errors
+    ///
+    /// The change is invalid, does not build on the current version, or is too old to tell whether it was accepted
+    /// before.
     pub fn evaluate(&self, change: &Change) -> Result<ChangeEvaluation, Rejection> {
         let body = document::parse_object(change.body.as_bytes())?;
         let digest = digest_of(change, &body);
@@ -213,7 +227,11 @@
         Ok(ChangeEvaluation::Applicable { document, digest })
     }
 
-    /// The one function that changes the state: applies the command of the entry `index`.
+    /// Applies the command of the log entry `index`. Nothing else changes the state.
+    ///
+    /// # Errors
+    ///
+    /// The command is rejected, and changes nothing.
     pub fn apply(&mut self, index: u64, command: &Command) -> Result<CommandOutcome, Rejection> {
         match command {
             Command::Change(change) => self.apply_change(index, change),
@@ -242,7 +260,7 @@
     }
 }
 
-/// What makes a change the same change: its kind, its base and its content, whatever the spacing.
+/// The identity of a change: its kind, its base and its content regardless of white space.
 fn digest_of(change: &Change, body: &Value) -> u128 {
     let kind: &[u8] = match change.kind {
         ChangeKind::Replace => b"replace",
--- a/crates/control/tests/directory.rs
+++ b/crates/control/tests/directory.rs
@@ -225,7 +225,7 @@
         .for_each(|directory| drop(directory.observe_heartbeat(0, server(1, &["m"]))));
     leader.withhold("i-1", "m", "");
     other.apply_order_status(10, news(&leader, "i-1", false));
-    assert_eq!(leader.withheld().collect::<Vec<_>>(), ["i-1"]);
+    assert_eq!(leader.withholding().collect::<Vec<_>>(), ["i-1"]);
     assert!(other.expire_withheld(8_009).is_empty());
     assert_eq!(other.expire_withheld(8_010).len(), 1);
     assert_eq!(other.server("i-1").unwrap().models.len(), 1);
--- a/crates/router/src/model_servers.rs
+++ b/crates/router/src/model_servers.rs
@@ -281,7 +281,7 @@
                 _ if server.state == ModelServerState::Removed => self.forget(now, server),
                 Some(known) if server.sequence < known.server.sequence => known.unlisted_since = None,
                 Some(known) => {
-                    self.addresses.change(&known.server.address, &server.address, &instance);
+                    self.addresses.relocate(&known.server.address, &server.address, &instance);
                     known.update(now, server);
                 }
                 None => {
--- a/crates/system/src/core/model_servers.rs
+++ b/crates/system/src/core/model_servers.rs
@@ -221,7 +221,7 @@
 
     /// The other cores keep an order status for a while only: repeats those that still hold.
     pub fn repeat_order_statuses(&self, links: &PeerLinks) {
-        let withheld = self.directory.withheld();
+        let withheld = self.directory.withholding();
         for status in withheld.filter_map(|instance| self.directory.order_status(instance, false)) {
             links.send_to_cores(&Frame::OrderStatus(status));
         }
