--- a/src/rehearsal/daily_cases.rs
+++ b/src/rehearsal/daily_cases.rs
@@ -555,13 +555,17 @@
     come_to(scene.head.ops()?, &[("in_progress", 0)])
 }
 
-fn http_forms(program: &Path) -> Outcome {
-    let scene = scene(program, Setup::default())?;
-    let target = "/api/00000003b4d60021/7f3a9c21e0b4d655";
-    let fields = "Host: app.svc\r\nX-Priority-Class: token-read\r\nX-Storage-Class: starter\r\n\
-        X-Timeout-Ms: 3600000\r\nX-Extent: , units=1,,shard=0,hosts=1,\r\n";
-    // RFC 9110 and 9112 by section; status 0: closed without an answer.
-    for (section, first, more, body, status) in [
+/// A form of request that RFC 9110 and 9112 allow or forbid, and the status that it gets; 0: closed without an answer.
+struct HttpForm {
+    section: &'static str,
+    first_line: String,
+    more_fields: &'static str,
+    body: &'static str,
+    status: u16,
+}
+
+fn http_form_table(target: &str) -> Vec<HttpForm> {
+    let rows = [
         ("9112 3.2.1", format!("GET {target} HTTP/1.1"), "", "", 200),
         ("9112 3.2.2", format!("GET http://app.svc{target} HTTP/1.1"), "", "", 200),
         ("9112 2.3", format!("GET {target} HTTP/1.0"), "", "", 200),
@@ -625,29 +629,49 @@
         ),
         ("9112 2.5", format!("GET {target} HTTP/9.9"), "", "", 400),
         ("9112 3", "nonsense".to_string(), "", "", 400),
-    ] {
-        let mut client = HttpClient::connect(scene.head.http)?;
-        static SERIAL: AtomicU64 = AtomicU64::new(0);
-        let id = SERIAL.fetch_add(1, Ordering::Relaxed);
-        let request = format!("{first}\r\n{fields}X-Request-ID: form-{id}\r\n{more}\r\n{body}");
-        // Cut anywhere, it is the same request. One that is refused may be so before its end: written in one, no piece of
-        // it crosses the close.
-        let piece = if status < 400 { 37 } else { request.len() };
-        for piece in request.as_bytes().chunks(piece) {
-            client.stream.write_all(piece)?;
-        }
-        let mut begins = [0; 12];
-        client
-            .stream
-            .read_exact(&mut begins)
-            .map_err(|error| Failure::Unmet(format!("{section}: {error}")))?;
-        let begins = String::from_utf8_lossy(&begins).into_owned();
-        check(begins.ends_with(&status.to_string()), format!("{section}: wanted {status}, got {begins}"))?;
-        if status == 100 {
-            client.stream.read_exact(&mut [0; 13])?; // " Continue", and two ends of lines
-            client.stream.write_all(b"body")?;
-            expect(client.receive()?.0, 200, "after 100 Continue")?;
-        }
+    ];
+    let form = |(section, first_line, more_fields, body, status)| HttpForm {
+        section,
+        first_line,
+        more_fields,
+        body,
+        status,
+    };
+    rows.into_iter().map(form).collect()
+}
+
+fn check_http_form(http: SocketAddr, fields: &str, form: &HttpForm) -> Outcome {
+    // No id is used twice in this process, whichever proxy it is sent to.
+    static SERIAL: AtomicU64 = AtomicU64::new(0);
+    let number = SERIAL.fetch_add(1, Ordering::Relaxed);
+    let HttpForm { section, first_line, more_fields, body, status } = form;
+    let mut client = HttpClient::connect(http)?;
+    let request = format!("{first_line}\r\n{fields}X-Request-ID: form-{number}\r\n{more_fields}\r\n{body}");
+    // Cut anywhere, it is the same request. One that is refused may be so before its end: written in one, no piece of
+    // it crosses the close.
+    let piece = if *status < 400 { 37 } else { request.len() };
+    for piece in request.as_bytes().chunks(piece) {
+        client.stream.write_all(piece)?;
+    }
+    let mut begins = [0; 12];
+    client.stream.read_exact(&mut begins).map_err(|error| Failure::Unmet(format!("{section}: {error}")))?;
+    let begins = String::from_utf8_lossy(&begins).into_owned();
+    check(begins.ends_with(&status.to_string()), format!("{section}: wanted {status}, got {begins}"))?;
+    if *status == 100 {
+        client.stream.read_exact(&mut [0; 13])?; // " Continue", and two ends of lines
+        client.stream.write_all(b"body")?;
+        expect(client.receive()?.0, 200, "after 100 Continue")?;
+    }
+    Ok(())
+}
+
+fn http_forms(program: &Path) -> Outcome {
+    let scene = scene(program, Setup::default())?;
+    let target = "/api/00000003b4d60021/7f3a9c21e0b4d655";
+    let fields = "Host: app.svc\r\nX-Priority-Class: token-read\r\nX-Storage-Class: starter\r\n\
+        X-Timeout-Ms: 3600000\r\nX-Extent: , units=1,,shard=0,hosts=1,\r\n";
+    for form in &http_form_table(target) {
+        check_http_form(scene.head.http, fields, form)?;
     }
     // Requests one behind the other are answered in their order (RFC 9112, 9.3.2).
     let mut client = HttpClient::connect(scene.head.http)?;
--- a/src/rehearsal/grpc/node.rs
+++ b/src/rehearsal/grpc/node.rs
@@ -13,6 +13,7 @@
 use std::collections::{BTreeMap, VecDeque};
 use std::future::poll_fn;
 use std::net::SocketAddr;
+use std::ops::ControlFlow;
 use std::sync::mpsc::{Receiver, Sender, channel};
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
 use tokio::net::{TcpListener, TcpStream};
@@ -218,6 +219,12 @@
 }
 
 impl Says {
+    fn reset(&mut self) {
+        if let Some(stream) = &mut self.stream {
+            stream.send_reset(Reason::INTERNAL_ERROR);
+        }
+    }
+
     fn headers(&mut self) {
         if self.stream.is_none() {
             let mut response = Response::new(());
@@ -306,7 +313,7 @@
     }
 }
 
-/// True: the head gave the stream up.
+/// Serves one call. Returns whether the proxy gave the stream up.
 async fn serve(
     says: &mut Says,
     body: &mut RecvStream,
@@ -315,91 +322,146 @@
     connection: u64,
     shared: &Shared,
 ) -> bool {
-    let (call, attempt) = (says.call.clone(), says.attempt);
-    match &mut fault {
+    if let ControlFlow::Break(given_up) = fault_before_body(says, &mut fault, connection, shared).await {
+        return given_up;
+    }
+    let received = match receive_messages(says, body, method, fault.as_ref(), connection, shared).await {
+        ControlFlow::Continue(received) => received,
+        ControlFlow::Break(given_up) => return given_up,
+    };
+    if let ControlFlow::Break(given_up) = fault_before_answer(says, &mut fault, shared).await {
+        return given_up;
+    }
+    let most = match &fault {
+        Some(Fault::StatusAfter(n, _) | Fault::ResetAfter(n) | Fault::CutAfter(n)) => *n,
+        _ => usize::MAX,
+    };
+    for answer in answers(method, received).into_iter().take(most) {
+        if !says.say(&answer).await {
+            return true;
+        }
+    }
+    finish(says, fault, connection, shared).await;
+    false
+}
+
+/// The messages of one call.
+struct Received {
+    count: usize,
+    bytes: Vec<u8>,
+}
+
+/// Faults that come before the request's body is read. `Break`: the call is over.
+async fn fault_before_body(
+    says: &mut Says,
+    fault: &mut Option<Fault>,
+    connection: u64,
+    shared: &Shared,
+) -> ControlFlow<bool> {
+    match fault {
         Some(Fault::RefuseStream) => {
-            shared.tell(Seen::Refused { call, attempt });
+            shared.tell(Seen::Refused { call: says.call.clone(), attempt: says.attempt });
             says.respond.send_reset(Reason::REFUSED_STREAM);
-            return false;
+            return ControlFlow::Break(false);
         }
         Some(Fault::Deaf(held)) => {
             tokio::select! {
                 _ = held => {}
-                () = says.given_up() => return true,
+                () = says.given_up() => return ControlFlow::Break(true),
             }
         }
         Some(Fault::GoAway) => drop(shared.orders.send(Order::GoAway(connection))),
         _ => {}
     }
-    let (mut messages, mut count, mut all) = (Messages::default(), 0, Vec::new());
+    ControlFlow::Continue(())
+}
+
+/// Reads all messages; methods that answer early do so with each.
+async fn receive_messages(
+    says: &mut Says,
+    body: &mut RecvStream,
+    method: &str,
+    fault: Option<&Fault>,
+    connection: u64,
+    shared: &Shared,
+) -> ControlFlow<bool, Received> {
+    let (mut messages, mut received) = (Messages::default(), Received { count: 0, bytes: Vec::new() });
     while let Some(piece) = body.data().await {
-        let Ok(piece) = piece else { return true };
+        let Ok(piece) = piece else { return ControlFlow::Break(true) };
         let _ = body.flow_control().release_capacity(piece.len());
         messages.push(&piece);
         while let Some(text) = messages.take() {
-            count += 1;
-            shared.tell(Seen::Message { call: call.clone(), length: text.len() });
+            received.count += 1;
+            shared.tell(Seen::Message { call: says.call.clone(), length: text.len() });
             if matches!(fault, Some(Fault::CutEarly)) {
                 let _ = shared.orders.send(Order::Cut(connection));
-                return false;
+                return ControlFlow::Break(false);
             }
             if matches!(method, "Bidi" | "Early") && !says.say(&text).await {
-                return true;
+                return ControlFlow::Break(true);
             }
-            all.extend(text);
+            received.bytes.extend(text);
         }
     }
+    ControlFlow::Continue(received)
+}
+
+/// Faults between the request's last byte and the answer. `Break`: the call is over.
+async fn fault_before_answer(
+    says: &mut Says,
+    fault: &mut Option<Fault>,
+    shared: &Shared,
+) -> ControlFlow<bool> {
+    let (call, attempt) = (says.call.clone(), says.attempt);
     if let Some(Fault::TrailersOnly { code, not_processed: true }) = fault {
         shared.tell(Seen::Refused { call, attempt });
         says.only(code, true);
-        return false;
+        return ControlFlow::Break(false);
     }
     shared.tell(Seen::Whole { call, attempt });
-    let most = match &fault {
-        Some(Fault::StatusAfter(n, _) | Fault::ResetAfter(n) | Fault::CutAfter(n)) => *n,
-        _ => usize::MAX,
-    };
-    match &mut fault {
+    match fault {
         Some(Fault::Hold(held)) => {
             tokio::select! {
                 _ = held => {}
-                () = says.given_up() => return true,
+                () = says.given_up() => return ControlFlow::Break(true),
             }
         }
         Some(Fault::HoldAfterHeaders(held)) => {
             says.headers();
             tokio::select! {
                 _ = held => {}
-                () = says.given_up() => return true,
+                () = says.given_up() => return ControlFlow::Break(true),
             }
         }
         Some(Fault::TrailersOnly { code, .. }) => {
             says.only(code, false);
-            return false;
+            return ControlFlow::Break(false);
         }
         Some(Fault::ResetAfterHeaders) => {
             says.headers();
             // The headers must be on their way before the reset takes their place.
             tokio::task::yield_now().await;
-            if let Some(stream) = &mut says.stream {
-                stream.send_reset(Reason::INTERNAL_ERROR);
-            }
-            return false;
+            says.reset();
+            return ControlFlow::Break(false);
         }
         _ => {}
     }
-    let answers = match method {
-        "Unary" => vec![all],
-        "ClientStream" => vec![count.to_string().into_bytes()],
-        "ServerStream" => (0..PARTS).map(|_| all.clone()).collect(),
-        "Flood" => (0..FLOOD).map(|_| all.clone()).collect(),
+    ControlFlow::Continue(())
+}
+
+/// The messages that answer a call.
+fn answers(method: &str, received: Received) -> Vec<Vec<u8>> {
+    match method {
+        "Unary" => vec![received.bytes],
+        "ClientStream" => vec![received.count.to_string().into_bytes()],
+        "ServerStream" => (0..PARTS).map(|_| received.bytes.clone()).collect(),
+        "Flood" => (0..FLOOD).map(|_| received.bytes.clone()).collect(),
         _ => Vec::new(),
-    };
-    for answer in answers.iter().take(most) {
-        if !says.say(answer).await {
-            return true;
-        }
     }
+}
+
+/// Ends the answer, with its trailers or by a fault.
+async fn finish(says: &mut Says, fault: Option<Fault>, connection: u64, shared: &Shared) {
     match fault {
         Some(Fault::StatusAfter(_, code)) => says.trailers(code),
         Some(Fault::NoTrailers) => {
@@ -411,9 +473,7 @@
         Some(Fault::ResetAfter(_)) => {
             says.headers();
             flushed().await;
-            if let Some(stream) = &mut says.stream {
-                stream.send_reset(Reason::INTERNAL_ERROR);
-            }
+            says.reset();
         }
         Some(Fault::CutAfter(_)) => {
             flushed().await;
@@ -421,7 +481,6 @@
         }
         _ => says.trailers("0"),
     }
-    false
 }
 
 /// Lets the connection's task write what stands before a fault. What it had no turn for is lost with the fault, as
