--- a/benches/agree.rs
+++ b/benches/agree.rs
@@ -9,7 +9,7 @@
 use pathbank::agree::voter::{PersistentChange, Voter, Voters};
 use pathbank::agree::{Command, Entry, Timings};
 use pathbank::net::agree::archive::Archive;
-use pathbank::net::agree::disk::{Disk, path};
+use pathbank::net::agree::database::{VoterDatabase, path};
 use std::collections::BTreeMap;
 use std::time::Instant;
 
@@ -40,8 +40,8 @@
     let revisions: u64 =
         std::env::var("AGREE_REVISIONS").ok().and_then(|text| text.parse().ok()).unwrap_or(1_000_000);
     let folder = std::env::temp_dir().join(format!("pathbank-bench-agree-{}", std::process::id()));
-    Disk::create(&folder, 1).expect("a new disk");
-    let (mut disk, saved) = Disk::open(&folder, 1 << 40).expect("it opens");
+    VoterDatabase::create(&folder, 1).expect("a new disk");
+    let (mut disk, saved) = VoterDatabase::open(&folder, 1 << 40).expect("it opens");
     let voters = Voters::from([(1, String::new())]);
     let mut voter = Voter::new(1, &voters, Timings::default(), saved, 0, 0);
     let out = voter.tick(2_000_000, 0);
@@ -74,7 +74,7 @@
     drop(disk);
     let bytes = std::fs::metadata(path(&folder)).expect("it is there").len();
     println!("on disk: {bytes} bytes, {} a revision", bytes / revisions.max(1));
-    let (disk, saved) = told("a start on it", || Disk::open(&folder, 1 << 40).expect("it opens"));
+    let (disk, saved) = told("a start on it", || VoterDatabase::open(&folder, 1 << 40).expect("it opens"));
     println!("entries read at the start: {}", saved.log.len());
     let found =
         told("a check of every digest", || disk.verify(DigestChain::default()).expect("it is read").done());
--- a/src/agree/mod.rs
+++ b/src/agree/mod.rs
@@ -94,10 +94,10 @@
     /// How much a clock may run fast or slow, in parts of a million.
     pub drift_ppm: u64,
     /// A voter that hears no leader for this long, and for as long again at most, stands for election.
-    pub election: Micros,
-    pub beat: Micros,
+    pub election_timeout: Micros,
+    pub heartbeat_interval: Micros,
     /// Entries that are in force and stay in a voter's memory, for those who are a little behind.
-    pub kept: usize,
+    pub retained_entries: usize,
 }
 
 impl Timings {
@@ -114,9 +114,9 @@
             lease: 1_000_000,
             long_lease: 60_000_000,
             drift_ppm: 10_000,
-            election: 500_000,
-            beat: 100_000,
-            kept: 512,
+            election_timeout: 500_000,
+            heartbeat_interval: 100_000,
+            retained_entries: 512,
         }
     }
 }
--- a/src/agree/voter/election.rs
+++ b/src/agree/voter/election.rs
@@ -10,14 +10,14 @@
     /// other fast: a large entry on a busy machine holds up its leader's beats, and would bring down one
     /// leader after the other.
     pub fn current_election_timeout(&self, now: Micros) -> Micros {
-        let current_election_timeout = self.times.election << self.timeout_doublings;
+        let current_election_timeout = self.times.election_timeout << self.timeout_doublings;
         match self.term_began_at {
             Some(term_began_at)
                 if now.saturating_sub(term_began_at) < RAPID_TERM_TIMEOUTS * current_election_timeout =>
             {
                 current_election_timeout
             }
-            _ => self.times.election,
+            _ => self.times.election_timeout,
         }
     }
 
@@ -30,7 +30,7 @@
         if term > self.saved.term {
             let soon = |term_began_at| {
                 now.saturating_sub(term_began_at)
-                    < RAPID_TERM_TIMEOUTS * (self.times.election << self.timeout_doublings)
+                    < RAPID_TERM_TIMEOUTS * (self.times.election_timeout << self.timeout_doublings)
             };
             self.timeout_doublings = if self.term_began_at.is_some_and(soon) {
                 (self.timeout_doublings + 1).min(MAX_TIMEOUT_DOUBLINGS)
--- a/src/agree/voter/mod.rs
+++ b/src/agree/voter/mod.rs
@@ -19,6 +19,7 @@
 use persistent::is_older;
 use replication::{AppendReply, AppendRequest};
 use std::collections::BTreeMap;
+use thiserror::Error;
 
 /// None stay in memory where they are this large.
 const MAX_TAIL_BYTES: usize = 4 * 1024 * 1024;
@@ -62,12 +63,16 @@
 pub struct NotLeader(pub Option<VoterId>);
 
 /// Why voters are not changed now.
-#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+#[derive(Clone, Copy, Debug, PartialEq, Eq, Error)]
 pub enum MembershipChangeError {
+    /// Somebody else leads, or nobody.
+    #[error("this voter does not lead")]
     NotLeader(Option<VoterId>),
     /// One is added, taken out or moved at a time, and one at least stays.
+    #[error("one voter is added, removed or moved at a time, and one stays")]
     NotSingleChange,
     /// Some head may not know of the last change yet, or this leader has only begun.
+    #[error("some head may not know of the last change yet, or the leader is new")]
     PreviousChangePending,
 }
 
@@ -220,7 +225,7 @@
         let mut out = Output::default();
         if self.is_leader() {
             if now >= self.heartbeat_at {
-                self.heartbeat_at = now + self.times.beat;
+                self.heartbeat_at = now + self.times.heartbeat_interval;
                 if !self.has_quorum_contact(now) {
                     // Others may hear it, yet nothing that it says can ever count: they are to choose another
                     // one.
--- a/src/agree/voter/replication.rs
+++ b/src/agree/voter/replication.rs
@@ -177,13 +177,14 @@
     pub(super) fn compact_log(&mut self, out: &mut Output) {
         let counted = (self.commit - self.saved.log.base().index) as usize;
         let bytes: usize = self.saved.log.entries()[..counted].iter().map(Entry::weight).sum();
-        if counted <= 2 * self.times.kept && bytes <= MAX_TAIL_BYTES {
+        if counted <= 2 * self.times.retained_entries && bytes <= MAX_TAIL_BYTES {
             return;
         }
         let term = self.saved.log.term_at(self.commit).unwrap_or(0);
         let state = Box::new(self.state.clone());
         self.save(PersistentChange::Snapshot { state, term, replaces_after: None }, out);
-        let gone = if bytes > MAX_TAIL_BYTES { counted } else { counted - self.times.kept.min(counted) };
+        let gone =
+            if bytes > MAX_TAIL_BYTES { counted } else { counted - self.times.retained_entries.min(counted) };
         let base = self.saved.log.base().index + gone as Index;
         self.saved.log.compact_to(base);
     }
--- a/src/agree/voter/tests.rs
+++ b/src/agree/voter/tests.rs
@@ -76,7 +76,7 @@
 
 #[test]
 fn an_entry_that_holds_its_leader_up_for_longer_than_a_wait_for_elections_comes_to_count() {
-    let wait = Timings::default().election;
+    let wait = Timings::default().election_timeout;
     for (cost, within) in [(wait / 10, 3 * S), (3 * wait, 30 * S)] {
         for seed in 0..40 {
             let counted = Busy::new(seed, cost).counts(within);
@@ -107,7 +107,7 @@
         (5, 20 * S, 1),
     ] {
         voter.step(at, 0, (1, next_incarnation(0, 0)), beat(term));
-        assert_eq!(voter.current_election_timeout(at), waits * times.election, "term {term} at {at}");
-        assert_eq!(voter.next_tick_at(), at + waits * times.election, "term {term} at {at}");
+        assert_eq!(voter.current_election_timeout(at), waits * times.election_timeout, "term {term} at {at}");
+        assert_eq!(voter.next_tick_at(), at + waits * times.election_timeout, "term {term} at {at}");
     }
 }
--- a/src/bin/pathbank/startup.rs
+++ b/src/bin/pathbank/startup.rs
@@ -15,7 +15,7 @@
 use pathbank::interface::Reports;
 use pathbank::life::Phase;
 use pathbank::logging::{self, Logging};
-use pathbank::net::agree::office;
+use pathbank::net::agree::runtime;
 use pathbank::net::back::{Back, ProbeWork};
 use pathbank::net::discovery::Discovery;
 use pathbank::net::fleet::Fleet;
@@ -120,7 +120,7 @@
         let (settings, directory) = numbers.adopt(&config.names, &config.settings);
         if let Some(agreement) = agreement {
             let pace = Pace::new(agreement.clock_ahead, agreement.clock_ppm);
-            let view = office::start(agreement, &config.name, handle.clone(), pace)?;
+            let view = runtime::start(agreement, &config.name, handle.clone(), pace)?;
             let known = view.lock().map(|view| view.clone()).map_err(|_| "the agreement's thread failed")?;
             core.set_agreement(Agreed {
                 rules: Rules::new(settings, numbers.rule_names(), known),
--- a/src/config/agree.rs
+++ b/src/config/agree.rs
@@ -10,22 +10,22 @@
 use std::path::PathBuf;
 
 const PATH: &str = "deploy/agree.toml";
-const MOST_VOTERS: usize = 9;
-const DAY_MS: u64 = 86_400_000;
-const DISK_MB: u64 = 4_096;
+const MAX_VOTERS: usize = 9;
+const MAX_TIME_MS: u64 = 86_400_000;
+const DEFAULT_DISK_MB: u64 = 4_096;
 /// About 40 MB, and months of edits by hand.
-const KEEP_ENTRIES: u64 = 100_000;
+const DEFAULT_KEEP_ENTRIES: u64 = 100_000;
 /// Descriptors of a head's own: two for each voter, and its runtime, listener and disk.
-pub const FIXED: usize = 2 * MOST_VOTERS + 8;
+pub const FIXED_DESCRIPTORS: usize = 2 * MAX_VOTERS + 8;
 /// Others that ask at once, each by a connection.
-const CALLERS: usize = 1_152;
+const DEFAULT_MAX_CONNECTIONS: usize = 1_152;
 
 #[derive(Clone, Debug, PartialEq)]
 pub struct Agreement {
     /// Only heads of one name talk to each other.
     pub cluster: String,
     /// `None`: this head has no voter.
-    pub seat: Option<Seat>,
+    pub voter: Option<VoterSettings>,
     /// Who votes while the log says nothing else, and where they are reached from here, whatever the log
     /// says.
     pub voters: Voters,
@@ -37,13 +37,13 @@
 
 /// A voter of this head.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Seat {
+pub struct VoterSettings {
     pub listen: SocketAddr,
     pub directory: PathBuf,
-    pub most_bytes: u64,
+    pub max_bytes: u64,
     /// So many old entries stay on the disk at least, the others leave for the archive; `None`: all stay.
     pub keep_entries: Option<u64>,
-    pub callers: usize,
+    pub max_connections: usize,
 }
 
 #[derive(Deserialize)]
@@ -112,22 +112,26 @@
                 number.parse().map_err(|e| unreadable(format!("agreement: voters.{number}"), e))?;
             voters.insert(number, address.to_string());
         }
-        if voters.is_empty() || voters.len() > MOST_VOTERS || voters.len() < file.voters.len() {
+        if voters.is_empty() || voters.len() > MAX_VOTERS || voters.len() < file.voters.len() {
             return bad("voters", "1 to 9 of different numbers are due");
         }
         let (usual, keys) = (Timings::default(), &file.times);
-        let ms = |key: Option<u64>, usual: Micros| key.map_or(usual, |ms| ms.min(DAY_MS) * 1_000);
+        let ms = |key: Option<u64>, usual: Micros| key.map_or(usual, |ms| ms.min(MAX_TIME_MS) * 1_000);
         let times = Timings {
             lease: ms(keys.lease_ms, usual.lease),
             long_lease: ms(keys.long_lease_ms, usual.long_lease),
             drift_ppm: keys.drift_ppm.unwrap_or(usual.drift_ppm),
-            election: ms(keys.election_ms, usual.election),
-            beat: ms(keys.beat_ms, usual.beat),
-            kept: file.rehearsal.kept.unwrap_or(usual.kept),
+            election_timeout: ms(keys.election_ms, usual.election_timeout),
+            heartbeat_interval: ms(keys.beat_ms, usual.heartbeat_interval),
+            retained_entries: file.rehearsal.kept.unwrap_or(usual.retained_entries),
         };
         for (key, good, why) in [
-            ("times.beat_ms", times.beat >= 10_000, "10 is the least"),
-            ("times.election_ms", times.election >= 3 * times.beat, "at least three beats are due"),
+            ("times.beat_ms", times.heartbeat_interval >= 10_000, "10 is the least"),
+            (
+                "times.election_ms",
+                times.election_timeout >= 3 * times.heartbeat_interval,
+                "at least three beats are due",
+            ),
             ("times.lease_ms", times.lease >= 200_000, "200 is the least"),
             ("times.long_lease_ms", times.long_lease >= times.lease, "at least the lease is due"),
             ("times.drift_ppm", times.drift_ppm <= 200_000, "200000 is the most"),
@@ -141,20 +145,21 @@
                 return bad(key, why);
             }
         }
-        let seat = match (file.listen, file.directory) {
-            (Some(listen), Some(directory)) => Some(Seat {
+        let voter = match (file.listen, file.directory) {
+            (Some(listen), Some(directory)) => Some(VoterSettings {
                 listen,
                 directory,
-                most_bytes: file.disk_mb.unwrap_or(DISK_MB).max(1) * 1024 * 1024,
-                keep_entries: Some(file.keep_entries.unwrap_or(KEEP_ENTRIES)).filter(|keep| *keep > 0),
-                callers: file.callers.unwrap_or(CALLERS).max(2 * MOST_VOTERS),
+                max_bytes: file.disk_mb.unwrap_or(DEFAULT_DISK_MB).max(1) * 1024 * 1024,
+                keep_entries: Some(file.keep_entries.unwrap_or(DEFAULT_KEEP_ENTRIES))
+                    .filter(|keep| *keep > 0),
+                max_connections: file.callers.unwrap_or(DEFAULT_MAX_CONNECTIONS).max(2 * MAX_VOTERS),
             }),
             (None, None) => None,
             (None, Some(_)) => return bad("listen", "a voter needs it beside its directory"),
             (Some(_), None) => return bad("directory", "a voter needs it beside its address"),
         };
         let (clock_ahead, clock_ppm) = (file.rehearsal.clock_ahead_ms * 1_000, file.rehearsal.clock_ppm);
-        Ok(Some(Agreement { cluster: file.cluster, seat, voters, times, clock_ahead, clock_ppm }))
+        Ok(Some(Agreement { cluster: file.cluster, voter, voters, times, clock_ahead, clock_ppm }))
     }
 
     /// Where a voter is reached from here.
--- a/src/config/agree/tests.rs
+++ b/src/config/agree/tests.rs
@@ -7,7 +7,7 @@
     assert_eq!(Agreement::read("").unwrap(), None);
     assert_eq!(Agreement::read(&GOOD.replace("true", "false")).unwrap(), None);
     let read = Agreement::read(GOOD).unwrap().unwrap();
-    assert_eq!((read.times, read.seat.clone()), (Timings::default(), None));
+    assert_eq!((read.times, read.voter.clone()), (Timings::default(), None));
     let told = Voters::from([(7, "127.0.0.1:1".to_string()), (8, "127.0.0.1:2".to_string())]);
     let at = |id| read.address(id, &told);
     assert_eq!(
@@ -15,13 +15,13 @@
         (Some("127.0.0.1:7100"), Some("127.0.0.1:2"), None)
     );
     let seated = format!("listen = \"127.0.0.1:7100\"\ndirectory = \"/tmp/x\"\ndisk_mb = 2\n{GOOD}");
-    let seat = Agreement::read(&seated).unwrap().unwrap().seat.unwrap();
-    assert_eq!((seat.most_bytes, seat.callers), (2 << 20, CALLERS));
+    let voter = Agreement::read(&seated).unwrap().unwrap().voter.unwrap();
+    assert_eq!((voter.max_bytes, voter.max_connections), (2 << 20, DEFAULT_MAX_CONNECTIONS));
     for (keep, kept) in
-        [("", Some(KEEP_ENTRIES)), ("keep_entries = 5\n", Some(5)), ("keep_entries = 0\n", None)]
+        [("", Some(DEFAULT_KEEP_ENTRIES)), ("keep_entries = 5\n", Some(5)), ("keep_entries = 0\n", None)]
     {
-        let seat = Agreement::read(&format!("{keep}{seated}")).unwrap().unwrap().seat.unwrap();
-        assert_eq!(seat.keep_entries, kept, "{keep}");
+        let voter = Agreement::read(&format!("{keep}{seated}")).unwrap().unwrap().voter.unwrap();
+        assert_eq!(voter.keep_entries, kept, "{keep}");
     }
     for (change, key) in [
         (GOOD.replace("fleet-a", ""), "cluster"),
--- a/src/config/mod.rs
+++ b/src/config/mod.rs
@@ -352,10 +352,10 @@
 
     /// Those who ask a voter here, and this head's own asking, take theirs likewise.
     pub fn share_with_agreement(&mut self, agreement: &mut agree::Agreement) {
-        let mut taken = agree::FIXED;
-        if let Some(seat) = &mut agreement.seat {
-            seat.callers = seat.callers.min(self.clients.most / 2).max(1);
-            taken += seat.callers;
+        let mut taken = agree::FIXED_DESCRIPTORS;
+        if let Some(voter) = &mut agreement.voter {
+            voter.max_connections = voter.max_connections.min(self.clients.most / 2).max(1);
+            taken += voter.max_connections;
         }
         self.clients.most = self.clients.most.saturating_sub(taken).max(1);
         self.max_open = self.max_open.min(self.clients.most.saturating_sub(1)).max(1);
--- a/src/net/agree/archive.rs
+++ b/src/net/agree/archive.rs
@@ -2,7 +2,7 @@
 //! A segment is written once, whole, and synced before its entries leave the log; whoever wants the room
 //! moves the oldest ones away.
 
-use super::disk::{DiskError, Record, digest_of, foreign, hex};
+use super::database::{DatabaseError, Record, digest_of, foreign, hex};
 use crate::agree::Index;
 use crate::agree::archive::{DigestChain, EntryRange};
 use crate::agree::document_state::Digest;
@@ -38,22 +38,22 @@
     }
 
     /// In the entries' order. A folder that is not there holds none.
-    pub fn segments(&self) -> Result<Vec<EntryRange>, DiskError> {
+    pub fn segments(&self) -> Result<Vec<EntryRange>, DatabaseError> {
         let files = match fs::read_dir(&self.folder) {
             Ok(files) => files,
             Err(problem) if problem.kind() == ErrorKind::NotFound => return Ok(Vec::new()),
-            Err(problem) => return Err(DiskError::Io(problem)),
+            Err(problem) => return Err(DatabaseError::Io(problem)),
         };
         let mut spans = Vec::new();
         for file in files {
-            spans.extend(file.map_err(DiskError::Io)?.file_name().to_str().and_then(EntryRange::of));
+            spans.extend(file.map_err(DatabaseError::Io)?.file_name().to_str().and_then(EntryRange::of));
         }
         spans.sort_unstable();
         Ok(spans)
     }
 
     /// On disk, whole, when this returns; once more does no harm.
-    pub fn keep(&self, before: &Digest, records: &[Record]) -> Result<(), DiskError> {
+    pub fn keep(&self, before: &Digest, records: &[Record]) -> Result<(), DatabaseError> {
         let (Some(first), Some(last)) = (records.first(), records.last()) else { return Ok(()) };
         let span = EntryRange { from: first.index, to: last.index };
         let write = || -> std::io::Result<()> {
@@ -71,25 +71,25 @@
             File::open(&self.folder)?.sync_all()?;
             self.folder.parent().map_or(Ok(()), |parent| File::open(parent)?.sync_all())
         };
-        write().map_err(DiskError::Io)
+        write().map_err(DatabaseError::Io)
     }
 
     /// The lines of a segment behind its first one, and the digest of all in front of it.
     fn open(
         &self,
         span: EntryRange,
-    ) -> Result<(Digest, impl Iterator<Item = Result<Record, DiskError>>), DiskError> {
+    ) -> Result<(Digest, impl Iterator<Item = Result<Record, DatabaseError>>), DatabaseError> {
         let name = span.name();
-        let file = File::open(self.folder.join(&name)).map_err(DiskError::Io)?;
+        let file = File::open(self.folder.join(&name)).map_err(DatabaseError::Io)?;
         let mut lines = BufReader::new(file).lines();
         let first = lines.next().ok_or_else(|| foreign(format!("{name}: it is empty")))?;
-        let head: Option<Head> = serde_json::from_str(&first.map_err(DiskError::Io)?).ok();
+        let head: Option<Head> = serde_json::from_str(&first.map_err(DatabaseError::Io)?).ok();
         let sound = head.filter(|head| head.form == FORM && head.span == span);
         let before = sound.and_then(|head| digest_of(&head.before));
         let before = before.ok_or_else(|| foreign(format!("{name}: line 1 is no segment's")))?;
         let records = lines.zip(2..).map(move |(line, number)| {
             let read = |line: String| serde_json::from_str(&line).ok();
-            line.map_err(DiskError::Io)
+            line.map_err(DatabaseError::Io)
                 .and_then(|line| read(line).ok_or_else(|| foreign(format!("{name}: line {number}"))))
         });
         Ok((before, records))
@@ -97,7 +97,7 @@
 
     /// Entries after that one, so many at most, of the first segment that has any. None where the log has to
     /// go on.
-    pub fn records(&self, after: Index, most: usize) -> Result<Vec<Record>, DiskError> {
+    pub fn records(&self, after: Index, most: usize) -> Result<Vec<Record>, DatabaseError> {
         let Some(span) = self.segments()?.into_iter().find(|span| span.to > after) else {
             return Ok(Vec::new());
         };
@@ -108,7 +108,7 @@
 
     /// Follows every segment's entries behind those that were followed. What is unreadable is told as the
     /// entry that it should have been.
-    pub fn follow(&self, chain: &mut DigestChain) -> Result<(), DiskError> {
+    pub fn follow(&self, chain: &mut DigestChain) -> Result<(), DatabaseError> {
         // What has been followed is not read again.
         let last = chain.last();
         for span in self.segments()?.into_iter().filter(|span| span.to > last) {
--- a/src/net/agree/backup.rs
+++ b/src/net/agree/backup.rs
@@ -2,7 +2,7 @@
 //! only voter that is made from it. The first line is a header, each further line one entry with the digest
 //! of all up to it.
 
-use super::disk::{Disk, DiskError, Record, digest_of};
+use super::database::{DatabaseError, Record, VoterDatabase, digest_of};
 use crate::agree::archive::DigestChain;
 use crate::agree::document_state::{Digest, DocumentState};
 use crate::agree::voter::{PersistentChange, Voters};
@@ -115,9 +115,9 @@
     }
 
     /// Makes the disk of a new cluster's only voter. Returns its last entry.
-    pub fn restore(self, directory: &Path, id: VoterId, address: &str) -> Result<Index, DiskError> {
-        Disk::create(directory, id)?;
-        let (mut disk, _) = Disk::open(directory, MAX_DISK_BYTES)?;
+    pub fn restore(self, directory: &Path, id: VoterId, address: &str) -> Result<Index, DatabaseError> {
+        VoterDatabase::create(directory, id)?;
+        let (mut disk, _) = VoterDatabase::open(directory, MAX_DISK_BYTES)?;
         if let Some((index, digest)) = self.base {
             disk.begin_behind(index, digest)?;
         }
--- a/src/net/agree/call.rs
+++ b/src/net/agree/call.rs
@@ -9,34 +9,36 @@
 use hyper_util::rt::TokioExecutor;
 use serde::Serialize;
 use serde::de::DeserializeOwned;
-use std::fmt;
+use thiserror::Error;
 use tokio::time::{Duration, timeout};
 
-/// Connections to one voter that are kept while nobody uses them.
-const IDLE_EACH: usize = 1;
+const MAX_IDLE_CONNECTIONS_PER_VOTER: usize = 1;
 
-#[derive(Debug)]
+/// Why a call gave no answer.
+#[derive(Debug, Error)]
 pub enum CallError {
+    #[error("no answer in time")]
     TimedOut,
-    Broke(String),
-    /// The voter's own word, and its status.
+    /// The log names no address for that voter.
+    #[error("it has no address")]
+    NoAddress,
+    /// The request cannot be made of that address and path.
+    #[error(transparent)]
+    Request(#[from] hyper::http::Error),
+    #[error("{0}")]
+    Connection(#[from] hyper_util::client::legacy::Error),
+    /// The answer broke off, or is too large.
+    #[error("{0}")]
+    Body(Box<dyn std::error::Error + Send + Sync>),
+    /// The voter's own words, and its status.
+    #[error("{0}: {1}")]
     Refused(StatusCode, String),
-    Unreadable(String),
+    /// The JSON of the question or the answer.
+    #[error("an unreadable answer: {0}")]
+    Unreadable(#[from] serde_json::Error),
 }
 
-impl fmt::Display for CallError {
-    fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        match self {
-            CallError::TimedOut => f.write_str("no answer in time"),
-            CallError::Broke(problem) => f.write_str(problem),
-            CallError::Refused(status, word) => write!(f, "{status}: {word}"),
-            CallError::Unreadable(problem) => write!(f, "an unreadable answer: {problem}"),
-        }
-    }
-}
-
-impl std::error::Error for CallError {}
-
+/// Calls voters of one cluster; connections are kept for the next call.
 #[derive(Clone)]
 pub struct Caller {
     client: Client<HttpConnector, Full<Bytes>>,
@@ -47,40 +49,42 @@
     pub fn new(cluster: &str) -> Caller {
         let mut connector = HttpConnector::new();
         connector.set_nodelay(true);
-        let client = Client::builder(TokioExecutor::new()).pool_max_idle_per_host(IDLE_EACH).build(connector);
+        let client = Client::builder(TokioExecutor::new())
+            .pool_max_idle_per_host(MAX_IDLE_CONNECTIONS_PER_VOTER)
+            .build(connector);
         Caller { client, cluster: cluster.to_string() }
     }
 
-    /// Dropped before its end, the call and its connection are given up.
+    /// Sends a question and reads the answer, within that time. Dropped before its end, the call and its connection are
+    /// given up.
+    ///
+    /// # Errors
+    ///
+    /// See [`CallError`].
     pub async fn call<A: DeserializeOwned>(
         &self,
         address: &str,
         path: &str,
-        asked: &impl Serialize,
-        within: Duration,
+        question: &impl Serialize,
+        max_time: Duration,
     ) -> Result<A, CallError> {
-        let body = serde_json::to_vec(asked).map_err(|problem| CallError::Unreadable(problem.to_string()))?;
+        let body = serde_json::to_vec(question)?;
         let request = Request::builder()
             .method(Method::POST)
             .uri(format!("http://{address}{path}"))
             .header(CLUSTER_HEADER, &self.cluster)
-            .body(Full::new(Bytes::from(body)))
-            .map_err(|problem| CallError::Broke(problem.to_string()))?;
-        let answered = async {
-            let answer = self
-                .client
-                .request(request)
-                .await
-                .map_err(|problem| CallError::Broke(problem.to_string()))?;
-            let status = answer.status();
-            let body = Limited::new(answer.into_body(), MAX_MESSAGE_BYTES).collect().await;
-            let body = body.map_err(|problem| CallError::Broke(problem.to_string()))?.to_bytes();
-            match status {
-                StatusCode::OK => serde_json::from_slice(&body)
-                    .map_err(|problem| CallError::Unreadable(problem.to_string())),
-                _ => Err(CallError::Refused(status, String::from_utf8_lossy(&body).into_owned())),
-            }
-        };
-        timeout(within, answered).await.unwrap_or(Err(CallError::TimedOut))
+            .body(Full::new(Bytes::from(body)))?;
+        timeout(max_time, self.send(request)).await.unwrap_or(Err(CallError::TimedOut))
+    }
+
+    async fn send<A: DeserializeOwned>(&self, request: Request<Full<Bytes>>) -> Result<A, CallError> {
+        let answer = self.client.request(request).await?;
+        let status = answer.status();
+        let body = Limited::new(answer.into_body(), MAX_MESSAGE_BYTES).collect().await;
+        let body = body.map_err(CallError::Body)?.to_bytes();
+        match status {
+            StatusCode::OK => Ok(serde_json::from_slice(&body)?),
+            _ => Err(CallError::Refused(status, String::from_utf8_lossy(&body).into_owned())),
+        }
     }
 }
--- a/src/net/agree/command.rs
+++ b/src/net/agree/command.rs
@@ -3,7 +3,7 @@
 use super::archive::Archive;
 use super::backup::{self, Backup, MAX_DISK_BYTES};
 use super::call::{CallError, Caller};
-use super::disk::{Disk, DiskError, Record};
+use super::database::{DatabaseError, Record, VoterDatabase};
 use super::wire::{
     PROPOSE_PATH, ProposalOutcome, RECORDS_PATH, RecordsReply, RecordsRequest, STATE_PATH, STATUS_PATH,
     StateReply, StateRequest, VERIFY_PATH, VOTERS_PATH, VoterStatus,
@@ -58,7 +58,7 @@
         directory: PathBuf,
     },
     /// How each voter stands.
-    VoterStatus,
+    Status,
     /// Documents in force, or one of them, with what is prepared; as the leader has it, or as any voter does.
     Show {
         document: Option<String>,
@@ -136,7 +136,7 @@
 enum Problem {
     MessageEnvelope(String),
     Call(String, CallError),
-    Disk(DiskError),
+    VoterDatabase(DatabaseError),
 }
 
 impl fmt::Display for Problem {
@@ -144,14 +144,14 @@
         match self {
             Problem::MessageEnvelope(what) => f.write_str(what),
             Problem::Call(address, problem) => write!(f, "{address}: {problem}"),
-            Problem::Disk(problem) => write!(f, "{problem}"),
+            Problem::VoterDatabase(problem) => write!(f, "{problem}"),
         }
     }
 }
 
-impl From<DiskError> for Problem {
-    fn from(problem: DiskError) -> Self {
-        Problem::Disk(problem)
+impl From<DatabaseError> for Problem {
+    fn from(problem: DatabaseError) -> Self {
+        Problem::VoterDatabase(problem)
     }
 }
 
@@ -182,11 +182,11 @@
     match &line.what {
         What::Init { directory } => {
             let id = new_voter_id();
-            Disk::create(directory, id)?;
+            VoterDatabase::create(directory, id)?;
             say(&line, &id.to_string(), &json!({"voter": id}))
         }
         What::Verify { directory: Some(directory) } => {
-            let (disk, _) = Disk::open(directory, MAX_DISK_BYTES)?;
+            let (disk, _) = VoterDatabase::open(directory, MAX_DISK_BYTES)?;
             let mut chain = DigestChain::default();
             Archive::beside(directory).follow(&mut chain)?;
             tell_verified(&line, &directory.display().to_string(), &disk.verify(chain)?.done())
@@ -261,7 +261,7 @@
 
     async fn carry_out(&self, line: &Line) -> Done {
         match &line.what {
-            What::VoterStatus => self.status(line).await,
+            What::Status => self.status(line).await,
             What::Show { document, any } => self.show(line, document.as_deref(), *any).await,
             What::History { document, after } => {
                 let records = self.all_records(*after).await?;
--- a/src/net/agree/disk.rs
+++ b/src/net/agree/database.rs
@@ -27,7 +27,7 @@
 const CACHE: usize = 4 * 1024 * 1024;
 
 #[derive(Debug)]
-pub enum DiskError {
+pub enum DatabaseError {
     /// A voter that has lost its disk is not this voter any more.
     Absent(PathBuf),
     /// A new disk is never made over an old one.
@@ -41,35 +41,37 @@
     Io(std::io::Error),
 }
 
-impl fmt::Display for DiskError {
+impl fmt::Display for DatabaseError {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            DiskError::Absent(path) => {
+            DatabaseError::Absent(path) => {
                 write!(
                     f,
                     "{}: no voter's disk is there; `pathbank agree init` makes a new voter",
                     path.display()
                 )
             }
-            DiskError::There(path) => write!(f, "{}: a voter's disk is there already", path.display()),
-            DiskError::Foreign { what } => write!(f, "the disk is foreign or damaged: {what}"),
-            DiskError::Schema(found) => write!(f, "the disk has form {found}, this program knows {SCHEMA}"),
-            DiskError::Store(problem) => write!(f, "{problem}"),
-            DiskError::Io(problem) => write!(f, "{problem}"),
+            DatabaseError::There(path) => write!(f, "{}: a voter's disk is there already", path.display()),
+            DatabaseError::Foreign { what } => write!(f, "the disk is foreign or damaged: {what}"),
+            DatabaseError::Schema(found) => {
+                write!(f, "the disk has form {found}, this program knows {SCHEMA}")
+            }
+            DatabaseError::Store(problem) => write!(f, "{problem}"),
+            DatabaseError::Io(problem) => write!(f, "{problem}"),
         }
     }
 }
 
-impl std::error::Error for DiskError {}
+impl std::error::Error for DatabaseError {}
 
-impl<E: Into<redb::Error>> From<E> for DiskError {
+impl<E: Into<redb::Error>> From<E> for DatabaseError {
     fn from(problem: E) -> Self {
-        DiskError::Store(problem.into())
+        DatabaseError::Store(problem.into())
     }
 }
 
-pub(super) fn foreign(what: impl fmt::Display) -> DiskError {
-    DiskError::Foreign { what: what.to_string() }
+pub(super) fn foreign(what: impl fmt::Display) -> DatabaseError {
+    DatabaseError::Foreign { what: what.to_string() }
 }
 
 #[derive(Serialize, Deserialize)]
@@ -99,7 +101,7 @@
 }
 
 #[derive(Debug)]
-pub struct Disk {
+pub struct VoterDatabase {
     database: Database,
     id: VoterId,
     /// The last entry, and the digest up to it.
@@ -147,29 +149,29 @@
     folder.join(FILE)
 }
 
-impl Disk {
+impl VoterDatabase {
     /// Makes a new voter's disk.
-    pub fn create(folder: &Path, id: VoterId) -> Result<(), DiskError> {
+    pub fn create(folder: &Path, id: VoterId) -> Result<(), DatabaseError> {
         let path = path(folder);
-        std::fs::create_dir_all(folder).map_err(DiskError::Io)?;
+        std::fs::create_dir_all(folder).map_err(DatabaseError::Io)?;
         match OpenOptions::new().read(true).write(true).create_new(true).open(&path) {
             Ok(file) => {
                 let database = redb::Builder::new()
                     .set_cache_size(CACHE)
                     .create_with_backend(redb::backends::FileBackend::new(file)?)?;
-                Disk::begin(&database, id)?;
+                VoterDatabase::begin(&database, id)?;
                 drop(database);
                 // The folder too has to know the file after a crash.
-                std::fs::File::open(folder).and_then(|folder| folder.sync_all()).map_err(DiskError::Io)
+                std::fs::File::open(folder).and_then(|folder| folder.sync_all()).map_err(DatabaseError::Io)
             }
             Err(problem) if problem.kind() == std::io::ErrorKind::AlreadyExists => {
-                Err(DiskError::There(path))
+                Err(DatabaseError::There(path))
             }
-            Err(problem) => Err(DiskError::Io(problem)),
+            Err(problem) => Err(DatabaseError::Io(problem)),
         }
     }
 
-    fn begin(database: &Database, id: VoterId) -> Result<(), DiskError> {
+    fn begin(database: &Database, id: VoterId) -> Result<(), DatabaseError> {
         let write = database.begin_write()?;
         {
             let mut meta = write.open_table(META)?;
@@ -184,33 +186,38 @@
     }
 
     /// Opens a voter's disk for one more start. `most`: bytes that the file may have.
-    pub fn open(folder: &Path, most: u64) -> Result<(Disk, PersistentState), DiskError> {
+    pub fn open(folder: &Path, most: u64) -> Result<(VoterDatabase, PersistentState), DatabaseError> {
         let path = path(folder);
         let file = match OpenOptions::new().read(true).write(true).open(&path) {
             Ok(file) => file,
             Err(problem) if problem.kind() == std::io::ErrorKind::NotFound => {
-                return Err(DiskError::Absent(path));
+                return Err(DatabaseError::Absent(path));
             }
-            Err(problem) => return Err(DiskError::Io(problem)),
+            Err(problem) => return Err(DatabaseError::Io(problem)),
         };
         // An empty file would be taken for a new one.
-        if file.metadata().map_err(DiskError::Io)?.len() == 0 {
+        if file.metadata().map_err(DatabaseError::Io)?.len() == 0 {
             return Err(foreign("the file is empty"));
         }
         // One process at a time, for as long as the file is open.
         match file.try_lock() {
             Ok(()) => {}
             Err(TryLockError::WouldBlock) => return Err(foreign("another process has it")),
-            Err(TryLockError::Error(problem)) => return Err(DiskError::Io(problem)),
+            Err(TryLockError::Error(problem)) => return Err(DatabaseError::Io(problem)),
         }
-        Disk::on(Bounded { inner: redb::backends::FileBackend::new(file)?, most })
+        VoterDatabase::on(Bounded { inner: redb::backends::FileBackend::new(file)?, most })
     }
 
     /// On anything that holds bytes.
-    pub fn on(backend: impl StorageBackend) -> Result<(Disk, PersistentState), DiskError> {
+    pub fn on(backend: impl StorageBackend) -> Result<(VoterDatabase, PersistentState), DatabaseError> {
         let database = redb::Builder::new().set_cache_size(CACHE).create_with_backend(backend)?;
-        let mut disk =
-            Disk { database, id: 0, last: 0, digest: Digest::default(), base: (0, Digest::default()) };
+        let mut disk = VoterDatabase {
+            database,
+            id: 0,
+            last: 0,
+            digest: Digest::default(),
+            base: (0, Digest::default()),
+        };
         let saved = disk.load()?;
         Ok((disk, saved))
     }
@@ -219,12 +226,12 @@
         self.id
     }
 
-    fn load(&mut self) -> Result<PersistentState, DiskError> {
+    fn load(&mut self) -> Result<PersistentState, DatabaseError> {
         let read = self.database.begin_read()?;
         let meta = read.open_table(META).map_err(|_| foreign("it is no voter's"))?;
         let schema: u64 = get(&meta, "schema")?.ok_or_else(|| foreign("it has no form"))?;
         if schema != SCHEMA {
-            return Err(DiskError::Schema(schema));
+            return Err(DatabaseError::Schema(schema));
         }
         self.id = get(&meta, "id")?.ok_or_else(|| foreign("it has no number"))?;
         let incarnation =
@@ -264,7 +271,7 @@
     }
 
     /// All of it, or nothing; on disk when this returns. After an error the disk is to be opened anew.
-    pub fn save(&mut self, saves: &[PersistentChange]) -> Result<(), DiskError> {
+    pub fn save(&mut self, saves: &[PersistentChange]) -> Result<(), DatabaseError> {
         if saves.is_empty() {
             return Ok(());
         }
@@ -276,7 +283,7 @@
         Ok(())
     }
 
-    fn put(&mut self, write: &WriteTransaction, save: &PersistentChange) -> Result<(), DiskError> {
+    fn put(&mut self, write: &WriteTransaction, save: &PersistentChange) -> Result<(), DatabaseError> {
         let mut meta = write.open_table(META)?;
         match save {
             PersistentChange::Vote { term, voted } => {
@@ -313,7 +320,7 @@
         Ok(())
     }
 
-    fn cut(&mut self, write: &WriteTransaction, at: Index) -> Result<(), DiskError> {
+    fn cut(&mut self, write: &WriteTransaction, at: Index) -> Result<(), DatabaseError> {
         let mut log = write.open_table(LOG)?;
         log.retain_in(at + 1.., |_, _| false)?;
         (self.last, self.digest) = match log.get(at)? {
@@ -325,7 +332,7 @@
     }
 
     /// Entries after that one: so many at most, as others are told them.
-    pub fn records(&self, after: Index, most: usize) -> Result<Vec<Record>, DiskError> {
+    pub fn records(&self, after: Index, most: usize) -> Result<Vec<Record>, DatabaseError> {
         let log = self.database.begin_read()?.open_table(LOG)?;
         let record = |row: Result<_, redb::StorageError>| {
             let (index, value): (redb::AccessGuard<u64>, redb::AccessGuard<&[u8]>) = row?;
@@ -336,7 +343,7 @@
     }
 
     /// Follows every entry's digest from where the archive ended, and the ledger's with them.
-    pub fn verify(&self, mut chain: DigestChain) -> Result<DigestChain, DiskError> {
+    pub fn verify(&self, mut chain: DigestChain) -> Result<DigestChain, DatabaseError> {
         let read = self.database.begin_read()?;
         let (log, bases) = (read.open_table(LOG)?, read.open_table(BASES)?);
         for row in log.iter()? {
@@ -358,7 +365,11 @@
 
     /// Copies old entries to the archive, a segment at a time, and drops them here once they are there.
     /// `keep`: so many of those that the ledger stands for stay; `None`: all.
-    pub fn archive(&mut self, archive: &Archive, keep: Option<u64>) -> Result<Option<EntryRange>, DiskError> {
+    pub fn archive(
+        &mut self,
+        archive: &Archive,
+        keep: Option<u64>,
+    ) -> Result<Option<EntryRange>, DatabaseError> {
         let Some((first, keep)) = self.first()?.zip(keep) else { return Ok(None) };
         let Some(due) = archive::next_segment(first, self.base.0, keep) else { return Ok(None) };
         let (before, records) = self.oldest(due)?;
@@ -373,13 +384,13 @@
     }
 
     /// The first entry that is here.
-    fn first(&self) -> Result<Option<Index>, DiskError> {
+    fn first(&self) -> Result<Option<Index>, DatabaseError> {
         Ok(self.database.begin_read()?.open_table(LOG)?.first()?.map(|(index, _)| index.value()))
     }
 
     /// The log's first entries, as far as they follow on one another and fit into a segment, and the digest
     /// before them.
-    fn oldest(&self, due: EntryRange) -> Result<(Digest, Vec<Record>), DiskError> {
+    fn oldest(&self, due: EntryRange) -> Result<(Digest, Vec<Record>), DatabaseError> {
         let read = self.database.begin_read()?;
         let (log, bases) = (read.open_table(LOG)?, read.open_table(BASES)?);
         let before = if due.from == 1 { Some(Digest::default()) } else { base_at(&bases, due.from - 1)? };
@@ -398,7 +409,7 @@
     }
 
     /// For a disk that holds nothing yet: its log begins behind that entry, whose digest is this.
-    pub fn begin_behind(&mut self, index: Index, digest: Digest) -> Result<(), DiskError> {
+    pub fn begin_behind(&mut self, index: Index, digest: Digest) -> Result<(), DatabaseError> {
         let write = self.database.begin_write()?;
         put(&mut write.open_table(BASES)?, index, &hex(&digest))?;
         write.commit()?;
@@ -411,7 +422,7 @@
 fn base_at(
     bases: &impl ReadableTable<u64, &'static [u8]>,
     index: Index,
-) -> Result<Option<Digest>, DiskError> {
+) -> Result<Option<Digest>, DatabaseError> {
     let base = bases.get(index)?.map(|base| serde_json::from_slice::<String>(base.value()));
     Ok(base.and_then(Result::ok).as_deref().and_then(digest_of))
 }
@@ -424,7 +435,7 @@
     Some(digest)
 }
 
-fn split(index: Index, value: &[u8]) -> Result<(Digest, Entry), DiskError> {
+fn split(index: Index, value: &[u8]) -> Result<(Digest, Entry), DatabaseError> {
     let whole = value
         .split_first_chunk::<32>()
         .and_then(|(digest, entry)| Some((*digest, serde_json::from_slice(entry).ok()?)));
@@ -434,7 +445,7 @@
 fn get<T: DeserializeOwned>(
     table: &impl ReadableTable<&'static str, &'static [u8]>,
     key: &str,
-) -> Result<Option<T>, DiskError> {
+) -> Result<Option<T>, DatabaseError> {
     let value = table.get(key)?;
     value
         .map(|value| serde_json::from_slice(value.value()))
@@ -446,7 +457,7 @@
     table: &mut redb::Table<K, &'static [u8]>,
     key: impl std::borrow::Borrow<K::SelfType<'k>>,
     value: &impl Serialize,
-) -> Result<(), DiskError> {
+) -> Result<(), DatabaseError> {
     table.insert(key, serde_json::to_vec(value).map_err(foreign)?.as_slice())?;
     Ok(())
 }
--- a/src/net/agree/disk/tests.rs
+++ b/src/net/agree/database/tests.rs
@@ -2,7 +2,7 @@
 use crate::agree::Command;
 use crate::agree::archive::Verification;
 use crate::agree::document::{DocumentChange, Edit, Value};
-use crate::rehearsal::disk::Disk as Paper;
+use crate::rehearsal::disk::Disk as MemoryDisk;
 use std::collections::BTreeMap;
 
 fn entry(i: u64) -> Entry {
@@ -18,15 +18,15 @@
     Box::new(state)
 }
 
-fn new_paper() -> Paper {
-    let paper = Paper::default();
-    let database = redb::Builder::new().create_with_backend(paper.clone()).unwrap();
-    Disk::begin(&database, 77).unwrap();
+fn new_database() -> MemoryDisk {
+    let memory = MemoryDisk::default();
+    let database = redb::Builder::new().create_with_backend(memory.clone()).unwrap();
+    VoterDatabase::begin(&database, 77).unwrap();
     drop(database);
-    paper
+    memory
 }
 
-fn found(disk: &Disk) -> Verification {
+fn found(disk: &VoterDatabase) -> Verification {
     disk.verify(DigestChain::default()).unwrap().done()
 }
 
@@ -74,26 +74,26 @@
         batch.iter().for_each(|save| next.apply(save));
         states.push(next);
     }
-    let written = |left: usize| -> (Paper, usize, usize) {
-        let paper = new_paper();
-        let (mut disk, _) = Disk::on(paper.clone()).unwrap();
-        paper.image().left = Some(left);
+    let written = |left: usize| -> (MemoryDisk, usize, usize) {
+        let memory = new_database();
+        let (mut disk, _) = VoterDatabase::on(memory.clone()).unwrap();
+        memory.image().left = Some(left);
         let done = batches.iter().take_while(|batch| disk.save(batch).is_ok()).count();
-        let used = left - paper.image().left.unwrap();
-        (paper, done, used)
+        let used = left - memory.image().left.unwrap();
+        (memory, done, used)
     };
     let (_, done, whole) = written(usize::MAX);
     assert_eq!(done, batches.len());
     let (mut before, mut after) = (0, 0);
     for left in (0..whole).step_by(whole / 100) {
-        let (paper, done, _) = written(left);
+        let (memory, done, _) = written(left);
         let images = {
-            let image = paper.image();
+            let image = memory.image();
             [image.bytes.clone(), image.synced.clone()]
         };
         for bytes in images {
-            let (disk, loaded) =
-                Disk::on(Paper::of(bytes)).unwrap_or_else(|problem| panic!("{left}: {problem}"));
+            let (disk, loaded) = VoterDatabase::on(MemoryDisk::of(bytes))
+                .unwrap_or_else(|problem| panic!("{left}: {problem}"));
             // What was said to be on disk is; the batch that it died in is there whole, or not at all.
             let is = (done..=(done + 1).min(batches.len())).find(|state| same(&loaded, &states[*state]));
             assert!(is.is_some(), "died after {left} of {whole} bytes, {done} batches done: {loaded:?}");
@@ -110,28 +110,28 @@
 
 #[test]
 fn a_full_disk_says_so_and_loses_nothing_that_it_had() {
-    let paper = new_paper();
-    let (mut disk, _) = Disk::on(paper.clone()).unwrap();
+    let memory = new_database();
+    let (mut disk, _) = VoterDatabase::on(memory.clone()).unwrap();
     disk.save(&[PersistentChange::Append(1, entry(1)), PersistentChange::Vote { term: 2, voted: Some(1) }])
         .unwrap();
-    paper.image().full = true;
+    memory.image().full = true;
     let snapshot = PersistentChange::Snapshot { state: state(1), term: 1, replaces_after: None };
     assert!(disk.save(&[snapshot]).is_err());
     drop(disk);
-    paper.image().full = false;
-    let (disk, saved) = Disk::on(paper).unwrap();
+    memory.image().full = false;
+    let (disk, saved) = VoterDatabase::on(memory).unwrap();
     assert_eq!((saved.term, saved.voted, saved.log.len(), saved.incarnation >> 32), (2, Some(1), 1, 2));
     assert_eq!(found(&disk), Verification { entries: 1, last: 1, ..Verification::default() });
 }
 
 #[test]
 fn a_changed_past_is_found_and_named_and_gaps_are_told() {
-    let paper = new_paper();
-    let (mut disk, _) = Disk::on(paper.clone()).unwrap();
+    let memory = new_database();
+    let (mut disk, _) = VoterDatabase::on(memory.clone()).unwrap();
     batches().iter().for_each(|batch| disk.save(batch).unwrap());
     assert_eq!(found(&disk), Verification { entries: 4, last: 10, gaps: vec![(4, 9)], wrong: None });
     drop(disk);
-    let database = redb::Builder::new().create_with_backend(paper.clone()).unwrap();
+    let database = redb::Builder::new().create_with_backend(memory.clone()).unwrap();
     let write = database.begin_write().unwrap();
     {
         let mut log = write.open_table(LOG).unwrap();
@@ -142,26 +142,26 @@
     }
     write.commit().unwrap();
     drop(database);
-    let (disk, _) = Disk::on(paper).unwrap();
+    let (disk, _) = VoterDatabase::on(memory).unwrap();
     assert_eq!(found(&disk).wrong, Some(2));
 }
 
 /// Twenty entries on disk that a ledger stands for, and two more; an archive that is empty.
-fn twenty(name: &str) -> (Paper, Disk, Archive, PathBuf) {
-    let (paper, folder) =
-        (new_paper(), std::env::temp_dir().join(format!("pathbank-{name}-{}", std::process::id())));
+fn twenty(name: &str) -> (MemoryDisk, VoterDatabase, Archive, PathBuf) {
+    let (memory, folder) =
+        (new_database(), std::env::temp_dir().join(format!("pathbank-{name}-{}", std::process::id())));
     let _ = std::fs::remove_dir_all(&folder);
-    let (mut disk, _) = Disk::on(paper.clone()).unwrap();
+    let (mut disk, _) = VoterDatabase::on(memory.clone()).unwrap();
     let entries: Vec<PersistentChange> = (1..=20).map(|i| PersistentChange::Append(i, entry(i))).collect();
     disk.save(&entries).unwrap();
     disk.save(&[PersistentChange::Snapshot { state: state(20), term: 1, replaces_after: None }]).unwrap();
     disk.save(&[PersistentChange::Append(21, entry(21)), PersistentChange::Append(22, entry(22))]).unwrap();
-    (paper, disk, Archive::beside(&folder), folder)
+    (memory, disk, Archive::beside(&folder), folder)
 }
 
 /// What is in the archive and behind it on disk, as a check of both finds it, and by reading one record after
 /// another.
-fn both(disk: &Disk, archive: &Archive) -> (Verification, Vec<Index>) {
+fn both(disk: &VoterDatabase, archive: &Archive) -> (Verification, Vec<Index>) {
     let mut chain = DigestChain::default();
     archive.follow(&mut chain).unwrap();
     let (mut all, mut at) = (Vec::new(), 0);
@@ -184,29 +184,30 @@
 #[test]
 fn old_entries_leave_for_the_archive_and_none_is_lost_wherever_the_machine_dies() {
     let span = |from, to| Some(EntryRange { from, to });
-    let (paper, mut disk, archive, folder) = twenty("archive");
+    let (memory, mut disk, archive, folder) = twenty("archive");
     assert_eq!(disk.archive(&archive, None).unwrap(), None);
     for due in [span(1, 6), span(7, 12), None] {
         assert_eq!(disk.archive(&archive, Some(6)).unwrap(), due);
         assert_eq!(both(&disk, &archive), (WHOLE, (1..=22).collect()), "{due:?}");
     }
     drop(disk);
-    let (mut disk, saved) = Disk::on(paper).unwrap();
+    let (mut disk, saved) = VoterDatabase::on(memory).unwrap();
     assert_eq!((saved.log.base().index, saved.log.len()), (20, 2));
     disk.save(&[PersistentChange::Append(23, entry(23))]).unwrap();
     assert_eq!(both(&disk, &archive).0, Verification { entries: 23, last: 23, ..WHOLE });
     std::fs::remove_dir_all(&folder).unwrap();
     let mut lefts = (0, 0);
     for left in (0..).step_by(997) {
-        let (paper, mut disk, archive, folder) = twenty(&format!("archive-{left}"));
-        paper.image().left = Some(left);
+        let (memory, mut disk, archive, folder) = twenty(&format!("archive-{left}"));
+        memory.image().left = Some(left);
         let done = disk.archive(&archive, Some(6)).is_ok();
         let images = {
-            let image = paper.image();
+            let image = memory.image();
             [image.bytes.clone(), image.synced.clone()]
         };
         for bytes in images {
-            let (mut disk, _) = Disk::on(Paper::of(bytes)).unwrap_or_else(|e| panic!("{left}: {e}"));
+            let (mut disk, _) =
+                VoterDatabase::on(MemoryDisk::of(bytes)).unwrap_or_else(|e| panic!("{left}: {e}"));
             assert_eq!(both(&disk, &archive), (WHOLE, (1..=22).collect()), "{left}");
             // It goes on where it stopped.
             while disk.archive(&archive, Some(6)).unwrap().is_some() {}
@@ -258,7 +259,7 @@
     // A file in the folder's place: nothing leaves, and what is here stays.
     std::fs::remove_dir_all(folder.join("archive")).unwrap();
     std::fs::write(folder.join("archive"), "").unwrap();
-    assert!(matches!(disk.archive(&archive, Some(2)), Err(DiskError::Io(_))));
+    assert!(matches!(disk.archive(&archive, Some(2)), Err(DatabaseError::Io(_))));
     assert_eq!(found(&disk), gap(10, (1, 12)));
     std::fs::remove_dir_all(&folder).unwrap();
 }
@@ -266,13 +267,13 @@
 #[test]
 fn what_is_no_voters_disk_is_named_and_never_voted_on() {
     let folder = std::env::temp_dir().join(format!("pathbank-disk-{}", std::process::id()));
-    let open = || Disk::open(&folder, 1 << 30);
-    assert!(matches!(open(), Err(DiskError::Absent(_))));
-    Disk::create(&folder, 5).unwrap();
-    assert!(matches!(Disk::create(&folder, 6), Err(DiskError::There(_))));
+    let open = || VoterDatabase::open(&folder, 1 << 30);
+    assert!(matches!(open(), Err(DatabaseError::Absent(_))));
+    VoterDatabase::create(&folder, 5).unwrap();
+    assert!(matches!(VoterDatabase::create(&folder, 6), Err(DatabaseError::There(_))));
     let (disk, saved) = open().unwrap();
     assert_eq!((disk.id(), saved.incarnation >> 32), (5, 1));
-    assert!(matches!(open(), Err(DiskError::Foreign { .. })), "two processes have it");
+    assert!(matches!(open(), Err(DatabaseError::Foreign { .. })), "two processes have it");
     drop(disk);
     assert_eq!(open().unwrap().1.incarnation >> 32, 2);
     let whole = std::fs::read(path(&folder)).unwrap();
@@ -296,7 +297,7 @@
         put(&mut write.open_table(META).unwrap(), key, &serde_json::from_str::<u64>(value).unwrap()).unwrap();
         write.commit().unwrap();
         drop(database);
-        assert!(matches!(open(), Err(DiskError::Foreign { .. } | DiskError::Schema(9))), "{key}");
+        assert!(matches!(open(), Err(DatabaseError::Foreign { .. } | DatabaseError::Schema(9))), "{key}");
     }
     std::fs::remove_dir_all(&folder).unwrap();
 }
--- a/src/net/agree/tests.rs
+++ b/src/net/agree/tests.rs
@@ -4,7 +4,7 @@
 
 use super::archive::Archive;
 use super::backup::{self, Backup};
-use super::disk::Disk;
+use super::database::VoterDatabase;
 use super::wire::{
     MessageEnvelope, MessageReply, ProposalOutcome, RecordsReply, RecordsRequest, StateReply, StateRequest,
     VoterStatus,
@@ -49,7 +49,7 @@
     }
 }
 
-fn verify(folder: &Path, disk: &Disk) -> Verification {
+fn verify(folder: &Path, disk: &VoterDatabase) -> Verification {
     let mut chain = DigestChain::default();
     Archive::beside(folder).follow(&mut chain).unwrap();
     disk.verify(chain).unwrap().done()
@@ -58,7 +58,7 @@
 #[test]
 fn the_stored_database_and_archive_hold_the_vote_the_log_and_the_state() {
     let folder = Folder::of_voter("database");
-    let (disk, saved) = Disk::open(&folder.0, 1 << 30).unwrap();
+    let (disk, saved) = VoterDatabase::open(&folder.0, 1 << 30).unwrap();
     assert_eq!(disk.id(), VOTER);
     assert_eq!((saved.term, saved.voted, saved.barrier), (3, Some(72), 9));
     assert_eq!(saved.peer_incarnations, [(72, 5 << 32 | 77)].into());
@@ -82,8 +82,8 @@
 #[test]
 fn the_same_changes_saved_by_this_program_give_the_stored_log_state_and_segment() {
     let (stored, written) = (Folder::of_voter("stored"), Folder::new("written"));
-    Disk::create(&written.0, VOTER).unwrap();
-    let (mut disk, _) = Disk::open(&written.0, 1 << 30).unwrap();
+    VoterDatabase::create(&written.0, VOTER).unwrap();
+    let (mut disk, _) = VoterDatabase::open(&written.0, 1 << 30).unwrap();
     for batch in batches() {
         disk.save(&batch).unwrap();
     }
@@ -95,8 +95,8 @@
     };
     assert_eq!(segment(&written), segment(&stored));
     drop(disk);
-    let (ours, our_state) = Disk::open(&written.0, 1 << 30).unwrap();
-    let (theirs, their_state) = Disk::open(&stored.0, 1 << 30).unwrap();
+    let (ours, our_state) = VoterDatabase::open(&written.0, 1 << 30).unwrap();
+    let (theirs, their_state) = VoterDatabase::open(&stored.0, 1 << 30).unwrap();
     assert_eq!(
         PersistentState { incarnation: 0, ..our_state },
         PersistentState { incarnation: 0, ..their_state }
@@ -107,7 +107,7 @@
 #[test]
 fn the_stored_state_has_its_documents_in_force_and_the_results_of_edits() {
     let folder = Folder::of_voter("state");
-    let (_, saved) = Disk::open(&folder.0, 1 << 30).unwrap();
+    let (_, saved) = VoterDatabase::open(&folder.0, 1 << 30).unwrap();
     let state = saved.state;
     assert_eq!((state.applied(), state.active(), state.prepared()), (11, 9, 9));
     assert_eq!((state.latest_voters(), state.voters_at()), (Some(&voters()), 9));
@@ -130,7 +130,7 @@
     assert_eq!(backup.cluster, "few");
     let directory = folder.0.join("restored");
     assert_eq!(backup.restore(&directory, 5, "127.0.0.1:7000").unwrap(), 15);
-    let (disk, saved) = Disk::open(&directory, 1 << 30).unwrap();
+    let (disk, saved) = VoterDatabase::open(&directory, 1 << 30).unwrap();
     assert_eq!(saved.state, state(14));
     assert_eq!(verify(&directory, &disk).wrong, None);
     let records: Vec<_> = disk.records(0, 14).unwrap();
--- a/src/net/agree/tests/samples.rs
+++ b/src/net/agree/tests/samples.rs
@@ -5,7 +5,7 @@
 use crate::agree::document_state::DocumentState;
 use crate::agree::voter::{PersistentChange, Voters};
 use crate::agree::{Command, Entry, HolderId, Index, Message};
-use crate::net::agree::disk::Record;
+use crate::net::agree::database::Record;
 use crate::net::agree::wire::{
     MessageEnvelope, MessageReply, ProposalOutcome, RecordsReply, RecordsRequest, StateReply, StateRequest,
     VoterStatus,
--- a/src/net/agree/wire.rs
+++ b/src/net/agree/wire.rs
@@ -1,7 +1,7 @@
 //! What voters, heads and operators say to a voter. Every call is a POST with a JSON body; the path has the
 //! form's number.
 
-use super::disk::Record;
+use super::database::Record;
 use crate::agree::document::EditRejection;
 use crate::agree::document_state::DocumentState;
 use crate::agree::voter::{Incarnation, Voters};
--- a/src/rehearsal/fleet/run.rs
+++ b/src/rehearsal/fleet/run.rs
@@ -8,7 +8,7 @@
 use crate::agree::voter::Voters;
 use crate::agree::{Index, VoterId, report};
 use crate::net::agree::call::Caller;
-use crate::net::agree::disk::{Disk, path};
+use crate::net::agree::database::{VoterDatabase, path};
 use crate::net::agree::wire::{
     PROPOSE_PATH, ProposalOutcome, RECORDS_PATH, RecordsReply, RecordsRequest, STATE_PATH, STATUS_PATH,
     StateReply, StateRequest, VOTERS_PATH, VoterStatus,
@@ -202,7 +202,7 @@
         };
         for member in 0..VOTERS_AT_FIRST {
             let id = draw.u64(1..1 << 48);
-            Disk::create(&fleet.folder.join(format!("v{member}")), id).map_err(unmet)?;
+            VoterDatabase::create(&fleet.folder.join(format!("v{member}")), id).map_err(unmet)?;
             lock(&fleet.seats).push(Seat { id, member, address: None });
         }
         for number in 0..plan.heads {
@@ -421,7 +421,7 @@
         self.replaced += 1;
         let (directory, id) =
             (self.folder.join(format!("v{number}-{}", self.replaced)), now_us() & 0xffff_ffff_ffff);
-        Disk::create(&directory, id).map_err(unmet)?;
+        VoterDatabase::create(&directory, id).map_err(unmet)?;
         self.members[number].directory = Some(directory);
         let link = Link::open()?;
         let address = link.address.to_string();
--- a/tests/agree.rs
+++ b/tests/agree.rs
@@ -162,7 +162,8 @@
     fn new(seed: u64, heads: usize, brk: Break) -> World {
         let mut draw = Draw(fastrand::Rng::with_seed(seed));
         let kept = [3, 512][draw.below(2) as usize];
-        let times = Timings { long_lease: 3 * S, drift_ppm: 100_000, kept, ..Timings::default() };
+        let times =
+            Timings { long_lease: 3 * S, drift_ppm: 100_000, retained_entries: kept, ..Timings::default() };
         let voter_times = match brk {
             Break::ActivatedAtOnce => Timings { lease: 0, long_lease: 0, ..times },
             Break::DriftLeftOut => Timings { drift_ppm: 0, ..times },
--- a/tests/agree_model.rs
+++ b/tests/agree_model.rs
@@ -51,7 +51,14 @@
 }
 
 fn times() -> Timings {
-    Timings { lease: 300, long_lease: 600, drift_ppm: 0, election: 1_000, beat: 100, kept: 512 }
+    Timings {
+        lease: 300,
+        long_lease: 600,
+        drift_ppm: 0,
+        election_timeout: 1_000,
+        heartbeat_interval: 100,
+        retained_entries: 512,
+    }
 }
 
 fn voters() -> Voters {
--- a/tests/fleet/cluster.rs
+++ b/tests/fleet/cluster.rs
@@ -2,7 +2,7 @@
 
 use pathbank::agree::document::{Edit, EditRejection};
 use pathbank::net::agree::call::Caller;
-use pathbank::net::agree::disk::Disk;
+use pathbank::net::agree::database::VoterDatabase;
 use pathbank::net::agree::wire::{PROPOSE_PATH, ProposalOutcome, STATUS_PATH, VoterStatus};
 use pathbank::rehearsal::stage::{Head, Setup};
 use serde::Serialize;
@@ -53,7 +53,7 @@
     /// A new disk and an address for its voter, which is not started.
     pub fn add_voter(&mut self) -> u64 {
         let id = self.voters.len() as u64 + FIRST_VOTER;
-        Disk::create(&self.directory(id), id).unwrap();
+        VoterDatabase::create(&self.directory(id), id).unwrap();
         self.voters.push((id, own_address()));
         id
     }
--- a/tests/fleet/main.rs
+++ b/tests/fleet/main.rs
@@ -9,7 +9,7 @@
 use pathbank::agree::document::{DocumentChange, Edit, EditRejection, Value};
 use pathbank::agree::report;
 use pathbank::net::agree::call::Caller;
-use pathbank::net::agree::disk::Disk;
+use pathbank::net::agree::database::VoterDatabase;
 use pathbank::net::agree::wire::{PROPOSE_PATH, ProposalOutcome, STATUS_PATH, VoterStatus};
 use pathbank::rehearsal::fleet::link::Link;
 use pathbank::rehearsal::fleet::run::{Plan, Played, play};
@@ -401,7 +401,7 @@
 #[test]
 fn the_two_processes_of_an_upgrade_are_one_voter_and_the_later_one_takes_it_over() {
     let folder = std::env::temp_dir().join(format!("pathbank-upgrade-agree-{}", std::process::id()));
-    Disk::create(&folder, 77).unwrap();
+    VoterDatabase::create(&folder, 77).unwrap();
     // Both processes are to listen there, one after the other.
     let listen: SocketAddr = own_address();
     let agree = format!(
