--- a/crates/coordination/src/consensus/election.rs
+++ b/crates/coordination/src/consensus/election.rs
@@ -1,61 +1,62 @@
-//! Elections: roles, and who gets a vote.
+//! Roles, and who gets a vote (sections 3.4, 3.6.1 and 9.6).
 
 use super::{Index, Term};
 use std::collections::BTreeSet;
 
-/// What a replica is at the moment.
+/// The role of a replica (section 3.3).
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Role {
     /// Follows a leader, or waits for one.
     Follower,
-    /// Asks whether it would be elected.
+    /// Asks whether it would be elected (pre-vote, section 9.6).
     PreCandidate,
-    /// Asks for votes.
+    /// Requests votes.
     Candidate,
-    /// Leads.
+    /// Leads its term.
     Leader,
 }
 
-/// How far a log goes. Of two, the one whose last entry has the later term is the newer one, then the longer
-/// one.
+/// The last entry of a log. Of two logs the one whose last entry has the later term is more up to date, then the
+/// longer one (section 3.6.1); the order of the fields gives that order.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord)]
 pub struct LogPosition {
     /// The last entry's term.
     pub term: Term,
-    /// The last entry.
+    /// The last entry's index.
     pub index: Index,
 }
 
-/// A candidate asks for a vote.
+/// A candidate requests a vote.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct VoteRequest<Id> {
-    /// Who asks.
+    /// The candidate.
     pub candidate: Id,
-    /// The term that it would lead.
+    /// The term that it wants to lead.
     pub term: Term,
-    /// It asks whether it would be elected, and binds nobody.
+    /// A pre-vote: asks whether the vote would be granted, and changes nothing.
     pub pre: bool,
-    /// How far its log goes.
+    /// Its last entry.
     pub log: LogPosition,
 }
 
-/// How the voter that is asked stands.
+/// The state of the voter that is asked.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct VoterState<Id> {
     /// Its term.
     pub term: Term,
-    /// Who got its vote in that term.
+    /// Whom it has voted for in that term.
     pub voted_for: Option<Id>,
     /// Its role.
     pub role: Role,
-    /// It leads, or hears a leader.
+    /// It leads, or has heard a leader within the election timeout.
     pub has_live_leader: bool,
-    /// How far its log goes.
+    /// Its last entry.
     pub log: LogPosition,
 }
 
 impl<Id: PartialEq> VoterState<Id> {
-    /// Whether the candidate gets the vote. A binding request is judged once the voter has entered its term.
+    /// Whether the voter grants the request. A request that is not a pre-vote is judged after the voter has entered
+    /// its term.
     ///
     /// ```
     /// use pathbank_coordination::consensus::election::{LogPosition, Role, VoterState, VoteRequest};
@@ -69,15 +70,15 @@
     pub fn grants(&self, request: &VoteRequest<Id>) -> bool {
         let is_up_to_date = request.log >= self.log;
         if request.pre {
-            // Whoever hears a leader wants no other, and whoever asks changes nothing by it.
+            // A voter with a live leader does not help to depose it (section 4.2.3).
             return is_up_to_date && request.term > self.term && !self.has_live_leader;
         }
-        let is_free = self.voted_for.as_ref().is_none_or(|voted| *voted == request.candidate);
-        is_up_to_date && is_free && request.term == self.term && self.role == Role::Follower
+        let has_vote_left = self.voted_for.as_ref().is_none_or(|voted| *voted == request.candidate);
+        is_up_to_date && has_vote_left && request.term == self.term && self.role == Role::Follower
     }
 }
 
-/// The votes that a candidate has got.
+/// The votes that a candidate has received in one election.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct VoteTally<Id: Ord> {
     granted: BTreeSet<Id>,
@@ -90,19 +91,20 @@
 }
 
 impl<Id: Ord> VoteTally<Id> {
-    /// A candidate's own vote comes first.
-    pub fn own(candidate: Id) -> VoteTally<Id> {
+    /// A candidate votes for itself first.
+    pub fn with_own_vote(candidate: Id) -> VoteTally<Id> {
         VoteTally { granted: BTreeSet::from([candidate]) }
     }
 
-    /// A voter gave its vote. Votes count for the role that asked for them: `pre` tells which it was.
-    pub fn grant(&mut self, voter: Id, pre: bool, role: Role) -> bool {
-        let asked_by = if pre { Role::PreCandidate } else { Role::Candidate };
-        role == asked_by && self.granted.insert(voter)
+    /// Records a granted vote. Returns whether it counts: it is the voter's first, and the replica still has the role
+    /// that requested it, which `pre` tells.
+    pub fn record(&mut self, voter: Id, pre: bool, role: Role) -> bool {
+        let requested_by = if pre { Role::PreCandidate } else { Role::Candidate };
+        role == requested_by && self.granted.insert(voter)
     }
 
-    /// Whether a voter gave its vote.
-    pub fn has(&self, voter: &Id) -> bool {
+    /// Whether a voter has granted its vote.
+    pub fn contains(&self, voter: &Id) -> bool {
         self.granted.contains(voter)
     }
 }
--- a/crates/coordination/src/consensus/lease.rs
+++ b/crates/coordination/src/consensus/lease.rs
@@ -1,8 +1,9 @@
-//! Leases between clocks that drift.
+//! Leases between clocks that drift (section 6.4.1).
 
-/// How long whoever granted a lease has to wait by its own clock until it is surely over by its holder's, in
-/// the unit of `lease`: theirs may be slow while ours is fast. `drift_ppm`: how much a clock may run fast or
-/// slow, in parts of a million.
+/// How long the grantor of a lease has to wait by its own clock until the lease has expired by its holder's clock
+/// too: the grantor's may be fast while the holder's is slow. In the unit of `lease`.
+///
+/// `drift_ppm`: by how much a clock may be fast or slow, in parts per million.
 ///
 /// ```
 /// use pathbank_coordination::consensus::lease::grantor_wait;
--- a/crates/coordination/src/consensus/log_tail.rs
+++ b/crates/coordination/src/consensus/log_tail.rs
@@ -1,4 +1,4 @@
-//! The part of a log that is still there entry by entry: all behind a base that a snapshot stands for.
+//! The entries of a log after its base, the last entry that a snapshot covers (section 5.1).
 
 use super::election::LogPosition;
 use super::{Index, Term};
@@ -9,7 +9,9 @@
     fn term(&self) -> Term;
 }
 
-/// Entries behind a base, in order and without gaps.
+/// Entries after a base, in order and without gaps.
+///
+/// Invariant: the entry at `base.index + 1 + n` is `entries[n]`.
 ///
 /// ```
 /// use pathbank_coordination::consensus::Term;
@@ -21,11 +23,11 @@
 ///     fn term(&self) -> Term { self.0 }
 /// }
 ///
-/// let mut log = LogTail::behind(7, 2);
-/// log.put(8, Entry(2));
-/// log.put(9, Entry(3));
+/// let mut log = LogTail::after(7, 2);
+/// log.insert(8, Entry(2));
+/// log.insert(9, Entry(3));
 /// assert_eq!((log.last_index(), log.term_at(7), log.term_at(9)), (9, Some(2), Some(3)));
-/// // A later leader has other entries behind 8.
+/// // A later leader has other entries after 8.
 /// assert_eq!(log.matching_prefix(7, 7, &[Entry(2), Entry(4)]), 1);
 /// ```
 #[derive(Clone, Debug, PartialEq, Eq)]
@@ -36,27 +38,27 @@
 
 impl<Entry> Default for LogTail<Entry> {
     fn default() -> Self {
-        LogTail::behind(0, 0)
+        LogTail::after(0, 0)
     }
 }
 
 impl<Entry> LogTail<Entry> {
-    /// No entry yet behind that one.
-    pub fn behind(index: Index, term: Term) -> LogTail<Entry> {
+    /// A log without entries after that one.
+    pub fn after(index: Index, term: Term) -> LogTail<Entry> {
         LogTail { base: LogPosition { term, index }, entries: Vec::new() }
     }
 
-    /// The last entry that is not here any more, and its term.
+    /// The last entry that was compacted away.
     pub fn base(&self) -> LogPosition {
         self.base
     }
 
-    /// Entries that are here.
+    /// Entries after the base.
     pub fn len(&self) -> usize {
         self.entries.len()
     }
 
-    /// Whether none is here.
+    /// Whether there is no entry after the base.
     pub fn is_empty(&self) -> bool {
         self.entries.is_empty()
     }
@@ -66,7 +68,7 @@
         &self.entries
     }
 
-    /// Those behind an entry; behind the base, all of them.
+    /// The entries after an index; all of them where that is at or before the base.
     pub fn entries_after(&self, index: Index) -> &[Entry] {
         let skipped = index.saturating_sub(self.base.index) as usize;
         self.entries.get(skipped..).unwrap_or_default()
@@ -77,39 +79,41 @@
         self.base.index + self.entries.len() as Index
     }
 
-    /// The entry at an index; `None`: it is covered by the base, or not there yet.
+    /// The entry at an index; `None`: it was compacted away, or does not exist yet.
     pub fn entry(&self, index: Index) -> Option<&Entry> {
         let offset = index.checked_sub(self.base.index + 1)?;
         self.entries.get(offset as usize)
     }
 
-    /// The log ends at that entry, or at the base.
+    /// Removes all entries after `last`.
     pub fn truncate(&mut self, last: Index) {
         self.entries.truncate(last.saturating_sub(self.base.index) as usize);
     }
 
-    /// An entry in its place; it and all behind it are replaced. One that would leave a gap is not taken.
-    pub fn put(&mut self, index: Index, entry: Entry) {
+    /// Puts an entry at its index, in place of that one and all after it (section 3.5). One that would leave a gap is
+    /// ignored.
+    pub fn insert(&mut self, index: Index, entry: Entry) {
         self.truncate(index.saturating_sub(1));
         if index == self.last_index() + 1 {
             self.entries.push(entry);
         }
     }
 
-    /// Another base, and nothing behind it.
+    /// Sets another base and removes all entries.
     pub fn reset(&mut self, index: Index, term: Term) {
-        *self = LogTail::behind(index, term);
+        *self = LogTail::after(index, term);
     }
 }
 
 impl<Entry: LogEntry> LogTail<Entry> {
-    /// How far the log goes.
+    /// The last entry's index and term.
     pub fn position(&self) -> LogPosition {
         let term = self.entries.last().map_or(self.base.term, Entry::term);
         LogPosition { term, index: self.last_index() }
     }
 
-    /// The term of the entry at an index; `None`: it is covered by the base, or not there yet.
+    /// The term of the entry at an index; `None`: it was compacted away, or does not
+    /// exist yet.
     pub fn term_at(&self, index: Index) -> Option<Term> {
         if index == self.base.index {
             return Some(self.base.term);
@@ -117,19 +121,19 @@
         self.entry(index).map(Entry::term)
     }
 
-    /// All up to that entry leaves; what is behind it stays. An index that is not in the log changes nothing.
+    /// Removes all entries up to `index`, which becomes the base. An index that is not in the log changes nothing.
     pub fn compact_to(&mut self, index: Index) {
         let Some(term) = self.term_at(index) else { return };
         self.entries.drain(..(index - self.base.index) as usize);
         self.base = LogPosition { term, index };
     }
 
-    /// How many of a leader's entries, which follow on `previous`, this log has as they are. What is
-    /// committed is never taken away, so it counts as known; a late message thus takes nothing away either.
+    /// How many of a leader's entries, which follow `previous`, this log has already. Committed entries are never
+    /// replaced, so they count as present; a late message thus removes nothing (section 3.5).
     pub fn matching_prefix(&self, committed: Index, previous: Index, entries: &[Entry]) -> usize {
-        let is_known = |(entry, index): &(&Entry, Index)| {
+        let is_present = |(entry, index): &(&Entry, Index)| {
             *index <= committed || self.term_at(*index) == Some(entry.term())
         };
-        entries.iter().zip(previous + 1..).take_while(is_known).count()
+        entries.iter().zip(previous + 1..).take_while(is_present).count()
     }
 }
--- a/crates/coordination/src/consensus/mod.rs
+++ b/crates/coordination/src/consensus/mod.rs
@@ -1,12 +1,11 @@
-//! The rules of agreement by terms and majorities, each stated once and used by every replicated log of this project.
-//!
-//! They are those of Raft (Ongaro and Ousterhout, 2014), with the question before an election that binds nobody.
+//! The rules of Raft, each stated once and used by every replicated log of this project. Sections are those of
+//! Ongaro's thesis, *Consensus: Bridging Theory and Practice* (2014).
 //!
 //! * [`quorum`]: majorities, and how far a majority has a log.
 //! * [`election`]: roles, and who gets a vote.
-//! * [`log_tail`]: the part of a log behind what a snapshot stands for, and what of a leader's entries is new to it.
+//! * [`log_tail`]: the entries of a log after its snapshot.
 //! * [`replication_progress`]: what a leader knows of another replica's log.
-//! * [`lease`]: how long whoever granted a lease has to wait where clocks drift.
+//! * [`lease`]: how long the grantor of a lease waits where clocks drift.
 
 pub mod election;
 pub mod lease;
@@ -14,7 +13,7 @@
 pub mod quorum;
 pub mod replication_progress;
 
-/// Position of an entry in a log; the first entry has index 1.
+/// Position of an entry in a log; the first entry has index 1, and 0 stands before it.
 pub type Index = u64;
-/// A period with at most one leader.
+/// A period with at most one leader (section 3.3).
 pub type Term = u64;
--- a/crates/coordination/src/consensus/quorum.rs
+++ b/crates/coordination/src/consensus/quorum.rs
@@ -1,4 +1,4 @@
-//! Majorities.
+//! Majorities, and what a leader may commit by them (sections 3.5 and 3.6.2).
 
 use super::{Index, Term};
 
@@ -17,7 +17,7 @@
     agreeing >= majority(voters)
 }
 
-/// The highest index that a majority of a group has reached; `reached`: each voter's.
+/// The highest index that a majority of a group has. `match_indexes`: each voter's.
 ///
 /// ```
 /// use pathbank_coordination::consensus::quorum::majority_match_index;
@@ -25,14 +25,15 @@
 /// assert_eq!(majority_match_index([9, 4, 7]), 7);
 /// assert_eq!(majority_match_index([9, 4, 7, 1]), 4);
 /// ```
-pub fn majority_match_index(reached: impl IntoIterator<Item = Index>) -> Index {
-    let mut reached: Vec<Index> = reached.into_iter().collect();
-    reached.sort_unstable_by(|one, other| other.cmp(one));
-    reached.get(majority(reached.len()) - 1).copied().unwrap_or(0)
+pub fn majority_match_index(match_indexes: impl IntoIterator<Item = Index>) -> Index {
+    let mut descending: Vec<Index> = match_indexes.into_iter().collect();
+    descending.sort_unstable_by(|one, other| other.cmp(one));
+    descending.get(majority(descending.len()) - 1).copied().unwrap_or(0)
 }
 
-/// Whether a leader of `term` may take all up to `reached` as committed. Entries of earlier terms count only
-/// together with one of its own: a majority that has them may still be outvoted by a log with a later term.
-pub fn may_commit(reached: Index, committed: Index, term_of_reached: Option<Term>, term: Term) -> bool {
-    reached > committed && term_of_reached == Some(term)
+/// Whether a leader of `term` may commit all up to `candidate`, which a majority has. Entries of earlier terms are
+/// committed only by one of its own after them (section 3.6.2): a majority that has them may still be overridden by a
+/// log with a later term.
+pub fn may_commit(candidate: Index, committed: Index, term_of_candidate: Option<Term>, term: Term) -> bool {
+    candidate > committed && term_of_candidate == Some(term)
 }
--- a/crates/coordination/src/consensus/replication_progress.rs
+++ b/crates/coordination/src/consensus/replication_progress.rs
@@ -1,36 +1,38 @@
-//! What a leader knows of another replica's log.
+//! What a leader knows of another replica's log (`nextIndex` and `matchIndex`, section 3.5).
 
 use super::Index;
 
-/// Where the other replica's log is known to match, and where to go on.
+/// Where another replica's log is known to match the leader's, and where to go on.
+///
+/// Invariant: `match_index < next_index`.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct ReplicationProgress {
     /// The next entry to send.
-    pub next: Index,
-    /// All up to here is on the other one's disk.
-    pub matched: Index,
+    pub next_index: Index,
+    /// All up to here is known to be on the other replica's disk.
+    pub match_index: Index,
 }
 
 impl ReplicationProgress {
-    /// Nothing is known; the first try is the entry behind this log.
-    pub fn behind(last: Index) -> ReplicationProgress {
-        ReplicationProgress { next: last + 1, matched: 0 }
+    /// Nothing is known; the first attempt is the entry after `last`.
+    pub fn after(last: Index) -> ReplicationProgress {
+        ReplicationProgress { next_index: last + 1, match_index: 0 }
     }
 
-    /// The other one has all up to there. Entries that were sent meanwhile are not sent again.
-    pub fn accepted(&mut self, index: Index) {
-        self.matched = self.matched.max(index);
-        self.next = self.next.max(self.matched + 1);
+    /// The replica has all up to `index`. Entries that were sent meanwhile are not sent again.
+    pub fn on_accepted(&mut self, index: Index) {
+        self.match_index = self.match_index.max(index);
+        self.next_index = self.next_index.max(self.match_index + 1);
     }
 
-    /// What was sent is taken for lost, or answered: goes on behind what matched.
-    pub fn go_back(&mut self) {
-        self.next = self.matched + 1;
+    /// What was sent counts as lost: goes on after what matched.
+    pub fn resend_after_match(&mut self) {
+        self.next_index = self.match_index + 1;
     }
 
-    /// The logs do not match before `next`. `try_next`: where the other one would go on; never behind what
-    /// matched.
-    pub fn rejected(&mut self, try_next: Index) {
-        self.next = try_next.min(self.next).max(self.matched + 1);
+    /// The logs do not match before `next_index`. `next_attempt`: where the replica proposes to go on; never at or
+    /// before what matched, which a late rejection does not undo.
+    pub fn on_rejected(&mut self, next_attempt: Index) {
+        self.next_index = next_attempt.min(self.next_index).max(self.match_index + 1);
     }
 }
--- a/crates/coordination/src/record.rs
+++ b/crates/coordination/src/record.rs
@@ -59,7 +59,7 @@
             Record::Vote { term, voted_for } => (self.term, self.voted_for) = (term, voted_for),
             Record::Entry(entry) => {
                 let index = entry.index;
-                self.log.put(index, entry);
+                self.log.insert(index, entry);
             }
             Record::Snapshot { snapshot, keep_tail } => {
                 let keeps = keep_tail && self.log.term_at(snapshot.index).is_some();
--- a/crates/coordination/src/replica/leading.rs
+++ b/crates/coordination/src/replica/leading.rs
@@ -31,7 +31,7 @@
 impl Progress {
     /// Nothing is known of it yet but that it is there.
     fn new(member: Member, last: Index, now: Millis) -> Progress {
-        let cursor = ReplicationProgress::behind(last);
+        let cursor = ReplicationProgress::after(last);
         Progress { member, cursor, answered: 0, heard: now, in_flight: None, transfer: None }
     }
 
@@ -87,15 +87,15 @@
         let Some(other) = self.progress.get_mut(&id) else { return };
         let awaits_reply = other.in_flight.is_some_and(|sent| now < sent + patience);
         if other.in_flight.is_some() && !awaits_reply {
-            other.cursor.go_back();
+            other.cursor.resend_after_match();
             other.in_flight = None;
         }
-        let lacks = other.cursor.next <= self.durable.last_index();
+        let lacks = other.cursor.next_index <= self.durable.last_index();
         if !heartbeat && (awaits_reply || !lacks) {
             return;
         }
         let term = self.durable.term;
-        let previous_index = other.cursor.next - 1;
+        let previous_index = other.cursor.next_index - 1;
         let Some(previous_term) = self.durable.term_at(previous_index) else {
             return self.send_snapshot_part(now, id, effects);
         };
@@ -103,11 +103,11 @@
         let mut entries = Vec::new();
         let mut bytes = 0;
         while let Some(entry) =
-            self.durable.entry(other.cursor.next).filter(|_| !awaits_reply && bytes < MOST_APPEND_BYTES)
+            self.durable.entry(other.cursor.next_index).filter(|_| !awaits_reply && bytes < MOST_APPEND_BYTES)
         {
             bytes += entry.payload.size();
             entries.push(entry.clone());
-            other.cursor.next += 1;
+            other.cursor.next_index += 1;
         }
         if !entries.is_empty() {
             other.in_flight = Some(now);
@@ -144,16 +144,16 @@
         };
         other.note_answer(now, &from, sent_at);
         if accepted {
-            other.cursor.accepted(index);
+            other.cursor.on_accepted(index);
             if other.in_flight.is_some_and(|sent| sent <= sent_at) {
                 other.in_flight = None;
             }
             self.advance_commit(now, effects);
         } else {
-            match index < other.cursor.matched {
+            match index < other.cursor.match_index {
                 // It lacks what it had acknowledged: its disk lost it. It gets that again.
-                true => other.cursor = ReplicationProgress::behind(index),
-                false => other.cursor.rejected(index + 1),
+                true => other.cursor = ReplicationProgress::after(index),
+                false => other.cursor.on_rejected(index + 1),
             }
             other.in_flight = None;
         }
@@ -174,7 +174,7 @@
     pub(super) fn advance_commit(&mut self, now: Millis, effects: &mut Effects) {
         let saved = |id: StoreId| match id == self.me.id {
             true => self.saved,
-            false => self.progress.get(&id).map_or(0, |other| other.cursor.matched),
+            false => self.progress.get(&id).map_or(0, |other| other.cursor.match_index),
         };
         let reached = self.membership.quorum_match_index(saved);
         if !quorum::may_commit(reached, self.commit, self.durable.term_at(reached), self.durable.term) {
--- a/crates/coordination/src/replica/mod.rs
+++ b/crates/coordination/src/replica/mod.rs
@@ -205,7 +205,7 @@
     }
     /// The replicas that this leader speaks to: the member, all that it saved, and when it was last heard.
     pub fn peers(&self) -> impl Iterator<Item = (&Member, Index, Millis)> {
-        self.progress.values().map(|other| (&other.member, other.cursor.matched, other.heard))
+        self.progress.values().map(|other| (&other.member, other.cursor.match_index, other.heard))
     }
     /// Whether this replica has applied all that it could know to be committed: it leads within its lease, or
     /// heard a leader within `silence` milliseconds and lacks nothing of what that leader told.
--- a/crates/coordination/src/replica/voting.rs
+++ b/crates/coordination/src/replica/voting.rs
@@ -52,7 +52,8 @@
     pub(super) fn transfer_to_best_voter(&mut self, now: Millis, effects: &mut Effects) {
         let voters = self.progress.values().filter(|other| self.membership.contains(other.member.id));
         let answers = |heard: Millis| now < heard + self.timing.election_timeout_ms;
-        let best = voters.max_by_key(|other| (answers(other.heard), other.cursor.matched, other.answered));
+        let best =
+            voters.max_by_key(|other| (answers(other.heard), other.cursor.match_index, other.answered));
         let Some(to) = best.map(|best| best.member.clone()) else { return };
         let message = Message::CampaignNow { term: self.durable.term };
         self.step_down(now);
@@ -88,7 +89,7 @@
             self.enter_term(now, term, Some(self.me.id), effects);
         }
         self.role = if pre { Role::PreCandidate } else { Role::Candidate };
-        self.votes = VoteTally::own(self.me.id);
+        self.votes = VoteTally::with_own_vote(self.me.id);
         let LogPosition { term: last_term, index: last_index } = self.durable.position();
         let message = Message::VoteRequest { term, pre, leadership_transfer, last_index, last_term };
         let others = self.membership.members().filter(|member| member.id != self.me.id);
@@ -99,7 +100,7 @@
     }
 
     pub(super) fn count_votes(&mut self, now: Millis, leadership_transfer: bool, effects: &mut Effects) {
-        if !self.membership.has_quorum(|id| self.votes.has(&id)) {
+        if !self.membership.has_quorum(|id| self.votes.contains(&id)) {
             return;
         }
         match self.role {
@@ -172,7 +173,7 @@
             return;
         }
         let asked_in = if pre { self.durable.term + 1 } else { self.durable.term };
-        if term == asked_in && self.votes.grant(from.id, pre, self.role) {
+        if term == asked_in && self.votes.record(from.id, pre, self.role) {
             self.count_votes(now, false, effects);
         }
     }
--- a/src/agree/voter/election.rs
+++ b/src/agree/voter/election.rs
@@ -51,14 +51,14 @@
     }
 
     pub(super) fn request_votes(&mut self, pre: bool, term: Term, out: &mut Output) {
-        self.votes = VoteTally::own(self.id);
+        self.votes = VoteTally::with_own_vote(self.id);
         let LogPosition { term: last_term, index: last_index } = self.saved.log.position();
         let vote = Message::VoteRequest { pre, term, last_index, last_term };
         out.send.extend(self.peer_ids().into_iter().map(|other| (Recipient::Voter(other), vote.clone())));
     }
 
     pub(super) fn tally_votes(&mut self, now: Micros, draw: u64, out: &mut Output) {
-        if !has_majority(self.voters.keys(), |id| self.votes.has(id)) {
+        if !has_majority(self.voters.keys(), |id| self.votes.contains(id)) {
             return;
         }
         match self.role {
@@ -122,7 +122,7 @@
             return;
         }
         let of_this_question = pre || term == self.saved.term;
-        if granted && of_this_question && self.votes.grant(from, pre, self.role) {
+        if granted && of_this_question && self.votes.record(from, pre, self.role) {
             self.tally_votes(now, draw, out);
         }
     }
--- a/src/agree/voter/mod.rs
+++ b/src/agree/voter/mod.rs
@@ -200,7 +200,7 @@
         }
         if self.is_leader() {
             let (progress, now) =
-                (ReplicationProgress::behind(self.last_index()), self.leader_heard_at.unwrap_or(0));
+                (ReplicationProgress::after(self.last_index()), self.leader_heard_at.unwrap_or(0));
             for other in self.peer_ids() {
                 self.peers.entry(other).or_insert(Peer { progress, cleared: 0, heard_at: now });
             }
--- a/src/agree/voter/persistent.rs
+++ b/src/agree/voter/persistent.rs
@@ -68,7 +68,7 @@
                 self.peer_incarnations.insert(*id, *incarnation);
             }
             PersistentChange::Truncate(at) => self.log.truncate(*at),
-            PersistentChange::Append(at, entry) => self.log.put(*at, entry.clone()),
+            PersistentChange::Append(at, entry) => self.log.insert(*at, entry.clone()),
             PersistentChange::Snapshot { state, term, replaces_after } => {
                 if replaces_after.is_some() {
                     self.log.reset(state.applied(), *term);
--- a/src/agree/voter/replication.rs
+++ b/src/agree/voter/replication.rs
@@ -80,7 +80,7 @@
 
     pub(super) fn append_to(&self, to: VoterId, out: &mut Output) {
         let Some(other) = self.peers.get(&to) else { return };
-        let previous_index = other.progress.next - 1;
+        let previous_index = other.progress.next_index - 1;
         let (term, commit) = (self.saved.term, self.commit);
         let message = match self.saved.log.term_at(previous_index) {
             Some(previous_term) => {
@@ -125,7 +125,7 @@
 
     /// Only what is of its own term counts by copies; what came previous_index counts by that.
     pub(super) fn advance_commit(&mut self, out: &mut Output) {
-        let reached = self.reached_by_quorum(self.last_index(), |other| other.progress.matched);
+        let reached = self.reached_by_quorum(self.last_index(), |other| other.progress.match_index);
         if may_commit(reached, self.commit, self.saved.log.term_at(reached), self.saved.term) {
             self.commit_up_to(reached, out);
         }
@@ -255,19 +255,21 @@
         }
         let last = self.last_index();
         let Some(other) = self.peers.get_mut(&from) else { return };
-        let tried = other.progress.next;
+        let tried = other.progress.next_index;
         other.heard_at = now;
         if accepted {
-            other.progress.accepted(matched.min(last));
+            other.progress.on_accepted(matched.min(last));
             // Nothing is sent ahead of what was answered.
-            other.progress.go_back();
+            other.progress.resend_after_match();
             other.cleared = cleared;
         } else {
-            other.progress.rejected(tried / 2);
+            other.progress.on_rejected(tried / 2);
         }
         self.activate_cleared(now, out);
         // Where the last try brought nothing new, the next one waits for the beat.
-        let more = |other: &Peer| other.progress.next != tried && other.progress.next <= self.last_index();
+        let more = |other: &Peer| {
+            other.progress.next_index != tried && other.progress.next_index <= self.last_index()
+        };
         if self.peers.get(&from).is_some_and(more) {
             self.append_to(from, out);
         }
--- a/src/net/agree/database.rs
+++ b/src/net/agree/database.rs
@@ -260,7 +260,7 @@
                 return Err(foreign(format!("entry {} does not follow on {}", index.value(), self.last)));
             }
             (self.last, self.digest) = (index.value(), digest);
-            saved.log.put(self.last, entry);
+            saved.log.insert(self.last, entry);
         }
         drop(read);
         // Before anything is said in this start: it is one more.
