--- a/crates/control/src/training.rs
+++ b/crates/control/src/training.rs
@@ -209,7 +209,7 @@
         self.contents.retain(|number, _| {
             *number >= oldest_kept || steps.step(*number).is_some_and(|step| !step.state().is_final())
         });
-        self.steps.forget_old(MAX_FINISHED_STEPS);
+        self.steps.remove_old(MAX_FINISHED_STEPS);
         let steps = &self.steps;
         self.last_changed.retain(|number, _| steps.step(*number).is_some());
     }
--- a/crates/control/src/training/workers.rs
+++ b/crates/control/src/training/workers.rs
@@ -34,7 +34,7 @@
         changing.contains(&server.instance) || server.models.iter().any(|held| held.name == request.model)
     };
     let holders = of_service.iter().filter(|server| holds(server)).count();
-    let wanted = request.workers.of(holders).max(request.floor as usize);
+    let wanted = request.workers.of(holders).max(request.min_workers as usize);
     let mut able: Vec<&ModelServer> =
         of_service.into_iter().filter(|server| holds(server) || has_room(server, request, runtime)).collect();
     able.sort_by_key(|server| (!before.contains(&server.instance), !holds(server), server.instance.clone()));
--- a/crates/control/tests/training.rs
+++ b/crates/control/tests/training.rs
@@ -185,7 +185,7 @@
         StepError::EarlierStep(1),
         StepError::KeyConflict(1),
         StepError::WrongVersion(1),
-        StepError::TooFewWorkers { active_workers: 1, floor: 2 },
+        StepError::TooFewWorkers { active_workers: 1, min_workers: 2 },
         StepError::Missing(1),
     ];
     let numbers: BTreeSet<u16> = refusals.iter().map(|refusal| ResultCode::from(refusal).number()).collect();
--- a/crates/rollout/src/evidence.rs
+++ b/crates/rollout/src/evidence.rs
@@ -1,40 +1,41 @@
-//! Which versions an answer says that it was drawn from: its head tells one, and an event tells each change.
+//! The versions that an answer names: one in its headers, and one in an event at each change.
 
 use crate::Version;
 use serde::{Deserialize, Serialize};
 
-/// What a whole answer told of versions, in order.
+/// The versions that an answer names, in order.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct VersionTrail {
-    /// The answer's head; `None`: it told none.
-    head: Option<Version>,
-    /// Versions that events told, where they differ from the one before.
+    /// The version in its headers; `None`: they name none.
+    #[serde(rename = "head")]
+    header_version: Option<Version>,
+    /// Versions in events, where they differ from the one before.
     changes: Vec<Version>,
-    /// The answer came to its last event.
+    /// The answer is complete.
     complete: bool,
 }
 
 impl VersionTrail {
-    /// An answer whose head told this.
-    pub fn begin(head: Option<Version>) -> VersionTrail {
-        VersionTrail { head, ..VersionTrail::default() }
+    /// An answer whose headers name this version.
+    pub fn begin(header_version: Option<Version>) -> VersionTrail {
+        VersionTrail { header_version, ..VersionTrail::default() }
     }
 
-    /// An event told a version.
-    pub fn event(&mut self, version: Version) {
-        let last = self.changes.last().copied().or(self.head);
+    /// Records the version that an event names.
+    pub fn record_event(&mut self, version: Version) {
+        let last = self.changes.last().copied().or(self.header_version);
         if last != Some(version) {
             self.changes.push(version);
         }
     }
 
-    /// The answer is complete.
+    /// Marks the answer as complete.
     pub fn finish(&mut self) {
         self.complete = true;
     }
 
-    /// The one version that the whole answer was drawn from; `None`: that is not shown. An answer that tells no version at
-    /// its head shows nothing, whatever comes later.
+    /// The one version that generated the complete answer; `None`: the answer does not show that. An answer whose headers
+    /// name no version shows nothing, whatever its events name.
     ///
     /// ```
     /// use pathbank_rollout::evidence::VersionTrail;
@@ -43,10 +44,10 @@
     /// assert_eq!(trail.single(), None, "not complete yet");
     /// trail.finish();
     /// assert_eq!(trail.single(), Some(4));
-    /// trail.event(5);
-    /// assert_eq!(trail.single(), None, "it went on with another version");
+    /// trail.record_event(5);
+    /// assert_eq!(trail.single(), None, "the version changed");
     /// ```
     pub fn single(&self) -> Option<Version> {
-        self.head.filter(|_| self.complete && self.changes.is_empty())
+        self.header_version.filter(|_| self.complete && self.changes.is_empty())
     }
 }
--- a/crates/rollout/src/step.rs
+++ b/crates/rollout/src/step.rs
@@ -1,31 +1,31 @@
-//! A step and its states.
+//! A training step and its states.
 
 use crate::{Epoch, Millis, PromptId, StepNumber, Version, WorkerId};
 use serde::{Deserialize, Serialize};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// Which version a step is to draw from.
+/// The version of the weights that a step asks for.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum RequestedVersion {
-    /// Whatever the store holds when the step is prepared.
+    /// The newest version in the weight store when the step is prepared.
     Newest,
-    /// This one and no other.
+    /// This version and no other.
     Exactly(Version),
 }
 
-/// How many of the workers that could take part in a step should.
+/// How many workers a step asks for.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum RequestedWorkers {
     /// All that hold the model.
     All,
-    /// So many.
+    /// A number of workers.
     Count(u32),
-    /// So many in a thousand of those that hold the model, one at least.
+    /// A share of those that hold the model, in thousandths; one worker at least.
     Permille(u16),
 }
 
 impl RequestedWorkers {
-    /// How many these are where so many hold the model.
+    /// The number of workers where `holders` hold the model.
     pub fn of(self, holders: usize) -> usize {
         match self {
             RequestedWorkers::All => holders,
@@ -35,42 +35,43 @@
     }
 }
 
-/// The time of a generation whose trainer asks for none, milliseconds.
+/// Time-out of a generation whose trainer gives none, milliseconds.
 pub const DEFAULT_GENERATION_MS: Millis = 30_000;
 
-/// What a trainer asks for.
+/// A trainer's request for a step.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct StepRequest {
-    /// The trainer's own name for the call: the same call again is the same step.
+    /// The trainer's idempotency key: the same request under the same key is the same step.
     pub key: String,
-    /// The service whose model servers are the workers.
+    /// The backend whose model servers are the workers.
     pub backend: String,
-    /// The model. Steps of one model go one after the other.
+    /// The model. Steps of one model run one after the other.
     pub model: String,
-    /// The version.
+    /// The version of the weights.
     pub version: RequestedVersion,
-    /// Workers that should take part.
+    /// The workers that should take part.
     pub workers: RequestedWorkers,
-    /// The step goes on with no fewer workers than these.
-    pub floor: u32,
-    /// Where workers take the prompts, as a path.
+    /// The step runs only while at least this many workers take part.
+    #[serde(rename = "floor")]
+    pub min_workers: u32,
+    /// The path of the workers' HTTP interface that takes prompts.
     pub path: String,
-    /// A generation that is not complete by then is over, milliseconds.
+    /// Time-out of a generation from its start, milliseconds.
     pub generation_ms: Millis,
-    /// The step is given up when it is not sealed so long after its leader saw it first, milliseconds.
+    /// The step is aborted if it is not closed within this time after the leader first saw it, milliseconds.
     pub deadline_ms: Option<Millis>,
 }
 
 impl StepRequest {
     /// A step with the newest version, by all workers that hold the model, without a deadline.
-    pub fn new(key: &str, model: &str, floor: u32) -> StepRequest {
+    pub fn new(key: &str, model: &str, min_workers: u32) -> StepRequest {
         StepRequest {
             key: key.to_owned(),
             backend: String::new(),
             model: model.to_owned(),
             version: RequestedVersion::Newest,
             workers: RequestedWorkers::All,
-            floor,
+            min_workers,
             path: "/".to_owned(),
             generation_ms: DEFAULT_GENERATION_MS,
             deadline_ms: None,
@@ -78,35 +79,35 @@
     }
 }
 
-/// Where a step stands.
+/// The state of a step.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 pub enum StepState {
-    /// Asked for; earlier steps of the model go first.
+    /// Announced by its trainer; earlier steps of the model run first.
     Announced,
-    /// Its version is known; workers are brought to it.
+    /// Its version is known; workers load it.
     Preparing,
-    /// Its workers draw.
+    /// Its workers generate.
     Open,
-    /// No generation begins any more; those under way end or run out of time.
+    /// Closed: no generation starts any more; those in flight end or time out.
     Sealing,
     /// Its counts are final.
     Sealed,
-    /// It was given up; its generations count for nothing.
+    /// Aborted: its generations do not count.
     Aborted,
 }
 
 impl StepState {
-    /// Whether nothing changes any more.
+    /// Whether the step does not change any more.
     pub fn is_final(self) -> bool {
         matches!(self, StepState::Sealed | StepState::Aborted)
     }
 
-    /// Whether results may still count.
-    pub fn counts(self) -> bool {
+    /// Whether results are still accepted.
+    pub fn accepts_results(self) -> bool {
         matches!(self, StepState::Open | StepState::Sealing)
     }
 
-    /// Whether a step may go from this state to another.
+    /// Whether a step may change from this state to `next`.
     pub fn can_become(self, next: StepState) -> bool {
         use StepState::{Aborted, Announced, Open, Preparing, Sealed, Sealing};
         match (self, next) {
@@ -117,68 +118,68 @@
     }
 }
 
-/// Why a worker left a step.
+/// Why a worker was removed from a step.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum RemovalReason {
-    /// It restarted or was lost.
+    /// Its incarnation ended.
     #[serde(rename = "Gone")]
     Lost,
-    /// It drew from another version than the step's.
+    /// It used or reported another version than the step's.
     #[serde(rename = "OtherVersion")]
     VersionMismatch,
-    /// It did not say what it drew from.
+    /// Its answer did not show that one version generated all of it.
     #[serde(rename = "NoVersion")]
     UnknownVersion,
-    /// It could not be reached for too long.
+    /// It did not report for too long.
     #[serde(rename = "Silent")]
     Unresponsive,
 }
 
-/// A generation that counts.
+/// The generation that counts for a prompt.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct StepResult {
-    /// Who drew it.
+    /// The worker that generated it.
     pub worker: WorkerId,
-    /// From which version.
+    /// The version that generated it.
     pub version: Version,
-    /// Tokens that were put out.
+    /// Output tokens.
     pub tokens: u64,
 }
 
-/// What became of a step's generations.
+/// Counts of a step's prompts and generations.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct StepCounts {
-    /// Prompts that were submitted.
+    /// Submitted prompts.
     pub submitted: u64,
     /// Generations that count.
     pub counted: u64,
-    /// Results that were told and do not count.
+    /// Results that were discarded.
     pub discarded: u64,
-    /// Prompts that the step lacks, known once it is sealed.
+    /// Prompts without a generation that counts; set when the step is sealed or aborted.
     #[serde(rename = "lacking")]
     pub missing: u64,
 }
 
-/// One step.
+/// A training step.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Step {
-    /// Its place in the order of all steps.
+    /// Its number in the order of all steps.
     pub number: StepNumber,
-    /// What was asked for.
+    /// The trainer's request.
     pub request: StepRequest,
-    /// Where it stands.
+    /// Its state.
     pub(crate) state: StepState,
-    /// The version that it draws from, from `Preparing` on.
+    /// The version of the weights, from `Preparing` on.
     pub version: Option<Version>,
     /// Its fencing token, from `Open` on.
     pub epoch: Option<Epoch>,
-    /// Its workers; those that left, with the reason.
+    /// Its workers; `Some`: the worker was removed, with the reason.
     pub members: BTreeMap<WorkerId, Option<RemovalReason>>,
-    /// Prompts that are to be drawn for.
+    /// Submitted prompts.
     pub prompts: BTreeSet<PromptId>,
-    /// What counts.
+    /// The generations that count, by prompt.
     pub results: BTreeMap<PromptId, StepResult>,
-    /// What became of it all.
+    /// Its counts.
     pub counts: StepCounts,
 }
 
@@ -197,12 +198,12 @@
         }
     }
 
-    /// Where it stands.
+    /// Its state.
     pub fn state(&self) -> StepState {
         self.state
     }
 
-    /// The one function that changes a step's state. Returns whether it may.
+    /// Changes the state if the transition is allowed; returns whether it is. No other function changes it.
     pub(crate) fn enter(&mut self, next: StepState) -> bool {
         let may = self.state.can_become(next);
         if may {
@@ -211,19 +212,19 @@
         may
     }
 
-    /// Workers that take part now.
+    /// Workers that take part.
     pub fn active_workers(&self) -> impl Iterator<Item = &WorkerId> {
         self.members.iter().filter(|(_, left)| left.is_none()).map(|(worker, _)| worker)
     }
 
-    /// Whether a worker takes part now.
+    /// Whether a worker takes part.
     pub fn has_worker(&self, worker: &str) -> bool {
         self.members.get(worker).is_some_and(Option::is_none)
     }
 
-    /// Whether enough workers are left to go on.
+    /// Whether at least `min_workers` workers take part.
     pub fn has_min_workers(&self) -> bool {
-        self.active_workers().count() >= self.request.floor.max(1) as usize
+        self.active_workers().count() >= self.request.min_workers.max(1) as usize
     }
 
     /// Prompts that have no generation that counts.
--- a/crates/rollout/src/step_table.rs
+++ b/crates/rollout/src/step_table.rs
@@ -1,4 +1,4 @@
-//! The replicated state of all steps. Every replica applies the same commands in the same order and comes to
+//! The replicated state of all steps. It is deterministic: replicas that apply the same commands in the same order have
 //! the same state.
 
 use crate::evidence::VersionTrail;
@@ -7,43 +7,43 @@
 use serde::{Deserialize, Serialize};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// A generation as a worker drew it.
+/// A complete generation as its edge reported it.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Generation {
-    /// The step for which it was drawn.
+    /// The step.
     pub step: StepNumber,
-    /// The epoch under which it was begun.
+    /// The epoch in which it started.
     pub epoch: Epoch,
     /// Its prompt.
     pub prompt: PromptId,
-    /// Who drew it.
+    /// The worker that generated it.
     pub worker: WorkerId,
-    /// What the answer said of versions.
+    /// The versions that the answer names.
     pub versions: VersionTrail,
-    /// Tokens that were put out.
+    /// Output tokens.
     pub tokens: u64,
 }
 
-/// What the log's entries about steps are.
+/// A command about steps, as an entry of the replicated log.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Command {
-    /// A trainer asks for a step.
+    /// A trainer announces a step.
     Announce(StepRequest),
-    /// A trainer submits prompts; those that are there already change nothing.
+    /// A trainer submits prompts; known ones change nothing.
     Submit {
         /// The step.
         step: StepNumber,
         /// The prompts.
         prompts: BTreeSet<PromptId>,
     },
-    /// The step is to draw from this version. While it is prepared a newer one may take its place.
+    /// Fixes the version of a step. While the step is prepared a newer version may replace it.
     FixVersion {
         /// The step.
         step: StepNumber,
         /// The version.
         version: Version,
     },
-    /// These workers hold the version, and draw from now on.
+    /// Opens the step with workers that hold its version. The index of this entry becomes the epoch.
     #[serde(rename = "Begin")]
     Open {
         /// The step.
@@ -51,74 +51,74 @@
         /// The workers.
         members: BTreeSet<WorkerId>,
     },
-    /// A generation came to its end.
+    /// Records a complete generation.
     Record(Generation),
-    /// A worker takes no part in the step any more.
+    /// Removes a worker from the step.
     #[serde(rename = "Leave")]
     RemoveWorker {
         /// The step.
         step: StepNumber,
         /// The worker.
         worker: WorkerId,
-        /// Why.
+        /// The reason.
         reason: RemovalReason,
     },
-    /// No generation begins any more.
+    /// Closes the step: no generation starts any more.
     Close {
         /// The step.
         step: StepNumber,
-        /// The trainer takes it with what is missing.
+        /// Prompts without a generation are accepted.
         allow_missing: bool,
     },
-    /// Nothing of the step is under way any more: its counts are final.
+    /// Seals the step: no generation is in flight, its counts are final.
     Seal {
         /// The step.
         step: StepNumber,
     },
-    /// The step is given up.
+    /// Aborts the step.
     Abort {
         /// The step.
         step: StepNumber,
     },
 }
 
-/// What came of a command.
+/// The outcome of a command.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Applied {
-    /// It changed what it says.
+    /// The state changed.
     Done,
-    /// It had been carried out before.
+    /// The command had been applied before; nothing changed.
     AlreadyApplied,
-    /// The step that was asked for.
+    /// The announced step, new or known.
     Step(StepNumber),
-    /// A result that does not count.
+    /// The result does not count.
     Discarded(DiscardReason),
 }
 
 /// Why a result does not count.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum DiscardReason {
-    /// The step is not open, or is sealed.
+    /// The step accepts no results.
     NotOpen,
-    /// It was drawn under another epoch.
+    /// It started in another epoch.
     EpochMismatch,
-    /// Its worker takes no part in the step.
+    /// Its worker does not take part in the step.
     NotAWorker,
-    /// It was not shown to be drawn from the step's version alone.
+    /// It does not show that the step's version alone generated it.
     VersionMismatch,
-    /// Nobody submitted that prompt.
+    /// The prompt was not submitted.
     UnknownPrompt,
-    /// The prompt has one that counts.
+    /// The prompt already has a result.
     Duplicate,
 }
 
-/// Why a command was refused; it changed nothing.
+/// Why a command was rejected. The state has not changed.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum StepError {
-    /// There is no such step.
+    /// The step does not exist.
     #[error("there is no step {0}")]
     UnknownStep(StepNumber),
-    /// The step's state does not allow it.
+    /// The step's state does not allow the command.
     #[error("step {step} is {state:?}")]
     WrongState {
         /// The step.
@@ -129,26 +129,26 @@
     /// An earlier step of the model is not over.
     #[error("step {0} of the same model is not over")]
     EarlierStep(StepNumber),
-    /// The trainer's key names another request.
+    /// The idempotency key belongs to another request.
     #[error("the key names step {0}, which asks for something else")]
     KeyConflict(StepNumber),
-    /// Another version than the one that was asked for, or an older one than before.
+    /// The version is not the requested one, or older than the one fixed before.
     #[error("version {0} is not the one that the step may draw from")]
     WrongVersion(Version),
-    /// Fewer workers than the step's floor.
-    #[error("{active_workers} workers are fewer than the floor of {floor}")]
+    /// Fewer workers than the step's minimum.
+    #[error("{active_workers} workers are fewer than the floor of {min_workers}")]
     TooFewWorkers {
-        /// Workers that could take part.
+        /// Workers of the command.
         active_workers: usize,
-        /// The step's floor.
-        floor: u32,
+        /// The step's minimum.
+        min_workers: u32,
     },
-    /// Prompts have no generation that counts.
+    /// The step cannot be closed: this many prompts have no result.
     #[error("{0} prompts have no generation that counts")]
     Missing(usize),
 }
 
-/// All steps.
+/// The state of all steps.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct StepTable {
     steps: BTreeMap<StepNumber, Step>,
@@ -156,7 +156,7 @@
 }
 
 impl StepTable {
-    /// One step.
+    /// The step with a number.
     pub fn step(&self, number: StepNumber) -> Option<&Step> {
         self.steps.get(&number)
     }
@@ -166,42 +166,41 @@
         self.steps.values()
     }
 
-    /// The step of a model that is under way: the first that is not over.
+    /// The current step of a model: the first that is not final.
     pub fn current(&self, model: &str) -> Option<&Step> {
         self.steps.values().find(|step| step.request.model == model && !step.state().is_final())
     }
 
-    /// Models that have a step under way.
+    /// Models that have a current step.
     pub fn models(&self) -> BTreeSet<&str> {
         let open = self.steps.values().filter(|step| !step.state().is_final());
         open.map(|step| step.request.model.as_str()).collect()
     }
 
-    /// The one function that changes the state: applies the command of the log's entry `index`.
+    /// Applies the command of the log entry `index`.
     ///
     /// # Errors
     ///
-    /// The command is refused, and nothing changes.
+    /// The command is rejected and nothing changes.
     pub fn apply(&mut self, index: u64, command: &Command) -> Result<Applied, StepError> {
         match command {
             Command::Announce(request) => self.announce(request),
             Command::Submit { step, prompts } => self.submit(*step, prompts),
             Command::FixVersion { step, version } => self.fix_version(*step, *version),
-            Command::Open { step, members } => self.begin(index, *step, members),
+            Command::Open { step, members } => self.open(index, *step, members),
             Command::Record(generation) => self.record(generation),
-            Command::RemoveWorker { step, worker, reason } => self.leave(*step, worker, *reason),
+            Command::RemoveWorker { step, worker, reason } => self.remove_worker(*step, worker, *reason),
             Command::Close { step, allow_missing } => self.close(*step, *allow_missing),
             Command::Seal { step } => self.enter(*step, StepState::Sealed),
             Command::Abort { step } => self.enter(*step, StepState::Aborted),
         }
     }
 
-    /// Forgets the oldest steps that are over, but for so many of them. A key that is forgotten may be used
-    /// again.
-    pub fn forget_old(&mut self, kept: usize) {
-        let over: Vec<StepNumber> =
+    /// Removes the oldest final steps, keeping `retained` of them. Their idempotency keys become free.
+    pub fn remove_old(&mut self, retained: usize) {
+        let finished: Vec<StepNumber> =
             self.steps.values().filter(|step| step.state().is_final()).map(|step| step.number).collect();
-        for number in &over[..over.len().saturating_sub(kept.max(1))] {
+        for number in &finished[..finished.len().saturating_sub(retained.max(1))] {
             if let Some(step) = self.steps.remove(number) {
                 self.by_key.remove(&step.request.key);
             }
@@ -223,7 +222,7 @@
         self.steps.get_mut(&number).ok_or(StepError::UnknownStep(number))
     }
 
-    /// The step, if it is the one of its model that is under way.
+    /// The step, if no earlier step of its model is current.
     fn current_mut(&mut self, number: StepNumber) -> Result<&mut Step, StepError> {
         let model = self.step_mut(number)?.request.model.clone();
         match self.current(&model).map(|step| step.number) {
@@ -263,7 +262,7 @@
         Ok(Applied::Done)
     }
 
-    fn begin(
+    fn open(
         &mut self,
         index: u64,
         number: StepNumber,
@@ -273,9 +272,9 @@
         if step.state() != StepState::Preparing {
             return Err(wrong_state(step));
         }
-        let floor = step.request.floor.max(1);
-        if members.len() < floor as usize {
-            return Err(StepError::TooFewWorkers { active_workers: members.len(), floor });
+        let min_workers = step.request.min_workers.max(1);
+        if members.len() < min_workers as usize {
+            return Err(StepError::TooFewWorkers { active_workers: members.len(), min_workers });
         }
         step.enter(StepState::Open);
         step.epoch = Some(index);
@@ -285,32 +284,32 @@
 
     fn record(&mut self, generation: &Generation) -> Result<Applied, StepError> {
         let step = self.step_mut(generation.step)?;
-        if let Some(why) = why_not(step, generation) {
+        if let Some(reason) = discard_reason(step, generation) {
             if !step.state().is_final() {
                 step.counts.discarded += 1;
             }
-            return Ok(Applied::Discarded(why));
+            return Ok(Applied::Discarded(reason));
         }
         let Some(version) = step.version else { return Err(wrong_state(step)) };
-        let counted = StepResult { worker: generation.worker.clone(), version, tokens: generation.tokens };
-        step.results.insert(generation.prompt, counted);
+        let result = StepResult { worker: generation.worker.clone(), version, tokens: generation.tokens };
+        step.results.insert(generation.prompt, result);
         step.counts.counted = step.results.len() as u64;
         Ok(Applied::Done)
     }
 
-    fn leave(
+    fn remove_worker(
         &mut self,
         number: StepNumber,
         worker: &str,
         reason: RemovalReason,
     ) -> Result<Applied, StepError> {
         let step = self.step_mut(number)?;
-        if !step.state().counts() {
+        if !step.state().accepts_results() {
             return Err(wrong_state(step));
         }
         match step.members.get_mut(worker) {
-            Some(left) if left.is_none() => {
-                *left = Some(reason);
+            Some(removed) if removed.is_none() => {
+                *removed = Some(reason);
                 Ok(Applied::Done)
             }
             _ => Ok(Applied::AlreadyApplied),
@@ -319,7 +318,7 @@
 
     fn close(&mut self, number: StepNumber, allow_missing: bool) -> Result<Applied, StepError> {
         let step = self.step_mut(number)?;
-        // Whoever did not hear that it is being sealed asks again.
+        // A trainer that did not receive the answer repeats its call.
         if matches!(step.state(), StepState::Sealing | StepState::Sealed) {
             return Ok(Applied::AlreadyApplied);
         }
@@ -350,9 +349,9 @@
     StepError::WrongState { step: step.number, state: step.state() }
 }
 
-/// Why a generation does not count in a step, if it does not.
-fn why_not(step: &Step, generation: &Generation) -> Option<DiscardReason> {
-    if !step.state().counts() {
+/// Why a generation does not count in a step; `None`: it counts.
+fn discard_reason(step: &Step, generation: &Generation) -> Option<DiscardReason> {
+    if !step.state().accepts_results() {
         return Some(DiscardReason::NotOpen);
     }
     if step.epoch != Some(generation.epoch) {
--- a/crates/rollout/src/worker.rs
+++ b/crates/rollout/src/worker.rs
@@ -1,42 +1,42 @@
-//! A worker's states, each entered with its evidence.
+//! The states of a worker. A worker counts as holding a version only by its own report.
 
 use crate::{Millis, Version, WorkerId};
 
-/// What a worker reported of itself.
+/// A worker's report of itself.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct WorkerReport {
     /// The incarnation.
     pub worker: WorkerId,
-    /// Its zone.
+    /// Its failure domain.
     pub zone: String,
-    /// The version of the model that it holds; `None`: it does not hold it.
+    /// The version of the model that is resident; `None`: the model is not resident.
     pub loaded_version: Option<Version>,
-    /// An order is under way.
+    /// It is carrying out an order.
     pub busy: bool,
-    /// Orders that it took since its start.
+    /// Orders that it has accepted since its start.
     pub sequence: u64,
-    /// Requests that it runs.
+    /// Requests that it is running.
     pub active: u32,
-    /// Requests that it can run at once.
+    /// Requests that it can run at once (slots).
     pub capacity: u32,
 }
 
-/// Where a worker stands in a change of versions.
+/// The state of a worker in the rollout of a version.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum WorkerState {
-    /// It serves; nothing is asked of it.
+    /// It serves, and the version that it holds is not known or the model is not resident.
     Serving,
-    /// It gets nothing new of the model; what it has ends, at the latest at this time.
+    /// It gets no new requests of the model; those that it has end by `until`.
     Draining {
-        /// When what is left is moved.
+        /// When the remaining requests are moved.
         until: Millis,
     },
-    /// It was ordered to load; `sequence`: its orders before that.
+    /// It was ordered to load.
     Loading {
-        /// Orders that it had taken before.
+        /// Orders that it had accepted before this one.
         sequence: u64,
     },
-    /// Its own report, after its last order, says that it holds this version.
+    /// It serves, and its report, later than its last order, names this version.
     Verified(Version),
 }
 
@@ -45,72 +45,72 @@
 pub struct Worker {
     /// Its last report.
     pub report: WorkerReport,
-    /// When that came.
+    /// When that report came.
     pub reported_at: Millis,
     state: WorkerState,
 }
 
-/// A worker that has said nothing for so long takes no part in a step that begins, milliseconds.
+/// How long a report counts, milliseconds: a worker with an older one takes no part in a step that opens.
 pub const REPORT_TTL_MS: Millis = 3_000;
 
 impl Worker {
-    /// A worker that reported for the first time. What it holds is known from that report.
+    /// A worker with its first report.
     pub fn new(now: Millis, report: WorkerReport) -> Worker {
         let mut worker = Worker { report, reported_at: now, state: WorkerState::Serving };
-        worker.look();
+        worker.update_state();
         worker
     }
 
-    /// Where it stands.
+    /// Its state.
     pub fn state(&self) -> WorkerState {
         self.state
     }
 
-    /// The one function that changes a worker's state.
-    fn enter(&mut self, state: WorkerState) {
+    /// Changes the state; no other function does.
+    fn set_state(&mut self, state: WorkerState) {
         self.state = state;
     }
 
-    /// A report came. An older one, by the orders that it counts, changes nothing.
+    /// Takes a report. One that is older by its count of orders is ignored.
     pub fn observe_report(&mut self, now: Millis, report: WorkerReport) {
         if report.sequence < self.report.sequence {
             return;
         }
         (self.report, self.reported_at) = (report, now);
-        self.look();
+        self.update_state();
     }
 
-    /// What its last report says of its state.
-    fn look(&mut self) {
+    /// Derives the state from the last report.
+    fn update_state(&mut self) {
         let loaded_version = self.report.loaded_version.filter(|_| !self.report.busy);
         match (self.state, loaded_version) {
-            // A report from before the order says nothing of what it brought.
+            // The report is older than the order, so it does not show the order's effect.
             (WorkerState::Loading { sequence }, _) if self.report.sequence <= sequence => {}
             (
                 WorkerState::Loading { .. } | WorkerState::Serving | WorkerState::Verified(_),
                 Some(version),
             ) => {
-                self.enter(WorkerState::Verified(version));
+                self.set_state(WorkerState::Verified(version));
             }
-            (WorkerState::Verified(_), None) => self.enter(WorkerState::Serving),
+            (WorkerState::Verified(_), None) => self.set_state(WorkerState::Serving),
             _ => {}
         }
     }
 
-    /// It is to get nothing new until it has loaded.
+    /// Takes the worker out of service until it has loaded; its requests end by `until`.
     pub fn drain(&mut self, until: Millis) {
-        self.enter(WorkerState::Draining { until });
+        self.set_state(WorkerState::Draining { until });
     }
 
-    /// It was ordered to load.
-    pub fn ordered(&mut self) {
-        self.enter(WorkerState::Loading { sequence: self.report.sequence });
+    /// The worker was ordered to load.
+    pub fn load_ordered(&mut self) {
+        self.set_state(WorkerState::Loading { sequence: self.report.sequence });
     }
 
-    /// The order was turned away, or nothing more will be heard of it.
+    /// The order was rejected, or its end will not be known: the last report decides.
     pub fn order_failed(&mut self) {
-        self.enter(WorkerState::Serving);
-        self.look();
+        self.set_state(WorkerState::Serving);
+        self.update_state();
     }
 
     /// Whether it takes requests.
@@ -118,18 +118,13 @@
         matches!(self.state, WorkerState::Serving | WorkerState::Verified(_))
     }
 
-    /// Whether requests of the model would miss it.
+    /// Whether it takes requests of the model.
     pub fn serves_model(&self) -> bool {
         self.serves() && self.report.loaded_version.is_some()
     }
 
-    /// Whether it can draw from a version now, as far as its own fresh word says.
+    /// Whether a fresh report shows that it can generate with a version now.
     pub fn is_verified(&self, now: Millis, version: Version) -> bool {
         self.state == WorkerState::Verified(version) && now < self.reported_at + REPORT_TTL_MS
     }
-
-    /// Requests that it could run beside those it has.
-    pub fn idle_slots(&self) -> u32 {
-        self.report.capacity.saturating_sub(self.report.active)
-    }
 }
--- a/crates/rollout/tests/controller.rs
+++ b/crates/rollout/tests/controller.rs
@@ -54,7 +54,7 @@
 
 fn trail(head: Option<u64>, events: &[u64]) -> VersionTrail {
     let mut trail = VersionTrail::begin(head);
-    events.iter().for_each(|version| trail.event(*version));
+    events.iter().for_each(|version| trail.record_event(*version));
     trail.finish();
     trail
 }
--- a/crates/rollout/tests/search.rs
+++ b/crates/rollout/tests/search.rs
@@ -297,7 +297,7 @@
 
     fn ended(&mut self, running: Running) {
         let mut trail = VersionTrail::begin(running.versions.first().copied());
-        running.versions.iter().for_each(|version| trail.event(*version));
+        running.versions.iter().for_each(|version| trail.record_event(*version));
         trail.finish();
         self.ends.push(DrawEnd { draw: running.draw, outcome: DrawOutcome::Complete(trail), tokens: 1 });
     }
--- a/crates/rollout/tests/step_table.rs
+++ b/crates/rollout/tests/step_table.rs
@@ -19,7 +19,7 @@
 
 fn drawn_from(versions: &[u64]) -> VersionTrail {
     let mut trail = VersionTrail::begin(versions.first().copied());
-    versions.iter().for_each(|version| trail.event(*version));
+    versions.iter().for_each(|version| trail.record_event(*version));
     trail.finish();
     trail
 }
@@ -66,7 +66,7 @@
     let announce = Command::Announce(request("one"));
     assert_eq!(table.apply(1, &announce), Ok(Applied::Step(1)));
     assert_eq!(table.apply(2, &announce), Ok(Applied::Step(1)));
-    let other = StepRequest { floor: 9, ..request("one") };
+    let other = StepRequest { min_workers: 9, ..request("one") };
     assert_eq!(table.apply(3, &Command::Announce(other)), Err(StepError::KeyConflict(1)));
     assert_eq!(table.apply(4, &Command::Announce(request("two"))), Ok(Applied::Step(2)));
 }
@@ -114,7 +114,7 @@
     table.apply(1, &Command::Announce(request("one"))).unwrap();
     table.apply(2, &Command::FixVersion { step: 1, version: VERSION }).unwrap();
     let few = Command::Open { step: 1, members: workers(&["a"]) };
-    assert_eq!(table.apply(3, &few), Err(StepError::TooFewWorkers { active_workers: 1, floor: 2 }));
+    assert_eq!(table.apply(3, &few), Err(StepError::TooFewWorkers { active_workers: 1, min_workers: 2 }));
     table.apply(9, &Command::Open { step: 1, members: workers(&["a", "b"]) }).unwrap();
     assert_eq!(table.step(1).unwrap().epoch, Some(9));
 }
@@ -209,7 +209,7 @@
         table.apply(10 + number, &Command::Abort { step: number }).unwrap();
     }
     table.apply(20, &Command::Announce(request("five"))).unwrap();
-    table.forget_old(2);
+    table.remove_old(2);
     assert_eq!(table.steps().map(|step| step.number).collect::<Vec<_>>(), [3, 4, 5]);
     assert_eq!(table.apply(21, &Command::Announce(request("four"))), Ok(Applied::Step(4)));
     assert_eq!(table.apply(22, &Command::Announce(request("one"))), Ok(Applied::Step(6)), "a new step");
--- a/crates/rollout/tests/steps/engine.rs
+++ b/crates/rollout/tests/steps/engine.rs
@@ -123,7 +123,7 @@
             return VersionTrail::begin(None);
         }
         let mut trail = VersionTrail::begin(Some(running.draw.version));
-        running.drawn_from.iter().for_each(|version| trail.event(*version));
+        running.drawn_from.iter().for_each(|version| trail.record_event(*version));
         trail.finish();
         trail
     }
--- a/crates/rollout/tests/steps/world.rs
+++ b/crates/rollout/tests/steps/world.rs
@@ -4,7 +4,7 @@
 #![allow(dead_code)]
 
 use super::engine::{Engine, LOAD_MS, MERCHANT_MS, Running};
-use pathbank_rollout::audit::{Audit, Drawn, Told, audit};
+use pathbank_rollout::audit::{Audit, EngineRecord, TrainerRecord, audit};
 use pathbank_rollout::controller::{
     Action, Draw, DrawEnd, DrawOutcome, Settings, StepController, WaitReason,
 };
@@ -91,8 +91,8 @@
     /// Ends of generations on their way to the leader.
     ends: Vec<(u64, DrawEnd)>,
     late_results: bool,
-    drawn: Vec<Drawn>,
-    told: Vec<Told>,
+    drawn: Vec<EngineRecord>,
+    told: Vec<TrainerRecord>,
     attempt: u64,
     lacks_since: u64,
     /// The trainer never gives a step up.
@@ -220,7 +220,7 @@
         let Draw { step, epoch, prompt, .. } = running.draw;
         let versions = running.drawn_from.clone();
         let worker = worker.to_owned();
-        self.drawn.push(Drawn {
+        self.drawn.push(EngineRecord {
             step,
             epoch,
             prompt,
@@ -338,11 +338,11 @@
         self.now >= self.lacks_since + 2_000
     }
 
-    fn read(&self, number: u64) -> Option<Told> {
+    fn read(&self, number: u64) -> Option<TrainerRecord> {
         let step = self.table.step(number)?;
         let results =
             step.results.iter().map(|(prompt, counted)| (*prompt, counted.worker.clone())).collect();
-        Some(Told { step: number, version: step.version?, results })
+        Some(TrainerRecord { step: number, version: step.version?, results })
     }
 
     // ---- the leader and the log ----
--- a/crates/rollout/tests/steps/world/baselines.rs
+++ b/crates/rollout/tests/steps/world/baselines.rs
@@ -2,7 +2,7 @@
 
 use super::super::engine::{DRAW_MS, Engine, LOAD_MS};
 use super::{GENERATION_MS, PUBLISH_MS, STEP_MS, World};
-use pathbank_rollout::audit::Told;
+use pathbank_rollout::audit::TrainerRecord;
 use pathbank_rollout::controller::Draw;
 
 impl World {
@@ -46,7 +46,7 @@
             let step = self.newest - 1;
             let of_step = self.drawn.iter().filter(|drawn| drawn.step == step && drawn.complete);
             let results = of_step.map(|drawn| (drawn.prompt, drawn.worker.clone())).collect();
-            self.told.push(Told { step, version: step, results });
+            self.told.push(TrainerRecord { step, version: step, results });
         }
     }
 }
--- a/crates/rollout/tests/stored_steps.rs
+++ b/crates/rollout/tests/stored_steps.rs
@@ -13,7 +13,7 @@
 
 fn trail(head: Option<u64>, events: &[u64], complete: bool) -> VersionTrail {
     let mut trail = VersionTrail::begin(head);
-    events.iter().for_each(|version| trail.event(*version));
+    events.iter().for_each(|version| trail.record_event(*version));
     if complete {
         trail.finish();
     }
@@ -35,7 +35,7 @@
         model: "n".into(),
         version: RequestedVersion::Exactly(9),
         workers: RequestedWorkers::Count(3),
-        floor: 1,
+        min_workers: 1,
         path: "/generate".into(),
         generation_ms: 9_000,
         deadline_ms: Some(60_000),
--- a/crates/rollout/tests/workers.rs
+++ b/crates/rollout/tests/workers.rs
@@ -34,7 +34,7 @@
 fn a_report_from_before_an_order_says_nothing_of_what_the_order_brings() {
     let mut worker = Worker::new(0, report(1, Some(4), 3));
     worker.drain(400);
-    worker.ordered();
+    worker.load_ordered();
     // What it said before it took the order comes late.
     worker.observe_report(10, report(1, Some(4), 3));
     assert_eq!(worker.state(), WorkerState::Loading { sequence: 3 });
@@ -49,7 +49,7 @@
 fn an_order_that_was_turned_away_leaves_the_worker_as_it_was() {
     let mut worker = Worker::new(0, report(1, Some(4), 3));
     worker.drain(400);
-    worker.ordered();
+    worker.load_ordered();
     worker.order_failed();
     assert_eq!(worker.state(), WorkerState::Verified(4));
 }
--- a/crates/system/src/core/node/training/generations.rs
+++ b/crates/system/src/core/node/training/generations.rs
@@ -96,7 +96,7 @@
         let (outcome, tokens, output) = match result.ending {
             DrawEnding::Complete(answer) => {
                 let mut trail = VersionTrail::begin(answer.header_version);
-                answer.event_versions.iter().for_each(|version| trail.event(*version));
+                answer.event_versions.iter().for_each(|version| trail.record_event(*version));
                 trail.finish();
                 let output = Output { text: answer.text, truncated: answer.truncated };
                 (DrawOutcome::Complete(trail), answer.tokens, output)
--- a/crates/system/src/core/training/call.rs
+++ b/crates/system/src/core/training/call.rs
@@ -182,7 +182,7 @@
             model: self.model,
             version,
             workers,
-            floor: self.floor.unwrap_or(1).max(1),
+            min_workers: self.floor.unwrap_or(1).max(1),
             path,
             generation_ms,
             deadline_ms: self.deadline_ms,
--- a/crates/system/src/core/training/view.rs
+++ b/crates/system/src/core/training/view.rs
@@ -57,7 +57,7 @@
         "model": step.request.model,
         "wanted_version": wanted_version(step.request.version),
         "wanted_workers": wanted_workers(step.request.workers),
-        "floor": step.request.floor,
+        "floor": step.request.min_workers,
         "state": state_name(step.state()),
         "version": step.version,
         "epoch": step.epoch,
--- a/crates/system/src/rehearsal/steps/mod.rs
+++ b/crates/system/src/rehearsal/steps/mod.rs
@@ -13,7 +13,7 @@
 use faults::Faults;
 use indicatif::{ProgressBar, ProgressStyle};
 use merchants::{Merchants, Served};
-use pathbank_rollout::audit::{Audit, Drawn, Told, audit};
+use pathbank_rollout::audit::{Audit, EngineRecord, TrainerRecord, audit};
 use pathbank_rollout::version_rollout::{RolloutLimits, max_duration_ms};
 use serde::{Deserialize, Serialize};
 use stage::Stage;
@@ -150,10 +150,12 @@
     let beside = merchants.take();
     drop(merchants);
     let drawn = drawn::generations(&stage.drawn()?);
-    let told: Vec<Told> = played.sealed.iter().map(told).collect();
+    let told: Vec<TrainerRecord> = played.sealed.iter().map(told).collect();
     let trainer = Trainer::new(stage.control().to_vec(), PATIENCE);
-    let read_back: Result<Vec<Told>> =
-        told.iter().map(|told| Ok(Told { results: trainer.results(told.step)?, ..told.clone() })).collect();
+    let read_back: Result<Vec<TrainerRecord>> = told
+        .iter()
+        .map(|told| Ok(TrainerRecord { results: trainer.results(told.step)?, ..told.clone() }))
+        .collect();
     let audit = audit(&drawn, &told, &read_back?);
     let run = figures(plan, Seen { played, drawn, audit, alone, beside });
     report(plan, &run)?;
@@ -161,8 +163,8 @@
     Ok(())
 }
 
-fn told(sealed: &SealedStep) -> Told {
-    Told { step: sealed.step, version: sealed.version, results: sealed.results.clone() }
+fn told(sealed: &SealedStep) -> TrainerRecord {
+    TrainerRecord { step: sealed.step, version: sealed.version, results: sealed.results.clone() }
 }
 
 /// What the trainer and the faults came to.
@@ -175,7 +177,7 @@
 /// All that was seen of a rehearsal.
 struct Seen {
     played: Played,
-    drawn: Vec<Drawn>,
+    drawn: Vec<EngineRecord>,
     audit: Audit,
     alone: Served,
     beside: Served,
@@ -302,7 +304,7 @@
     }
 }
 
-fn step_figures(plan: &StepsPlan, sealed: &SealedStep, drawn: &[Drawn]) -> StepFigures {
+fn step_figures(plan: &StepsPlan, sealed: &SealedStep, drawn: &[EngineRecord]) -> StepFigures {
     let of_step = || drawn.iter().filter(|one| one.step == sealed.step);
     let mut drawn_by: BTreeMap<String, Vec<u64>> = BTreeMap::new();
     for one in of_step() {
--- a/crates/system/src/stand_in/drawn.rs
+++ b/crates/system/src/stand_in/drawn.rs
@@ -1,7 +1,7 @@
 //! What a stand-in model server really drew for training steps, for an audit: kept in memory, and appended to
 //! a file where one is named, so that it outlives the process.
 
-use pathbank_rollout::audit::Drawn;
+use pathbank_rollout::audit::EngineRecord;
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
 use std::fs::{File, OpenOptions};
@@ -71,11 +71,11 @@
 }
 
 /// Generations out of their tokens.
-pub fn generations(lines: &[DrawnLine]) -> Vec<Drawn> {
-    let mut by_id: BTreeMap<&str, Drawn> = BTreeMap::new();
+pub fn generations(lines: &[DrawnLine]) -> Vec<EngineRecord> {
+    let mut by_id: BTreeMap<&str, EngineRecord> = BTreeMap::new();
     for line in lines {
         let Some((step, epoch, prompt)) = names(&line.id) else { continue };
-        let drawn = by_id.entry(&line.id).or_insert_with(|| Drawn {
+        let drawn = by_id.entry(&line.id).or_insert_with(|| EngineRecord {
             step,
             epoch,
             prompt,
--- a/crates/system/tests/training/world.rs
+++ b/crates/system/tests/training/world.rs
@@ -2,7 +2,7 @@
 //! drew.
 
 use crate::common::{System, call, document, start_server, until};
-use pathbank_rollout::audit::{Audit, Drawn, Told, audit};
+use pathbank_rollout::audit::{Audit, EngineRecord, TrainerRecord, audit};
 use pathbank_system::local::LocalEdge;
 use pathbank_system::stand_in::store::WeightStore;
 use pathbank_system::stand_in::{StandInSettings, StandInState, drawn};
@@ -51,9 +51,9 @@
     pub servers: Vec<ModelServer>,
     pub trainer: Trainer,
     pace: Pace,
-    told: Vec<Told>,
+    told: Vec<TrainerRecord>,
     /// What model servers drew that are gone.
-    drawn_before: Vec<Drawn>,
+    drawn_before: Vec<EngineRecord>,
 }
 
 impl World {
@@ -141,13 +141,13 @@
         let told = self.trainer.until(step, &["sealed"]).expect("it is sealed");
         let version = told["version"].as_u64().expect("a version");
         let results = self.trainer.results(step).expect("results");
-        self.told.push(Told { step, version, results });
+        self.told.push(TrainerRecord { step, version, results });
         told
     }
 
     fn note(&mut self, sealed: &SealedStep) {
         let SealedStep { step, version, results, .. } = sealed;
-        self.told.push(Told { step: *step, version: *version, results: results.clone() });
+        self.told.push(TrainerRecord { step: *step, version: *version, results: results.clone() });
     }
 
     /// A request of the model at every edge, each on a thread that brings its status.
@@ -190,7 +190,7 @@
         (answer.status, told["result_code"].as_u64().unwrap_or(0))
     }
 
-    fn drawn(&self) -> Vec<Drawn> {
+    fn drawn(&self) -> Vec<EngineRecord> {
         let now = self.servers.iter().flat_map(|server| drawn::generations(&server.state.drawn.lines()));
         self.drawn_before.iter().cloned().chain(now).collect()
     }
@@ -208,10 +208,10 @@
 
     /// What engines drew, what the trainer was told, and what is read back now.
     pub fn audit(&self) -> Audit {
-        let read_back: Vec<Told> = self
+        let read_back: Vec<TrainerRecord> = self
             .told
             .iter()
-            .map(|told| Told { results: self.trainer.results(told.step).unwrap(), ..told.clone() })
+            .map(|told| TrainerRecord { results: self.trainer.results(told.step).unwrap(), ..told.clone() })
             .collect();
         audit(&self.drawn(), &self.told, &read_back)
     }
