--- a/crates/control/src/placement/adapters.rs
+++ b/crates/control/src/placement/adapters.rs
@@ -1,70 +1,84 @@
-//! Which adapters model servers that hold their models are ordered to take, and which make room for them.
+//! On which replicas of its model an adapter is loaded, and which adapter is unloaded for it.
 
-use super::{Placer, Plan, adapter_count, holds_adapter};
+use super::model_replicas::{adapter_count, has_adapter};
+use super::pending_orders::PendingOrders;
+use super::plan::Plan;
 use crate::demand::ModelKey;
 use crate::order::Operation;
 use pathbank_protocol::message::ModelServer;
 
-/// An adapter is on so many times as many model servers as its demand alone would fill.
-const ADAPTER_SPREAD: f64 = 2.0;
+/// An adapter is loaded on this many times the model servers that its demand alone would fill.
+const SPREAD_FACTOR: f64 = 2.0;
+/// The least rate for which an adapter is loaded, requests a second.
+const MIN_RATE: f64 = 0.01;
+/// What each loaded adapter counts for beside a model server's occupancy.
+const ADAPTER_WEIGHT: f64 = 0.05;
 
 impl Plan<'_> {
-    pub(super) fn adapters(&mut self, placer: &mut Placer) {
-        let mut wanted: Vec<ModelKey> = self.keys();
-        wanted.retain(|key| !key.adapter.is_empty() && self.holders(&key.model) > 0);
-        wanted.sort_by(|one, other| self.rate(other).total_cmp(&self.rate(one)));
-        for key in wanted {
-            let rate = self.rate(&key);
-            let known = self.model(&key.model).is_some();
-            let holders = self.adapter_holders(&key.model, &key.adapter);
-            let enough = self.wanted_adapter_copies(&key);
-            let asked = rate > 0.01;
-            if known && asked && holders < enough && !self.is_loading(placer, &key.model, &key.adapter) {
-                self.add_adapter(placer, &key, rate, holders == 0);
+    /// Loads adapters that have fewer replicas than their demand needs, the ones with the highest rate first.
+    pub(super) fn add_adapters(&mut self, pending: &mut PendingOrders) {
+        let mut keys: Vec<ModelKey> = self.rates.keys().cloned().collect();
+        keys.retain(|key| !key.adapter.is_empty() && self.replicas.serving(&key.model) > 0);
+        keys.sort_by(|one, other| self.rates.of_key(other).total_cmp(&self.rates.of_key(one)));
+        for key in keys {
+            let rate = self.rates.of_key(&key);
+            let is_known = self.model(&key.model).is_some();
+            let replicas = self.replicas.of_adapter(&key.model, &key.adapter);
+            let wanted = self.wanted_adapter_replicas(&key);
+            let is_requested = rate > MIN_RATE;
+            if is_known
+                && is_requested
+                && replicas < wanted
+                && !self.is_loading(pending, &key.model, &key.adapter)
+            {
+                self.add_adapter(pending, &key, rate, replicas == 0);
             }
         }
     }
 
-    /// Model servers that an adapter should be on, by its part of its model's demand.
-    fn wanted_adapter_copies(&self, key: &ModelKey) -> usize {
-        let part = self.rate(key) / self.model_rate(&key.model).max(f64::MIN_POSITIVE);
-        1 + (ADAPTER_SPREAD * part * self.servers_filled(&key.model)) as usize
+    /// Model servers that an adapter should be on, by its fraction of its model's demand.
+    fn wanted_adapter_replicas(&self, key: &ModelKey) -> usize {
+        let fraction = self.rates.of_key(key) / self.rates.of_model(&key.model).max(f64::MIN_POSITIVE);
+        1 + (SPREAD_FACTOR * fraction * self.servers_filled(&key.model)) as usize
     }
 
-    fn add_adapter(&mut self, placer: &mut Placer, key: &ModelKey, rate: f64, makes_room: bool) {
-        let size = self.model(&key.model).map_or(0.0, |model| model.adapter_mb);
-        let servers = self.places(&key.model).map(|place| self.servers[place]);
-        let lacks = |server: &&ModelServer| !holds_adapter(server, &key.model, &key.adapter);
+    /// Loads an adapter on the least occupied model server with memory for it; or unloads another one, if it may.
+    fn add_adapter(&mut self, pending: &mut PendingOrders, key: &ModelKey, rate: f64, may_evict: bool) {
+        let size_mb = self.model(&key.model).map_or(0.0, |model| model.adapter_mb);
+        let servers = self.replicas.positions(&key.model).map(|position| self.servers[position]);
+        let lacks = |server: &&ModelServer| !has_adapter(server, &key.model, &key.adapter);
         let candidates: Vec<&ModelServer> =
-            servers.filter(lacks).filter(|server| self.is_free(placer, server)).collect();
-        let has_room = |server: &&&ModelServer| {
+            servers.filter(lacks).filter(|server| self.is_free(pending, server)).collect();
+        let fits = |server: &&&ModelServer| {
             adapter_count(server) < self.runtime.max_adapters as usize
-                && self.used_mb(server) + size <= self.runtime.weights_mb
+                && self.used_mb(server) + size_mb <= self.runtime.weights_mb
         };
-        let calmest = |one: &&&ModelServer, other: &&&ModelServer| {
-            let rank = |server: &ModelServer| self.occupancy(server) + 0.05 * adapter_count(server) as f64;
+        let by_occupancy = |one: &&&ModelServer, other: &&&ModelServer| {
+            let rank =
+                |server: &ModelServer| self.occupancy(server) + ADAPTER_WEIGHT * adapter_count(server) as f64;
             rank(one).total_cmp(&rank(other))
         };
-        if let Some(server) = candidates.iter().filter(has_room).min_by(calmest).copied() {
-            return self.order(placer, server, Operation::Load, key);
+        if let Some(server) = candidates.iter().filter(fits).min_by(by_occupancy).copied() {
+            return self.give_order(pending, server, Operation::Load, key);
         }
-        let victims = candidates.iter().filter_map(|server| Some((self.least_adapter(server)?, *server)));
-        let cheapest = victims.min_by(|((_, one), _), ((_, other), _)| one.total_cmp(other));
-        if let Some(((victim, _), server)) = cheapest.filter(|((_, value), _)| makes_room && *value < rate) {
-            self.order(placer, server, Operation::Unload, &victim);
+        let evictable =
+            candidates.iter().filter_map(|server| Some((self.least_requested_adapter(server)?, *server)));
+        let cheapest = evictable.min_by(|((_, one), _), ((_, other), _)| one.total_cmp(other));
+        if let Some(((evicted, _), server)) = cheapest.filter(|((_, value), _)| may_evict && *value < rate) {
+            self.give_order(pending, server, Operation::Unload, &evicted);
         }
     }
 
-    /// The adapter of a model server that is asked for least, by copies.
-    fn least_adapter(&self, server: &ModelServer) -> Option<(ModelKey, f64)> {
-        let held = server.models.iter().flat_map(|held| {
-            held.adapters.iter().map(|adapter| self.key(&held.name, adapter)).collect::<Vec<_>>()
+    /// The adapter of a model server with the lowest rate for each of its replicas, and that rate.
+    fn least_requested_adapter(&self, server: &ModelServer) -> Option<(ModelKey, f64)> {
+        let keys = server.models.iter().flat_map(|loaded| {
+            loaded.adapters.iter().map(|adapter| self.key(&loaded.name, adapter)).collect::<Vec<_>>()
         });
-        let valued = held.map(|key| {
-            let copies = self.adapter_holders(&key.model, &key.adapter).max(1) as f64;
-            let value = self.rate(&key) / copies;
-            (key, value)
+        let rates = keys.map(|key| {
+            let replicas = self.replicas.of_adapter(&key.model, &key.adapter).max(1) as f64;
+            let rate = self.rates.of_key(&key) / replicas;
+            (key, rate)
         });
-        valued.min_by(|(_, one), (_, other)| one.total_cmp(other))
+        rates.min_by(|(_, one), (_, other)| one.total_cmp(other))
     }
 }
--- /dev/null
+++ b/crates/control/src/placement/memory_capacity.rs
@@ -0,0 +1,160 @@
+//! The memory of model servers for one more model, and what freeing it costs; computed once for all models of a pass.
+
+use super::model_replicas::loaded;
+use super::pending_orders::PendingOrders;
+use super::plan::Plan;
+use pathbank_protocol::message::ModelServer;
+
+// Costs of a model server for a load, requests a second.
+
+/// A load from the weight store, beside one from the machine's own disk.
+const FETCH_COST: f64 = 0.4;
+/// What a load has to gain beyond the value of what is unloaded for it.
+const MIN_GAIN: f64 = 0.03;
+/// The weight of the demand that the model server serves already.
+const SERVED_RATE_WEIGHT: f64 = 0.3;
+/// The weight of requests for adapters of the model server's models: no adapter is loaded meanwhile.
+const ADAPTER_RATE_WEIGHT: f64 = 0.5;
+/// A replica in a zone that has all other replicas.
+const SAME_ZONE_COST: f64 = 0.1;
+
+/// A model that may be unloaded from a model server.
+struct EvictionCandidate<'a> {
+    model: &'a str,
+    weights_mb: f64,
+    /// The value of the replica, requests a second.
+    value: f64,
+}
+
+/// The memory of one model server.
+struct ServerCapacity<'a> {
+    server: &'a ModelServer,
+    /// It has no pending order and no reservation, and does not fail.
+    is_available: bool,
+    free_mb: f64,
+    /// The rate that it serves by its share of each model's demand.
+    served_rate: f64,
+    /// The cost of delaying its adapters while it loads a model, requests a second.
+    adapter_delay_cost: f64,
+    /// The least valuable first.
+    candidates: Vec<EvictionCandidate<'a>>,
+}
+
+impl<'a> ServerCapacity<'a> {
+    fn of(plan: &Plan<'a>, pending: &PendingOrders, server: &'a ModelServer) -> ServerCapacity<'a> {
+        let is_reserved = pending.reserved_model(&server.instance).is_some();
+        let is_available =
+            plan.is_free(pending, server) && !is_reserved && !plan.inputs.failing.contains(&server.instance);
+        let mut capacity = ServerCapacity {
+            server,
+            is_available,
+            free_mb: plan.runtime.weights_mb - plan.used_mb(server),
+            served_rate: 0.0,
+            adapter_delay_cost: 0.0,
+            candidates: Vec::new(),
+        };
+        capacity.update_values(plan);
+        capacity
+    }
+
+    /// Computes the values of its models again, which depend on the replicas elsewhere.
+    fn update_values(&mut self, plan: &Plan<'a>) {
+        let server = self.server;
+        let training = plan.inputs.training;
+        let evictable = server.models.iter().filter(|loaded| !training.pins(&server.instance, &loaded.name));
+        let candidates = evictable.map(|loaded| EvictionCandidate {
+            model: &loaded.name,
+            weights_mb: plan.model(&loaded.name).map_or(0.0, |model| model.weights_mb),
+            value: plan.replica_value(&loaded.name, &server.zone),
+        });
+        self.candidates = candidates.collect();
+        self.candidates.sort_by(|one, other| one.value.total_cmp(&other.value));
+        self.served_rate = plan.served_rate(server);
+        self.adapter_delay_cost = ADAPTER_RATE_WEIGHT * plan.adapter_rate(server);
+    }
+
+    /// The value of what has to be unloaded for `size_mb`, requests a second, and the model to unload first. `None`:
+    /// there would not be enough memory.
+    fn eviction_cost(&self, size_mb: f64) -> Option<(f64, Option<&'a str>)> {
+        let (mut free_mb, mut cost) = (self.free_mb, 0.0);
+        if free_mb >= size_mb {
+            return Some((0.0, None));
+        }
+        let first = self.candidates.first()?.model;
+        for candidate in &self.candidates {
+            free_mb += candidate.weights_mb;
+            cost += candidate.value;
+            if free_mb >= size_mb {
+                return Some((cost, Some(first)));
+            }
+        }
+        None
+    }
+}
+
+/// The model server for a load.
+pub(super) struct LoadTarget<'a> {
+    /// Its index in the table.
+    position: usize,
+    pub(super) server: &'a ModelServer,
+    /// The model that has to be unloaded first, if any.
+    pub(super) evicted: Option<&'a str>,
+}
+
+/// The memory of all model servers of a service.
+pub(super) struct CapacityTable<'a> {
+    /// In the order of the plan's model servers.
+    servers: Vec<ServerCapacity<'a>>,
+}
+
+impl<'a> CapacityTable<'a> {
+    /// The memory at the beginning of a pass.
+    pub(super) fn of(plan: &Plan<'a>, pending: &PendingOrders) -> CapacityTable<'a> {
+        let servers = plan.servers.iter().map(|server| ServerCapacity::of(plan, pending, server));
+        CapacityTable { servers: servers.collect() }
+    }
+
+    /// The cheapest model server for a model of `size_mb`, where the load gains more than it costs. `gain`: what the load
+    /// serves, requests a second.
+    pub(super) fn cheapest_target(
+        &self,
+        plan: &Plan<'a>,
+        name: &str,
+        size_mb: f64,
+        gain: f64,
+    ) -> Option<LoadTarget<'a>> {
+        let mut best: Option<(f64, LoadTarget)> = None;
+        for (position, capacity) in self.servers.iter().enumerate().filter(|(_, server)| server.is_available)
+        {
+            let Some((cost, evicted)) =
+                capacity.eviction_cost(size_mb).filter(|(cost, _)| cost + MIN_GAIN < gain)
+            else {
+                continue;
+            };
+            let server = capacity.server;
+            let served = SERVED_RATE_WEIGHT * capacity.served_rate;
+            // The other costs need look-ups by name: they are skipped where the model server is too expensive without.
+            let is_worse = best.as_ref().is_some_and(|(least, _)| cost + served > *least);
+            if is_worse || loaded(server, name).is_some() {
+                continue;
+            }
+            let is_cached = plan.has_cached_weights(server, name);
+            let fetch = if is_cached { 0.0 } else { FETCH_COST };
+            let same_zone = SAME_ZONE_COST * plan.replicas.zones().fraction_in(name, &server.zone);
+            let adapter_delay = if is_cached { 0.0 } else { capacity.adapter_delay_cost };
+            let total = cost + fetch + same_zone + served + adapter_delay;
+            if best.as_ref().is_none_or(|(least, _)| total < *least) {
+                best = Some((total, LoadTarget { position, server, evicted }));
+            }
+        }
+        best.map(|(_, target)| target)
+    }
+
+    /// The target was given an order: it takes no other, and an eviction raises the value of the other replicas.
+    pub(super) fn record_order(&mut self, plan: &Plan<'a>, target: &LoadTarget<'a>) {
+        self.servers[target.position].is_available = false;
+        for position in target.evicted.into_iter().flat_map(|model| plan.replicas.positions(model)) {
+            self.servers[position].update_values(plan);
+        }
+    }
+}
--- a/crates/control/src/placement/training_hold.rs
+++ b/crates/control/src/placement/training_reservations.rs
@@ -1,18 +1,18 @@
-//! What training steps do with model servers while placement goes on around them.
+//! Model servers and models that training steps have reserved.
 
 use std::collections::{BTreeMap, BTreeSet};
 
-/// Model servers that placement leaves alone, wholly or in part.
+/// What placement must leave alone for training steps.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct TrainingReservations {
-    /// Model servers that change the version of a model, and the model: nothing else is ordered there.
+    /// Model servers that change the version of a model, and that model: they get no orders.
     pub changing_version: BTreeMap<String, String>,
-    /// Models that model servers keep, by model server: they draw for a step.
+    /// Models that model servers keep because they generate for a step, by instance.
     pub pinned: BTreeMap<String, BTreeSet<String>>,
 }
 
 impl TrainingReservations {
-    /// Whether a model server may not be told to drop a model.
+    /// Whether a model must not be unloaded from a model server.
     pub fn pins(&self, instance: &str, model: &str) -> bool {
         self.pinned.get(instance).is_some_and(|models| models.contains(model))
     }
