--- a/crates/system/src/edge/answer.rs
+++ b/crates/system/src/edge/answer.rs
@@ -1,4 +1,4 @@
-//! Answers that the edge makes itself.
+//! Answers of the edge itself: errors and refusals with a numbered result.
 
 use bytes::Bytes;
 use http_body_util::combinators::UnsyncBoxBody;
@@ -16,26 +16,28 @@
 
 /// The header with a numbered result.
 pub const RESULT_CODE: HeaderName = HeaderName::from_static("x-pathbank-result-code");
+/// When to come back to an edge that has no configuration or shuts down, milliseconds.
+pub const RETRY_SOON_MS: u64 = 300;
 const MILLIS_PER_SECOND: f64 = 1_000.0;
 
-/// A body that is there as a whole.
-pub fn whole(bytes: Bytes) -> AnswerBody {
+/// A body of bytes that are all there.
+pub fn full_body(bytes: Bytes) -> AnswerBody {
     Full::new(bytes).map_err(|never| match never {}).boxed_unsync()
 }
 
-/// The edge's own answer with a numbered result.
-pub fn own(code: ResultCode) -> Answer {
+/// An answer of the edge itself with a numbered result.
+pub fn error(code: ResultCode) -> Answer {
     let text = format!("{{\"result_code\":{},\"result\":\"{code:?}\"}}\n", code.number());
-    let mut response = Response::new(whole(Bytes::from(text)));
+    let mut response = Response::new(full_body(Bytes::from(text)));
     *response.status_mut() = StatusCode::from_u16(code.status()).unwrap_or(StatusCode::INTERNAL_SERVER_ERROR);
     response.headers_mut().insert(CONTENT_TYPE, HeaderValue::from_static("application/json"));
     response.headers_mut().insert(RESULT_CODE, HeaderValue::from(code.number()));
     response
 }
 
-/// A promise that the request has not run, with when to come back.
+/// A refusal: the request has not run, and the client may retry after `retry_after_ms`.
 pub fn refusal(code: ResultCode, retry_after_ms: u64) -> Answer {
-    let mut response = own(code);
+    let mut response = error(code);
     let seconds = format!("{:.3}", retry_after_ms as f64 / MILLIS_PER_SECOND);
     if let Ok(value) = HeaderValue::from_str(&seconds) {
         response.headers_mut().insert(RETRY_AFTER, value);
--- a/crates/system/src/edge/job.rs
+++ b/crates/system/src/edge/client_request.rs
@@ -1,14 +1,17 @@
-//! A client's request as an edge has it: what it is, by the configuration in force, and what model servers
-//! are sent of it.
+//! A client's request: what the configuration in force says of it, and what is sent to model servers.
 
+use super::answer::RETRY_SOON_MS;
 use super::answer::{self, Answer};
-use super::proxy::SOON_MS;
+use super::headers::{
+    CREDENTIAL, DEADLINE, EXPECT_VERSION, LAST_EVENT_ID, MODEL, PRIORITY, PROMPT_PREFIX, REQUEST_ID,
+    TARGET_INSTANCE, TENANT, TOKEN_COUNT, VERSIONS, end_to_end, text,
+};
 use super::shared::Shared;
 use crate::clock;
 use bytes::Bytes;
 use http_body_util::{BodyExt, Full, LengthLimitError, Limited};
 use hyper::body::{Body, Incoming};
-use hyper::header::{CONNECTION, HOST, HeaderMap, HeaderName, HeaderValue};
+use hyper::header::{HOST, HeaderMap, HeaderName, HeaderValue};
 use hyper::{Method, Request, Uri};
 use pathbank_control::configuration::{Route, RouteType, RouteVersion, Tenant};
 use pathbank_control::result_code::ResultCode;
@@ -22,51 +25,23 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-pub(super) const REQUEST_ID: HeaderName = HeaderName::from_static("x-pathbank-request-id");
-pub(super) const DEADLINE: HeaderName = HeaderName::from_static("x-pathbank-deadline-ms");
-const CREDENTIAL: HeaderName = HeaderName::from_static("x-pathbank-credential");
-const TENANT: HeaderName = HeaderName::from_static("x-pathbank-tenant");
-pub(super) const TARGET_INSTANCE: HeaderName = HeaderName::from_static("x-pathbank-target-instance");
-pub(super) const MODEL: HeaderName = HeaderName::from_static("x-pathbank-model");
-pub(super) const TOKEN_COUNT: HeaderName = HeaderName::from_static("x-pathbank-token-count");
-pub(super) const PROMPT_PREFIX: HeaderName = HeaderName::from_static("x-pathbank-prompt-prefix");
-pub(super) const SIGNATURE: HeaderName = HeaderName::from_static("x-pathbank-response-signature");
-pub(super) const NOT_EXECUTED: HeaderName = HeaderName::from_static("x-pathbank-not-executed");
-pub(super) const INSTANCE_LOAD: HeaderName = HeaderName::from_static("x-pathbank-instance-load");
-pub(super) const PRIORITY: HeaderName = HeaderName::from_static("priority");
-pub(super) const EXPECT_VERSION: HeaderName = HeaderName::from_static("expect-version");
-pub(super) const VERSIONS: HeaderName = HeaderName::from_static("versions");
-pub(super) const LAST_EVENT_ID: HeaderName = HeaderName::from_static("last-event-id");
+/// How long a body may take to arrive.
+const BODY_TIMEOUT: Duration = Duration::from_secs(10);
+/// How long an edge without a configuration keeps requests, milliseconds, and how often it looks for one.
+const CONFIGURATION_TIMEOUT_MS: u64 = 2_500;
+const CONFIGURATION_POLL_INTERVAL: Duration = Duration::from_millis(20);
+const DEFAULT_MAX_BODY_BYTES: u64 = 4 * 1024 * 1024;
+/// Time that is kept back for the way of the answer, milliseconds.
+const ANSWER_MARGIN_MS: u64 = 20;
+/// A client leaves a stream that is silent for the longest of this time, this many latency targets and this many gap targets.
+const MIN_SILENCE_TIMEOUT_MS: u64 = 2_000;
+const SILENCE_TIMEOUT_TARGETS: f64 = 4.0;
+const SILENCE_TIMEOUT_GAPS: f64 = 8.0;
+/// A client that waits for less than this fraction of its route's time is retrying.
+const RETRY_TIME_FRACTION: f64 = 0.97;
 
-/// Headers that concern one connection only.
-const HOP_BY_HOP: [HeaderName; 8] = [
-    CONNECTION,
-    HeaderName::from_static("keep-alive"),
-    HeaderName::from_static("proxy-connection"),
-    HeaderName::from_static("te"),
-    HeaderName::from_static("trailer"),
-    HeaderName::from_static("transfer-encoding"),
-    HeaderName::from_static("upgrade"),
-    HeaderName::from_static("expect"),
-];
-/// A body has to be in within this.
-const BODY_WITHIN: Duration = Duration::from_secs(10);
-/// An edge without a configuration holds requests for so long, and looks for one this often.
-const CONFIGURATION_WITHIN_MS: u64 = 2_500;
-const CONFIGURATION_LOOK: Duration = Duration::from_millis(20);
-const DEFAULT_BODY_BYTES: u64 = 4 * 1024 * 1024;
-/// The answer is out so long before the time is up, milliseconds.
-const ANSWER_MARGIN: u64 = 20;
-/// Clients leave a stream that is silent for the longest of this, so many objectives, and so many of the
-/// pauses that are in time.
-const SILENCE_MS: u64 = 2_000;
-const SILENCE_OBJECTIVES: f64 = 4.0;
-const SILENCE_PAUSES: f64 = 8.0;
-/// A client that waits for less than this part of its route's time has tried before.
-const RETURNED_PART: f64 = 0.97;
-
-/// A request that was read whole and may go to model servers.
-pub(super) struct Job {
+/// A request whose body is complete.
+pub(super) struct ClientRequest {
     pub(super) method: Method,
     pub(super) uri: Uri,
     pub(super) headers: HeaderMap,
@@ -82,50 +57,49 @@
     pub(super) load_ms: Option<u64>,
     /// How urgent it is among all requests for its service; 0: the most urgent.
     pub(super) urgency: Urgency,
-    /// Its client has tried before.
-    pub(super) returned: bool,
+    /// Its client is retrying.
+    pub(super) is_retry: bool,
     pub(super) arrived: u64,
     /// When the client stops waiting.
     pub(super) deadline: u64,
-    pub(super) tried: BTreeSet<Instance>,
-    /// Model servers that it was sent to.
-    pub(super) sends: u32,
-    /// Where a stream is taken up; replaces the client's own.
-    pub(super) resume_at: Option<String>,
+    pub(super) attempted: BTreeSet<Instance>,
+    /// Attempts that were sent.
+    pub(super) attempts: u32,
+    /// The id of the last event that the client got; replaces the client's own `Last-Event-ID`.
+    pub(super) resume_after: Option<String>,
     /// The version of the model's weights that has to answer: the client's word, the route's, or that of the
     /// answer's first part.
     pub(super) version: Option<u64>,
 }
 
-pub(super) fn text<'a>(headers: &'a HeaderMap, name: &HeaderName) -> Option<&'a str> {
-    headers.get(name).and_then(|value| value.to_str().ok())
-}
-
-pub(super) async fn accept(shared: &Arc<Shared>, request: Request<Incoming>) -> Result<Job, Answer> {
+pub(super) async fn accept(
+    shared: &Arc<Shared>,
+    request: Request<Incoming>,
+) -> Result<ClientRequest, Answer> {
     let arrived = clock::now();
     let Some(early) = first_configuration(shared).await else {
-        return Err(answer::refusal(ResultCode::NoConfiguration, SOON_MS));
+        return Err(answer::refusal(ResultCode::NoConfiguration, RETRY_SOON_MS));
     };
-    let limit = early.limits.max_body_bytes.unwrap_or(DEFAULT_BODY_BYTES);
+    let limit = early.limits.max_body_bytes.unwrap_or(DEFAULT_MAX_BODY_BYTES);
     let (head, body) = request.into_parts();
     let body = read_body(body, limit).await?;
     // The newest configuration decides, also where the body took long.
     let routes = shared.routes.load_full().unwrap_or(early);
     let host = text(&head.headers, &HOST).unwrap_or_default().to_owned();
     let Some(route) = routes.route(&host, head.uri.path()).cloned() else {
-        return Err(answer::own(ResultCode::NoRoute));
+        return Err(answer::error(ResultCode::NoRoute));
     };
-    let tenant = tenant_of(&routes, &route, &head.headers).map_err(answer::own)?;
+    let tenant = tenant_of(&routes, &route, &head.headers).map_err(answer::error)?;
     let urgency = urgency_of(tenant.as_deref(), &route);
     let tenant = tenant.map(|tenant| tenant.name.clone());
-    let Some(backend) = choose_backend(&route) else { return Err(answer::own(ResultCode::NoRoute)) };
+    let Some(backend) = choose_backend(&route) else { return Err(answer::error(ResultCode::NoRoute)) };
     let name = text(&head.headers, &MODEL).map(ModelName::parse).unwrap_or_default();
     let tokens = text(&head.headers, &TOKEN_COUNT).and_then(TokenCount::parse).unwrap_or_default();
     let waits: u64 = text(&head.headers, &DEADLINE).and_then(|value| value.parse().ok()).unwrap_or(u64::MAX);
-    let held = waits.min(route.timeout_ms as u64);
+    let time_limit = waits.min(route.timeout_ms as u64);
     let load_ms = load_time(&routes, &backend, &name);
     let version = expected_version(&head.headers).or_else(|| route_version(shared, &route, &backend, &name));
-    Ok(Job {
+    Ok(ClientRequest {
         method: head.method,
         uri: head.uri,
         headers: head.headers,
@@ -136,13 +110,13 @@
         tokens,
         load_ms,
         urgency,
-        returned: (waits as f64) < RETURNED_PART * route.timeout_ms,
+        is_retry: (waits as f64) < RETRY_TIME_FRACTION * route.timeout_ms,
         arrived,
-        deadline: arrived + held.saturating_sub(ANSWER_MARGIN),
+        deadline: arrived + time_limit.saturating_sub(ANSWER_MARGIN_MS),
         route,
-        tried: BTreeSet::new(),
-        sends: 0,
-        resume_at: None,
+        attempted: BTreeSet::new(),
+        attempts: 0,
+        resume_after: None,
         version,
     })
 }
@@ -165,13 +139,13 @@
 /// The configuration in force. An edge that has just started waits for its first one: its clients may have
 /// been cut off by the same trouble before, and have few tries left.
 async fn first_configuration(shared: &Arc<Shared>) -> Option<Arc<RouteTable>> {
-    let given_up = clock::now() + CONFIGURATION_WITHIN_MS;
+    let given_up = clock::now() + CONFIGURATION_TIMEOUT_MS;
     loop {
         let routes = shared.routes.load_full();
         if routes.is_some() || clock::now() >= given_up {
             return routes;
         }
-        tokio::time::sleep(CONFIGURATION_LOOK).await;
+        tokio::time::sleep(CONFIGURATION_POLL_INTERVAL).await;
     }
 }
 
@@ -179,12 +153,12 @@
     if body.is_end_stream() {
         return Ok(Bytes::new());
     }
-    let collected = tokio::time::timeout(BODY_WITHIN, Limited::new(body, limit as usize).collect()).await;
+    let collected = tokio::time::timeout(BODY_TIMEOUT, Limited::new(body, limit as usize).collect()).await;
     match collected {
         Ok(Ok(collected)) => Ok(collected.to_bytes()),
-        Ok(Err(error)) if error.is::<LengthLimitError>() => Err(answer::own(ResultCode::BodyTooLarge)),
-        Ok(Err(_)) => Err(answer::own(ResultCode::BadRequest)),
-        Err(_) => Err(answer::own(ResultCode::BodyLate)),
+        Ok(Err(error)) if error.is::<LengthLimitError>() => Err(answer::error(ResultCode::BodyTooLarge)),
+        Ok(Err(_)) => Err(answer::error(ResultCode::BadRequest)),
+        Err(_) => Err(answer::error(ResultCode::BodyLate)),
     }
 }
 
@@ -230,28 +204,28 @@
     Some((model.load_s * 1_000.0) as u64)
 }
 
-impl Job {
+impl ClientRequest {
     /// When it came.
     pub(super) fn arrived(&self) -> u64 {
         self.arrived
     }
 
     /// The client's id and the model, for the log.
-    pub(super) fn told(&self) -> (&str, &ModelName) {
+    pub(super) fn log_fields(&self) -> (&str, &ModelName) {
         (text(&self.headers, &REQUEST_ID).unwrap_or("-"), &self.name)
     }
 
     /// A step of its way, for operators.
-    pub(super) fn note(&self, shared: &Shared, step: Step) {
+    pub(super) fn record_step(&self, shared: &Shared, step: Step) {
         if let Some(id) = text(&self.headers, &REQUEST_ID) {
-            shared.note_step(id, step);
+            shared.record_step(id, step);
         }
     }
 
     /// The answer has begun: whatever goes on with it has to be of its version.
-    pub(super) fn answered_by(&mut self, headers: &HeaderMap) {
-        let told = text(headers, &VERSIONS).and_then(|version| version.trim().parse().ok());
-        self.version = self.version.or(told);
+    pub(super) fn record_version(&mut self, headers: &HeaderMap) {
+        let log_fields = text(headers, &VERSIONS).and_then(|version| version.trim().parse().ok());
+        self.version = self.version.or(log_fields);
     }
 
     pub(super) fn accepted(&self) -> Step {
@@ -265,8 +239,8 @@
     }
 
     /// Whether the request may run more than once.
-    pub(super) fn repeatable(&self) -> bool {
-        self.route.kind == RouteType::Idempotent || self.resumable()
+    pub(super) fn is_idempotent(&self) -> bool {
+        self.route.kind == RouteType::Idempotent || self.is_resumable()
     }
 
     /// The most tokens that the client asked for.
@@ -275,24 +249,24 @@
     }
 
     /// Whether it is a stream that another model server may take up.
-    pub(super) fn resumable(&self) -> bool {
+    pub(super) fn is_resumable(&self) -> bool {
         self.route.kind == RouteType::Streaming && self.route.resumable
     }
 
     /// Whether another model server may still get it.
     pub(super) fn has_attempts(&self) -> bool {
-        self.sends < self.route.max_attempts.unwrap_or(1).max(1) && clock::now() < self.deadline
+        self.attempts < self.route.max_attempts.unwrap_or(1).max(1) && clock::now() < self.deadline
     }
 
     /// When the client leaves if nothing of an answer has come.
-    fn leaves_at(&self) -> u64 {
+    fn abandoned_at(&self) -> u64 {
         if self.route.kind != RouteType::Streaming {
             return self.deadline;
         }
-        let objectives = (SILENCE_OBJECTIVES * self.route.target_latency_ms) as u64;
-        let pauses = (SILENCE_PAUSES * self.route.target_gap_ms.unwrap_or(0.0)) as u64;
-        let silence = SILENCE_MS.max(objectives).max(pauses);
-        self.deadline.min(self.arrived + silence.saturating_sub(ANSWER_MARGIN))
+        let objectives = (SILENCE_TIMEOUT_TARGETS * self.route.target_latency_ms) as u64;
+        let pacing = (SILENCE_TIMEOUT_GAPS * self.route.target_gap_ms.unwrap_or(0.0)) as u64;
+        let silence = MIN_SILENCE_TIMEOUT_MS.max(objectives).max(pacing);
+        self.deadline.min(self.arrived + silence.saturating_sub(ANSWER_MARGIN_MS))
     }
 
     pub(super) fn offer(&self, id: u64) -> Offer {
@@ -306,14 +280,14 @@
             parts,
             arrived: self.arrived,
             deadline: self.deadline,
-            abandon_at: self.leaves_at(),
+            abandon_at: self.abandoned_at(),
             target_latency_ms: self.route.target_latency_ms as u64,
             target_gap_ms: self.route.target_gap_ms.unwrap_or(0.0) as u64,
             load_ms: self.load_ms,
-            previously_rejected: self.returned,
+            previously_rejected: self.is_retry,
             granted: None,
-            excluded: self.tried.clone(),
-            resumable: self.resumable(),
+            excluded: self.attempted.clone(),
+            resumable: self.is_resumable(),
             urgency: self.urgency,
             version: self.version,
         }
@@ -337,7 +311,7 @@
         if let Some(tenant) = &self.tenant {
             set(TENANT, tenant);
         }
-        if let Some(id) = &self.resume_at {
+        if let Some(id) = &self.resume_after {
             set(LAST_EVENT_ID, id);
         }
         if let Some(version) = self.version {
@@ -351,18 +325,3 @@
         request
     }
 }
-
-pub(super) fn end_to_end(headers: &HeaderMap) -> HeaderMap {
-    let mut passed = headers.clone();
-    let named: Vec<HeaderName> = headers
-        .get_all(CONNECTION)
-        .iter()
-        .filter_map(|value| value.to_str().ok())
-        .flat_map(|value| value.split(','))
-        .filter_map(|name| name.trim().parse().ok())
-        .collect();
-    for name in named.iter().chain(&HOP_BY_HOP) {
-        passed.remove(name);
-    }
-    passed
-}
--- a/crates/system/src/edge/core_links.rs
+++ b/crates/system/src/edge/core_links.rs
@@ -1,4 +1,4 @@
-//! What an edge hears from the cores and tells them.
+//! Links to the cores: messages that arrive, and messages that are due.
 
 use super::generation;
 use super::shared::Shared;
@@ -36,12 +36,12 @@
 pub fn reload(shared: &Arc<Shared>) {
     match shared.settings.reload() {
         Some(Ok(settings)) => set_seeds(shared, &settings.seeds),
-        Some(Err(error)) => tracing::warn!(%error, "settings file not taken over"),
+        Some(Err(error)) => tracing::warn!(%error, "settings file rejected"),
         None => {}
     }
 }
 
-/// Tells the leader what was counted.
+/// Reports usage, demand and loads to the leader.
 pub fn send_report(shared: &Arc<Shared>) {
     let Some(mesh) = shared.mesh.get() else { return };
     if let Some((leader, report)) = shared.report() {
@@ -49,15 +49,15 @@
     }
 }
 
-/// Tells every core what was counted: this process ends.
+/// Reports usage to every core before this process ends.
 pub fn send_farewell(shared: &Arc<Shared>) {
     if let Some(mesh) = shared.mesh.get() {
         mesh.send_to_all(&Frame::Report(shared.farewell()));
     }
 }
 
-/// Says to the cores what is due: which one is listened to, and what is asked for.
-pub fn speak(shared: &Arc<Shared>) {
+/// Sends what is due to the cores: subscriptions and requests for configurations.
+pub fn send_due_messages(shared: &Arc<Shared>) {
     let Some(mesh) = shared.mesh.get() else { return };
     let known_index = shared.routes.load().as_ref().map_or(0, |routes| routes.index);
     let actions = shared.deciding().core_choice.actions(clock::now(), known_index);
@@ -68,17 +68,16 @@
             CoreAction::Unsubscribe(core) => mesh.send(core, &subscription(false)),
             CoreAction::Fetch(core) => mesh.send(core, &Frame::FetchDifference(known_index)),
         };
-        tracing::debug!(?action, sent, "to a core");
+        tracing::debug!(?action, sent, "message to core");
     }
 }
 
-/// A difference to another configuration than the one in force came: what leads on from this one is asked for
-/// at once.
+/// Requests the difference to the configuration in force, after one that builds on another configuration.
 pub fn ask_for_difference(shared: &Shared, known_index: u64) {
     let subscribed = shared.deciding().core_choice.subscribed();
     if let (Some(mesh), Some(core)) = (shared.mesh.get(), subscribed) {
         let sent = mesh.send(core, &Frame::FetchDifference(known_index));
-        tracing::debug!(known_index, sent, "a difference was missed");
+        tracing::debug!(known_index, sent, "configuration difference missed");
     }
 }
 
@@ -97,13 +96,13 @@
 fn on_event(shared: &Arc<Shared>, event: MeshEvent) {
     match event {
         MeshEvent::Opened(address) => {
-            tracing::debug!(%address, "core reached");
+            tracing::debug!(%address, "core connected");
             shared.startup.reach(Milestone::ControlReached);
         }
         MeshEvent::Closed(address) => {
-            tracing::debug!(%address, "core lost");
+            tracing::debug!(%address, "core disconnected");
             shared.core_lost(address);
-            speak(shared);
+            send_due_messages(shared);
         }
         MeshEvent::Said(address, frame) => on_frame(shared, address, *frame),
     }
@@ -111,7 +110,7 @@
 
 fn on_frame(shared: &Arc<Shared>, address: SocketAddr, frame: Frame) {
     match frame {
-        Frame::Configuration(update) => shared.rollout.take(update),
+        Frame::Configuration(update) => shared.configurations.push(update),
         Frame::ModelServers(update) => {
             if update.complete {
                 shared.has_servers.store(true, Ordering::Relaxed);
@@ -143,7 +142,7 @@
         let edges = deciding.core_choice.edges();
         deciding.budget.set_edges(edges);
     }
-    speak(shared);
+    send_due_messages(shared);
     let members: Vec<SocketAddr> =
         status.members.iter().filter_map(|member| member.address.parse().ok()).collect();
     if members.is_empty() {
--- a/crates/system/src/edge/generation.rs
+++ b/crates/system/src/edge/generation.rs
@@ -1,10 +1,9 @@
-//! Generations of training steps, drawn by an edge on the leader's word.
+//! Generations of training steps that the leader hands to this edge.
 //!
-//! The leader offers, the edge asks, and what it is given begins within a bound of its own question, by its
-//! own clock: an edge that stood still meanwhile, or whose link was slow, begins nothing late. Whatever comes
-//! of a generation is told to whoever leads then.
+//! The leader offers generations, the edge requests some, and each one has to start within a time-out of that request by the
+//! edge's own clock: after a stall or on a slow link nothing starts late. Results are reported to the current leader.
 
-use super::job::{
+use super::headers::{
     DEADLINE, EXPECT_VERSION, MODEL, NOT_EXECUTED, PRIORITY, PROMPT_PREFIX, REQUEST_ID, SIGNATURE,
     TARGET_INSTANCE, TOKEN_COUNT, VERSIONS,
 };
@@ -23,18 +22,12 @@
 use pathbank_router::events::{self, EventTracker};
 use std::net::SocketAddr;
 use std::sync::Arc;
-use std::sync::atomic::{AtomicUsize, Ordering};
+use std::sync::atomic::Ordering;
 
 /// Generations that one edge draws at once.
-const MOST_AT_ONCE: usize = 32;
+const MAX_GENERATIONS: usize = 32;
 /// Bytes of a generation's text that are told; what comes beyond is left out.
-const MOST_TEXT_BYTES: usize = 64 * 1024;
-
-/// Generations that this edge draws.
-#[derive(Debug, Default)]
-pub struct Generations {
-    running: AtomicUsize,
-}
+const MAX_TEXT_BYTES: usize = 64 * 1024;
 
 /// One of them; dropped, its place is free.
 struct Running(Arc<Shared>);
@@ -54,8 +47,8 @@
 
 /// Generations wait at the leader: asks for as many as there is room for.
 pub fn offered(shared: &Arc<Shared>, leader: SocketAddr, offer: DrawOffer) {
-    let room = MOST_AT_ONCE.saturating_sub(shared.generations.running.load(Ordering::Relaxed));
-    let count = offer.count.min(room as u32);
+    let free = MAX_GENERATIONS.saturating_sub(shared.generations.running.load(Ordering::Relaxed));
+    let count = offer.count.min(free as u32);
     if count == 0 || shared.stopping.load(Ordering::Relaxed) {
         return;
     }
@@ -72,13 +65,13 @@
         let running = Running::new(shared);
         tokio::spawn(async move {
             let ending = draw(&running.0, &task, begin_by).await;
-            tell(&running.0, DrawResult { id: task.id, timeout_ms: task.timeout_ms, ending });
+            report(&running.0, DrawResult { id: task.id, timeout_ms: task.timeout_ms, ending });
         });
     }
 }
 
 /// Tells whoever leads now. Where nobody does, the generation's time runs out, and it is drawn again.
-fn tell(shared: &Arc<Shared>, result: DrawResult) {
+fn report(shared: &Arc<Shared>, result: DrawResult) {
     let leader = shared.deciding().core_choice.leader();
     if let (Some(leader), Some(mesh)) = (leader, shared.mesh.get()) {
         mesh.send(leader, &Frame::DrawResult(result));
@@ -88,10 +81,10 @@
 async fn draw(shared: &Arc<Shared>, task: &DrawTask, begin_by: u64) -> DrawEnding {
     let Ok(address) = task.address.parse::<SocketAddr>() else { return DrawEnding::Over };
     let Some(request) = request(task) else { return DrawEnding::Over };
-    let own_id = request.headers().get(REQUEST_ID).cloned();
+    let echoes_id = request.headers().get(REQUEST_ID).cloned();
     let exchange = async {
         match shared.pool.exchange_if(address, request, || clock::now() < begin_by).await {
-            Ok(exchange) => read(shared, task, exchange, own_id.as_ref()).await,
+            Ok(exchange) => read(shared, task, exchange, echoes_id.as_ref()).await,
             Err(ExchangeError::NotSent(_)) => DrawEnding::Over,
             Err(ExchangeError::Broken(_)) => DrawEnding::Unknown,
         }
@@ -122,7 +115,7 @@
     set(TOKEN_COUNT, &format!("{},{}", task.input_tokens, task.output_tokens))?;
     set(DEADLINE, &task.timeout_ms.to_string())?;
     set(EXPECT_VERSION, &task.id.version.to_string())?;
-    // Shops and riders go first.
+    // Serving traffic has precedence.
     set(PRIORITY, &LOWEST_PRIORITY.to_string())?;
     if !task.prefix.is_empty() {
         set(PROMPT_PREFIX, &task.prefix)?;
@@ -135,21 +128,21 @@
     shared: &Arc<Shared>,
     task: &DrawTask,
     exchange: Exchange,
-    own_id: Option<&HeaderValue>,
+    echoes_id: Option<&HeaderValue>,
 ) -> DrawEnding {
     let Exchange { response, lease } = exchange;
     let headers = response.headers();
     let turned_away =
         headers.contains_key(NOT_EXECUTED) || response.status() == StatusCode::MISDIRECTED_REQUEST;
-    let is_its_own = headers.get(REQUEST_ID) == own_id && headers.contains_key(SIGNATURE);
+    let is_its_own = headers.get(REQUEST_ID) == echoes_id && headers.contains_key(SIGNATURE);
     if turned_away || response.status() != StatusCode::OK {
         return DrawEnding::Over;
     }
     if !is_its_own {
         return DrawEnding::Unknown;
     }
-    let told = headers.get(VERSIONS).and_then(|value| value.to_str().ok());
-    let header_version = told.and_then(|value| value.trim().parse().ok());
+    let version = headers.get(VERSIONS).and_then(|value| value.to_str().ok());
+    let header_version = version.and_then(|value| value.trim().parse().ok());
     let mut answer = Reading {
         answer: DrawnAnswer { header_version, ..DrawnAnswer::default() },
         tracker: EventTracker::default(),
@@ -173,20 +166,20 @@
         while let Some(frame) = body.frame().await {
             let Ok(frame) = frame else { return false };
             if let Ok(data) = frame.into_data() {
-                let whole = self.tracker.pass(&data);
-                self.note(&whole);
+                let complete = self.tracker.pass(&data);
+                self.append(&complete);
             }
         }
         let rest = self.tracker.finish();
-        self.note(&rest);
+        self.append(&rest);
         true
     }
 
-    fn note(&mut self, events: &[u8]) {
+    fn append(&mut self, events: &[u8]) {
         self.answer.event_versions.extend(events::versions(events));
-        let room = MOST_TEXT_BYTES - self.answer.text.len();
+        let free = MAX_TEXT_BYTES - self.answer.text.len();
         let text = String::from_utf8_lossy(events);
-        let end = text.floor_char_boundary(room.min(text.len()));
+        let end = text.floor_char_boundary(free.min(text.len()));
         self.answer.truncated |= end < text.len();
         self.answer.text.push_str(&text[..end]);
     }
--- a/crates/system/src/edge/hollow.rs
+++ b/crates/system/src/edge/hollow.rs
@@ -47,8 +47,8 @@
     }
 
     /// Does what is due.
-    pub fn look(&self) {
-        core_links::speak(&self.shared);
+    pub fn maintain(&self) {
+        core_links::send_due_messages(&self.shared);
     }
 
     /// The entry of the configuration in force; 0: none.
--- a/crates/system/src/edge/mod.rs
+++ b/crates/system/src/edge/mod.rs
@@ -2,16 +2,25 @@
 
 mod admission;
 mod answer;
+mod attempt;
+mod client_request;
+mod configuration_queue;
+mod core_addresses;
 mod core_links;
+mod evacuation;
 mod generation;
+mod generation_count;
+mod headers;
 pub mod hollow;
-mod job;
+mod pending_admissions;
 mod proxy;
 mod relay;
+mod report_history;
 mod rollout;
 mod shared;
 mod status;
 mod ticket;
+mod upstream_answer;
 
 use crate::clock;
 use crate::net::server::{self, ConnectionCount, Limits};
@@ -27,26 +36,26 @@
 use std::time::Duration;
 use tokio::sync::watch;
 
-/// The platform stops sending new connections after two missed answers a second apart, and a little later.
-const LEAVE_AFTER: Duration = Duration::from_millis(2_600);
-/// So long before the kill all answers are out.
-const BEFORE_KILL: Duration = Duration::from_millis(500);
-/// When clients of a stopping head should come back, milliseconds; they reach another one.
+/// The platform stops sending new connections after two missed health checks a second apart.
+const DEREGISTRATION_DELAY: Duration = Duration::from_millis(2_600);
+/// All answers are sent this long before the process would be killed.
+const KILL_MARGIN: Duration = Duration::from_millis(500);
+/// Retry time for clients of an edge that shuts down, milliseconds; they reach another one.
 const STOPPING_RETRY_MS: u64 = 50;
-/// How often what waits is looked at.
-const TICK: Duration = Duration::from_millis(20);
-/// How often the choice of cores is looked at without news, in ticks.
-const SPEAK_EVERY: u32 = 5;
-/// How often the leader is told what was counted.
-const REPORT_EVERY: Duration = Duration::from_millis(500);
-/// How often the settings file is looked at, in reports.
-const SETTINGS_EVERY: u32 = 4;
-/// Part of the descriptors that clients' connections may take.
-const CLIENT_DESCRIPTORS: f64 = 0.6;
-const MOST_HEAD_BYTES: usize = 64 * 1024;
-const IDLE_WITHIN: Duration = Duration::from_secs(20);
+/// How often queued requests are reconsidered.
+const TICK_INTERVAL: Duration = Duration::from_millis(20);
+/// How often the choice of cores is reviewed, in ticks.
+const TICKS_BETWEEN_CORE_MESSAGES: u32 = 5;
+/// How often usage, demand and loads are reported to the leader.
+const REPORT_INTERVAL: Duration = Duration::from_millis(500);
+/// How often the settings file is read again, in reports.
+const REPORTS_BETWEEN_SETTINGS_CHECKS: u32 = 4;
+/// The fraction of file descriptors for clients' connections.
+const CLIENT_DESCRIPTOR_FRACTION: f64 = 0.6;
+const MAX_HEAD_BYTES: usize = 64 * 1024;
+const IDLE_TIMEOUT: Duration = Duration::from_secs(20);
 
-/// Runs an edge until it is told to stop.
+/// Runs an edge until SIGTERM.
 pub async fn run(settings: Settings) -> Result<()> {
     let startup = Startup::default();
     let mut signals = Signals::new()?;
@@ -61,9 +70,9 @@
     tokio::spawn(status::serve(readiness_listener, shared.clone()));
     let (close, closing) = watch::channel(false);
     let limits = Limits {
-        head_bytes: MOST_HEAD_BYTES,
-        head_within: IDLE_WITHIN,
-        connections: (settings.max_descriptors as f64 * CLIENT_DESCRIPTORS) as usize,
+        head_bytes: MAX_HEAD_BYTES,
+        head_within: IDLE_TIMEOUT,
+        connections: (settings.max_descriptors as f64 * CLIENT_DESCRIPTOR_FRACTION) as usize,
     };
     let count = ConnectionCount::default();
     let service_shared = shared.clone();
@@ -85,8 +94,7 @@
     Ok(())
 }
 
-/// Leaves in order: no new clients, what is at model servers is answered, what is not is refused, then the
-/// end.
+/// Shuts down gracefully: no new clients; requests at model servers are answered, queued ones are refused.
 async fn stop(
     shared: &Arc<Shared>,
     settings: &Settings,
@@ -94,31 +102,31 @@
     close: &watch::Sender<bool>,
     count: &ConnectionCount,
 ) {
-    tracing::info!("stopping: no new clients");
+    tracing::info!("shutting down");
     shared.stopping.store(true, Ordering::Relaxed);
-    let end = tokio::time::Instant::now() + Duration::from_millis(settings.bounds.grace_ms) - BEFORE_KILL;
-    tokio::time::sleep(LEAVE_AFTER).await;
+    let end = tokio::time::Instant::now() + Duration::from_millis(settings.bounds.grace_ms) - KILL_MARGIN;
+    tokio::time::sleep(DEREGISTRATION_DELAY).await;
     // A connection that is refused is tried elsewhere; one that is taken now could not be served to its end.
     serving.abort();
     let _ = close.send(true);
     while tokio::time::Instant::now() < end && (count.get() > 0 || shared.open_requests() > 0) {
         shared.refuse_waiting(STOPPING_RETRY_MS);
-        tokio::time::sleep(TICK).await;
+        tokio::time::sleep(TICK_INTERVAL).await;
     }
     core_links::send_report(shared);
     core_links::send_farewell(shared);
-    tokio::time::sleep(TICK).await;
+    tokio::time::sleep(TICK_INTERVAL).await;
     tracing::info!(open = shared.open_requests(), "stopped");
 }
 
 async fn tick(shared: Arc<Shared>) {
     let mut rounds = 0_u32;
     loop {
-        tokio::time::sleep(TICK).await;
+        tokio::time::sleep(TICK_INTERVAL).await;
         shared.tick(clock::now());
         rounds += 1;
-        if rounds.is_multiple_of(SPEAK_EVERY) {
-            core_links::speak(&shared);
+        if rounds.is_multiple_of(TICKS_BETWEEN_CORE_MESSAGES) {
+            core_links::send_due_messages(&shared);
         }
     }
 }
@@ -126,11 +134,11 @@
 async fn report(shared: Arc<Shared>) {
     let mut rounds = 0_u32;
     loop {
-        let _ = tokio::time::timeout(REPORT_EVERY, shared.urgent.notified()).await;
+        let _ = tokio::time::timeout(REPORT_INTERVAL, shared.urgent.notified()).await;
         core_links::send_report(&shared);
         shared.pool.tidy();
         rounds += 1;
-        if rounds.is_multiple_of(SETTINGS_EVERY) {
+        if rounds.is_multiple_of(REPORTS_BETWEEN_SETTINGS_CHECKS) {
             core_links::reload(&shared);
         }
     }
--- a/crates/system/src/edge/relay.rs
+++ b/crates/system/src/edge/relay.rs
@@ -1,15 +1,17 @@
-//! The bytes of answers, from model servers to clients.
+//! Streams from model servers to clients, which may be resumed at another model server.
 
 use super::answer::{self, Answer, BodyError};
-use super::job::Job;
-use super::proxy::{self, Try};
-use super::shared::{Departure, Shared};
+use super::attempt::{self, AttemptEnd};
+use super::client_request::ClientRequest;
+use super::evacuation::EvacuationNotice;
+use super::shared::Shared;
 use super::ticket::Ticket;
+use super::upstream_answer;
 use crate::clock;
 use crate::net::client::{ConnectionLease, Exchange};
 use bytes::Bytes;
 use futures_util::stream;
-use http_body_util::{BodyExt, Limited, StreamBody};
+use http_body_util::{BodyExt, StreamBody};
 use hyper::body::{Frame, Incoming};
 use pathbank_router::evacuation::{EVACUATION_MARGIN_MS, Progress};
 use pathbank_router::events::EventTracker;
@@ -19,34 +21,21 @@
 use std::sync::Arc;
 use tokio::time::error::Elapsed;
 
-/// Bytes of an answer that is held whole before it goes to the client.
-const MOST_WHOLE_BYTES: usize = 32 * 1024 * 1024;
-
-/// Reads an answer whole; its connection is used again.
-pub async fn whole(shared: &Arc<Shared>, exchange: Exchange) -> Result<Answer, BodyError> {
-    let Exchange { response, lease } = exchange;
-    let mut answer = proxy::head_for_client(&response, answer::whole(Bytes::new()));
-    let body = Limited::new(response.into_body(), MOST_WHOLE_BYTES).collect().await?.to_bytes();
-    shared.pool.give_back(lease);
-    *answer.body_mut() = answer::whole(body);
-    Ok(answer)
-}
-
-/// A stream on its way to its client.
+/// A stream that is forwarded to its client.
 pub struct Stream {
     shared: Arc<Shared>,
-    job: Job,
-    /// What its model server sends; `None`: it has left its model server.
+    client_request: ClientRequest,
+    /// The model server's answer; `None`: between two model servers.
     body: Option<Incoming>,
     head: Option<Answer>,
     lease: Option<ConnectionLease>,
     ticket: Ticket,
     tracker: EventTracker,
-    pauses: Pauses,
-    /// Word that its model server is taken away, where another one may take the stream up.
-    departure: Option<Arc<Departure>>,
-    /// It leaves its model server at this time.
-    leaves_at: Option<u64>,
+    pacing: Pacing,
+    /// The notice that its model server will end, where the stream can be resumed elsewhere.
+    notice: Option<Arc<EvacuationNotice>>,
+    /// It is moved to another model server at this time.
+    evacuate_at: Option<u64>,
     done: bool,
 }
 
@@ -54,80 +43,85 @@
 enum Event {
     /// The model server's next bytes; `None`: there are no more.
     Frame(Option<Result<Frame<Bytes>, hyper::Error>>),
-    /// Its model server is gone at this time.
+    /// Its model server ends at this time.
     Notice(u64),
-    /// It has to leave its model server now.
-    Leave,
-    /// Its client's time is over.
+    /// It has to be moved now.
+    Evacuate,
+    /// Its client's deadline has passed.
     Late(Elapsed),
 }
 
-/// Pieces over which a stream's pace is taken: several may come together.
-const PACE_PIECES: usize = 5;
+/// Chunks over which a stream's pace is measured: several may arrive together.
+const PACE_WINDOW_CHUNKS: usize = 5;
 
-/// Pauses between a stream's pieces.
-struct Pauses {
+/// The times between a stream's chunks.
+struct Pacing {
     began: u64,
     last: u64,
     longest: u64,
-    /// When the latest pieces came.
+    /// When the latest chunks arrived.
     latest: VecDeque<u64>,
-    /// The shortest time in which so many came.
+    /// The shortest time in which `PACE_WINDOW_CHUNKS` arrived.
     shortest: Option<u64>,
 }
 
-impl Pauses {
-    fn new() -> Pauses {
+impl Pacing {
+    fn new() -> Pacing {
         let now = clock::now();
-        Pauses { began: now, last: now, longest: 0, latest: VecDeque::new(), shortest: None }
+        Pacing { began: now, last: now, longest: 0, latest: VecDeque::new(), shortest: None }
     }
 
-    fn note(&mut self) {
+    fn record(&mut self) {
         let now = clock::now();
         self.longest = self.longest.max(now - self.last);
         self.last = now;
         self.latest.push_back(now);
-        if self.latest.len() > PACE_PIECES {
+        if self.latest.len() > PACE_WINDOW_CHUNKS {
             let passed = now - self.latest.pop_front().unwrap_or(now);
             self.shortest = Some(self.shortest.map_or(passed, |known| known.min(passed)));
         }
     }
 
-    /// Milliseconds between two pieces while nothing held them up; `None`: too few came.
+    /// Milliseconds between two chunks at the stream's fastest; `None`: too few arrived.
     fn pace(&self) -> Option<f64> {
-        self.shortest.map(|shortest| shortest as f64 / PACE_PIECES as f64).filter(|pace| *pace > 0.0)
+        self.shortest.map(|shortest| shortest as f64 / PACE_WINDOW_CHUNKS as f64).filter(|pace| *pace > 0.0)
     }
 }
 
 impl Stream {
     /// A stream whose answer's head has come.
-    pub fn new(shared: Arc<Shared>, mut job: Job, exchange: Exchange, ticket: Ticket) -> Stream {
+    pub fn new(
+        shared: Arc<Shared>,
+        mut client_request: ClientRequest,
+        exchange: Exchange,
+        ticket: Ticket,
+    ) -> Stream {
         let Exchange { response, lease } = exchange;
-        job.answered_by(response.headers());
-        let mut head = proxy::head_for_client(&response, answer::whole(Bytes::new()));
-        if job.resumable() {
+        client_request.record_version(response.headers());
+        let mut head = upstream_answer::head_for_client(&response, answer::full_body(Bytes::new()));
+        if client_request.is_resumable() {
             head.headers_mut().remove(hyper::header::CONTENT_LENGTH);
         }
-        let departure = job.resumable().then(|| shared.departure(ticket.id()));
+        let notice = client_request.is_resumable().then(|| shared.evacuation_notice(ticket.id()));
         Stream {
             shared,
-            job,
+            client_request,
             body: Some(response.into_body()),
             head: Some(head),
             lease: Some(lease),
             ticket,
             tracker: EventTracker::default(),
-            pauses: Pauses::new(),
-            departure,
-            leaves_at: None,
+            pacing: Pacing::new(),
+            notice,
+            evacuate_at: None,
             done: false,
         }
     }
 
     async fn event(&mut self) -> Event {
-        let Some(body) = &mut self.body else { return Event::Leave };
-        let frame = tokio::time::timeout(clock::until(self.job.deadline), body.frame());
-        let leaving = leaving(self.departure.as_deref(), self.leaves_at);
+        let Some(body) = &mut self.body else { return Event::Evacuate };
+        let frame = tokio::time::timeout(clock::until(self.client_request.deadline), body.frame());
+        let leaving = leaving(self.notice.as_deref(), self.evacuate_at);
         tokio::select! {
             biased;
             frame = frame => frame.map_or_else(Event::Late, Event::Frame),
@@ -141,8 +135,12 @@
             match self.event().await {
                 Event::Frame(Some(Ok(frame))) => {
                     let Ok(data) = frame.into_data() else { continue };
-                    self.pauses.note();
-                    let passed = if self.job.resumable() { self.tracker.pass(&data).into() } else { data };
+                    self.pacing.record();
+                    let passed = if self.client_request.is_resumable() {
+                        self.tracker.pass(&data).into()
+                    } else {
+                        data
+                    };
                     if !passed.is_empty() {
                         return Some(Ok(Frame::data(passed)));
                     }
@@ -154,9 +152,9 @@
                         return Some(Err(self.broken(Step::Broken, error.into())));
                     }
                 }
-                Event::Notice(gone_at) => self.plan_to_leave(gone_at),
-                Event::Leave => {
-                    if !self.leave().await {
+                Event::Notice(ends_at) => self.plan_evacuation(ends_at),
+                Event::Evacuate => {
+                    if !self.evacuate().await {
                         return Some(Err(
                             self.broken(Step::Broken, "no model server took the stream up".into())
                         ));
@@ -173,23 +171,23 @@
 
     fn broken(&mut self, step: Step, error: BodyError) -> BodyError {
         self.done = true;
-        self.job.note(&self.shared, step);
+        self.client_request.record_step(&self.shared, step);
         error
     }
 
     fn complete(&mut self) -> Option<Result<Frame<Bytes>, BodyError>> {
         self.done = true;
-        if let Some(pace) = self.pauses.pace() {
+        if let Some(pace) = self.pacing.pace() {
             self.shared.deciding().dispatcher.observe_decode_pace(clock::now(), self.ticket.id(), pace);
         }
         self.ticket.end(AttemptOutcome::Answered);
-        self.shared.deciding().event_rate.observe(self.job.output_tokens(), self.tracker.events());
-        let first_ms = self.pauses.began.saturating_sub(self.job.arrived());
+        self.shared.deciding().event_rate.observe(self.client_request.output_tokens(), self.tracker.events());
+        let first_ms = self.pacing.began.saturating_sub(self.client_request.arrived());
         let (longest_pause_ms, took_ms) =
-            (self.pauses.longest, clock::now().saturating_sub(self.pauses.began));
-        let (id, name) = self.job.told();
+            (self.pacing.longest, clock::now().saturating_sub(self.pacing.began));
+        let (id, name) = self.client_request.log_fields();
         tracing::debug!(id, ?name, first_ms, longest_pause_ms, took_ms, "stream complete");
-        self.job.note(&self.shared, Step::Complete);
+        self.client_request.record_step(&self.shared, Step::Complete);
         if let Some(lease) = self.lease.take() {
             self.shared.pool.give_back(lease);
         }
@@ -197,70 +195,68 @@
         (!rest.is_empty()).then(|| Ok(Frame::data(rest.into())))
     }
 
-    /// Its model server is taken away: it leaves now, or, where it should be complete before, at the last
-    /// moment.
-    fn plan_to_leave(&mut self, gone_at: u64) {
+    /// Its model server will end: the stream is moved now, or, if it should be complete before, at the last moment.
+    fn plan_evacuation(&mut self, ends_at: u64) {
         let now = clock::now();
-        let expected = self.shared.deciding().event_rate.expected(self.job.output_tokens());
-        let progress = Progress { started_at: self.pauses.began, events: self.tracker.events(), expected };
-        let stays = progress.completes_before(now, gone_at);
-        self.departure = None;
-        self.leaves_at = Some(if stays { gone_at.saturating_sub(EVACUATION_MARGIN_MS) } else { now });
+        let expected = self.shared.deciding().event_rate.expected(self.client_request.output_tokens());
+        let progress = Progress { started_at: self.pacing.began, events: self.tracker.events(), expected };
+        let stays = progress.completes_before(now, ends_at);
+        self.notice = None;
+        self.evacuate_at = Some(if stays { ends_at.saturating_sub(EVACUATION_MARGIN_MS) } else { now });
     }
 
-    /// Leaves its model server for another one; where it may not be sent once more it stays. Returns whether
-    /// the stream goes on.
-    async fn leave(&mut self) -> bool {
-        self.leaves_at = None;
-        if !proxy::may_send_again(&self.shared, &self.job) {
+    /// Moves the stream to another model server if a further attempt is allowed. Returns whether the stream goes on.
+    async fn evacuate(&mut self) -> bool {
+        self.evacuate_at = None;
+        if !attempt::may_send_again(&self.shared, &self.client_request) {
             return true;
         }
         self.ticket.end(AttemptOutcome::Abandoned);
         (self.body, self.lease) = (None, None);
-        self.take_up(true).await
+        self.resume_elsewhere(true).await
     }
 
-    /// Its model server broke off: another one takes it up, where that may be.
+    /// Its model server broke off: resumes the stream elsewhere if that is allowed.
     async fn resume(&mut self) -> bool {
-        self.job.resumable() && self.take_up(false).await
+        self.client_request.is_resumable() && self.resume_elsewhere(false).await
     }
 
-    /// Takes the stream up at another model server, behind the last event that the client got. `allowed`: the
-    /// first try is.
-    async fn take_up(&mut self, mut allowed: bool) -> bool {
-        self.job.note(&self.shared, Step::Resuming);
+    /// Resumes the stream at another model server after the last event that the client got. `allowed`: the first attempt
+    /// needs no retry budget.
+    async fn resume_elsewhere(&mut self, mut allowed: bool) -> bool {
+        self.client_request.record_step(&self.shared, Step::Resuming);
         self.tracker.broke();
         if let Some(id) = self.tracker.last_id() {
-            self.job.resume_at = Some(id.to_owned());
+            self.client_request.resume_after = Some(id.to_owned());
         }
-        while std::mem::take(&mut allowed) || proxy::may_send_again(&self.shared, &self.job) {
-            match proxy::attempt(&self.shared, &mut self.job).await {
-                Try::Answered(exchange, ticket) if exchange.response.status().is_success() => {
-                    self.go_on(*exchange, ticket);
+        while std::mem::take(&mut allowed) || attempt::may_send_again(&self.shared, &self.client_request) {
+            match attempt::attempt(&self.shared, &mut self.client_request).await {
+                AttemptEnd::Answered(exchange, ticket) if exchange.response.status().is_success() => {
+                    self.continue_with(*exchange, ticket);
                     return true;
                 }
-                Try::Answered(..) | Try::Refused(..) | Try::TimedOut => return false,
-                Try::NotRun(_) | Try::Broken => {}
+                AttemptEnd::Answered(..) | AttemptEnd::Refused(..) | AttemptEnd::TimedOut => return false,
+                AttemptEnd::NotRun(_) | AttemptEnd::Broken => {}
             }
         }
         false
     }
 
-    fn go_on(&mut self, exchange: Exchange, ticket: Ticket) {
+    fn continue_with(&mut self, exchange: Exchange, ticket: Ticket) {
         let Exchange { response, lease } = exchange;
-        self.departure = Some(self.shared.departure(ticket.id()));
+        self.notice = Some(self.shared.evacuation_notice(ticket.id()));
         (self.body, self.lease, self.ticket) = (Some(response.into_body()), Some(lease), ticket);
     }
 }
 
-/// Waits for word that a stream's model server is taken away, or, once it came, for the time to leave.
-async fn leaving(departure: Option<&Departure>, leaves_at: Option<u64>) -> Event {
-    match (departure, leaves_at) {
-        (_, Some(leaves_at)) => {
-            tokio::time::sleep(clock::until(leaves_at)).await;
-            Event::Leave
+/// Waits for the notice that the model server will end, or, once it came, for the time to move.
+async fn leaving(notice: Option<&EvacuationNotice>, evacuate_at: Option<u64>) -> Event {
+    match (notice, evacuate_at) {
+        (_, Some(evacuate_at)) => {
+            tokio::time::sleep(clock::until(evacuate_at)).await;
+            Event::Evacuate
         }
-        (Some(departure), None) => Event::Notice(departure.told().await),
+        (Some(notice), None) => Event::Notice(notice.notified().await),
         (None, None) => std::future::pending().await,
     }
 }
@@ -268,7 +264,7 @@
 impl Drop for Stream {
     fn drop(&mut self) {
         if !self.done {
-            self.job.note(&self.shared, Step::Abandoned);
+            self.client_request.record_step(&self.shared, Step::Abandoned);
         }
     }
 }
--- a/crates/system/src/edge/shared.rs
+++ b/crates/system/src/edge/shared.rs
@@ -1,8 +1,11 @@
-//! What all tasks of an edge share: the deciding parts, behind one lock that is never held across a wait.
-
-use super::admission::Admissions;
-use super::generation::Generations;
-use super::rollout::Rollout;
+//! The state that all tasks of an edge share. Its decision logic is behind one lock that is never held across an `await`.
+
+use super::configuration_queue::ConfigurationQueue;
+use super::core_addresses::CoreAddresses;
+use super::evacuation::EvacuationNotice;
+use super::generation_count::GenerationCount;
+use super::pending_admissions::PendingAdmissions;
+use super::report_history::ReportHistory;
 use crate::clock;
 use crate::net::client::ConnectionPool;
 use crate::net::mesh::Mesh;
@@ -11,7 +14,7 @@
 use arc_swap::{ArcSwap, ArcSwapOption};
 use pathbank_control::result_code::ResultCode;
 use pathbank_control::routes::RouteTable;
-use pathbank_protocol::message::{ConfigurationInForce, EdgeReport, ModelDemand, ModelVersions};
+use pathbank_protocol::message::{ConfigurationInForce, EdgeReport, ModelVersions};
 use pathbank_router::core_choice::CoreChoice;
 use pathbank_router::dispatcher::{Action, Dispatcher, Offer, RequestId};
 use pathbank_router::evacuation::EventRate;
@@ -21,13 +24,13 @@
 use pathbank_router::retry_budget::{RetryBudget, RetryBudgetLimits};
 use pathbank_router::usage::UsageCounter;
 use pathbank_router::wall_clock::WallClock;
-use std::collections::{BTreeMap, VecDeque};
+use std::collections::BTreeMap;
 use std::net::SocketAddr;
-use std::sync::atomic::{AtomicBool, AtomicU64, Ordering};
+use std::sync::atomic::{AtomicBool, Ordering};
 use std::sync::{Arc, Mutex, MutexGuard, OnceLock, PoisonError};
 use tokio::sync::{Notify, oneshot};
 
-/// What the dispatcher decided for a request.
+/// The dispatcher's decision on a request.
 #[derive(Debug)]
 pub enum Decision {
     /// It goes to this model server now.
@@ -46,11 +49,11 @@
     },
 }
 
-/// The deciding parts.
+/// The decision logic and its state.
 pub struct Deciding {
     /// Which request goes where.
     pub dispatcher: Dispatcher,
-    /// Second sends.
+    /// The budget of retries.
     pub budget: RetryBudget,
     /// Requests begun.
     pub usage: UsageCounter,
@@ -58,78 +61,18 @@
     pub wall_clock: WallClock,
     /// What became of the latest requests.
     pub request_log: RequestLog,
-    /// Which core is listened to.
+    /// The core to which this edge subscribes.
     pub core_choice: CoreChoice,
-    reports: Reports,
+    reports: ReportHistory,
     /// How many events streams have.
     pub event_rate: EventRate,
     waiting: BTreeMap<RequestId, oneshot::Sender<Decision>>,
-    /// Streams that can be told to leave their model server.
-    movable: BTreeMap<RequestId, Arc<Departure>>,
+    /// Notices to streams that can be resumed at another model server.
+    evacuation_notices: BTreeMap<RequestId, Arc<EvacuationNotice>>,
     next_id: RequestId,
 }
 
-/// Word to a stream that its model server is taken away.
-#[derive(Debug, Default)]
-pub struct Departure {
-    gone_at: AtomicU64,
-    told: Notify,
-}
-
-impl Departure {
-    /// Waits for the word; when the model server is gone.
-    pub async fn told(&self) -> u64 {
-        self.told.notified().await;
-        self.gone_at.load(Ordering::Relaxed)
-    }
-
-    fn tell(&self, gone_at: u64) {
-        self.gone_at.store(gone_at, Ordering::Relaxed);
-        self.told.notify_one();
-    }
-}
-
-/// For how long demand is remembered for a new leader, milliseconds.
-const DEMAND_REMEMBERED: u64 = 4_000;
-/// A new configuration alone is reason for a report at most this often, milliseconds.
-const CONFIGURATION_TOLD_EVERY: u64 = 1_000;
-
-/// What was reported, for a leader that has heard nothing.
-#[derive(Default)]
-struct Reports {
-    told_to: Option<SocketAddr>,
-    had_loads: bool,
-    demand: VecDeque<(u64, ModelDemand)>,
-    /// The configuration that was told last, and when.
-    configuration_index: u64,
-    configuration_told: u64,
-}
-
-impl Reports {
-    fn remember(&mut self, now: u64, demand: &[ModelDemand]) {
-        self.demand.extend(demand.iter().cloned().map(|demand| (now, demand)));
-        while self.demand.front().is_some_and(|(at, _)| now > at + DEMAND_REMEMBERED) {
-            self.demand.pop_front();
-        }
-    }
-
-    /// How far back what is remembered reaches, milliseconds.
-    fn span(&self, now: u64) -> u64 {
-        self.demand.front().map_or(0, |(at, _)| now.saturating_sub(*at))
-    }
-
-    /// Whether the leader should hear of the configuration in force although nothing else is to be told.
-    fn is_configuration_due(&self, now: u64, in_force: ConfigurationInForce) -> bool {
-        in_force.index != self.configuration_index
-            && now >= self.configuration_told + CONFIGURATION_TOLD_EVERY
-    }
-
-    fn recent(&self) -> Vec<ModelDemand> {
-        self.demand.iter().map(|(_, demand)| demand.clone()).collect()
-    }
-}
-
-/// What all tasks share.
+/// The state that all tasks share.
 pub struct Shared {
     /// The settings at the start.
     pub settings: Settings,
@@ -141,41 +84,27 @@
     pub routes: ArcSwapOption<RouteTable>,
     /// Versions of models in training.
     pub model_versions: ArcSwap<Vec<ModelVersions>>,
-    /// Questions to the leader where prompts should go.
-    pub admissions: Admissions,
+    /// Requests for admission at the leader.
+    pub admissions: PendingAdmissions,
     /// Generations of training steps.
-    pub generations: Generations,
-    /// Configurations that cores told and that are not in force yet.
-    pub rollout: Rollout,
+    pub generations: GenerationCount,
+    /// Configurations that are not in force yet.
+    pub configurations: ConfigurationQueue,
     /// Connections to model servers.
     pub pool: ConnectionPool,
     /// Links to the cores.
     pub mesh: OnceLock<Mesh>,
     /// Control-plane addresses of the settings and addresses that cores told.
-    pub cores: Mutex<core_addresses::CoreAddresses>,
-    /// A core told all model servers that it knows.
+    pub cores: Mutex<CoreAddresses>,
+    /// A core has sent the complete list of model servers.
     pub has_servers: AtomicBool,
     /// The process stops.
     pub stopping: AtomicBool,
-    /// The cores should hear of demand at once.
+    /// Demand has to be reported at once.
     pub urgent: Notify,
     deciding: Mutex<Deciding>,
 }
 
-/// Where cores may be.
-pub mod core_addresses {
-    use std::net::SocketAddr;
-
-    /// Addresses for messages.
-    #[derive(Debug, Default)]
-    pub struct CoreAddresses {
-        /// From the settings file.
-        pub seeds: Vec<SocketAddr>,
-        /// From the cores themselves.
-        pub members: Vec<SocketAddr>,
-    }
-}
-
 impl Shared {
     /// The state of an edge that has just started.
     pub fn new(settings: Settings, startup: Startup) -> Arc<Shared> {
@@ -192,10 +121,10 @@
             wall_clock: WallClock::default(),
             request_log: RequestLog::default(),
             core_choice: CoreChoice::new(settings.zone.clone(), incarnation),
-            reports: Reports::default(),
+            reports: ReportHistory::default(),
             event_rate: EventRate::default(),
             waiting: BTreeMap::new(),
-            movable: BTreeMap::new(),
+            evacuation_notices: BTreeMap::new(),
             next_id: 1,
         };
         Arc::new(Shared {
@@ -204,9 +133,9 @@
             startup,
             routes: ArcSwapOption::empty(),
             model_versions: ArcSwap::default(),
-            admissions: Admissions::default(),
-            generations: Generations::default(),
-            rollout: Rollout::default(),
+            admissions: PendingAdmissions::default(),
+            generations: GenerationCount::default(),
+            configurations: ConfigurationQueue::default(),
             pool: ConnectionPool::default(),
             mesh: OnceLock::new(),
             cores: Mutex::default(),
@@ -217,7 +146,7 @@
         })
     }
 
-    /// The deciding parts; never held across a wait.
+    /// The decision logic; never held across an `await`.
     pub fn deciding(&self) -> MutexGuard<'_, Deciding> {
         self.deciding.lock().unwrap_or_else(PoisonError::into_inner)
     }
@@ -250,16 +179,16 @@
         receiver
     }
 
-    /// The word that a stream may get at its model server.
-    pub fn departure(&self, id: RequestId) -> Arc<Departure> {
-        self.deciding().movable.entry(id).or_default().clone()
+    /// The notice that a stream gets when its model server will end.
+    pub fn evacuation_notice(&self, id: RequestId) -> Arc<EvacuationNotice> {
+        self.deciding().evacuation_notices.entry(id).or_default().clone()
     }
 
     /// A request has ended, at its model server or while it waited.
     pub fn finish(&self, id: RequestId, outcome: AttemptOutcome) {
         let mut deciding = self.deciding();
         deciding.waiting.remove(&id);
-        deciding.movable.remove(&id);
+        deciding.evacuation_notices.remove(&id);
         let actions = deciding.dispatcher.finish(clock::now(), id, outcome);
         self.carry_out(deciding, actions);
     }
@@ -298,8 +227,8 @@
                 Action::Send { id, instance, address } => (id, Decision::Send { instance, address }),
                 Action::Reject { id, code, retry_after } => (id, Decision::Reject { code, retry_after }),
                 Action::Evacuate { id, ends_at } => {
-                    if let Some(departure) = deciding.movable.get(&id) {
-                        departure.tell(ends_at);
+                    if let Some(notice) = deciding.evacuation_notices.get(&id) {
+                        notice.notify(ends_at);
                     }
                     continue;
                 }
@@ -315,7 +244,7 @@
     }
 
     /// A step of a request's way, by the client's id.
-    pub fn note_step(&self, id: &str, step: Step) {
+    pub fn record_step(&self, id: &str, step: Step) {
         self.deciding().request_log.record(clock::now(), id, step);
     }
 
@@ -334,25 +263,22 @@
         let leader = deciding.core_choice.leader()?;
         let (demand, loads) = deciding.dispatcher.take_report();
         let changed = deciding.usage.take_changed();
-        let is_new = deciding.reports.told_to != Some(leader);
+        let is_new = deciding.reports.reported_to != Some(leader);
         let had_loads = std::mem::replace(&mut deciding.reports.had_loads, !loads.is_empty());
         let configuration = self.configuration_in_force(now);
-        let has_news = deciding.reports.is_configuration_due(now, configuration);
+        let configuration_is_due = deciding.reports.is_configuration_due(now, configuration);
         let has_counts = !(demand.is_empty() && loads.is_empty() && changed.is_empty());
-        if !has_counts && !is_new && !had_loads && !has_news {
+        if !has_counts && !is_new && !had_loads && !configuration_is_due {
             return None;
         }
-        deciding.reports.configuration_index = configuration.index;
-        deciding.reports.configuration_told = now;
-        deciding.reports.told_to = Some(leader);
-        deciding.reports.remember(now, &demand);
+        deciding.reports.record(now, leader, &demand, configuration);
         let report = EdgeReport {
             edge: self.settings.node_name.clone(),
             incarnation: self.incarnation,
             usage: if is_new { deciding.usage.windows() } else { changed },
             demand: if is_new { deciding.reports.recent() } else { demand },
             loads,
-            demand_span_ms: if is_new { deciding.reports.span(now) } else { 0 },
+            demand_span_ms: if is_new { deciding.reports.span_ms(now) } else { 0 },
             configuration,
         };
         Some((leader, report))
@@ -360,7 +286,7 @@
 
     fn configuration_in_force(&self, now: u64) -> ConfigurationInForce {
         let Some(routes) = self.routes.load_full() else { return ConfigurationInForce::default() };
-        let for_ms = now.saturating_sub(self.rollout.in_force_since());
+        let for_ms = now.saturating_sub(self.configurations.in_force_since());
         ConfigurationInForce { index: routes.index, version: routes.version, for_ms }
     }
 
@@ -368,8 +294,8 @@
     pub fn core_lost(&self, address: SocketAddr) {
         let mut deciding = self.deciding();
         deciding.core_choice.disconnected(address);
-        if deciding.reports.told_to == Some(address) {
-            deciding.reports.told_to = None;
+        if deciding.reports.reported_to == Some(address) {
+            deciding.reports.reported_to = None;
         }
     }
 
@@ -386,10 +312,6 @@
 
     /// The addresses at which cores may be.
     pub fn core_addresses(&self) -> Vec<SocketAddr> {
-        let cores = self.cores.lock().unwrap_or_else(PoisonError::into_inner);
-        let mut addresses: Vec<SocketAddr> = cores.seeds.iter().chain(&cores.members).copied().collect();
-        addresses.sort_unstable();
-        addresses.dedup();
-        addresses
+        self.cores.lock().unwrap_or_else(PoisonError::into_inner).all()
     }
 }
--- a/crates/system/src/edge/status.rs
+++ b/crates/system/src/edge/status.rs
@@ -33,7 +33,7 @@
             async move { Ok::<_, viz::Error>(answer) }
         });
     if let Err(error) = viz::serve(listener, router).await {
-        tracing::error!(%error, "readiness is not served any more");
+        tracing::error!(%error, "readiness server failed");
     }
 }
 
--- a/crates/system/src/edge/ticket.rs
+++ b/crates/system/src/edge/ticket.rs
@@ -1,5 +1,4 @@
-//! A request's place in the dispatcher. Dropped, it ends the request there: a client that leaves takes its
-//! request with it.
+//! A guard for a request in the dispatcher: dropping it ends the request there, as when its client disconnects.
 
 use super::shared::{Decision, Shared};
 use pathbank_router::dispatcher::{Offer, RequestId};
@@ -48,7 +47,7 @@
         if self.open
             && let Some((name, waited_ms, stage)) = self.shared.waiting(self.id)
         {
-            tracing::debug!(request = self.id, ?name, waited_ms, stage, "its client left while it waited");
+            tracing::debug!(request = self.id, ?name, waited_ms, stage, "client left while queued");
         }
         self.end(AttemptOutcome::Abandoned);
     }
--- /dev/null
+++ b/crates/system/src/edge/upstream_answer.rs
@@ -0,0 +1,33 @@
+//! A model server's answer as the client gets it.
+
+use super::answer::{self, Answer, AnswerBody, BodyError};
+use super::headers::{NOT_EXECUTED, end_to_end};
+use super::shared::Shared;
+use crate::net::client::Exchange;
+use bytes::Bytes;
+use http_body_util::{BodyExt, Limited};
+use hyper::Response;
+use hyper::body::Incoming;
+use std::sync::Arc;
+
+/// The largest answer that is buffered before it goes to the client.
+const MAX_BUFFERED_BYTES: usize = 32 * 1024 * 1024;
+
+/// Reads an answer to its end; its connection goes back to the pool.
+pub async fn read_complete(shared: &Arc<Shared>, exchange: Exchange) -> Result<Answer, BodyError> {
+    let Exchange { response, lease } = exchange;
+    let mut answer = head_for_client(&response, answer::full_body(Bytes::new()));
+    let body = Limited::new(response.into_body(), MAX_BUFFERED_BYTES).collect().await?.to_bytes();
+    shared.pool.give_back(lease);
+    *answer.body_mut() = answer::full_body(body);
+    Ok(answer)
+}
+
+/// An answer's head as the client gets it.
+pub(super) fn head_for_client(response: &Response<Incoming>, body: AnswerBody) -> Answer {
+    let mut answer = Response::new(body);
+    *answer.status_mut() = response.status();
+    *answer.headers_mut() = end_to_end(response.headers());
+    answer.headers_mut().remove(NOT_EXECUTED);
+    answer
+}
--- a/crates/system/src/rehearsal/stage.rs
+++ b/crates/system/src/rehearsal/stage.rs
@@ -137,7 +137,7 @@
         let start = Instant::now();
         while !holds(self) {
             ensure!(start.elapsed() < PATIENCE, "not within {PATIENCE:?}: {what}");
-            self.edges.iter().for_each(HollowEdge::look);
+            self.edges.iter().for_each(HollowEdge::maintain);
             tokio::time::sleep(LOOK).await;
         }
         Ok(())
@@ -178,7 +178,7 @@
         let beats = self.counts.acknowledged.load(Ordering::Relaxed);
         let failed = self.counts.failed.load(Ordering::Relaxed);
         for _ in 0..seconds * 10 {
-            self.edges.iter().for_each(HollowEdge::look);
+            self.edges.iter().for_each(HollowEdge::maintain);
             tokio::time::sleep(Duration::from_millis(100)).await;
         }
         let span = seconds as f64;
@@ -212,7 +212,7 @@
                 let done = waiting.iter().filter(|edge| in_force(edge)).count();
                 delays.extend(std::iter::repeat_n(millis(start.elapsed()), done));
                 waiting.retain(|edge| !in_force(edge));
-                waiting.iter().for_each(|edge| edge.look());
+                waiting.iter().for_each(|edge| edge.maintain());
                 tokio::time::sleep(LOOK).await;
             }
             bytes += (traffic().received - before) as f64 / self.edges.len() as f64;
@@ -261,7 +261,7 @@
                 begun.iter().partition(|(number, _)| self.knows_all(&self.edges[*number]));
             delays.extend(done.iter().map(|(_, at)| millis(at.elapsed())));
             begun = waiting;
-            begun.iter().for_each(|(number, _)| self.edges[*number].look());
+            begun.iter().for_each(|(number, _)| self.edges[*number].maintain());
             tokio::time::sleep(LOOK).await;
         }
         delays.sort_by(f64::total_cmp);
@@ -289,7 +289,7 @@
         while !self.edges.iter().all(|edge| self.knows_all(edge)) {
             ensure!(start.elapsed() < PATIENCE, "service does not come back within {PATIENCE:?}");
             for (edge, at) in self.edges.iter().zip(&mut configured) {
-                edge.look();
+                edge.maintain();
                 if at.is_none() && edge.configuration_version() == self.version {
                     *at = Some(millis(start.elapsed()));
                 }
