--- a/crates/coordination/src/membership_changes.rs
+++ b/crates/coordination/src/membership_changes.rs
@@ -1,94 +1,98 @@
-//! Which store joins, replaces or leaves the group of voters. Decided by the leader alone, one step at a
-//! time.
+//! Which store joins the voters, replaces one or leaves them. The leader decides it, one joint change at a time
+//! (section 4.3 of Ongaro's thesis).
 //!
-//! The group keeps an odd size. An even one needs one voter more for a majority and bears no more losses, so
-//! a voter that leaves while another one is lost would end it. Stores beyond the group follow the log without
-//! a vote, and take a voter's place in one joint change.
+//! The voters keep an odd number. An even number needs one voter more for a majority and tolerates no more failures, so
+//! that a voter that leaves while another one is lost would cost the quorum. Further stores are learners: they follow
+//! the log without a vote, and take a voter's place in one joint change.
 
 use crate::consensus::quorum;
-use crate::replica::{Effects, Replica};
+use crate::replica::{Effects, PeerStatus, Replica};
 use crate::types::{Index, Member, Millis, StoreId};
 
-/// A voter that says nothing for so long is taken for gone, milliseconds.
+/// A voter that was not heard for so long counts as lost.
 pub const VOTER_TIMEOUT_MS: Millis = 2_500;
-/// A store has caught up when it lacks no more entries than this.
-const CAUGHT_UP_ENTRIES: Index = 2;
+/// A learner has caught up when it lacks no more entries than this.
+const MAX_LEARNER_LAG: Index = 2;
 
-/// The group that should follow the present one, if another one should.
+/// The voters that should follow the present ones; `None`: there is nothing to change, or it cannot be changed now.
 pub fn next_voters(replica: &Replica, now: Millis) -> Option<Vec<Member>> {
     if !replica.is_established_leader() || replica.membership().is_joint() {
         return None;
     }
     let survey = Survey::new(replica, now);
     let next = survey.replacement().or_else(|| survey.growth()).or_else(|| survey.reduction())?;
-    survey.can_lead(&next).then_some(next)
+    survey.has_live_majority(&next).then_some(next)
 }
 
-/// Takes the next step towards the group that should be, if there is one.
+/// Proposes the next membership change, if one is due.
 pub fn reconcile(replica: &mut Replica, now: Millis) -> Option<Effects> {
     let voters = next_voters(replica, now)?;
     replica.propose_membership(now, voters).ok()
 }
 
-/// How voters and other stores stand, as the leader sees it.
+/// The voters and learners as the leader sees them.
 struct Survey<'a> {
     replica: &'a Replica,
     now: Millis,
     voters: &'a [Member],
-    /// Stores outside the group that have the log and answer.
+    /// Learners that answer and have caught up.
     learners: Vec<&'a Member>,
 }
 
 impl<'a> Survey<'a> {
     fn new(replica: &'a Replica, now: Millis) -> Survey<'a> {
-        let caught_up = |matched: Index| matched > 0 && matched + CAUGHT_UP_ENTRIES >= replica.commit();
+        let has_caught_up = |matched: Index| matched > 0 && matched + MAX_LEARNER_LAG >= replica.commit();
         let answering: Vec<StoreId> = replica.learners(now).collect();
-        let known = replica.peers().filter(|(other, ..)| answering.contains(&other.id));
-        let learners = known.filter(|(_, matched, _)| caught_up(*matched)).map(|(other, ..)| other).collect();
+        let learners = replica
+            .peers()
+            .filter(|peer| answering.contains(&peer.member.id) && has_caught_up(peer.match_index))
+            .map(|peer| peer.member)
+            .collect();
         Survey { replica, now, voters: &replica.membership().voters, learners }
     }
 
-    fn is_silent(&self, id: StoreId) -> bool {
-        let heard = |(other, _, heard): (&Member, Index, Millis)| {
-            other.id == id && self.now < heard + VOTER_TIMEOUT_MS
-        };
-        id != self.replica.me().id && !self.replica.peers().any(heard)
+    fn is_lost(&self, id: StoreId) -> bool {
+        let answers =
+            |peer: PeerStatus<'_>| peer.member.id == id && self.now < peer.last_heard_at + VOTER_TIMEOUT_MS;
+        id != self.replica.me().id && !self.replica.peers().any(answers)
     }
 
     fn is_leaving(&self, id: StoreId) -> bool {
         self.replica.is_leaving(self.now, id)
     }
 
-    /// A voter that is about to end, or else one that is taken for gone.
+    /// A voter that asked to leave, or else one that is lost.
     fn departing(&self) -> Option<&'a Member> {
         let leaving = self.voters.iter().find(|voter| self.is_leaving(voter.id));
-        leaving.or_else(|| self.voters.iter().find(|voter| self.is_silent(voter.id)))
+        leaving.or_else(|| self.voters.iter().find(|voter| self.is_lost(voter.id)))
     }
 
-    /// A store in the place of a voter, in one step.
+    /// A learner in the place of a voter, in one change.
     fn replacement(&self) -> Option<Vec<Member>> {
-        let place_of = |learner: &Member| self.voters.iter().find(|voter| voter.address == learner.address);
-        // A store at the address of a voter is there in its place: that voter's disk is lost.
-        let at_its_place = self.learners.iter().find_map(|learner| Some((*learner, place_of(learner)?)));
-        let (learner, replaced) = match at_its_place {
+        let voter_at_address_of =
+            |learner: &Member| self.voters.iter().find(|voter| voter.address == learner.address);
+        // A new store at a voter's address: that voter's disk was lost.
+        let at_same_address =
+            self.learners.iter().find_map(|learner| Some((*learner, voter_at_address_of(learner)?)));
+        let (learner, replaced) = match at_same_address {
             Some(pair) => pair,
             None => (*self.learners.first()?, self.departing()?),
         };
         Some(self.without(replaced.id).chain([learner.clone()]).collect())
     }
 
-    /// The group with as many stores more as keep it odd.
+    /// The voters with as many learners more as make their number odd.
     fn growth(&self) -> Option<Vec<Member>> {
         let wanted = if self.voters.len().is_multiple_of(2) { 1 } else { 2 };
         let joining = self.learners.get(..wanted)?;
         Some(self.voters.iter().chain(joining.iter().copied()).cloned().collect())
     }
 
-    /// An even group bears no more losses than the group without its departing voter.
+    /// An even number of voters tolerates no more failures than the number without the departing one.
     fn reduction(&self) -> Option<Vec<Member>> {
         let departing = self.departing().filter(|_| self.voters.len().is_multiple_of(2))?;
-        // Of two voters the one that stays would hold the only copy.
-        let is_pair = self.voters.len() == 2 && !self.is_silent(departing.id);
+        // Of two voters the one that stays would have the only replica.
+        let is_pair = self.voters.len() == 2 && !self.is_lost(departing.id);
         (!is_pair).then(|| self.without(departing.id).collect())
     }
 
@@ -96,12 +100,12 @@
         self.voters.iter().filter(move |voter| voter.id != id).cloned()
     }
 
-    /// Whether a majority of a group answers and stays.
-    fn can_lead(&self, group: &[Member]) -> bool {
-        let stays = |member: &Member| {
-            let learns = self.learners.iter().any(|learner| learner.id == member.id);
-            (learns || !self.is_silent(member.id)) && !self.is_leaving(member.id)
+    /// Whether a majority of these voters answers and does not leave.
+    fn has_live_majority(&self, voters: &[Member]) -> bool {
+        let is_live = |member: &Member| {
+            let is_learner = self.learners.iter().any(|learner| learner.id == member.id);
+            (is_learner || !self.is_lost(member.id)) && !self.is_leaving(member.id)
         };
-        quorum::has_majority(group, stays)
+        quorum::has_majority(voters, is_live)
     }
 }
--- a/crates/system/src/core/replication.rs
+++ b/crates/system/src/core/replication.rs
@@ -98,7 +98,7 @@
     /// Addresses of voters, learners and stores that called lately.
     pub fn addresses(&self) -> impl Iterator<Item = &str> {
         let members = self.replica.membership().members().map(|member| &member.address);
-        let learners = self.replica.peers().map(|(member, ..)| &member.address);
+        let learners = self.replica.peers().map(|peer| &peer.member.address);
         members.chain(learners).map(String::as_str).chain(self.callers.addresses())
     }
 
