--- a/src/agree/archive.rs
+++ b/src/agree/archive.rs
@@ -50,7 +50,8 @@
     /// their segment was moved away.
     pub gaps: Vec<(Index, Index)>,
     /// The first entry that is not what was written.
-    pub wrong: Option<Index>,
+    #[serde(rename = "wrong")]
+    pub corrupt: Option<Index>,
 }
 
 /// Follows the digest of each entry and all before it, over segments and log.
@@ -76,7 +77,7 @@
 
     /// From here on there is nothing to follow: that entry is not what was written.
     pub fn fail(&mut self, index: Index) {
-        self.found.wrong.get_or_insert(index);
+        self.found.corrupt.get_or_insert(index);
     }
 
     /// The next entry with the digest that is told of it; `None`: it cannot be read. `before`: the digest of
@@ -86,10 +87,10 @@
     pub fn follow(
         &mut self,
         index: Index,
-        told: Option<(&Digest, &Entry)>,
+        stored: Option<(&Digest, &Entry)>,
         before: impl FnOnce() -> Option<Digest>,
     ) -> bool {
-        if self.found.wrong.is_some() {
+        if self.found.corrupt.is_some() {
             return false;
         }
         if index <= self.found.last {
@@ -105,7 +106,7 @@
                 }
             }
         }
-        let sound = told.filter(|(digest, entry)| **digest == next_digest(&self.digest, entry));
+        let sound = stored.filter(|(digest, entry)| **digest == next_digest(&self.digest, entry));
         let Some((digest, _)) = sound else {
             self.fail(index);
             return false;
--- a/src/agree/archive/tests.rs
+++ b/src/agree/archive/tests.rs
@@ -68,6 +68,6 @@
             chain.follow(*index, Some((&digests[*index as usize], &entry(*term))), before);
         }
         let found = chain.done();
-        assert_eq!((found.entries, &found.gaps[..], found.wrong), (*entries, *gaps, *wrong), "{told:?}");
+        assert_eq!((found.entries, &found.gaps[..], found.corrupt), (*entries, *gaps, *wrong), "{told:?}");
     }
 }
--- a/src/agree/report.rs
+++ b/src/agree/report.rs
@@ -4,15 +4,28 @@
 use super::{Command, Entry, Index};
 use std::collections::BTreeMap;
 use std::fmt::Write;
+use thiserror::Error;
 
-/// `limit:RATE[,LEAST]`, `attempts:N`, `repeats:never|keyed|always`, `node:in|out`, `plain:TEXT`; `none`
+/// Why a value or a change cannot be read.
+#[derive(Clone, Debug, PartialEq, Eq, Error)]
+pub enum ParseError {
+    /// None of the forms of a value.
+    #[error(
+        "{0:?} is no value: limit:RATE[,LEAST], attempts:N, repeats:never|keyed|always, node:in|out, plain:TEXT or none is due"
+    )]
+    Value(String),
+    /// No `=` between field and value.
+    #[error("{0:?}: FIELD=VALUE is due")]
+    Change(String),
+    /// The field's name is empty or has control characters.
+    #[error("{0:?}: the field has no name that can be printed")]
+    FieldName(String),
+}
+
+/// Reads a value: `limit:RATE[,LEAST]`, `attempts:N`, `repeats:never|keyed|always`, `node:in|out`, `plain:TEXT`; `none`
 /// takes a plain field out.
-pub fn parse_value(text: &str) -> Result<Option<Value>, String> {
-    let bad = || {
-        format!(
-            "{text:?} is no value: limit:RATE[,LEAST], attempts:N, repeats:never|keyed|always, node:in|out, plain:TEXT or none is due"
-        )
-    };
+pub fn parse_value(text: &str) -> Result<Option<Value>, ParseError> {
+    let bad = || ParseError::Value(text.to_string());
     if text == "none" {
         return Ok(None);
     }
@@ -48,10 +61,10 @@
 }
 
 /// One field and its value: `FIELD=VALUE`.
-pub fn parse_change(text: &str) -> Result<(String, Option<Value>), String> {
-    let (field, value) = text.split_once('=').ok_or_else(|| format!("{text:?}: FIELD=VALUE is due"))?;
+pub fn parse_change(text: &str) -> Result<(String, Option<Value>), ParseError> {
+    let (field, value) = text.split_once('=').ok_or_else(|| ParseError::Change(text.to_string()))?;
     if field.is_empty() || field.chars().any(char::is_control) {
-        return Err(format!("{text:?}: the field has no name that can be printed"));
+        return Err(ParseError::FieldName(text.to_string()));
     }
     Ok((field.to_string(), parse_value(value)?))
 }
@@ -136,7 +149,7 @@
     base: u64,
     changes: &[String],
     (who, why, at_ms): (&str, &str, u64),
-) -> Result<Edit, String> {
+) -> Result<Edit, ParseError> {
     let changes = changes.iter().map(|change| parse_change(change)).collect::<Result<_, _>>()?;
     let parts = BTreeMap::from([(name.to_string(), DocumentChange { base, changes })]);
     Ok(Edit { id, parts, who: who.into(), why: why.into(), at_ms })
--- a/src/agree/report/tests.rs
+++ b/src/agree/report/tests.rs
@@ -30,7 +30,7 @@
         "node:maybe",
         "colour:red",
     ] {
-        assert!(parse_value(text).unwrap_err().contains("is due"), "{text}");
+        assert!(parse_value(text).unwrap_err().to_string().contains("is due"), "{text}");
     }
     for text in ["limit:1", "=limit:1", "a\nb=limit:1"] {
         assert!(parse_change(text).is_err(), "{text}");
--- a/src/net/agree/archive.rs
+++ b/src/net/agree/archive.rs
@@ -1,5 +1,5 @@
 //! A voter's archive: old entries in segments, one JSON object a line, each with the digest of all before it.
-//! A segment is written once, whole, and synced before its entries leave the log; whoever wants the room
+//! A segment is written once, complete, and synced before its entries leave the log; whoever wants the room
 //! moves the oldest ones away.
 
 use super::database::{DatabaseError, Record, digest_of, foreign, hex};
@@ -12,13 +12,13 @@
 use std::path::{Path, PathBuf};
 
 const FOLDER: &str = "archive";
-/// A segment that is not whole yet; one that is left is written over.
+/// A segment that is being written; one that a crash left is overwritten.
 const UNFINISHED: &str = "unfinished";
-const FORM: u64 = 1;
+const FORMAT: u64 = 1;
 
 /// A segment's first line.
 #[derive(Debug, Serialize, Deserialize)]
-struct Head {
+struct SegmentHeader {
     form: u64,
     #[serde(flatten)]
     span: EntryRange,
@@ -26,6 +26,7 @@
     before: String,
 }
 
+/// The folder of a voter's segments.
 #[derive(Clone, Debug)]
 pub struct Archive {
     folder: PathBuf,
@@ -52,7 +53,7 @@
         Ok(spans)
     }
 
-    /// On disk, whole, when this returns; once more does no harm.
+    /// Writes a segment, complete and synced when this returns. Idempotent.
     pub fn keep(&self, before: &Digest, records: &[Record]) -> Result<(), DatabaseError> {
         let (Some(first), Some(last)) = (records.first(), records.last()) else { return Ok(()) };
         let span = EntryRange { from: first.index, to: last.index };
@@ -60,8 +61,8 @@
             fs::create_dir_all(&self.folder)?;
             let unfinished = self.folder.join(UNFINISHED);
             let mut file = BufWriter::new(File::create(&unfinished)?);
-            let head = Head { form: FORM, span, before: hex(before) };
-            writeln!(file, "{}", serde_json::to_string(&head)?)?;
+            let header = SegmentHeader { form: FORMAT, span, before: hex(before) };
+            writeln!(file, "{}", serde_json::to_string(&header)?)?;
             for record in records {
                 writeln!(file, "{}", serde_json::to_string(record)?)?;
             }
@@ -83,9 +84,9 @@
         let file = File::open(self.folder.join(&name)).map_err(DatabaseError::Io)?;
         let mut lines = BufReader::new(file).lines();
         let first = lines.next().ok_or_else(|| foreign(format!("{name}: it is empty")))?;
-        let head: Option<Head> = serde_json::from_str(&first.map_err(DatabaseError::Io)?).ok();
-        let sound = head.filter(|head| head.form == FORM && head.span == span);
-        let before = sound.and_then(|head| digest_of(&head.before));
+        let header: Option<SegmentHeader> = serde_json::from_str(&first.map_err(DatabaseError::Io)?).ok();
+        let sound = header.filter(|header| header.form == FORMAT && header.span == span);
+        let before = sound.and_then(|header| digest_of(&header.before));
         let before = before.ok_or_else(|| foreign(format!("{name}: line 1 is no segment's")))?;
         let records = lines.zip(2..).map(move |(line, number)| {
             let read = |line: String| serde_json::from_str(&line).ok();
@@ -106,7 +107,7 @@
         records.filter(later).take(most).collect()
     }
 
-    /// Follows every segment's entries behind those that were followed. What is unreadable is told as the
+    /// Follows every segment's entries behind those that were followed. What is unreadable is reported as the
     /// entry that it should have been.
     pub fn follow(&self, chain: &mut DigestChain) -> Result<(), DatabaseError> {
         // What has been followed is not read again.
@@ -119,10 +120,10 @@
             let mut next = span.from;
             for record in records {
                 let record = record.ok().filter(|record| record.index == next);
-                let told =
+                let stored =
                     record.as_ref().and_then(|record| Some((digest_of(&record.digest)?, &record.entry)));
-                let told = told.as_ref().map(|(digest, entry)| (digest, *entry));
-                if !chain.follow(next, told, || Some(before)) {
+                let stored = stored.as_ref().map(|(digest, entry)| (digest, *entry));
+                if !chain.follow(next, stored, || Some(before)) {
                     return Ok(());
                 }
                 next += 1;
--- a/src/net/agree/database.rs
+++ b/src/net/agree/database.rs
@@ -1,72 +1,63 @@
-//! A voter's disk: one file of redb, where a batch is whole or not there at all after a crash at any byte,
-//! and is synced before `save` returns. Each of the log's entries is kept with the digest of all before it,
-//! so that a changed past shows; the ledger beside them spares reading them all at a start. Old entries leave
-//! for the archive, where that is wanted.
+//! The database of a voter: one file of redb, where a batch is whole or not there at all after a crash at any byte, and is
+//! synced before `save` returns. Each entry of the log is kept with the digest of all before it, so that a changed past
+//! shows; a snapshot of the state beside them spares reading all of them at a start. Old entries move to the archive.
+
+mod bounded;
 
 use super::archive::Archive;
 use crate::agree::archive::{self, DigestChain, EntryRange, MAX_SEGMENT_BYTES};
 use crate::agree::document_state::{Digest, DocumentState, next_digest};
 use crate::agree::voter::{Incarnation, PersistentChange, PersistentState, next_incarnation};
 use crate::agree::{Entry, Index, Term, VoterId};
+use bounded::BoundedBackend;
 use redb::{Database, ReadableDatabase, ReadableTable, StorageBackend, TableDefinition, WriteTransaction};
 use serde::de::DeserializeOwned;
 use serde::{Deserialize, Serialize};
 use std::fmt;
 use std::fs::{OpenOptions, TryLockError};
+use std::io;
 use std::path::{Path, PathBuf};
+use thiserror::Error;
 
 const LOG: TableDefinition<u64, &[u8]> = TableDefinition::new("log");
 const META: TableDefinition<&str, &[u8]> = TableDefinition::new("meta");
-/// The other voters' last known starts.
-const KNOWN: TableDefinition<u64, u64> = TableDefinition::new("known");
-/// Where a part of the log begins that came without what was before it.
+/// The last incarnation that was heard of each peer.
+const PEER_INCARNATIONS: TableDefinition<u64, u64> = TableDefinition::new("known");
+/// The digest up to an entry behind which the log goes on without it.
 const BASES: TableDefinition<u64, &[u8]> = TableDefinition::new("bases");
 const FILE: &str = "agree.redb";
-/// What the file holds, in this form.
 const SCHEMA: u64 = 1;
-const CACHE: usize = 4 * 1024 * 1024;
+const CACHE_BYTES: usize = 4 * 1024 * 1024;
 
-#[derive(Debug)]
+/// Why a voter's database or archive cannot be used.
+#[derive(Debug, Error)]
 pub enum DatabaseError {
-    /// A voter that has lost its disk is not this voter any more.
+    /// No file is there: a voter that has lost its database is not this voter any more.
+    #[error("{}: no voter's disk is there; `pathbank agree init` makes a new voter", .0.display())]
     Absent(PathBuf),
-    /// A new disk is never made over an old one.
-    There(PathBuf),
-    /// It is not what it should be.
+    /// A new database is never made over an old one.
+    #[error("{}: a voter's disk is there already", .0.display())]
+    Exists(PathBuf),
+    /// The content is damaged, or another program's.
+    #[error("the disk is foreign or damaged: {what}")]
     Foreign {
+        /// What is wrong with it.
         what: String,
     },
+    /// The file has another schema than this program's.
+    #[error("the disk has form {0}, this program knows {SCHEMA}")]
     Schema(u64),
-    Store(redb::Error),
-    Io(std::io::Error),
-}
-
-impl fmt::Display for DatabaseError {
-    fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        match self {
-            DatabaseError::Absent(path) => {
-                write!(
-                    f,
-                    "{}: no voter's disk is there; `pathbank agree init` makes a new voter",
-                    path.display()
-                )
-            }
-            DatabaseError::There(path) => write!(f, "{}: a voter's disk is there already", path.display()),
-            DatabaseError::Foreign { what } => write!(f, "the disk is foreign or damaged: {what}"),
-            DatabaseError::Schema(found) => {
-                write!(f, "the disk has form {found}, this program knows {SCHEMA}")
-            }
-            DatabaseError::Store(problem) => write!(f, "{problem}"),
-            DatabaseError::Io(problem) => write!(f, "{problem}"),
-        }
-    }
+    /// The database failed.
+    #[error("{0}")]
+    Redb(redb::Error),
+    /// A file cannot be read or written.
+    #[error("{0}")]
+    Io(io::Error),
 }
 
-impl std::error::Error for DatabaseError {}
-
 impl<E: Into<redb::Error>> From<E> for DatabaseError {
     fn from(problem: E) -> Self {
-        DatabaseError::Store(problem.into())
+        DatabaseError::Redb(problem.into())
     }
 }
 
@@ -87,85 +78,64 @@
     term: Term,
 }
 
-/// An entry as others are told it.
+/// An entry with the digest of the log up to it, as peers, operators, archive and backup have it.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Record {
     pub index: Index,
-    /// Of this entry and all before it, in hexadecimal digits.
+    /// Of this entry and all before it, SHA-256 in hexadecimal digits.
     pub digest: String,
     pub entry: Entry,
 }
 
+/// A digest in hexadecimal digits.
 pub fn hex(digest: &Digest) -> String {
     digest.iter().map(|byte| format!("{byte:02x}")).collect()
 }
 
-#[derive(Debug)]
-pub struct VoterDatabase {
-    database: Database,
-    id: VoterId,
-    /// The last entry, and the digest up to it.
-    last: Index,
+/// An entry, with the digest of the log up to it.
+#[derive(Clone, Copy, Debug, Default)]
+struct LogPosition {
+    index: Index,
     digest: Digest,
-    /// The ledger's on disk: where the log begins if there are no entries behind it.
-    base: (Index, Digest),
 }
 
-/// Bounds the file: what would make it grow beyond that finds no room.
+/// The open database of one voter.
 #[derive(Debug)]
-struct Bounded<B> {
-    inner: B,
-    most: u64,
-}
-
-impl<B: StorageBackend> StorageBackend for Bounded<B> {
-    fn len(&self) -> std::io::Result<u64> {
-        self.inner.len()
-    }
-    fn read(&self, offset: u64, out: &mut [u8]) -> std::io::Result<()> {
-        self.inner.read(offset, out)
-    }
-    fn set_len(&self, len: u64) -> std::io::Result<()> {
-        if len > self.most && len > self.inner.len()? {
-            return Err(std::io::Error::new(
-                std::io::ErrorKind::StorageFull,
-                "the voter's disk has its most bytes",
-            ));
-        }
-        self.inner.set_len(len)
-    }
-    fn sync_data(&self) -> std::io::Result<()> {
-        self.inner.sync_data()
-    }
-    fn write(&self, offset: u64, data: &[u8]) -> std::io::Result<()> {
-        self.inner.write(offset, data)
-    }
-    fn close(&self) -> std::io::Result<()> {
-        self.inner.close()
-    }
+pub struct VoterDatabase {
+    database: Database,
+    id: VoterId,
+    /// The log's last entry.
+    last: LogPosition,
+    /// The last entry that the saved state has applied: the log goes on behind it.
+    base: LogPosition,
 }
 
+/// The file of the database in a voter's folder.
 pub fn path(folder: &Path) -> PathBuf {
     folder.join(FILE)
 }
 
 impl VoterDatabase {
-    /// Makes a new voter's disk.
+    /// Makes the database of a new voter.
+    ///
+    /// # Errors
+    ///
+    /// There is one already, or the folder or file cannot be written.
     pub fn create(folder: &Path, id: VoterId) -> Result<(), DatabaseError> {
         let path = path(folder);
         std::fs::create_dir_all(folder).map_err(DatabaseError::Io)?;
         match OpenOptions::new().read(true).write(true).create_new(true).open(&path) {
             Ok(file) => {
                 let database = redb::Builder::new()
-                    .set_cache_size(CACHE)
+                    .set_cache_size(CACHE_BYTES)
                     .create_with_backend(redb::backends::FileBackend::new(file)?)?;
                 VoterDatabase::begin(&database, id)?;
                 drop(database);
                 // The folder too has to know the file after a crash.
                 std::fs::File::open(folder).and_then(|folder| folder.sync_all()).map_err(DatabaseError::Io)
             }
-            Err(problem) if problem.kind() == std::io::ErrorKind::AlreadyExists => {
-                Err(DatabaseError::There(path))
+            Err(problem) if problem.kind() == io::ErrorKind::AlreadyExists => {
+                Err(DatabaseError::Exists(path))
             }
             Err(problem) => Err(DatabaseError::Io(problem)),
         }
@@ -178,19 +148,23 @@
             put(&mut meta, "schema", &SCHEMA)?;
             put(&mut meta, "id", &id)?;
             write.open_table(LOG)?;
-            write.open_table(KNOWN)?;
+            write.open_table(PEER_INCARNATIONS)?;
             write.open_table(BASES)?;
         }
         write.commit()?;
         Ok(())
     }
 
-    /// Opens a voter's disk for one more start. `most`: bytes that the file may have.
-    pub fn open(folder: &Path, most: u64) -> Result<(VoterDatabase, PersistentState), DatabaseError> {
+    /// Opens a voter's database for one more incarnation, which is saved before this returns. The file may grow to `max_bytes`.
+    ///
+    /// # Errors
+    ///
+    /// No file, another process has it, or the content is not a voter's or damaged.
+    pub fn open(folder: &Path, max_bytes: u64) -> Result<(VoterDatabase, PersistentState), DatabaseError> {
         let path = path(folder);
         let file = match OpenOptions::new().read(true).write(true).open(&path) {
             Ok(file) => file,
-            Err(problem) if problem.kind() == std::io::ErrorKind::NotFound => {
+            Err(problem) if problem.kind() == io::ErrorKind::NotFound => {
                 return Err(DatabaseError::Absent(path));
             }
             Err(problem) => return Err(DatabaseError::Io(problem)),
@@ -205,23 +179,19 @@
             Err(TryLockError::WouldBlock) => return Err(foreign("another process has it")),
             Err(TryLockError::Error(problem)) => return Err(DatabaseError::Io(problem)),
         }
-        VoterDatabase::on(Bounded { inner: redb::backends::FileBackend::new(file)?, most })
+        VoterDatabase::on(BoundedBackend { inner: redb::backends::FileBackend::new(file)?, max_bytes })
     }
 
-    /// On anything that holds bytes.
+    /// Opens a database on anything that holds bytes, as [`VoterDatabase::open`] does on a file.
     pub fn on(backend: impl StorageBackend) -> Result<(VoterDatabase, PersistentState), DatabaseError> {
-        let database = redb::Builder::new().set_cache_size(CACHE).create_with_backend(backend)?;
-        let mut disk = VoterDatabase {
-            database,
-            id: 0,
-            last: 0,
-            digest: Digest::default(),
-            base: (0, Digest::default()),
-        };
+        let database = redb::Builder::new().set_cache_size(CACHE_BYTES).create_with_backend(backend)?;
+        let mut disk =
+            VoterDatabase { database, id: 0, last: LogPosition::default(), base: LogPosition::default() };
         let saved = disk.load()?;
         Ok((disk, saved))
     }
 
+    /// The voter's number, drawn when the database was made.
     pub fn id(&self) -> VoterId {
         self.id
     }
@@ -246,21 +216,25 @@
             saved.state_term = term;
             saved.state = state;
         }
-        for entry in read.open_table(KNOWN)?.iter()? {
+        for entry in read.open_table(PEER_INCARNATIONS)?.iter()? {
             let (id, incarnation) = entry?;
             saved.peer_incarnations.insert(id.value(), incarnation.value());
         }
-        self.base = (saved.log.base().index, *saved.state.digest());
-        (self.last, self.digest) = self.base;
+        self.base = LogPosition { index: saved.log.base().index, digest: *saved.state.digest() };
+        self.last = self.base;
         let log = read.open_table(LOG)?;
-        for row in log.range(saved.log.base().index + 1..)? {
+        for row in log.range(self.base.index + 1..)? {
             let (index, value) = row?;
-            let (digest, entry) = split(index.value(), value.value())?;
-            if index.value() != self.last + 1 || digest != next_digest(&self.digest, &entry) {
-                return Err(foreign(format!("entry {} does not follow on {}", index.value(), self.last)));
+            let (digest, entry) = decode_entry(index.value(), value.value())?;
+            if index.value() != self.last.index + 1 || digest != next_digest(&self.last.digest, &entry) {
+                return Err(foreign(format!(
+                    "entry {} does not follow on {}",
+                    index.value(),
+                    self.last.index
+                )));
             }
-            (self.last, self.digest) = (index.value(), digest);
-            saved.log.insert(self.last, entry);
+            self.last = LogPosition { index: index.value(), digest };
+            saved.log.insert(index.value(), entry);
         }
         drop(read);
         // Before anything is said in this start: it is one more.
@@ -270,7 +244,11 @@
         Ok(saved)
     }
 
-    /// All of it, or nothing; on disk when this returns. After an error the disk is to be opened anew.
+    /// Saves all of it in one transaction, synced when this returns.
+    ///
+    /// # Errors
+    ///
+    /// Nothing is known of what was saved: the database has to be opened anew.
     pub fn save(&mut self, saves: &[PersistentChange]) -> Result<(), DatabaseError> {
         if saves.is_empty() {
             return Ok(());
@@ -291,58 +269,58 @@
             }
             PersistentChange::Barrier(to) => put(&mut meta, "barrier", to)?,
             PersistentChange::PeerIncarnation(id, incarnation) => {
-                drop(write.open_table(KNOWN)?.insert(id, incarnation)?)
+                drop(write.open_table(PEER_INCARNATIONS)?.insert(id, incarnation)?)
             }
-            PersistentChange::Truncate(at) => self.cut(write, *at)?,
-            PersistentChange::Append(at, entry) => {
-                if *at <= self.last {
-                    self.cut(write, at - 1)?;
+            PersistentChange::Truncate(last) => self.truncate(write, *last)?,
+            PersistentChange::Append(index, entry) => {
+                if *index <= self.last.index {
+                    self.truncate(write, index - 1)?;
                 }
-                self.digest = next_digest(&self.digest, entry);
-                let mut value = self.digest.to_vec();
+                self.last = LogPosition { index: *index, digest: next_digest(&self.last.digest, entry) };
+                let mut value = self.last.digest.to_vec();
                 serde_json::to_writer(&mut value, entry).map_err(foreign)?;
-                write.open_table(LOG)?.insert(at, value.as_slice())?;
-                self.last = *at;
+                write.open_table(LOG)?.insert(index, value.as_slice())?;
             }
             PersistentChange::Snapshot { state, term, replaces_after } => {
-                let (read, digest) = (state.applied(), *state.digest());
+                let base = LogPosition { index: state.applied(), digest: *state.digest() };
                 put(&mut meta, "snapshot", &Snapshot { state: (**state).clone(), term: *term })?;
-                if let Some(kept) = replaces_after {
-                    self.cut(write, *kept)?;
-                    if *kept < read {
-                        put(&mut write.open_table(BASES)?, read, &hex(&digest))?;
+                if let Some(committed) = replaces_after {
+                    self.truncate(write, *committed)?;
+                    if *committed < base.index {
+                        put(&mut write.open_table(BASES)?, base.index, &hex(&base.digest))?;
                     }
-                    (self.last, self.digest) = (read, digest);
+                    self.last = base;
                 }
-                self.base = (read, digest);
+                self.base = base;
             }
         }
         Ok(())
     }
 
-    fn cut(&mut self, write: &WriteTransaction, at: Index) -> Result<(), DatabaseError> {
+    /// Drops the entries behind that one.
+    fn truncate(&mut self, write: &WriteTransaction, last: Index) -> Result<(), DatabaseError> {
         let mut log = write.open_table(LOG)?;
-        log.retain_in(at + 1.., |_, _| false)?;
-        (self.last, self.digest) = match log.get(at)? {
-            Some(value) => (at, split(at, value.value())?.0),
-            None if at == self.base.0 => self.base,
-            None => (at, Digest::default()),
+        log.retain_in(last + 1.., |_, _| false)?;
+        self.last = match log.get(last)? {
+            Some(value) => LogPosition { index: last, digest: decode_entry(last, value.value())?.0 },
+            None if last == self.base.index => self.base,
+            None => LogPosition { index: last, digest: Digest::default() },
         };
         Ok(())
     }
 
-    /// Entries after that one: so many at most, as others are told them.
-    pub fn records(&self, after: Index, most: usize) -> Result<Vec<Record>, DatabaseError> {
+    /// Entries after that one, at most so many, committed or not.
+    pub fn records(&self, after: Index, max_records: usize) -> Result<Vec<Record>, DatabaseError> {
         let log = self.database.begin_read()?.open_table(LOG)?;
         let record = |row: Result<_, redb::StorageError>| {
             let (index, value): (redb::AccessGuard<u64>, redb::AccessGuard<&[u8]>) = row?;
-            let (digest, entry) = split(index.value(), value.value())?;
+            let (digest, entry) = decode_entry(index.value(), value.value())?;
             Ok(Record { index: index.value(), digest: hex(&digest), entry })
         };
-        log.range(after + 1..)?.take(most).map(record).collect()
+        log.range(after + 1..)?.take(max_records).map(record).collect()
     }
 
-    /// Follows every entry's digest from where the archive ended, and the ledger's with them.
+    /// Verifies every entry's digest from where the archive ended, and the saved state's with them.
     pub fn verify(&self, mut chain: DigestChain) -> Result<DigestChain, DatabaseError> {
         let read = self.database.begin_read()?;
         let (log, bases) = (read.open_table(LOG)?, read.open_table(BASES)?);
@@ -350,12 +328,12 @@
             let (index, value) = row?;
             let index = index.value();
             let base = if index == chain.last() + 1 { None } else { base_at(&bases, index - 1)? };
-            let told = split(index, value.value()).ok();
-            let told = told.as_ref().map(|(digest, entry)| (digest, entry));
-            if !chain.follow(index, told, || base) {
+            let stored = decode_entry(index, value.value()).ok();
+            let stored = stored.as_ref().map(|(digest, entry)| (digest, entry));
+            if !chain.follow(index, stored, || base) {
                 break;
             }
-            if chain.last() == self.base.0 && *chain.digest() != self.base.1 {
+            if chain.last() == self.base.index && *chain.digest() != self.base.digest {
                 chain.fail(index);
                 break;
             }
@@ -371,8 +349,8 @@
         keep: Option<u64>,
     ) -> Result<Option<EntryRange>, DatabaseError> {
         let Some((first, keep)) = self.first()?.zip(keep) else { return Ok(None) };
-        let Some(due) = archive::next_segment(first, self.base.0, keep) else { return Ok(None) };
-        let (before, records) = self.oldest(due)?;
+        let Some(range) = archive::next_segment(first, self.base.index, keep) else { return Ok(None) };
+        let (before, records) = self.oldest(range)?;
         let Some(last) = records.last() else { return Ok(None) };
         let span = EntryRange { from: first, to: last.index };
         archive.keep(&before, &records)?;
@@ -390,19 +368,20 @@
 
     /// The log's first entries, as far as they follow on one another and fit into a segment, and the digest
     /// before them.
-    fn oldest(&self, due: EntryRange) -> Result<(Digest, Vec<Record>), DatabaseError> {
+    fn oldest(&self, range: EntryRange) -> Result<(Digest, Vec<Record>), DatabaseError> {
         let read = self.database.begin_read()?;
         let (log, bases) = (read.open_table(LOG)?, read.open_table(BASES)?);
-        let before = if due.from == 1 { Some(Digest::default()) } else { base_at(&bases, due.from - 1)? };
-        let before = before.ok_or_else(|| foreign(format!("nothing is known before entry {}", due.from)))?;
+        let before = if range.from == 1 { Some(Digest::default()) } else { base_at(&bases, range.from - 1)? };
+        let before =
+            before.ok_or_else(|| foreign(format!("nothing is known before entry {}", range.from)))?;
         let (mut records, mut bytes) = (Vec::new(), 0);
-        for (row, next) in log.range(due.from..=due.to)?.zip(due.from..) {
+        for (row, next) in log.range(range.from..=range.to)?.zip(range.from..) {
             let (index, value) = row?;
             if index.value() != next || bytes >= MAX_SEGMENT_BYTES {
                 break;
             }
             bytes += value.value().len();
-            let (digest, entry) = split(next, value.value())?;
+            let (digest, entry) = decode_entry(next, value.value())?;
             records.push(Record { index: next, digest: hex(&digest), entry });
         }
         Ok((before, records))
@@ -413,7 +392,7 @@
         let write = self.database.begin_write()?;
         put(&mut write.open_table(BASES)?, index, &hex(&digest))?;
         write.commit()?;
-        (self.last, self.digest) = (index, digest);
+        self.last = LogPosition { index, digest };
         Ok(())
     }
 }
@@ -435,11 +414,11 @@
     Some(digest)
 }
 
-fn split(index: Index, value: &[u8]) -> Result<(Digest, Entry), DatabaseError> {
-    let whole = value
+fn decode_entry(index: Index, value: &[u8]) -> Result<(Digest, Entry), DatabaseError> {
+    let decoded = value
         .split_first_chunk::<32>()
         .and_then(|(digest, entry)| Some((*digest, serde_json::from_slice(entry).ok()?)));
-    whole.ok_or_else(|| foreign(format!("entry {index} is unreadable")))
+    decoded.ok_or_else(|| foreign(format!("entry {index} is unreadable")))
 }
 
 fn get<T: DeserializeOwned>(
--- a/src/net/agree/database/tests.rs
+++ b/src/net/agree/database/tests.rs
@@ -102,7 +102,7 @@
             } else {
                 after += 1
             }
-            assert_eq!(found(&disk).wrong, None, "{left}");
+            assert_eq!(found(&disk).corrupt, None, "{left}");
         }
     }
     assert!(before > 0 && before + after > 190, "{before} {after}");
@@ -129,7 +129,7 @@
     let memory = new_database();
     let (mut disk, _) = VoterDatabase::on(memory.clone()).unwrap();
     batches().iter().for_each(|batch| disk.save(batch).unwrap());
-    assert_eq!(found(&disk), Verification { entries: 4, last: 10, gaps: vec![(4, 9)], wrong: None });
+    assert_eq!(found(&disk), Verification { entries: 4, last: 10, gaps: vec![(4, 9)], corrupt: None });
     drop(disk);
     let database = redb::Builder::new().create_with_backend(memory.clone()).unwrap();
     let write = database.begin_write().unwrap();
@@ -143,7 +143,7 @@
     write.commit().unwrap();
     drop(database);
     let (disk, _) = VoterDatabase::on(memory).unwrap();
-    assert_eq!(found(&disk).wrong, Some(2));
+    assert_eq!(found(&disk).corrupt, Some(2));
 }
 
 /// Twenty entries on disk that a ledger stands for, and two more; an archive that is empty.
@@ -179,7 +179,7 @@
     (disk.verify(chain).unwrap().done(), all)
 }
 
-const WHOLE: Verification = Verification { entries: 22, last: 22, gaps: Vec::new(), wrong: None };
+const WHOLE: Verification = Verification { entries: 22, last: 22, gaps: Vec::new(), corrupt: None };
 
 #[test]
 fn old_entries_leave_for_the_archive_and_none_is_lost_wherever_the_machine_dies() {
@@ -231,7 +231,7 @@
     let spans = archive.segments().unwrap();
     let texts: Vec<String> = spans.iter().map(|span| std::fs::read_to_string(at(*span)).unwrap()).collect();
     let gap = |entries, gap| Verification { entries, gaps: vec![gap], ..WHOLE };
-    let wrong = |entries, gaps, wrong| Verification { entries, last: wrong - 1, gaps, wrong: Some(wrong) };
+    let wrong = |entries, gaps, wrong| Verification { entries, last: wrong - 1, gaps, corrupt: Some(wrong) };
     let lines = |text: &str, count: usize| {
         text.lines().take(count).map(|line| format!("{line}\n")).collect::<String>()
     };
@@ -270,7 +270,7 @@
     let open = || VoterDatabase::open(&folder, 1 << 30);
     assert!(matches!(open(), Err(DatabaseError::Absent(_))));
     VoterDatabase::create(&folder, 5).unwrap();
-    assert!(matches!(VoterDatabase::create(&folder, 6), Err(DatabaseError::There(_))));
+    assert!(matches!(VoterDatabase::create(&folder, 6), Err(DatabaseError::Exists(_))));
     let (disk, saved) = open().unwrap();
     assert_eq!((disk.id(), saved.incarnation >> 32), (5, 1));
     assert!(matches!(open(), Err(DatabaseError::Foreign { .. })), "two processes have it");
--- a/src/net/agree/tests.rs
+++ b/src/net/agree/tests.rs
@@ -75,7 +75,7 @@
     assert!(records.iter().map(|record| record.index).eq(1..=14));
     let stored: Vec<Entry> = records.into_iter().map(|record| record.entry).collect();
     assert_eq!(stored, entries());
-    let whole = Verification { entries: 14, last: 14, gaps: Vec::new(), wrong: None };
+    let whole = Verification { entries: 14, last: 14, gaps: Vec::new(), corrupt: None };
     assert_eq!(verify(&folder.0, &disk), whole);
 }
 
@@ -132,7 +132,7 @@
     assert_eq!(backup.restore(&directory, 5, "127.0.0.1:7000").unwrap(), 15);
     let (disk, saved) = VoterDatabase::open(&directory, 1 << 30).unwrap();
     assert_eq!(saved.state, state(14));
-    assert_eq!(verify(&directory, &disk).wrong, None);
+    assert_eq!(verify(&directory, &disk).corrupt, None);
     let records: Vec<_> = disk.records(0, 14).unwrap();
     let written = folder.0.join("again");
     backup::write(&written, "few", state(14), &records).unwrap();
--- a/src/net/agree/tests/samples.rs
+++ b/src/net/agree/tests/samples.rs
@@ -186,6 +186,6 @@
         ("ledger", json(&StateReply::Unknown)),
         ("records asked", json(&RecordsRequest { after: 12, most: 1_000 })),
         ("records", json(&RecordsReply { records: vec![record(13), record(14)], commit: 14 })),
-        ("verified", json(&Verification { entries: 10, last: 14, gaps: vec![(1, 4)], wrong: Some(12) })),
+        ("verified", json(&Verification { entries: 10, last: 14, gaps: vec![(1, 4)], corrupt: Some(12) })),
     ]
 }
