--- a/crates/control/src/admission.rs
+++ b/crates/control/src/admission.rs
@@ -1,125 +1,124 @@
-//! At which model server a prompt is read next, and when: joint admission over all heads.
+//! Joint admission over all edges: which model server prefills a prompt next, and when.
 //!
-//! While a model server reads a prompt, every stream there stands still. One prompt costs a stream a pause
-//! that nobody minds; several at once, sent by heads that do not know of each other, cost it its pace. The
-//! leader therefore lines prompts up: each is granted the model server where it would be answered first, and
-//! the moment at which that model server has read those before it. A grant is advice: a head that hears
-//! nothing in time sends as it sees fit, and a new leader begins without any line.
+//! During prefill all streams of a model server pause. One prompt delays a stream by a short pause; several at once, from
+//! edges that do not know of each other, slow it down. The leader therefore queues prompts: each is granted the model
+//! server where its answer would begin first, and the time at which the prompts before it are done there. A grant is
+//! advice: an edge that gets none in time decides by itself, and a new leader begins with empty queues.
 //!
-//! No head sees how many slots of a model server are taken: the leader does, by what all told and what it
-//! granted since. A model server whose slots are taken is dear, in whatever zone it is, so that demand
-//! spreads over zones by the room that is there and never beyond it. Of the last slots some are kept for what
-//! is more urgent (`urgency`).
+//! The leader also knows how many slots are occupied, by the edges' reports and its own grants since. A model server
+//! without free slots costs more, in any zone, so that demand spreads over zones by their free capacity. The last slots
+//! are reserved for urgent requests ([`crate::urgency`]).
 
 use crate::directory::Millis;
 use crate::urgency::{Urgency, open_slots};
 use pathbank_protocol::message::{AdmissionGrant, AdmissionOption, AdmissionRequest, ModelServer};
 use std::collections::{BTreeMap, HashMap, VecDeque};
 
-/// Between two prompts a model server goes on with its streams for so long, milliseconds.
-const BREATH_MS: f64 = 35.0;
-/// And for this part of the time that the first of them took.
-const BREATH_PART: f64 = 0.25;
-/// No prompt waits longer; what is beyond gains nothing by waiting, milliseconds.
-const LONGEST_WAIT: f64 = 1_500.0;
-/// Lines that have been empty for so long are forgotten, milliseconds.
-const FORGET_AFTER: Millis = 10_000;
+/// The least pause between two prefills, in which the streams go on, milliseconds.
+const MIN_DECODE_PAUSE_MS: f64 = 35.0;
+/// The further pause, as a fraction of the prefill before it.
+const DECODE_PAUSE_FRACTION: f64 = 0.25;
+/// The longest wait that is granted, milliseconds.
+const MAX_WAIT_MS: f64 = 1_500.0;
+/// For how long an empty queue is kept, milliseconds.
+const EMPTY_QUEUE_RETENTION_MS: Millis = 10_000;
 
-/// What each request beyond a model server's slots costs the next one there, milliseconds.
-const OVERFULL_MS: f64 = 120.0;
-/// A grant counts as a taken slot for so long, milliseconds; by then the edge's own report tells of it.
-const GRANT_COUNTS: Millis = 600;
+/// The cost of each slot that a request would lack, milliseconds.
+const MISSING_SLOT_COST_MS: f64 = 120.0;
+/// For how long a grant counts as an occupied slot, milliseconds; after that the edge's report includes it.
+const GRANT_TTL_MS: Millis = 600;
 
 /// The slots of one model server.
 #[derive(Clone, Debug, Default)]
 struct Slots {
     capacity: f64,
-    /// Requests there, as all edges told.
-    told: f64,
-    /// When requests were granted that the edges may not have told of yet.
-    granted: VecDeque<Millis>,
+    /// Requests in flight there, by the reports of all edges.
+    reported: f64,
+    /// When grants were given that the reports may not include yet.
+    granted_at: VecDeque<Millis>,
 }
 
 impl Slots {
-    fn taken(&self) -> f64 {
-        self.told + self.granted.len() as f64
+    fn occupied(&self) -> f64 {
+        self.reported + self.granted_at.len() as f64
     }
 
-    fn forget(&mut self, now: Millis) {
-        while self.granted.front().is_some_and(|at| now >= at + GRANT_COUNTS) {
-            self.granted.pop_front();
+    fn expire_grants(&mut self, now: Millis) {
+        while self.granted_at.front().is_some_and(|at| now >= at + GRANT_TTL_MS) {
+            self.granted_at.pop_front();
         }
     }
 
-    /// Slots that one more request of that urgency would lack; 0: it has one.
-    fn lacks(&self, urgency: Urgency) -> f64 {
+    /// Slots that one more request of an urgency would lack; 0: there is one for it.
+    fn missing(&self, urgency: Urgency) -> f64 {
         if self.capacity == 0.0 {
             return 0.0;
         }
-        (self.taken() + 1.0 - open_slots(self.capacity, urgency)).max(0.0)
+        (self.occupied() + 1.0 - open_slots(self.capacity, urgency)).max(0.0)
     }
 }
 
-/// Until when each model server reads what was granted there, and its slots, by its incarnation.
+/// The leader's admission: queues and slots of model servers, by instance.
 #[derive(Clone, Debug, Default)]
 pub struct AdmissionController {
+    /// When each model server has prefilled what was granted there, milliseconds.
     free_at: HashMap<String, f64>,
     slots: HashMap<String, Slots>,
 }
 
 impl AdmissionController {
-    /// The slots of the model servers that take requests, and the requests there by what all edges told.
-    /// Other model servers are forgotten.
+    /// Sets the slots of the model servers that take requests, and the requests in flight there. Other model servers are
+    /// removed.
     pub fn update_slots(&mut self, ready: &[ModelServer], in_flight: &BTreeMap<String, u32>) {
         let mut known = std::mem::take(&mut self.slots);
         for server in ready {
             let mut slots = known.remove(&server.instance).unwrap_or_default();
             slots.capacity = f64::from(server.capacity);
-            slots.told = in_flight.get(&server.instance).copied().map_or(0.0, f64::from);
+            slots.reported = in_flight.get(&server.instance).copied().map_or(0.0, f64::from);
             self.slots.insert(server.instance.clone(), slots);
         }
     }
 
-    fn lacks(&self, option: &AdmissionOption, urgency: Urgency) -> f64 {
-        self.slots.get(&option.instance).map_or(0.0, |slots| slots.lacks(urgency))
+    fn missing_slots(&self, option: &AdmissionOption, urgency: Urgency) -> f64 {
+        self.slots.get(&option.instance).map_or(0.0, |slots| slots.missing(urgency))
     }
 
-    /// Grants the option at which the answer begins first. `None`: the request names no option.
+    /// Grants the option with the earliest first token. `None`: the request has no options.
     pub fn admit(&mut self, now: Millis, request: &AdmissionRequest) -> Option<AdmissionGrant> {
         for option in &request.options {
             if let Some(slots) = self.slots.get_mut(&option.instance) {
-                slots.forget(now);
+                slots.expire_grants(now);
             }
         }
-        let begins = |option: &AdmissionOption| {
-            let overfull = OVERFULL_MS * self.lacks(option, request.urgency);
-            let line = self.wait(now, &option.instance);
-            line + overfull + f64::from(option.prefill_ms) + f64::from(option.other_cost_ms)
+        let first_token_ms = |option: &AdmissionOption| {
+            let missing_slots = MISSING_SLOT_COST_MS * self.missing_slots(option, request.urgency);
+            let queue = self.wait(now, &option.instance);
+            queue + missing_slots + f64::from(option.prefill_ms) + f64::from(option.other_cost_ms)
         };
         let best = request
             .options
             .iter()
             .enumerate()
-            .min_by(|(_, one), (_, other)| begins(one).total_cmp(&begins(other)));
-        let (place, option) = best?;
+            .min_by(|(_, one), (_, other)| first_token_ms(one).total_cmp(&first_token_ms(other)));
+        let (position, option) = best?;
         let wait = self.wait(now, &option.instance);
-        let reads = f64::from(option.prefill_ms);
-        let free_at = now as f64 + wait + reads * (1.0 + BREATH_PART) + BREATH_MS;
+        let prefill_ms = f64::from(option.prefill_ms);
+        let free_at = now as f64 + wait + prefill_ms * (1.0 + DECODE_PAUSE_FRACTION) + MIN_DECODE_PAUSE_MS;
         self.free_at.insert(option.instance.clone(), free_at);
         if let Some(slots) = self.slots.get_mut(&option.instance) {
-            slots.granted.push_back(now);
+            slots.granted_at.push_back(now);
         }
-        Some(AdmissionGrant { request: request.request, option: place as u32, wait_ms: wait as u32 })
+        Some(AdmissionGrant { request: request.request, option: position as u32, wait_ms: wait as u32 })
     }
 
-    /// How long a prompt would wait at a model server, milliseconds.
+    /// The wait of a prompt at a model server, milliseconds.
     fn wait(&self, now: Millis, instance: &str) -> f64 {
         let free_at = self.free_at.get(instance).copied().unwrap_or(0.0);
-        (free_at - now as f64).clamp(0.0, LONGEST_WAIT)
+        (free_at - now as f64).clamp(0.0, MAX_WAIT_MS)
     }
 
-    /// Forgets lines that have been empty for long.
+    /// Removes queues that have been empty for long.
     pub fn expire(&mut self, now: Millis) {
-        self.free_at.retain(|_, free_at| *free_at + FORGET_AFTER as f64 > now as f64);
+        self.free_at.retain(|_, free_at| *free_at + EMPTY_QUEUE_RETENTION_MS as f64 > now as f64);
     }
 }
--- a/crates/control/src/autoscaling.rs
+++ b/crates/control/src/autoscaling.rs
@@ -1,9 +1,7 @@
 //! How many model servers of a service run in each zone.
 //!
-//! Target tracking: what model servers take to read the prompts that clients send, and the slots that answers
-//! take, over what one model server bears. More model servers are ordered at once, for they take a while to
-//! start; fewer only after the load has been low for some time. A zone that does not get what was ordered
-//! there is made up for by the others.
+//! Target tracking by the utilization of prefill time and of slots. More model servers are ordered at once, since they take
+//! time to start; fewer only after the load has been low for some time. What a zone does not get is ordered in the others.
 
 use crate::configuration::{Autoscaling, Backend};
 use crate::demand::DemandTable;
@@ -11,28 +9,26 @@
 use pathbank_protocol::message::ModelServer;
 use std::collections::{BTreeMap, BTreeSet};
 
-/// A model server answers well while it reads prompts for this part of its time,
-const READING_PART: f64 = 0.27;
-/// and while so much of its slots is taken.
-const SLOTS_PART: f64 = 0.45;
-/// Demand counts once so much of it is known.
-const LEAST_KNOWN: f64 = 0.3;
-/// The demand of a leader that has just begun counts after this, milliseconds: edges tell it what they
-/// remember.
-const OBSERVE_FIRST: Millis = 2_000;
-/// More model servers are ordered where at least this part more is wanted.
-const WORTH_ADDING: f64 = 0.08;
-/// Fewer model servers are ordered where the load would leave this part of those that are left idle.
-const SPARE_AFTER_REMOVAL: f64 = 0.15;
-/// The load has to have been low for so long before model servers are taken away, milliseconds.
-const LOW_FOR: Millis = 8_000;
-/// A zone that lacks ordered model servers so long after they should have started does not get them,
-/// milliseconds.
-const OVERDUE: Millis = 4_000;
-/// An order without a clear answer is given again after this, milliseconds.
-const ORDER_AGAIN: Millis = 1_500;
-
-/// An order to the platform: so many model servers of a service are to run in a zone.
+/// The target utilization of a model server's time by prefill.
+const TARGET_PREFILL_UTILIZATION: f64 = 0.27;
+/// The target utilization of its slots.
+const TARGET_SLOT_UTILIZATION: f64 = 0.45;
+/// The fraction of the demand that has to be known.
+const MIN_KNOWN_FRACTION: f64 = 0.3;
+/// For how long a new leader orders nothing, milliseconds: edges report the demand of the time before.
+const WARMUP_MS: Millis = 2_000;
+/// The least increase that is ordered, as a fraction of the running model servers.
+const MIN_INCREASE: f64 = 0.08;
+/// The fraction of spare capacity that has to be left after a decrease.
+const SPARE_FRACTION: f64 = 0.15;
+/// For how long the load has to be low before a decrease, milliseconds.
+const SCALE_DOWN_DELAY_MS: Millis = 8_000;
+/// So long after ordered model servers should have started, a zone that lacks them counts as short, milliseconds.
+const START_TIMEOUT_MS: Millis = 4_000;
+/// After this time an order without a clear answer is given again, milliseconds.
+const RETRY_INTERVAL_MS: Millis = 1_500;
+
+/// An order to the platform: the number of model servers of a service in a zone.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct ScaleOrder {
     /// The service.
@@ -43,13 +39,13 @@
     pub desired_count: u32,
 }
 
-/// Whether the platform has taken a zone's order.
+/// Whether the platform has accepted an order.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Delivery {
-    /// It was given at this time, and no clear answer came yet.
+    /// Given at this time, without a clear answer yet.
     Pending(Millis),
-    /// The platform took it at this time.
-    Taken(Millis),
+    /// Accepted at this time.
+    Accepted(Millis),
 }
 
 #[derive(Clone, Copy, Debug)]
@@ -58,29 +54,29 @@
     delivery: Delivery,
 }
 
-/// What is known of one service.
+/// The orders of one service, and what they depend on.
 #[derive(Clone, Debug, Default)]
 struct ServiceState {
-    /// Where model servers of the service ever ran.
+    /// Zones in which model servers of the service ever ran.
     zones: BTreeSet<String>,
     orders: BTreeMap<String, ZoneOrder>,
     low_since: Option<Millis>,
 }
 
-/// Orders given, and since when the load has been low. A new leader begins without any.
+/// The leader's autoscaling. A new leader begins with an empty one.
 #[derive(Clone, Debug, Default)]
 pub struct Autoscaler {
-    began: Option<Millis>,
+    started_at: Option<Millis>,
     services: BTreeMap<String, ServiceState>,
 }
 
 impl Autoscaler {
-    /// A leader that has just begun knows of no order.
+    /// An autoscaler without orders.
     pub fn new() -> Autoscaler {
         Autoscaler::default()
     }
 
-    /// The orders to give now; each counts as pending until [`Autoscaler::taken`].
+    /// The orders to give now; each is pending until [`Autoscaler::record_answer`].
     pub fn plan(
         &mut self,
         now: Millis,
@@ -88,13 +84,13 @@
         servers: &[ModelServer],
         demand: &DemandTable,
     ) -> Vec<ScaleOrder> {
-        let began = *self.began.get_or_insert(now);
-        let is_known = now >= began + OBSERVE_FIRST && demand.known_fraction(now) >= LEAST_KNOWN;
+        let started_at = *self.started_at.get_or_insert(now);
+        let is_known = now >= started_at + WARMUP_MS && demand.known_fraction(now) >= MIN_KNOWN_FRACTION;
         let mut orders = Vec::new();
         for backend in backends {
             let Some(bounds) = &backend.autoscaling else { continue };
             let service = self.services.entry(backend.name.clone()).or_default();
-            let present = service.note_present(backend, servers);
+            let present = service.count_present(backend, servers);
             if is_known {
                 let wanted = servers_wanted(now, backend, servers, demand);
                 orders.append(&mut service.plan(now, backend, bounds, &present, wanted));
@@ -103,16 +99,16 @@
         orders
     }
 
-    /// The platform took an order, or gave no clear answer: then it is given again.
-    pub fn taken(&mut self, now: Millis, order: &ScaleOrder, taken: bool) {
+    /// The platform has answered an order. One that it did not clearly accept is given again.
+    pub fn record_answer(&mut self, now: Millis, order: &ScaleOrder, accepted: bool) {
         let service = self.services.get_mut(&order.backend);
         let Some(known) = service.and_then(|service| service.orders.get_mut(&order.zone)) else { return };
-        if known.count == order.desired_count && taken {
-            known.delivery = Delivery::Taken(now);
+        if known.count == order.desired_count && accepted {
+            known.delivery = Delivery::Accepted(now);
         }
     }
 
-    /// The model servers that were ordered last, by service and zone.
+    /// The latest order of each service and zone.
     pub fn orders(&self) -> impl Iterator<Item = ScaleOrder> {
         self.services.iter().flat_map(|(backend, service)| {
             service.orders.iter().map(|(zone, order)| ScaleOrder {
@@ -124,33 +120,32 @@
     }
 }
 
-/// Model servers that the demand for a service fills, all zones together: by what model servers take to read
-/// its prompts, and by the slots that its answers take.
+/// Model servers that the demand for a service needs, all zones together.
 fn servers_wanted(now: Millis, backend: &Backend, servers: &[ModelServer], demand: &DemandTable) -> f64 {
     let keys = || demand.keys().filter(|key| key.backend == backend.name);
     let prefill_ms_per_s: f64 = keys().map(|key| demand.prefill_ms_per_s(now, key)).sum();
     let slot_time_ms_per_s: f64 = keys().map(|key| demand.slot_time_ms_per_s(now, key)).sum();
     let own = servers.iter().filter(|server| server.backend == backend.name);
     let capacity = own.map(|server| server.capacity).max().unwrap_or(1).max(1);
-    let reading = prefill_ms_per_s / 1_000.0 / READING_PART;
-    let slots = slot_time_ms_per_s / 1_000.0 / (f64::from(capacity) * SLOTS_PART);
-    reading.max(slots) / demand.known_fraction(now).max(LEAST_KNOWN)
+    let by_prefill = prefill_ms_per_s / 1_000.0 / TARGET_PREFILL_UTILIZATION;
+    let by_slots = slot_time_ms_per_s / 1_000.0 / (f64::from(capacity) * TARGET_SLOT_UTILIZATION);
+    by_prefill.max(by_slots) / demand.known_fraction(now).max(MIN_KNOWN_FRACTION)
 }
 
-/// How a zone stands.
-struct ZoneView<'a> {
+/// The model servers of a service in one zone.
+struct ZoneStatus<'a> {
     zone: &'a str,
     /// Model servers that take requests there.
     present: u32,
-    /// Model servers that were ordered, or those present where none were.
-    orders: u32,
-    /// It does not get what was ordered.
+    /// Model servers that were ordered last; those present where nothing was ordered.
+    ordered: u32,
+    /// What was ordered there has not started in time.
     is_short: bool,
 }
 
 impl ServiceState {
-    /// Counts the model servers that take requests, by zone.
-    fn note_present(&mut self, backend: &Backend, servers: &[ModelServer]) -> BTreeMap<String, u32> {
+    /// Counts the model servers by zone, and adds new zones.
+    fn count_present(&mut self, backend: &Backend, servers: &[ModelServer]) -> BTreeMap<String, u32> {
         let mut present: BTreeMap<String, u32> = BTreeMap::new();
         for server in servers.iter().filter(|server| server.backend == backend.name) {
             self.zones.insert(server.zone.clone());
@@ -167,69 +162,68 @@
         present: &BTreeMap<String, u32>,
         wanted: f64,
     ) -> Vec<ScaleOrder> {
-        let views: Vec<ZoneView<'_>> =
-            self.zones.iter().map(|zone| self.view(now, zone, bounds, present)).collect();
+        let zones: Vec<ZoneStatus<'_>> =
+            self.zones.iter().map(|zone| self.zone_status(now, zone, bounds, present)).collect();
         let running: u32 =
-            views.iter().map(|view| if view.is_short { view.present } else { view.orders }).sum();
-        let adds = wanted > f64::from(running) * (1.0 + WORTH_ADDING);
-        let removes = wanted < f64::from(running) * (1.0 - SPARE_AFTER_REMOVAL);
-        let target = if adds { wanted } else { wanted / (1.0 - SPARE_AFTER_REMOVAL) };
-        let counts = spread(target, &views, bounds);
+            zones.iter().map(|zone| if zone.is_short { zone.present } else { zone.ordered }).sum();
+        let adds = wanted > f64::from(running) * (1.0 + MIN_INCREASE);
+        let removes = wanted < f64::from(running) * (1.0 - SPARE_FRACTION);
+        let target = if adds { wanted } else { wanted / (1.0 - SPARE_FRACTION) };
+        let counts = spread(target, &zones, bounds);
         self.low_since = if removes { self.low_since.or(Some(now)) } else { None };
-        let is_low_for_long = self.low_since.is_some_and(|since| now >= since + LOW_FOR);
+        let may_remove = self.low_since.is_some_and(|since| now >= since + SCALE_DOWN_DELAY_MS);
         let mut orders = Vec::new();
         for (zone, count) in counts {
             let known = self.orders.get(&zone).copied();
             let before = known.map_or_else(|| present.get(&zone).copied().unwrap_or(0), |order| order.count);
-            let changes = adds && count > before || is_low_for_long && count < before;
+            let changes = adds && count > before || may_remove && count < before;
             let unanswered = known.filter(|order| order.is_unanswered(now)).map(|order| order.count);
             let Some(count) = changes.then_some(count).or(unanswered) else { continue };
             self.orders.insert(zone.clone(), ZoneOrder { count, delivery: Delivery::Pending(now) });
             orders.push(ScaleOrder { backend: backend.name.clone(), zone, desired_count: count });
         }
-        if is_low_for_long {
+        if may_remove {
             self.low_since = None;
         }
         orders
     }
 
-    fn view<'a>(
+    fn zone_status<'a>(
         &self,
         now: Millis,
         zone: &'a str,
         bounds: &Autoscaling,
         present: &BTreeMap<String, u32>,
-    ) -> ZoneView<'a> {
+    ) -> ZoneStatus<'a> {
         let present = present.get(zone).copied().unwrap_or(0);
         let order = self.orders.get(zone);
-        let orders = order.map_or(present, |order| order.count);
-        let boot = (bounds.boot_s * 1_000.0) as Millis;
-        let is_due = order.is_none_or(|order| order.is_due(now, boot));
-        ZoneView { zone, present, orders, is_short: is_due && present < orders }
+        let ordered = order.map_or(present, |order| order.count);
+        let boot_ms = (bounds.boot_s * 1_000.0) as Millis;
+        let timed_out = order.is_none_or(|order| order.has_boot_timed_out(now, boot_ms));
+        ZoneStatus { zone, present, ordered, is_short: timed_out && present < ordered }
     }
 }
 
 impl ZoneOrder {
     fn is_unanswered(&self, now: Millis) -> bool {
-        matches!(self.delivery, Delivery::Pending(at) if now >= at + ORDER_AGAIN)
+        matches!(self.delivery, Delivery::Pending(at) if now >= at + RETRY_INTERVAL_MS)
     }
 
-    /// Whether what was ordered should run by now.
-    fn is_due(&self, now: Millis, boot: Millis) -> bool {
-        matches!(self.delivery, Delivery::Taken(at) if now >= at + boot + OVERDUE)
+    /// Whether the ordered model servers should have started by now.
+    fn has_boot_timed_out(&self, now: Millis, boot_ms: Millis) -> bool {
+        matches!(self.delivery, Delivery::Accepted(at) if now >= at + boot_ms + START_TIMEOUT_MS)
     }
 }
 
-/// Spreads model servers evenly over the zones, within the bounds of each. What a zone does not get goes to
-/// the others.
-fn spread(wanted: f64, views: &[ZoneView<'_>], bounds: &Autoscaling) -> BTreeMap<String, u32> {
-    let (least, most) = (bounds.min_instances, bounds.max_instances.max(bounds.min_instances));
-    let (short, able): (Vec<_>, Vec<_>) = views.iter().partition(|view| view.is_short);
-    let there: u32 = short.iter().map(|view| view.present).sum();
-    let missing = (wanted - f64::from(there)).max(0.0);
+/// Spreads model servers evenly over the zones, within the bounds of each. What short zones lack goes to the others.
+fn spread(wanted: f64, zones: &[ZoneStatus<'_>], bounds: &Autoscaling) -> BTreeMap<String, u32> {
+    let (min, max) = (bounds.min_instances, bounds.max_instances.max(bounds.min_instances));
+    let (short, able): (Vec<_>, Vec<_>) = zones.iter().partition(|zone| zone.is_short);
+    let present: u32 = short.iter().map(|zone| zone.present).sum();
+    let missing = (wanted - f64::from(present)).max(0.0);
     let each = (missing / able.len().max(1) as f64).ceil() as u32;
-    let even = (wanted / views.len().max(1) as f64).ceil() as u32;
-    let of_able = able.iter().map(|view| (view.zone.to_owned(), each.clamp(least, most)));
-    let of_short = short.iter().map(|view| (view.zone.to_owned(), even.clamp(least, most)));
+    let even = (wanted / zones.len().max(1) as f64).ceil() as u32;
+    let of_able = able.iter().map(|zone| (zone.zone.to_owned(), each.clamp(min, max)));
+    let of_short = short.iter().map(|zone| (zone.zone.to_owned(), even.clamp(min, max)));
     of_able.chain(of_short).collect()
 }
--- a/crates/control/src/order.rs
+++ b/crates/control/src/order.rs
@@ -1,10 +1,10 @@
-//! Orders to model servers.
+//! Orders to model servers: loads and unloads of models and adapters.
 
 use crate::configuration::Runtime;
 use crate::directory::Millis;
 use pathbank_protocol::message::LoadedModel;
 
-/// What a model server is ordered to do.
+/// What an order does.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Operation {
     /// Load a model or adapter.
@@ -13,16 +13,16 @@
     Unload,
 }
 
-/// What an order does, as far as its time goes.
+/// The kinds of orders, which differ in their durations.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum OrderKind {
-    /// A model comes from the weight store.
+    /// Loads a model from the weight store.
     Fetch,
-    /// A model comes from the model server's own disk.
+    /// Loads a model from the disk of the model server's machine.
     Reload,
-    /// An adapter comes.
+    /// Loads an adapter.
     Adapter,
-    /// Something goes.
+    /// Unloads a model or an adapter.
     Unload,
 }
 
@@ -35,39 +35,39 @@
     pub instance: String,
     /// Where it takes orders.
     pub address: String,
-    /// What it is to do.
+    /// Load or unload.
     pub operation: Operation,
     /// The model.
     pub model: String,
     /// The adapter; empty: the model itself.
     pub adapter: String,
-    /// What it does, as far as its time goes.
+    /// By what its duration is estimated.
     pub kind: OrderKind,
-    /// What the configuration says of its time, milliseconds; 0: nothing.
+    /// The duration of the model's load by the configuration, milliseconds; 0: unknown.
     pub configured_ms: Millis,
-    /// How long it should take, milliseconds.
+    /// The estimated duration, milliseconds.
     pub expected_ms: Millis,
-    /// The model server's own report has to tell of its end: more has to be known than that it is done.
+    /// Only the model server's own report shows its end, because more is needed than that it is done.
     pub report_only: bool,
 }
 
 impl Order {
-    /// Whether a model server that holds `held` has room for what is to be loaded.
-    pub fn fits(&self, runtime: &Runtime, held: &[LoadedModel]) -> bool {
+    /// Whether a model server with these models has the memory for what is to be loaded.
+    pub fn fits(&self, runtime: &Runtime, models: &[LoadedModel]) -> bool {
         let model = |name: &str| runtime.models.iter().find(|model| model.name == name);
         let Some(wanted) = model(&self.model) else { return false };
-        let mut used = 0.0;
+        let mut used_mb = 0.0;
         let mut adapters = 0;
-        for loaded in held {
-            // What the configuration does not know takes room that nobody can tell.
+        for loaded in models {
+            // The size of a model that is not in the configuration is unknown.
             let Some(known) = model(&loaded.name) else { return false };
-            used += known.weights_mb + loaded.adapters.len() as f64 * known.adapter_mb;
+            used_mb += known.weights_mb + loaded.adapters.len() as f64 * known.adapter_mb;
             adapters += loaded.adapters.len();
         }
         match self.adapter.is_empty() {
-            true => used + wanted.weights_mb <= runtime.weights_mb,
+            true => used_mb + wanted.weights_mb <= runtime.weights_mb,
             false => {
-                used + wanted.adapter_mb <= runtime.weights_mb && adapters < runtime.max_adapters as usize
+                used_mb + wanted.adapter_mb <= runtime.weights_mb && adapters < runtime.max_adapters as usize
             }
         }
     }
--- a/crates/control/src/order_progress.rs
+++ b/crates/control/src/order_progress.rs
@@ -1,37 +1,36 @@
-//! What became of an order, by what its model server says, and how long orders take.
+//! The progress of an order by its model server's report.
 //!
-//! A model server's report tells how it stood some hundred milliseconds earlier: one that shows no order
-//! under way may be older than the order. Its `sequence` tells. An order that is given again is answered by
-//! how things stand now.
+//! A report may be some hundred milliseconds old: one that shows no order in progress may be older than the order, which
+//! its `sequence` tells. An order that is given again is answered by the current state.
 
 use crate::order::{Operation, Order};
 use pathbank_protocol::message::LoadedModel;
 
-/// What a model server holds, and how many orders it has taken.
+/// What a model server has loaded, and how many orders it has accepted.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct ModelServerContents {
-    /// Models with their adapters.
+    /// The loaded models with their adapters.
     pub models: Vec<LoadedModel>,
-    /// Orders taken since its start.
+    /// Orders accepted since its start.
     pub sequence: u64,
-    /// An order is under way.
+    /// An order is in progress.
     pub busy: bool,
 }
 
-/// What a report says of an order.
+/// The state of an order by a report.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Progress {
-    /// Nothing: the report is older than the order.
+    /// Unknown: the report is older than the order.
     Stale,
-    /// The order is under way.
+    /// The order has not ended.
     InProgress,
-    /// What was ordered holds.
+    /// The order has ended, and had its effect.
     Done,
-    /// The order has ended, and what was ordered does not hold.
+    /// The order has ended without its effect.
     Failed,
 }
 
-/// What a report says of an order that its model server took after `sequence` others.
+/// The state of an order that its model server accepted after `sequence` others.
 pub fn progress(order: &Order, sequence: u64, report: &ModelServerContents) -> Progress {
     if report.sequence <= sequence {
         return Progress::Stale;
@@ -43,18 +42,17 @@
     }
 }
 
-/// Whether what an order asks for is so.
+/// Whether an order's effect is there: loaded or not loaded, as ordered.
 pub fn is_satisfied(order: &Order, models: &[LoadedModel]) -> bool {
-    let held = models.iter().find(|held| held.name == order.model);
-    let is_there = match order.adapter.as_str() {
-        "" => held.is_some(),
-        adapter => held.is_some_and(|held| held.adapters.iter().any(|name| name == adapter)),
+    let loaded = models.iter().find(|loaded| loaded.name == order.model);
+    let is_loaded = match order.adapter.as_str() {
+        "" => loaded.is_some(),
+        adapter => loaded.is_some_and(|loaded| loaded.adapters.iter().any(|name| name == adapter)),
     };
-    is_there == (order.operation == Operation::Load)
+    is_loaded == (order.operation == Operation::Load)
 }
 
-/// What a model server holds once an order is done that it took. `version`: of the weights that a load brings
-/// in.
+/// What a model server has loaded once an accepted order is done. `version`: of the weights that a load brings.
 pub fn contents_after(order: &Order, mut contents: ModelServerContents, version: u64) -> ModelServerContents {
     contents.sequence += 1;
     contents.busy = false;
@@ -67,12 +65,12 @@
             let name = order.model.clone();
             contents.models.push(LoadedModel { name, version, adapters: Vec::new() });
         }
-        (Operation::Unload, true) => contents.models.retain(|held| held.name != order.model),
+        (Operation::Unload, true) => contents.models.retain(|loaded| loaded.name != order.model),
         (operation, false) => {
-            let held = contents.models.iter_mut().find(|held| held.name == order.model);
-            if let Some(held) = held {
-                held.adapters.retain(|name| *name != adapter);
-                held.adapters.extend((operation == Operation::Load).then_some(adapter));
+            let loaded = contents.models.iter_mut().find(|loaded| loaded.name == order.model);
+            if let Some(loaded) = loaded {
+                loaded.adapters.retain(|name| *name != adapter);
+                loaded.adapters.extend((operation == Operation::Load).then_some(adapter));
             }
         }
     }
--- a/crates/control/src/result_code.rs
+++ b/crates/control/src/result_code.rs
@@ -1,14 +1,14 @@
-//! The numbered results of calls to the control plane and of requests that the system itself answers. The
-//! table for people is in `docs/operators/result-codes.md`.
+//! The numbered results of calls to the control plane, and of requests that the system answers itself; the operators' table
+//! is `docs/operators/result-codes.md`.
 
 /// A numbered result.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ResultCode {
     /// The call was carried out.
     Done = 0,
-    /// The document cannot be read whole.
+    /// The document cannot be parsed.
     UnreadableDocument = 101,
-    /// A route names a service that is not there.
+    /// A route names a service that does not exist.
     UnknownBackend = 102,
     /// Two routes share host and prefix.
     DuplicateRoute = 103,
@@ -24,9 +24,9 @@
     BaseMismatch = 108,
     /// The header with the base version is missing or no number.
     MissingBase = 109,
-    /// The call's body is larger than what is taken.
+    /// The call's body is larger than allowed.
     BodyTooLarge = 110,
-    /// The call's body did not come whole in time.
+    /// The call's body was not complete in time.
     BodyLate = 111,
     /// No leader is known.
     NoLeader = 201,
@@ -40,15 +40,15 @@
     UnknownKey = 302,
     /// A header that decides something is missing or malformed.
     BadRequest = 303,
-    /// No model server that could take the request is there.
+    /// No model server can take the request.
     NoModelServer = 304,
     /// All model servers that could take the request are busy.
     Overloaded = 305,
-    /// The request may have run and has no answer.
+    /// The connection broke: the request may have run.
     BrokenOff = 306,
     /// The request's time is over; it may have run.
     TimedOut = 307,
-    /// The process stops.
+    /// The process shuts down.
     Stopping = 308,
     /// No configuration is known yet.
     NoConfiguration = 309,
@@ -56,23 +56,23 @@
     UnknownStep = 401,
     /// The step's state does not allow it.
     WrongStepState = 402,
-    /// An earlier step of the model is not over.
+    /// An earlier step of the model is not finished.
     EarlierStep = 403,
     /// The trainer's key names another request.
     StepKeyTaken = 404,
-    /// Not the version that the step may draw from.
+    /// Not the version from which the step may generate.
     WrongVersion = 405,
-    /// Fewer workers hold the version than the step's floor.
+    /// Fewer workers have the version than the step needs.
     BelowFloor = 406,
     /// Prompts have no generation that counts.
     MissingGenerations = 407,
-    /// The step's prompts would take more room than a step has.
+    /// The step's prompts would exceed the limit of bytes.
     StepTooLarge = 408,
-    /// The prompt's number stands for another prompt.
+    /// The prompt's number is that of another prompt.
     PromptTaken = 409,
-    /// So many steps are not over that no more are taken.
+    /// Too many steps are unfinished.
     TooManySteps = 410,
-    /// What is asked of a step makes no sense.
+    /// The request for a step is invalid.
     BadStep = 411,
 }
 
--- a/crates/control/src/training.rs
+++ b/crates/control/src/training.rs
@@ -1,5 +1,5 @@
-//! Training steps as part of the replicated state: the ledger, with what prompts and generations say, and the
-//! bounds of both.
+//! Training steps as part of the replicated state: the step table, with the contents of prompts and generations and the
+//! limits of both.
 
 pub mod workers;
 
@@ -12,18 +12,18 @@
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
 
-/// Steps that are not over; a further one is not taken.
+/// Steps that may be unfinished at a time; a further one is rejected.
 pub const MAX_OPEN_STEPS: usize = 32;
-/// Bytes of a step's prompts.
+/// Bytes of a step's prompts; further ones are rejected.
 pub const MAX_PROMPT_BYTES: usize = 4 * 1024 * 1024;
-/// Bytes of a step's generations; what comes beyond counts, and is kept without its text.
+/// Bytes of a step's outputs; a generation beyond counts, but its text is not kept.
 pub const MAX_OUTPUT_BYTES: usize = 8 * 1024 * 1024;
-/// Steps that are over and whose prompts and generations are kept.
+/// Finished steps whose prompts and outputs are kept.
 const MAX_FINISHED_CONTENTS: usize = 4;
-/// Steps that are over and whose counts are kept.
+/// Finished steps whose counts are kept.
 const MAX_FINISHED_STEPS: usize = 128;
 
-/// What a trainer wants to have drawn.
+/// A prompt as a trainer submitted it.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Prompt {
     /// The body that the worker gets.
@@ -32,7 +32,7 @@
     pub input_tokens: u64,
     /// Tokens that may come out.
     pub output_tokens: u64,
-    /// Its parts, as `X-Pathbank-Prompt-Prefix` has them; empty: not told.
+    /// Its prefix parts, as in the header `X-Pathbank-Prompt-Prefix`; empty: unknown.
     #[serde(default)]
     pub prefix: String,
 }
@@ -43,19 +43,19 @@
     }
 }
 
-/// What a worker drew.
+/// What a worker generated.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Output {
-    /// The events' text, as it came.
+    /// The text of the events as received.
     pub text: String,
-    /// There was more than is kept.
+    /// Not all of the text is kept.
     pub truncated: bool,
 }
 
-/// What the log's entries about training steps are.
+/// A command of the replicated log about training steps.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum TrainingCommand {
-    /// What needs no more than the ledger.
+    /// A command of the step table alone.
     #[serde(rename = "Ledger")]
     Step(Command),
     /// A trainer submits prompts.
@@ -65,42 +65,42 @@
         /// The prompts.
         prompts: BTreeMap<PromptId, Prompt>,
     },
-    /// A generation came to its end.
+    /// A generation ended.
     Record {
-        /// Who drew for what, and from which versions.
+        /// Its worker, prompt and versions.
         generation: Generation,
-        /// What was drawn.
+        /// Its text.
         output: Output,
     },
 }
 
-/// What a step's prompts and generations say.
+/// The prompts and outputs of a step.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
-struct Content {
+struct StepContents {
     prompts: BTreeMap<PromptId, Prompt>,
     outputs: BTreeMap<PromptId, Output>,
     prompt_bytes: usize,
     output_bytes: usize,
 }
 
-/// All training steps.
+/// The replicated state of all training steps.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct TrainingState {
     #[serde(rename = "ledger")]
     steps: StepTable,
-    contents: BTreeMap<StepNumber, Content>,
-    /// The log's entry that changed a step last.
+    contents: BTreeMap<StepNumber, StepContents>,
+    /// The index of the log entry that changed each step last.
     #[serde(rename = "changed")]
     last_changed: BTreeMap<StepNumber, u64>,
 }
 
 impl TrainingState {
-    /// Where the steps stand.
+    /// The step table.
     pub fn step_table(&self) -> &StepTable {
         &self.steps
     }
 
-    /// The log's entry that changed a step last; 0: none did.
+    /// The index of the log entry that changed a step last; 0: none did.
     pub fn last_changed(&self, step: StepNumber) -> u64 {
         self.last_changed.get(&step).copied().unwrap_or(0)
     }
@@ -110,29 +110,29 @@
         self.contents.get(&step)?.prompts.get(&prompt)
     }
 
-    /// What was drawn for a prompt, for as long as it is kept.
+    /// The output of a prompt's generation, for as long as it is kept.
     pub fn output(&self, step: StepNumber, prompt: PromptId) -> Option<&Output> {
         self.contents.get(&step)?.outputs.get(&prompt)
     }
 
-    /// The one function that changes the state: applies the command of the log's entry `index`.
+    /// Applies the command of the log entry `index`. Nothing else changes the state.
     ///
     /// # Errors
     ///
-    /// The command is refused, and nothing changes.
+    /// The command is rejected, and changes nothing.
     pub fn apply(&mut self, index: u64, command: &TrainingCommand) -> Result<CommandOutcome, Rejection> {
-        let (step, accepted) = match command {
+        let (step, outcome) = match command {
             TrainingCommand::Step(command) => self.apply_to_steps(index, command)?,
             TrainingCommand::Submit { step, prompts } => (*step, self.submit(index, *step, prompts)?),
             TrainingCommand::Record { generation, output } => {
                 (generation.step, self.record(index, generation, output)?)
             }
         };
-        if accepted != CommandOutcome::AlreadyApplied {
+        if outcome != CommandOutcome::AlreadyApplied {
             self.last_changed.insert(step, index);
         }
-        self.forget_old();
-        Ok(accepted)
+        self.expire_finished();
+        Ok(outcome)
     }
 
     fn apply_to_steps(
@@ -153,7 +153,7 @@
             Applied::Step(number) => number,
             Applied::Done | Applied::AlreadyApplied | Applied::Discarded(_) => step_of(command),
         };
-        Ok((step, accepted(applied)))
+        Ok((step, outcome(applied)))
     }
 
     fn submit(
@@ -163,12 +163,13 @@
         prompts: &BTreeMap<PromptId, Prompt>,
     ) -> Result<CommandOutcome, Rejection> {
         let known = self.contents.get(&number);
-        let stands = |id: &PromptId| known.and_then(|content| content.prompts.get(id));
-        let differs = |(id, prompt): &(&PromptId, &Prompt)| stands(id).is_some_and(|known| known != *prompt);
+        let existing = |id: &PromptId| known.and_then(|content| content.prompts.get(id));
+        let differs =
+            |(id, prompt): &(&PromptId, &Prompt)| existing(id).is_some_and(|known| known != *prompt);
         if let Some((id, _)) = prompts.iter().find(differs) {
             return Err(Rejection::new(ResultCode::PromptTaken, format!("prompt {id} is another one")));
         }
-        let fresh = prompts.iter().filter(|(id, _)| stands(id).is_none());
+        let fresh = prompts.iter().filter(|(id, _)| existing(id).is_none());
         let bytes = known.map_or(0, |content| content.prompt_bytes)
             + fresh.map(|(_, prompt)| prompt.bytes()).sum::<usize>();
         if bytes > MAX_PROMPT_BYTES {
@@ -181,7 +182,7 @@
         let content = self.contents.entry(number).or_default();
         content.prompt_bytes = bytes;
         content.prompts.extend(prompts.iter().map(|(id, prompt)| (*id, prompt.clone())));
-        Ok(accepted(applied))
+        Ok(outcome(applied))
     }
 
     fn record(
@@ -194,17 +195,17 @@
         if applied == Applied::Done {
             let content = self.contents.entry(generation.step).or_default();
             let fits = content.output_bytes + output.text.len() <= MAX_OUTPUT_BYTES;
-            let kept = if fits { output.clone() } else { Output { text: String::new(), truncated: true } };
-            content.output_bytes += kept.text.len();
-            content.outputs.insert(generation.prompt, kept);
+            let output = if fits { output.clone() } else { Output { text: String::new(), truncated: true } };
+            content.output_bytes += output.text.len();
+            content.outputs.insert(generation.prompt, output);
         }
-        Ok(accepted(applied))
+        Ok(outcome(applied))
     }
 
-    fn forget_old(&mut self) {
-        let over = |step: &&Step| step.state().is_final();
-        let last_over = self.steps.steps().rev().filter(over).map(|step| step.number);
-        let oldest_kept = last_over.take(MAX_FINISHED_CONTENTS).last().unwrap_or(0);
+    fn expire_finished(&mut self) {
+        let is_finished = |step: &&Step| step.state().is_final();
+        let finished = self.steps.steps().rev().filter(is_finished).map(|step| step.number);
+        let oldest_kept = finished.take(MAX_FINISHED_CONTENTS).last().unwrap_or(0);
         let steps = &self.steps;
         self.contents.retain(|number, _| {
             *number >= oldest_kept || steps.step(*number).is_some_and(|step| !step.state().is_final())
@@ -215,7 +216,7 @@
     }
 }
 
-/// The step that a command is about.
+/// The step that a command names; 0 where it creates one.
 fn step_of(command: &Command) -> StepNumber {
     match command {
         Command::Announce(_) => 0,
@@ -230,7 +231,7 @@
     }
 }
 
-fn accepted(applied: Applied) -> CommandOutcome {
+fn outcome(applied: Applied) -> CommandOutcome {
     match applied {
         Applied::Done | Applied::Discarded(_) => CommandOutcome::Applied,
         Applied::AlreadyApplied => CommandOutcome::AlreadyApplied,
@@ -239,8 +240,8 @@
 }
 
 impl From<&StepError> for ResultCode {
-    fn from(refusal: &StepError) -> ResultCode {
-        match refusal {
+    fn from(error: &StepError) -> ResultCode {
+        match error {
             StepError::UnknownStep(_) => ResultCode::UnknownStep,
             StepError::WrongState { .. } => ResultCode::WrongStepState,
             StepError::EarlierStep(_) => ResultCode::EarlierStep,
@@ -252,11 +253,11 @@
     }
 }
 
-fn rejection(refusal: StepError) -> Rejection {
-    Rejection::new(ResultCode::from(&refusal), refusal.to_string())
+fn rejection(error: StepError) -> Rejection {
+    Rejection::new(ResultCode::from(&error), error.to_string())
 }
 
-/// Where a step stands, as operators and trainers read it.
+/// The name of a step's state in answers to operators and trainers.
 pub fn state_name(state: StepState) -> &'static str {
     match state {
         StepState::Announced => "announced",
--- a/crates/control/src/training/workers.rs
+++ b/crates/control/src/training/workers.rs
@@ -1,4 +1,4 @@
-//! Which model servers are the workers of a training step, and how many of them have to go on serving.
+//! Selection of the model servers that are the workers of a training step, and of how many have to go on serving.
 
 use crate::configuration::Runtime;
 use crate::order::{Operation, Order, OrderKind};
@@ -6,21 +6,21 @@
 use pathbank_rollout::step::StepRequest;
 use std::collections::BTreeSet;
 
-/// Of the model servers that hold a model, so many go on serving while its version changes.
-const SERVING_PART: f64 = 0.7;
+/// The fraction of a model's replicas that go on serving while its version changes.
+const SERVING_FRACTION: f64 = 0.7;
 
-/// The model servers that a step is prepared with.
+/// The workers of a step.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Workers {
-    /// Their incarnations.
+    /// Their instances.
     pub chosen: BTreeSet<String>,
-    /// Of the chosen ones, so many serve at any time.
+    /// The least number of them that serve requests at any time.
     pub serving_floor: usize,
 }
 
-/// Chooses a step's workers among the model servers that are ready. Those that are workers already stay, then
-/// come those that hold the model, then those that have room for it. `changing`: model servers that are being
-/// brought to another version, which hold the model soon again.
+/// Chooses a step's workers among the ready model servers: first those in `before`, which are its workers already, then
+/// those with the model loaded, then those with the memory for it. `changing` are model servers that change the model's
+/// version and will have it loaded again.
 pub fn choose(
     request: &StepRequest,
     runtime: &Runtime,
@@ -28,38 +28,42 @@
     before: &BTreeSet<String>,
     changing: &BTreeSet<String>,
 ) -> Workers {
-    let of_service: Vec<&ModelServer> =
+    let candidates: Vec<&ModelServer> =
         servers.iter().filter(|server| server.backend == request.backend).collect();
-    let holds = |server: &ModelServer| {
-        changing.contains(&server.instance) || server.models.iter().any(|held| held.name == request.model)
+    let has_model = |server: &ModelServer| {
+        changing.contains(&server.instance) || server.models.iter().any(|loaded| loaded.name == request.model)
     };
-    let holders = of_service.iter().filter(|server| holds(server)).count();
-    let wanted = request.workers.of(holders).max(request.min_workers as usize);
-    let mut able: Vec<&ModelServer> =
-        of_service.into_iter().filter(|server| holds(server) || has_room(server, request, runtime)).collect();
-    able.sort_by_key(|server| (!before.contains(&server.instance), !holds(server), server.instance.clone()));
+    let replicas = candidates.iter().filter(|server| has_model(server)).count();
+    let wanted = request.workers.of(replicas).max(request.min_workers as usize);
+    let mut able: Vec<&ModelServer> = candidates
+        .into_iter()
+        .filter(|server| has_model(server) || has_memory(server, request, runtime))
+        .collect();
+    able.sort_by_key(|server| {
+        (!before.contains(&server.instance), !has_model(server), server.instance.clone())
+    });
     able.truncate(wanted);
-    let holders_chosen = able.iter().filter(|server| holds(server)).count();
-    let floor_of_all = (SERVING_PART * holders as f64) as usize;
+    let replicas_chosen = able.iter().filter(|server| has_model(server)).count();
+    let serving_floor = (SERVING_FRACTION * replicas as f64) as usize;
     Workers {
         chosen: able.iter().map(|server| server.instance.clone()).collect(),
-        serving_floor: floor_of_all.saturating_sub(holders - holders_chosen),
+        serving_floor: serving_floor.saturating_sub(replicas - replicas_chosen),
     }
 }
 
-/// Whether a model server has room for the model beside what it holds.
-fn has_room(server: &ModelServer, request: &StepRequest, runtime: &Runtime) -> bool {
+/// Whether a model server has the memory for the model.
+fn has_memory(server: &ModelServer, request: &StepRequest, runtime: &Runtime) -> bool {
     load_order(server, &request.model, runtime).fits(runtime, &server.models)
 }
 
-/// The order to load a model as a whole.
+/// The order to load a model on a worker.
 pub fn load_order(server: &ModelServer, model: &str, runtime: &Runtime) -> Order {
     let known = runtime.models.iter().find(|known| known.name == model);
     let expected_ms = known.map_or(0, |known| (known.load_s * 1_000.0) as u64);
     order(server, model, Operation::Load, expected_ms)
 }
 
-/// The order to drop a model. It waits for the model's requests to end.
+/// The order to unload a model from a worker, which waits for the model's requests to end.
 pub fn unload_order(server: &ModelServer, model: &str) -> Order {
     order(server, model, Operation::Unload, 0)
 }
--- a/crates/control/tests/autoscaling.rs
+++ b/crates/control/tests/autoscaling.rs
@@ -95,7 +95,7 @@
         let servers = self.servers();
         let orders = self.autoscaler.plan(self.now, &self.backends, &servers, &self.demand);
         for order in orders {
-            self.autoscaler.taken(self.now, &order, self.answers);
+            self.autoscaler.record_answer(self.now, &order, self.answers);
             self.orders.push(order);
         }
     }
--- a/crates/system/src/core/autoscaling.rs
+++ b/crates/system/src/core/autoscaling.rs
@@ -51,7 +51,7 @@
 
     /// The call of an order has ended.
     pub fn on_ordered(&mut self, now: u64, order: &ScaleOrder, outcome: PlatformOutcome) {
-        self.autoscaler.taken(now, order, outcome.is_accepted());
+        self.autoscaler.record_answer(now, order, outcome.is_accepted());
     }
 
     /// What the platform was asked for last, by backend and zone.
