--- a/crates/system/src/core/node.rs
+++ b/crates/system/src/core/node.rs
@@ -20,7 +20,8 @@
 use super::singleton_roles;
 use super::state_machine::{Applied, RestoreError, StateMachine};
 use super::status::StatusSchedule;
-use super::training::lead::{Training, model_versions};
+use super::training::scheduler::TrainingScheduler;
+use super::training::versions::model_versions;
 use super::usage::{UsageReporter, WindowUsage};
 use crate::clock;
 use crate::net::client::ConnectionPool;
@@ -103,7 +104,7 @@
     usage: UsageReporter,
     autoscaling: AutoscalingScheduler,
     admission: AdmissionController,
-    training: Training,
+    training: TrainingScheduler,
     schedule: Schedule,
     /// When the process received SIGTERM.
     shutdown_since: Option<u64>,
@@ -147,7 +148,7 @@
             usage: UsageReporter::default(),
             autoscaling: AutoscalingScheduler::new(),
             admission: AdmissionController::default(),
-            training: Training::default(),
+            training: TrainingScheduler::default(),
             schedule: Schedule::default(),
             shutdown_since: None,
             pool: ConnectionPool::default(),
@@ -733,7 +734,7 @@
             self.placement.reset();
             self.autoscaling.reset();
             self.admission = AdmissionController::default();
-            self.training = Training::default();
+            self.training = TrainingScheduler::default();
         }
     }
 
--- a/crates/system/src/core/training/call.rs
+++ b/crates/system/src/core/training/call.rs
@@ -3,8 +3,9 @@
 
 use pathbank_control::configuration::{Backend, Rejection};
 use pathbank_control::result_code::ResultCode;
-use pathbank_control::training::Prompt;
+use pathbank_control::training::{Prompt, TrainingCommand};
 use pathbank_rollout::step::{DEFAULT_GENERATION_MS, RequestedVersion, RequestedWorkers, StepRequest};
+use pathbank_rollout::step_table::Command as StepCommand;
 use pathbank_rollout::{Millis, PromptId, StepNumber, Version};
 use serde::Deserialize;
 use std::collections::BTreeMap;
@@ -51,6 +52,38 @@
     Explain(StepNumber),
 }
 
+impl TrainingCall {
+    /// The command that the call asks for; `None`: it only reads. `backends`: those of the configuration, if there is
+    /// one.
+    ///
+    /// # Errors
+    ///
+    /// A step is asked for that the configuration cannot have.
+    pub fn command(&self, backends: Option<&[Backend]>) -> Result<Option<TrainingCommand>, Rejection> {
+        let command = match self {
+            TrainingCall::Open(body) => {
+                let Some(backends) = backends else {
+                    return Err(Rejection::new(ResultCode::NoConfiguration, "there is no configuration yet"));
+                };
+                TrainingCommand::Step(StepCommand::Announce(body.clone().request(backends)?))
+            }
+            TrainingCall::Submit(step, prompts) => {
+                TrainingCommand::Submit { step: *step, prompts: prompts.clone() }
+            }
+            TrainingCall::Seal(step, body) => {
+                let allow_missing = body.allow_missing;
+                TrainingCommand::Step(StepCommand::Close { step: *step, allow_missing })
+            }
+            TrainingCall::Abort(step) => TrainingCommand::Step(StepCommand::Abort { step: *step }),
+            TrainingCall::List
+            | TrainingCall::Read { .. }
+            | TrainingCall::Results { .. }
+            | TrainingCall::Explain(_) => return Ok(None),
+        };
+        Ok(Some(command))
+    }
+}
+
 /// The version that a step is to draw from.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(untagged)]
--- a/crates/system/src/core/training/mod.rs
+++ b/crates/system/src/core/training/mod.rs
@@ -1,5 +1,12 @@
-//! Training steps at a core: what trainers ask, what is told of steps, and what the leader knows of workers.
+//! Training steps at a core: trainers' calls, and what the leader does about the steps in the replicated state.
 
+pub mod answer;
 pub mod call;
-pub mod lead;
-pub mod view;
+pub mod generations;
+mod model_training;
+pub mod scheduler;
+pub mod step_log;
+pub mod versions;
+mod view;
+mod watchers;
+pub mod workers;
--- a/crates/system/src/core/training/view.rs
+++ b/crates/system/src/core/training/view.rs
@@ -1,8 +1,7 @@
 //! Steps, results and workers as trainers and operators read them.
 
-use super::lead::ModelTraining;
 use pathbank_control::training::{TrainingState, state_name};
-use pathbank_rollout::controller::WaitReason;
+use pathbank_rollout::controller::{StepController, WaitReason};
 use pathbank_rollout::step::{RemovalReason, RequestedVersion, RequestedWorkers, Step};
 use pathbank_rollout::worker::{Worker, WorkerState};
 use pathbank_rollout::{Millis, PromptId, StepNumber};
@@ -108,11 +107,10 @@
 pub fn explain(
     state: &TrainingState,
     step: &Step,
-    training: Option<&ModelTraining>,
+    controller: Option<&StepController>,
     now: Millis,
     number: StepNumber,
 ) -> Value {
-    let controller = training.map(|training| &training.controller);
     let waits = controller.and_then(|controller| controller.wait_reason(now, state.step_table(), number));
     let mut view = self::step(state, step, waits);
     let is_current =
