--- a/crates/coordination/src/compaction.rs
+++ b/crates/coordination/src/compaction.rs
@@ -1,19 +1,19 @@
-//! When a replica's log is replaced by the state that it leads to.
+//! When a log is replaced by a snapshot (chapter 5 of Ongaro's thesis).
 
-/// The log is kept up to this, bytes, and up to so many snapshots.
-const LEAST_BYTES: usize = 1024 * 1024;
-const SNAPSHOTS: usize = 4;
-/// Entries that are kept at most: all of them are applied again after a start, which must not hold up a
-/// recovery, and at a small processor takes 0.4 ms for each.
-const MOST_ENTRIES: u64 = 1_000;
-/// While a store is being sent a snapshot it needs what lies behind it, or it has to begin again: the log may
-/// grow to so many times that.
-const AWAITED_TIMES: usize = 4;
+/// A log below this many bytes is kept, whatever its snapshot takes.
+const MIN_LOG_BYTES: usize = 1024 * 1024;
+/// A log is kept up to this many times the size of its snapshot.
+const MAX_LOG_PER_SNAPSHOT: usize = 4;
+/// All entries are applied again after a start, which must not hold up a recovery.
+const MAX_LOG_ENTRIES: u64 = 1_000;
+/// While a snapshot is in transfer, the log may grow to this many times its limits: the receiver needs the entries after
+/// that snapshot, or it has to begin again.
+const TRANSFER_ALLOWANCE: usize = 4;
 
-/// A log behind its snapshot.
+/// The size of a log after its snapshot.
 #[derive(Clone, Copy, Debug)]
 pub struct LogSize {
-    /// Entries that were applied.
+    /// Applied entries.
     pub entries: u64,
     /// Their bytes.
     pub bytes: usize,
@@ -29,13 +29,14 @@
     /// ```
     /// use pathbank_coordination::compaction::LogSize;
     ///
-    /// let log = LogSize { entries: 1_000, bytes: 400_000, snapshot_bytes: 30_000, snapshot_in_transfer: false };
+    /// let (entries, bytes, snapshot_bytes) = (1_000, 400_000, 30_000);
+    /// let log = LogSize { entries, bytes, snapshot_bytes, snapshot_in_transfer: false };
     /// assert!(log.needs_compaction());
     /// assert!(!LogSize { snapshot_in_transfer: true, ..log }.needs_compaction());
     /// ```
     pub fn needs_compaction(&self) -> bool {
-        let times = if self.snapshot_in_transfer { AWAITED_TIMES } else { 1 };
-        let most_bytes = LEAST_BYTES.max(SNAPSHOTS * self.snapshot_bytes);
-        self.bytes >= times * most_bytes || self.entries >= times as u64 * MOST_ENTRIES
+        let allowance = if self.snapshot_in_transfer { TRANSFER_ALLOWANCE } else { 1 };
+        let max_bytes = MIN_LOG_BYTES.max(MAX_LOG_PER_SNAPSHOT * self.snapshot_bytes);
+        self.bytes >= allowance * max_bytes || self.entries >= allowance as u64 * MAX_LOG_ENTRIES
     }
 }
--- a/crates/coordination/src/digest.rs
+++ b/crates/coordination/src/digest.rs
@@ -1,8 +1,9 @@
-//! One digest for everything that has to be told apart by its content, also by replicas of different programs.
+//! The digest by which content is compared, also between replicas of different versions.
 
 use ring::digest::{Context, SHA256};
 
-/// The first 128 bits of the SHA-256 of parts, each with its length in front, so that no two lists of parts are alike.
+/// The first 128 bits of the SHA-256 of all parts, each prefixed with its length, so that different lists of parts have
+/// different digests.
 ///
 /// ```
 /// use pathbank_coordination::digest::digest;
@@ -15,6 +16,6 @@
         context.update(&(part.len() as u64).to_le_bytes());
         context.update(part);
     }
-    let whole = context.finish();
-    whole.as_ref().iter().take(16).fold(0, |number, byte| number << 8 | u128::from(*byte))
+    let hash = context.finish();
+    hash.as_ref().iter().take(16).fold(0, |number, byte| number << 8 | u128::from(*byte))
 }
--- a/crates/coordination/src/fencing.rs
+++ b/crates/coordination/src/fencing.rs
@@ -1,44 +1,44 @@
 //! When a leader may act outside the group, and with which fencing token.
 //!
-//! The token is the leader's term: each term has one leader, and a later leader has a later term. A leader
-//! acts only within its lease. To keep two leaders from acting by turns, one that led before and lost the
-//! lead to another one waits first.
+//! The token is the leader's term: each term has at most one leader, and a later leader has a later term. A leader acts
+//! only within its lease. A leader that led before and lost the leadership to another one waits first, so that two
+//! leaders do not act by turns.
 
 use crate::types::{Millis, Term};
 
-/// The right to act, for as long as `until`.
+/// How many past leaders are kept; changes further back are older than any lease.
+const MAX_PAST_LEADERS: usize = 64;
+
+/// The right to act until a time.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Permit {
-    /// Goes with every act.
+    /// Goes with every act; receivers reject older ones.
     pub fencing_token: Term,
-    /// No act after this time.
-    pub until: Millis,
+    /// No act at or after this time.
+    pub valid_until: Millis,
 }
 
-/// Follows who led, and says whether this leader may act.
+/// Follows who led, and decides whether this leader may act.
 ///
 /// ```
 /// use pathbank_coordination::fencing::FencingGuard;
 ///
-/// let mut fence = FencingGuard::default();
-/// fence.record_leader("a");
-/// let permit = fence.permit("a", 4, 1_500, 3_000, 1_000).expect("within its lease");
+/// let mut guard = FencingGuard::default();
+/// guard.record_leader("a");
+/// let permit = guard.permit("a", 4, 1_500, 3_000, 1_000).expect("within its lease");
 /// assert_eq!(permit.fencing_token, 4);
-/// assert!(fence.permit("a", 4, 1_500, 3_000, 1_500).is_none(), "the lease is over");
+/// assert!(guard.permit("a", 4, 1_500, 3_000, 1_500).is_none(), "the lease has expired");
 /// ```
 #[derive(Clone, Debug, Default)]
 pub struct FencingGuard {
-    /// The machines that led, in order, each once in a row.
+    /// The machines that led, in order; terms of one machine in a row count once.
     leaders: Vec<String>,
-    /// When this machine was seen to lead its present term.
+    /// When this machine was first seen to lead, in which term.
     leading_since: Option<(Term, Millis)>,
 }
 
-/// So many past leaders are kept; turns further back are older than any lease.
-const MAX_LEADERS: usize = 64;
-
 impl FencingGuard {
-    /// Goes on from a snapshot's list of leaders.
+    /// Starts from a snapshot's list of leaders.
     pub fn restore(&mut self, leaders: Vec<String>) {
         self.leaders = leaders;
     }
@@ -48,12 +48,12 @@
         self.leaders.clone()
     }
 
-    /// A committed entry tells that `name` began to lead.
+    /// Applies a committed entry by which `name` began to lead.
     pub fn record_leader(&mut self, name: &str) {
         if self.leaders.last().map(String::as_str) != Some(name) {
             self.leaders.push(name.to_owned());
         }
-        let surplus = self.leaders.len().saturating_sub(MAX_LEADERS);
+        let surplus = self.leaders.len().saturating_sub(MAX_PAST_LEADERS);
         self.leaders.drain(..surplus);
     }
 
@@ -63,14 +63,15 @@
         earlier.iter().any(|leader| leader == name)
     }
 
-    /// The permit of the leader `name` of `term` with a lease until `lease_until`. `turn_separation_ms`: how
-    /// long turns of two leaders have to be apart, milliseconds.
+    /// The permit of the leader `name` of `term`, whose lease ends at `lease_until`; `None`: it may not act now.
+    ///
+    /// `returning_leader_wait`: for how long a leader that led before does not act, milliseconds.
     pub fn permit(
         &mut self,
         name: &str,
         term: Term,
         lease_until: Millis,
-        turn_separation_ms: Millis,
+        returning_leader_wait: Millis,
         now: Millis,
     ) -> Option<Permit> {
         if lease_until <= now {
@@ -81,7 +82,7 @@
             _ => now,
         };
         self.leading_since = Some((term, since));
-        let must_wait = self.has_led_before(name) && now < since + turn_separation_ms;
-        (!must_wait).then_some(Permit { fencing_token: term, until: lease_until })
+        let must_wait = self.has_led_before(name) && now < since + returning_leader_wait;
+        (!must_wait).then_some(Permit { fencing_token: term, valid_until: lease_until })
     }
 }
--- a/crates/coordination/src/recent_peers.rs
+++ b/crates/coordination/src/recent_peers.rs
@@ -1,52 +1,52 @@
-//! Addresses of replicas that spoke to this one lately, whether they are in the group or not.
+//! Addresses of replicas that sent a message lately, whether they are in the membership or not.
 
 use crate::types::Millis;
 use std::collections::BTreeMap;
 
-/// One that said nothing for so long is forgotten, milliseconds.
-const FORGOTTEN_AFTER: Millis = 30_000;
-/// So many are kept at most; one that was heard longest ago goes first.
-const MOST_CALLERS: usize = 64;
+/// How long a peer is kept after its last message.
+const PEER_RETENTION_MS: Millis = 30_000;
+/// Beyond this many the one that was heard longest ago is removed.
+const MAX_PEERS: usize = 64;
 
-/// Replicas that spoke lately, by address.
+/// Peers by address.
 ///
 /// ```
 /// use pathbank_coordination::recent_peers::RecentPeers;
 ///
-/// let mut recent_peers = RecentPeers::default();
-/// assert!(recent_peers.record(1_000, "10.0.0.4:7000"), "it is new");
-/// assert!(!recent_peers.record(2_000, "10.0.0.4:7000"));
-/// recent_peers.expire(40_000);
-/// assert_eq!(recent_peers.addresses().count(), 0);
+/// let mut peers = RecentPeers::default();
+/// assert!(peers.record(1_000, "10.0.0.4:7000"), "it is new");
+/// assert!(!peers.record(2_000, "10.0.0.4:7000"));
+/// peers.expire(40_000);
+/// assert_eq!(peers.addresses().count(), 0);
 /// ```
 #[derive(Clone, Debug, Default)]
 pub struct RecentPeers {
-    heard: BTreeMap<String, Millis>,
+    last_heard_at: BTreeMap<String, Millis>,
 }
 
 impl RecentPeers {
-    /// A replica spoke. Returns whether it had not lately.
+    /// Records a message. Returns whether the peer is new.
     pub fn record(&mut self, now: Millis, address: &str) -> bool {
-        if let Some(heard) = self.heard.get_mut(address) {
-            *heard = now;
+        if let Some(last_heard_at) = self.last_heard_at.get_mut(address) {
+            *last_heard_at = now;
             return false;
         }
-        if self.heard.len() >= MOST_CALLERS {
-            let oldest =
-                self.heard.iter().min_by_key(|(_, heard)| **heard).map(|(address, _)| address.clone());
-            oldest.map(|oldest| self.heard.remove(&oldest));
+        if self.last_heard_at.len() >= MAX_PEERS {
+            let oldest = self.last_heard_at.iter().min_by_key(|(_, last_heard_at)| **last_heard_at);
+            let oldest = oldest.map(|(address, _)| address.clone());
+            oldest.map(|oldest| self.last_heard_at.remove(&oldest));
         }
-        self.heard.insert(address.to_owned(), now);
+        self.last_heard_at.insert(address.to_owned(), now);
         true
     }
 
-    /// Forgets those that fell silent.
+    /// Removes the peers whose retention is over.
     pub fn expire(&mut self, now: Millis) {
-        self.heard.retain(|_, heard| now < *heard + FORGOTTEN_AFTER);
+        self.last_heard_at.retain(|_, last_heard_at| now < *last_heard_at + PEER_RETENTION_MS);
     }
 
     /// The addresses.
     pub fn addresses(&self) -> impl Iterator<Item = &str> {
-        self.heard.keys().map(String::as_str)
+        self.last_heard_at.keys().map(String::as_str)
     }
 }
--- a/crates/coordination/src/record.rs
+++ b/crates/coordination/src/record.rs
@@ -1,5 +1,4 @@
-//! What a replica must never forget, and the records of which it is made. [`crate::batch`] has their form on
-//! disk.
+//! A replica's durable state, and the records of which it is made. [`crate::batch`] has their form on disk.
 
 use crate::consensus::election::LogPosition;
 use crate::consensus::log_tail::LogTail;
@@ -9,50 +8,50 @@
 /// One change of a replica's durable state.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum Record {
-    /// The first record of a file: whose store it is, and the group it was started with.
+    /// The first record of a file: which store it is, and the membership it was started with.
     Identity {
         /// The store.
         id: StoreId,
-        /// The voters of the very first start; empty for a store that joined later.
+        /// The voters of the first start of the system; empty for a store that joined later.
         initial: Membership,
     },
-    /// The term, and who got this store's vote in it.
+    /// The term, and this store's vote in it.
     Vote {
         /// The term.
         term: Term,
         /// The candidate, if any.
         voted_for: Option<StoreId>,
     },
-    /// An entry; it and all behind it are replaced.
+    /// An entry, which replaces the one at its index and all after it.
     Entry(Entry),
-    /// The state up to an entry, in place of the entries before it. `keep_tail`: entries behind it stay.
+    /// A snapshot, in place of the entries that it covers.
     Snapshot {
-        /// The state.
+        /// The snapshot.
         snapshot: Snapshot,
-        /// Whether the entries behind `snapshot.index` stay in the log.
+        /// Whether the entries after `snapshot.index` stay in the log.
         keep_tail: bool,
     },
 }
 
-/// All that a replica must never forget.
+/// All that a replica must never lose (section 3.8 of Ongaro's thesis).
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct DurableState {
-    /// Whose store it is.
+    /// Which store it is; `None`: nothing was ever saved.
     pub id: Option<StoreId>,
-    /// The voters of the very first start.
+    /// The voters of the first start of the system.
     pub initial: Membership,
-    /// The highest term heard of.
+    /// The latest term that this replica has seen.
     pub term: Term,
-    /// Who got the vote in that term.
+    /// Whom it has voted for in that term.
     pub voted_for: Option<StoreId>,
-    /// The state that the log's first part came to.
+    /// The newest snapshot.
     pub snapshot: Snapshot,
-    /// The entries behind the snapshot.
+    /// The entries after the snapshot.
     pub log: LogTail<Entry>,
 }
 
 impl DurableState {
-    /// The one function that changes durable state; the disk holds the same records in the same order.
+    /// Applies a record. Nothing else changes durable state, and the disk holds the same records in the same order.
     pub fn apply(&mut self, record: Record) {
         match record {
             Record::Identity { id, initial } => (self.id, self.initial) = (Some(id), initial),
@@ -62,8 +61,8 @@
                 self.log.insert(index, entry);
             }
             Record::Snapshot { snapshot, keep_tail } => {
-                let keeps = keep_tail && self.log.term_at(snapshot.index).is_some();
-                match keeps {
+                let keeps_tail = keep_tail && self.log.term_at(snapshot.index).is_some();
+                match keeps_tail {
                     true => self.log.compact_to(snapshot.index),
                     false => self.log.reset(snapshot.index, snapshot.term),
                 }
@@ -77,12 +76,12 @@
         self.log.last_index()
     }
 
-    /// How far the log goes.
+    /// The last entry's index and term.
     pub fn position(&self) -> LogPosition {
         self.log.position()
     }
 
-    /// The entry at `index`, unless it is covered by the snapshot or not there yet.
+    /// The entry at `index`, unless it was compacted away or does not exist yet.
     pub fn entry(&self, index: Index) -> Option<&Entry> {
         self.log.entry(index)
     }
@@ -92,7 +91,7 @@
         self.log.term_at(index)
     }
 
-    /// The whole state as the records of a fresh file.
+    /// The state as the records of a new file.
     pub fn records(&self) -> Vec<Record> {
         let id = self.id.unwrap_or(StoreId(0));
         let mut records = vec![Record::Identity { id, initial: self.initial.clone() }];
--- a/crates/coordination/src/store.rs
+++ b/crates/coordination/src/store.rs
@@ -1,14 +1,13 @@
 //! The append-only file of a replica's records, in batches of one sync each ([`crate::batch`]).
 //!
-//! When the file is long, a new one is written beside it, synced, and renamed over it; the folder is synced
-//! behind. The first batch is written the same way, so a file with a name has a whole first batch. What a
-//! failed write left is cut off before the next one.
+//! A file that has grown long is replaced: a new one is written beside it, synced, and renamed over it; then the directory
+//! is synced. The first batch is written the same way, so a file with its name has a complete first batch. What a failed
+//! write left is cut off before the next one.
 //!
-//! A file in which something that had been saved cannot be read is a lost disk: it is kept aside under
-//! [`DAMAGED_FILE`], and the store begins anew as another one. It must not go on under its number with less
-//! than it has acknowledged.
+//! A file in which a saved batch cannot be read is a lost store: it is set aside as [`DAMAGED_FILE`], and the directory
+//! becomes a new store. It must not go on under the old identity with less than that has acknowledged.
 
-use crate::batch::{self, DecodedLog, TailState};
+use crate::batch::{self, DecodedLog, TailState, UnreadableLog};
 use crate::record::{DurableState, Record};
 use std::fs::{self, File, OpenOptions};
 use std::io::{self, Read, Seek, SeekFrom, Write};
@@ -16,10 +15,10 @@
 
 const LOG_FILE: &str = "replica.log";
 const NEW_FILE: &str = "replica.log.new";
-/// Where a file is kept of which something saved cannot be read.
+/// The name under which a damaged file is set aside.
 pub const DAMAGED_FILE: &str = "replica.log.damaged";
 
-/// The open file.
+/// The open log.
 ///
 /// ```
 /// use pathbank_coordination::record::Record;
@@ -32,53 +31,67 @@
 /// let (_, opened) = LogFile::open(&folder)?;
 /// assert_eq!(opened.durable.term, 3);
 /// # std::fs::remove_dir_all(&folder)?;
-/// # Ok::<(), std::io::Error>(())
+/// # Ok::<(), Box<dyn std::error::Error>>(())
 /// ```
 #[derive(Debug)]
 pub struct LogFile {
-    folder: PathBuf,
+    directory: PathBuf,
     /// `None`: nothing was saved yet.
     file: Option<File>,
-    /// All before this is whole and synced.
+    /// All before this offset is intact and synced.
     length: u64,
     next_number: u64,
-    /// The file's name is not yet known to be on disk.
-    folder_unsynced: bool,
+    /// The directory was not synced since the file got its name.
+    directory_unsynced: bool,
 }
 
-/// What a folder held.
+/// What a data directory held.
 #[derive(Debug, Default, PartialEq)]
 pub struct OpenedLog {
     /// The replica's state.
     pub durable: DurableState,
-    /// A store of this folder was damaged, now or before: whoever begins here is not the store that was here
-    /// first.
+    /// A store of this directory was damaged, now or before: the store that begins here is another one.
     pub previous_store_lost: bool,
 }
 
+/// Why a log cannot be opened.
+#[derive(Debug, thiserror::Error)]
+pub enum OpenError {
+    /// The directory or the file cannot be read or written.
+    #[error(transparent)]
+    Io(#[from] io::Error),
+    /// The file is intact, and this version cannot read it.
+    #[error(transparent)]
+    Unreadable(#[from] UnreadableLog),
+}
+
 impl LogFile {
-    /// Opens the file of `folder`. Returns what it held.
-    pub fn open(folder: &Path) -> io::Result<(LogFile, OpenedLog)> {
-        fs::create_dir_all(folder)?;
+    /// Opens the log of a data directory, which is created if there is none. Returns what it held.
+    ///
+    /// # Errors
+    ///
+    /// The directory or file cannot be read or written, or the file is of a later version.
+    pub fn open(directory: &Path) -> Result<(LogFile, OpenedLog), OpenError> {
+        fs::create_dir_all(directory)?;
         let mut log = LogFile {
-            folder: folder.to_owned(),
+            directory: directory.to_owned(),
             file: None,
             length: 0,
             next_number: 1,
-            folder_unsynced: true,
+            directory_unsynced: true,
         };
         let contents = log.read()?;
         let mut durable = DurableState::default();
         if let Some(contents) = contents {
-            log.take_over(contents, &mut durable)?;
+            log.recover(contents, &mut durable)?;
         }
-        let previous_store_lost = folder.join(DAMAGED_FILE).try_exists()?;
+        let previous_store_lost = directory.join(DAMAGED_FILE).try_exists()?;
         Ok((log, OpenedLog { durable, previous_store_lost }))
     }
 
-    /// What the file holds; `None`: there is none, or nothing is in it.
-    fn read(&mut self) -> io::Result<Option<DecodedLog>> {
-        let path = self.folder.join(LOG_FILE);
+    /// Reads the file; `None`: there is none, or it is empty.
+    fn read(&mut self) -> Result<Option<DecodedLog>, OpenError> {
+        let path = self.directory.join(LOG_FILE);
         if !path.try_exists()? {
             return Ok(None);
         }
@@ -89,14 +102,13 @@
             return Ok(None);
         }
         self.file = Some(file);
-        let contents =
-            batch::decode(&bytes).map_err(|error| io::Error::new(io::ErrorKind::InvalidData, error))?;
-        Ok(Some(contents))
+        Ok(Some(batch::decode(&bytes)?))
     }
 
-    fn take_over(&mut self, contents: DecodedLog, durable: &mut DurableState) -> io::Result<()> {
+    /// Goes on from what the file held.
+    fn recover(&mut self, contents: DecodedLog, durable: &mut DurableState) -> io::Result<()> {
         if contents.tail == TailState::Damaged {
-            return self.keep_aside(contents.intact_bytes);
+            return self.set_aside(contents.intact_bytes);
         }
         contents.records.into_iter().for_each(|record| durable.apply(record));
         (self.length, self.next_number) = (contents.intact_bytes as u64, contents.next_number);
@@ -110,62 +122,70 @@
         Ok(())
     }
 
-    /// The folder goes on without the file, which stays for people to look at.
-    fn keep_aside(&mut self, readable: usize) -> io::Result<()> {
+    /// Renames a damaged file, for operators to look at; the directory goes on without it.
+    fn set_aside(&mut self, intact_bytes: usize) -> io::Result<()> {
         tracing::error!(
-            folder = %self.folder.display(),
-            readable,
-            "the log is damaged behind what is readable: kept aside as {DAMAGED_FILE}, this store begins anew"
+            directory = %self.directory.display(),
+            intact_bytes,
+            set_aside_as = DAMAGED_FILE,
+            "replica log damaged, starting as a new store"
         );
         self.file = None;
-        fs::rename(self.folder.join(LOG_FILE), self.folder.join(DAMAGED_FILE))?;
-        self.sync_folder()
+        fs::rename(self.directory.join(LOG_FILE), self.directory.join(DAMAGED_FILE))?;
+        self.sync_directory()
     }
 
-    /// Bytes of the file.
+    /// The length of the file, bytes.
     pub fn length(&self) -> u64 {
         self.length
     }
 
-    /// Appends records and syncs them. After an error nothing of them counts, and the same call may be made
-    /// again.
+    /// Appends records and syncs them.
+    ///
+    /// # Errors
+    ///
+    /// None of the records counts as saved, and the same call may be made again.
     pub fn append(&mut self, records: &[Record]) -> io::Result<()> {
         let bytes = batch::encode(self.next_number, records);
-        let Some(file) = self.file.as_mut() else { return self.write_anew(&bytes) };
+        let Some(file) = self.file.as_mut() else { return self.replace(&bytes) };
         file.set_len(self.length)?;
         file.seek(SeekFrom::Start(self.length))?;
         file.write_all(&bytes)?;
         file.sync_all()?;
-        self.sync_folder()?;
+        self.sync_directory()?;
         self.length += bytes.len() as u64;
         self.next_number += 1;
         Ok(())
     }
 
-    /// Replaces the file by the records of `durable`. After an error the call may be made again.
+    /// Replaces the file by the records of `durable`.
+    ///
+    /// # Errors
+    ///
+    /// The old file or the new one is in place, and the same call may be made again.
     pub fn rewrite(&mut self, durable: &DurableState) -> io::Result<()> {
-        self.write_anew(&batch::encode(1, &durable.records()))
+        self.replace(&batch::encode(1, &durable.records()))
     }
 
-    /// Makes a file of one batch, and gives it its name once it is synced.
-    fn write_anew(&mut self, bytes: &[u8]) -> io::Result<()> {
-        let new_path = self.folder.join(NEW_FILE);
+    /// Writes a new file of one batch, and gives it its name after it is synced.
+    fn replace(&mut self, bytes: &[u8]) -> io::Result<()> {
+        let new_path = self.directory.join(NEW_FILE);
         let mut file =
             OpenOptions::new().read(true).write(true).create(true).truncate(true).open(&new_path)?;
         file.write_all(bytes)?;
         file.sync_all()?;
-        fs::rename(&new_path, self.folder.join(LOG_FILE))?;
+        fs::rename(&new_path, self.directory.join(LOG_FILE))?;
         self.file = Some(file);
-        (self.length, self.next_number, self.folder_unsynced) = (bytes.len() as u64, 2, true);
-        self.sync_folder()
+        (self.length, self.next_number, self.directory_unsynced) = (bytes.len() as u64, 2, true);
+        self.sync_directory()
     }
 
-    /// Until a renamed file's folder is synced, a loss of power may bring the old file back: nothing behind
-    /// it counts.
-    fn sync_folder(&mut self) -> io::Result<()> {
-        if self.folder_unsynced {
-            File::open(&self.folder)?.sync_all()?;
-            self.folder_unsynced = false;
+    /// Until the directory of a renamed file is synced, a loss of power may bring the old file back, and nothing that is
+    /// appended counts.
+    fn sync_directory(&mut self) -> io::Result<()> {
+        if self.directory_unsynced {
+            File::open(&self.directory)?.sync_all()?;
+            self.directory_unsynced = false;
         }
         Ok(())
     }
--- a/crates/coordination/tests/disk.rs
+++ b/crates/coordination/tests/disk.rs
@@ -234,7 +234,7 @@
     fence.record_leader("a");
     assert_eq!(fence.permit("a", 4, 900, 3_000, 1_000), None, "the lease is over");
     let permit = fence.permit("a", 4, 1_500, 3_000, 1_000).unwrap();
-    assert_eq!((permit.fencing_token, permit.until), (4, 1_500));
+    assert_eq!((permit.fencing_token, permit.valid_until), (4, 1_500));
 }
 
 #[test]
--- a/crates/system/src/core/node.rs
+++ b/crates/system/src/core/node.rs
@@ -719,7 +719,7 @@
         let turn_wait = self.settings.bounds.lease_ms;
         let permit = self.lease.permit(&self.settings.node_name, term, lease_until, turn_wait, now)?;
         self.enter_term(now);
-        self.lease.extend(permit.until);
+        self.lease.extend(permit.valid_until);
         Some(permit)
     }
 
--- a/crates/system/src/core/overview.rs
+++ b/crates/system/src/core/overview.rs
@@ -162,7 +162,7 @@
     json!({
         "lease_holder": settings.node_name,
         "fencing_token": permit.map(|permit| permit.fencing_token),
-        "lease_left_ms": permit.map(|permit| permit.until.saturating_sub(now)),
+        "lease_left_ms": permit.map(|permit| permit.valid_until.saturating_sub(now)),
         "duties": settings.cloud_api.duties,
         "usage": {
             "last_sealed": last_sealed,
