--- a/benches/grpc.rs
+++ b/benches/grpc.rs
@@ -1,16 +1,16 @@
-//! The gRPC front measured: against the HTTP/1.1 front in the same run, by streams a connection, in memory, and its
-//! routing table against a plain scan. `cargo bench --bench grpc`; a name picks one part (`routes`, `fronts`,
-//! `streams`, `idle`). Nothing here is a test: it prints tables.
+//! The gRPC front measured: against the HTTP/1.1 front in the same run, by streams a connection, in memory,
+//! and its routing table against a plain scan. `cargo bench --bench grpc`; a name picks one part (`routes`,
+//! `fronts`, `streams`, `idle`). Nothing here is a test: it prints tables.
 
 use hdrhistogram::Histogram;
 use pathbank::grpc::routes::{Routes, Scan};
 use pathbank::grpc::status;
-use pathbank::rehearsal::brick::Brick;
 use pathbank::rehearsal::grpc::cases::Stage;
 use pathbank::rehearsal::grpc::client::{Ask, Client};
 use pathbank::rehearsal::grpc::node::Node;
 use pathbank::rehearsal::grpc::wait;
 use pathbank::rehearsal::stage::{HttpClient, Setup};
+use pathbank::rehearsal::storage_node::StandInNode;
 use pathbank::rehearsal::{Failure, Outcome};
 use std::hint::black_box;
 use std::net::SocketAddr;
@@ -165,8 +165,8 @@
 
 fn fronts() -> Outcome {
     heading("fronts: the same head, one node each, a call at a time on each stream or connection");
-    let (brick, node) = (Brick::start("b")?, Node::start()?);
-    let by_http = Stage::start(Path::new(HEAD), Setup::default(), brick.address, "")?;
+    let (storage_node, node) = (StandInNode::start("b")?, Node::start()?);
+    let by_http = Stage::start(Path::new(HEAD), Setup::default(), storage_node.address, "")?;
     let by_grpc = Stage::start(Path::new(HEAD), Setup::default(), node.address, "")?;
     let client = by_grpc.client()?;
     http(by_http.head.http, 16, 2_000)?;
--- a/benches/syslog.rs
+++ b/benches/syslog.rs
@@ -1,10 +1,11 @@
-//! The log beside requests: their latency with a collector that lives, is frozen, is gone or is slow, in one run; and
-//! minutes of traffic with a strict collector. `cargo bench --bench syslog`; or `-- latency`, `-- flood`,
-//! `-- soak SECONDS`. `PATHBANK_TWIN` names another build's head that `latency` plays beside this one's.
+//! The log beside requests: their latency with a collector that lives, is frozen, is gone or is slow, in one
+//! run; and minutes of traffic with a strict collector. `cargo bench --bench syslog`; or `-- latency`, `--
+//! flood`, `-- soak SECONDS`. `PATHBANK_TWIN` names another build's head that `latency` plays beside this
+//! one's.
 
 use hdrhistogram::Histogram;
-use pathbank::rehearsal::brick::Brick;
 use pathbank::rehearsal::stage::{Discovery, Head, HttpClient, Setup, entry};
+use pathbank::rehearsal::storage_node::StandInNode;
 use pathbank::rehearsal::syslog::{Manner, Syslog};
 use pathbank::rehearsal::{Failure, Outcome, check, expect};
 use std::collections::BTreeMap;
@@ -36,7 +37,7 @@
 }
 
 struct Stage {
-    brick: Brick,
+    storage_node: StandInNode,
     _discovery: Discovery,
     head: Head,
 }
@@ -46,8 +47,8 @@
 }
 
 fn staged(head: &str, log: &str, watched: bool) -> Outcome<Stage> {
-    let brick = Brick::start("b")?;
-    let nodes = vec![entry("s-1", brick.address, 0, "in_service")];
+    let storage_node = StandInNode::start("b")?;
+    let nodes = vec![entry("s-1", storage_node.address, 0, "in_service")];
     let discovery = Discovery::start(nodes.clone())?;
     let head = Head::start(
         Path::new(head),
@@ -55,7 +56,7 @@
         discovery.address,
         nodes,
     )?;
-    Ok(Stage { brick, _discovery: discovery, head })
+    Ok(Stage { storage_node, _discovery: discovery, head })
 }
 
 fn collector(syslog: &Syslog) -> String {
@@ -92,7 +93,7 @@
         all += run.map_err(|_| Failure::Unmet("a client panicked".into()))??;
     }
     // Nobody else asks for them, and they would be held.
-    stage.brick.seen.try_iter().for_each(drop);
+    stage.storage_node.seen.try_iter().for_each(drop);
     Ok(all)
 }
 
--- a/crates/system/src/command/steps.rs
+++ b/crates/system/src/command/steps.rs
@@ -112,7 +112,7 @@
         println!("worker\tzone\tin step\tstate\tholds\tactive\tcapacity\theard");
     }
     for worker in &workers {
-        let at = worker.get("at").map(|at| text(at, "state")).unwrap_or("-");
+        let at = worker.get("at").map_or("-", |at| text(at, "state"));
         println!(
             "{}\t{}\t{}\t{at}\t{}\t{}\t{}\t{} ms ago",
             text(worker, "worker"),
--- a/crates/system/src/edge/attempt.rs
+++ b/crates/system/src/edge/attempt.rs
@@ -72,13 +72,10 @@
     shared.startup.reach(Milestone::Sent);
     let request = client_request.request(&instance);
     let exchange = shared.pool.exchange(address, request);
-    let exchange = match tokio::time::timeout(clock::until(client_request.deadline), exchange).await {
-        Ok(exchange) => exchange,
-        Err(_) => {
-            ticket.end(AttemptOutcome::Failed);
-            client_request.record_step(shared, Step::TimedOut);
-            return AttemptEnd::TimedOut;
-        }
+    let Ok(exchange) = tokio::time::timeout(clock::until(client_request.deadline), exchange).await else {
+        ticket.end(AttemptOutcome::Failed);
+        client_request.record_step(shared, Step::TimedOut);
+        return AttemptEnd::TimedOut;
     };
     match exchange {
         Ok(exchange) => classify(shared, client_request, instance, exchange, ticket).await,
--- a/crates/system/src/edge/status.rs
+++ b/crates/system/src/edge/status.rs
@@ -61,7 +61,7 @@
     };
     let steps: Vec<Value> = steps.iter().map(step_json).collect();
     Response::json(json!({ "request": id, "head": shared.settings.node_name, "steps": steps }))
-        .unwrap_or_else(|error| error.into_response())
+        .unwrap_or_else(IntoResponse::into_response)
 }
 
 fn step_json(timed: &TimedStep) -> Value {
--- a/src/core/mod.rs
+++ b/src/core/mod.rs
@@ -172,7 +172,7 @@
         if self.metrics_copied_at.is_some_and(|at| now >= at + METRICS_MIN_INTERVAL) {
             self.metrics_copied_at = Some(now);
             let (known, skipped) = self.policy.node_counts(now);
-            self.figures.bricks(known, skipped);
+            self.figures.set_storage_nodes(known, skipped);
             self.figures.beat(Instant::now());
         }
     }
--- a/src/figures.rs
+++ b/src/figures.rs
@@ -11,7 +11,7 @@
     Passed,
     Dropped,
     BadGateway,
-    /// Attempts written whole to bricks.
+    /// Attempts written whole to nodes.
     Tries,
 }
 
@@ -87,13 +87,13 @@
         self.0.in_progress.load(Ordering::Relaxed)
     }
 
-    /// Bricks on the list, and those of them that are avoided now.
-    pub fn bricks(&self, known: usize, skipped: usize) {
+    /// Nodes on the list, and those of them that are avoided now.
+    pub fn set_storage_nodes(&self, known: usize, skipped: usize) {
         self.0.known.store(known, Ordering::Relaxed);
         self.0.skipped.store(skipped, Ordering::Relaxed);
     }
 
-    pub fn known_bricks(&self) -> usize {
+    pub fn known_nodes(&self) -> usize {
         self.0.known.load(Ordering::Relaxed)
     }
 
@@ -103,7 +103,7 @@
         count.fetch_add(1, Ordering::Relaxed);
     }
 
-    /// A watch on the list of bricks has fallen silent.
+    /// A watch on the list of nodes has fallen silent.
     pub fn silence(&self) {
         self.0.silences.fetch_add(1, Ordering::Relaxed);
     }
--- a/src/figures/tests.rs
+++ b/src/figures/tests.rs
@@ -18,7 +18,7 @@
         figures.count(class, what);
     }
     figures.count(7, Count::Passed);
-    figures.bricks(9, 2);
+    figures.set_storage_nodes(9, 2);
     figures.loaded(true);
     figures.loaded(false);
     figures.loaded(false);
--- a/src/logbook.rs
+++ b/src/logbook.rs
@@ -193,7 +193,7 @@
         if message.id != Some(wanted) {
             return;
         }
-        let get = |name: &str| message.any(name).map(|value| &**value).unwrap_or("");
+        let get = |name: &str| message.any(name).map_or("", |value| &**value);
         let number = |name: &str| get(name).parse::<u64>().unwrap_or(0);
         let kind = get(self.by.name()).to_string();
         let Some(sum) = (match self.kinds.get_mut(&kind) {
--- a/src/net/front.rs
+++ b/src/net/front.rs
@@ -111,7 +111,7 @@
     // The system resets what is in its queue when the listener closes. Asked itself, it knows what has come by now.
     let waiting = listener.into_std();
     while let Ok((stream, _)) =
-        waiting.as_ref().map_err(|_| ErrorKind::NotConnected.into()).and_then(|l| l.accept())
+        waiting.as_ref().map_err(|_| ErrorKind::NotConnected.into()).and_then(std::net::TcpListener::accept)
     {
         if let Ok(stream) = stream.set_nonblocking(true).and_then(|()| TcpStream::from_std(stream)) {
             tokio::spawn(connection(stream, slots.take().await, &phase));
--- a/src/net/grpc/back.rs
+++ b/src/net/grpc/back.rs
@@ -238,9 +238,8 @@
 async fn channel(hub: Arc<Hub>, id: ChannelId, address: SocketAddr) {
     let watch = Watch::default();
     let mut ends = Ends { hub: hub.clone(), id, up: false, watch: watch.clone() };
-    let stream = match tokio::time::timeout(hub.connect, TcpStream::connect(address)).await {
-        Ok(Ok(stream)) => stream,
-        _ => return debug!(address:%; "no channel came up"),
+    let Ok(Ok(stream)) = tokio::time::timeout(hub.connect, TcpStream::connect(address)).await else {
+        return debug!(address:%; "no channel came up");
     };
     hub.opened.fetch_add(1, Ordering::Relaxed);
     let _ = stream.set_nodelay(true); // only a matter of speed
--- a/src/net/inbound.rs
+++ b/src/net/inbound.rs
@@ -10,7 +10,7 @@
 use std::pin::Pin;
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
 use std::task::{Context, Poll, Waker};
-use tokio::io::{AsyncRead, AsyncWrite, Interest, ReadBuf};
+use tokio::io::{AsyncRead, AsyncWrite, Interest, ReadBuf, Ready};
 use tokio::net::TcpStream;
 use tokio::net::tcp::{OwnedReadHalf, OwnedWriteHalf};
 use tokio::time::{Duration, sleep, timeout};
@@ -101,7 +101,7 @@
     /// Whether the end has come behind bytes that are not read.
     fn ended_behind(&self) -> bool {
         let readiness = self.read.as_ref().ready(Interest::READABLE).now_or_never();
-        readiness.is_some_and(|ready| ready.is_ok_and(|ready| ready.is_read_closed()))
+        readiness.is_some_and(|ready| ready.is_ok_and(Ready::is_read_closed))
     }
 }
 
--- a/src/net/ops.rs
+++ b/src/net/ops.rs
@@ -1,5 +1,5 @@
-//! The operators' line: one line in, one answer out, on a thread and a runtime of its own, so that an answer waits for
-//! no client's request.
+//! The operators' line: one line in, one answer out, on a thread and a runtime of its own, so that an answer
+//! waits for no client's request.
 
 use crate::event;
 use crate::figures::Figures;
@@ -125,7 +125,7 @@
         let faults = [
             (phase.ends, "the head is ending"),
             (!phase.up, "the head is draining"),
-            (self.figures.known_bricks() == 0, "no brick is known yet"),
+            (self.figures.known_nodes() == 0, "no brick is known yet"),
             (self.figures.silent_for(Instant::now()) > CORE_SILENT, "the core does not run"),
         ];
         match faults.iter().find(|(fault, _)| *fault) {
--- a/src/net/ops/tests.rs
+++ b/src/net/ops/tests.rs
@@ -31,7 +31,7 @@
     let desk = Desk { figures: Figures::default(), lifecycle, fleet: None };
     let ask = |line: &[u8]| desk.answer(Command::read(line, true).unwrap());
     assert_eq!(ask(b"READY\n"), "ERR no brick is known yet\n");
-    desk.figures.bricks(2, 0);
+    desk.figures.set_storage_nodes(2, 0);
     assert_eq!(ask(b"READY\n"), "ERR the core does not run\n");
     desk.figures.beat(Instant::now());
     assert_eq!(ask(b"READY\n"), "OK ready\n");
--- a/src/net/slots.rs
+++ b/src/net/slots.rs
@@ -226,7 +226,7 @@
     /// behind another only the first one's is known.
     pub fn head_has(&self, name: &str) -> bool {
         let found = self.with(|slot| {
-            let lines = slot.head.split(|byte| *byte == b'\n').map(|line| line.trim_ascii_end()).skip(1);
+            let lines = slot.head.split(|byte| *byte == b'\n').map(<[u8]>::trim_ascii_end).skip(1);
             let mut fields = lines.take_while(|line| !line.is_empty());
             fields.any(|line| {
                 line.split(|byte| *byte == b':')
--- a/src/rehearsal/cases.rs
+++ b/src/rehearsal/cases.rs
@@ -154,7 +154,7 @@
 
 fn client_gone(program: &Path) -> Outcome {
     let files = Files::default();
-    let store = Store::start(files.clone())?;
+    let store = Store::start(files)?;
     let stage = Stage::start(program, Setup::default(), &store)?;
     let mut client = stage.client()?;
     let handle = client.open(PATH, WRITE_NEW)?;
@@ -215,7 +215,7 @@
 
 fn one_answer(program: &Path) -> Outcome {
     let files = Files::default();
-    let store = Store::start(files.clone())?;
+    let store = Store::start(files)?;
     let setup = Setup { deadline: Duration::from_secs(3), ..Setup::default() };
     let stage = Stage::start(program, setup, &store)?;
     let mut client = stage.client()?;
--- a/src/rehearsal/daily_cases.rs
+++ b/src/rehearsal/daily_cases.rs
@@ -1,8 +1,9 @@
-//! Cases of daily operation: the operators' line, figures, drains, reloads, upgrades, and bodies of every form.
+//! Cases of daily operation: the operators' line, figures, drains, reloads, upgrades, and bodies of every
+//! form.
 
-use super::brick::{Act, Brick, Seen, answer};
 use super::cases::Case;
 use super::stage::{Discovery, Head, HttpClient, Setup, Shared, class, entry, settings};
+use super::storage_node::{Act, Seen, StandInNode, answer};
 use super::{Failure, Outcome, STUCK, check, expect, header, wait_for};
 use serde_json::{Value, json};
 use std::io::{Read, Write};
@@ -64,17 +65,17 @@
 ];
 
 struct Scene {
-    brick: Brick,
+    storage_node: StandInNode,
     _discovery: Discovery,
     head: Head,
 }
 
 fn scene(program: &Path, setup: Setup) -> Outcome<Scene> {
-    let brick = Brick::start("b-1")?;
-    let nodes = vec![entry("s-1", brick.address, 0, "in_service")];
+    let storage_node = StandInNode::start("b-1")?;
+    let nodes = vec![entry("s-1", storage_node.address, 0, "in_service")];
     let discovery = Discovery::start(nodes.clone())?;
     let head = Head::start(program, &Setup { ops: true, ..setup }, discovery.address, nodes)?;
-    Ok(Scene { brick, _discovery: discovery, head })
+    Ok(Scene { storage_node, _discovery: discovery, head })
 }
 
 /// One line to the operators' line, and all that comes back.
@@ -162,17 +163,17 @@
     for _ in 0..3 {
         ask("token-read", 200)?;
     }
-    scene.brick.next(Act::Cut(String::new()));
+    scene.storage_node.next(Act::Cut(String::new()));
     ask("token-read", 200)?; // at its second attempt
-    scene.brick.next(Act::Answer(answer("500 Internal Server Error", "", "")));
+    scene.storage_node.next(Act::Answer(answer("500 Internal Server Error", "", "")));
     ask("once", 502)?;
     for _ in 0..3 {
-        scene.brick.next(Act::Answer(answer("503 Service Unavailable", "X-Not-Processed: 1\r\n", "")));
+        scene.storage_node.next(Act::Answer(answer("503 Service Unavailable", "X-Not-Processed: 1\r\n", "")));
     }
     ask("receipt-write", 503)?;
     ask("none", 400)?; // a request of no class
     let (release, held) = channel();
-    scene.brick.next(Act::Hold(held));
+    scene.storage_node.next(Act::Hold(held));
     let mut leaves = HttpClient::connect(scene.head.http)?;
     leaves.send("once", LONG, "", b"")?;
     come_to(ops, &[("in_progress", 1), ("upstream_tries{category=\"once\"}", 2)])?;
@@ -203,11 +204,11 @@
     let (mut idle, mut silent) = (HttpClient::connect(http)?, TcpStream::connect(http)?);
     expect(idle.ask("token-read", LONG, b"")?.0, 200, "before")?;
     let (release, held) = channel();
-    scene.brick.next(Act::Hold(held));
+    scene.storage_node.next(Act::Hold(held));
     let mut open = HttpClient::connect(http)?;
     open.send("token-read", LONG, "", b"")?;
     wait_for(
-        &scene.brick.seen,
+        &scene.storage_node.seen,
         "the second request",
         |seen| matches!(seen, Seen::Request { head, .. } if head.contains(&open.id)),
     )?;
@@ -215,7 +216,8 @@
     expect(up(http)?, 503, "/up in the drain")?;
     says(ops, "READY", "ERR")?;
     says(ops, "DRAIN", "OK")?;
-    // Connections that have nothing open are closed; the request that is open has its answer, and it is the last.
+    // Connections that have nothing open are closed; the request that is open has its answer, and it is the
+    // last.
     silent.set_read_timeout(Some(STUCK))?;
     expect(idle.stream.read(&mut [0])?, 0, "an idle connection")?;
     expect(silent.read(&mut [0])?, 0, "one that never asked")?;
@@ -254,10 +256,10 @@
     let scene = scene(program, setup.clone())?;
     let (ops, http) = (scene.head.ops()?, scene.head.http);
     let (release, held) = channel();
-    scene.brick.next(Act::Hold(held));
+    scene.storage_node.next(Act::Hold(held));
     let mut open = HttpClient::connect(http)?;
     open.send("once", LONG, "", b"data")?;
-    wait_for(&scene.brick.seen, "the open request", |seen| matches!(seen, Seen::Request { .. }))?;
+    wait_for(&scene.storage_node.seen, "the open request", |seen| matches!(seen, Seen::Request { .. }))?;
     let mut changed = settings(&setup);
     changed["profiles"] = json!([
         class(&setup, "token-read", "idempotent"),
@@ -270,9 +272,9 @@
     let ask = |class: &str| Ok::<_, Failure>(HttpClient::connect(http)?.ask(class, LONG, b"data")?.0);
     expect(ask("fresh")?, 200, "a new class")?;
     expect(ask("once")?, 400, "a dropped class")?;
-    scene.brick.next(Act::Cut(String::new()));
+    scene.storage_node.next(Act::Cut(String::new()));
     expect(ask("receipt-write")?, 502, "a class that may not be repeated any more")?;
-    scene.brick.next(Act::Cut(String::new()));
+    scene.storage_node.next(Act::Cut(String::new()));
     expect(ask("token-read")?, 503, "attempts that have become fewer")?;
     drop(release);
     expect(open.receive()?.0, 200, "what was open under the dropped class")?;
@@ -303,8 +305,8 @@
     Setup { limit: RATE, burst: BURST, ..setup }
 }
 
-/// Clients of one limited volume that ask until told to stop. Each request has one answer, or is sent once more on a
-/// new connection where a close crossed it.
+/// Clients of one limited volume that ask until told to stop. Each request has one answer, or is sent once
+/// more on a new connection where a close crossed it.
 fn ask_on(http: SocketAddr, stop: &AtomicBool, answered: &AtomicU64) -> Outcome {
     let mut client = HttpClient::connect(http)?;
     while !stop.load(Ordering::Relaxed) {
@@ -339,8 +341,8 @@
 }
 
 fn upgrade(program: &Path) -> Outcome {
-    let brick = Brick::start("b-1")?;
-    let nodes = vec![entry("s-1", brick.address, 0, "in_service")];
+    let storage_node = StandInNode::start("b-1")?;
+    let nodes = vec![entry("s-1", storage_node.address, 0, "in_service")];
     let discovery = Discovery::start(nodes.clone())?;
     let shared = Arc::new(Shared::new()?);
     std::fs::write(shared.folder.join("pathbank.n0.0.lives"), [0xff; 512])?; // left by somebody
@@ -377,12 +379,13 @@
         played.and(asked)
     })?;
     let most = BURST + RATE * begun.elapsed().as_secs_f64() + 1.0;
-    let units = brick.seen.try_iter().filter(|seen| matches!(seen, Seen::Request { .. })).count();
+    let units = storage_node.seen.try_iter().filter(|seen| matches!(seen, Seen::Request { .. })).count();
     check(units as f64 <= most, format!("{units} units came to the brick, {most} are allowed"))?;
     check(units > 0, "none came to the brick")
 }
 
-/// One request under that id on a connection of its own: whether it was served, or turned down as one used before.
+/// One request under that id on a connection of its own: whether it was served, or turned down as one used
+/// before.
 fn under_id(http: SocketAddr, id: &str) -> Outcome<bool> {
     let mut client = HttpClient::connect(http)?;
     client.send_bare("token-read", LONG, &format!("X-Request-ID: {id}\r\n"), b"")?;
@@ -394,8 +397,8 @@
 }
 
 fn upgrade_ids(program: &Path) -> Outcome {
-    let brick = Brick::start("b-1")?;
-    let nodes = vec![entry("s-1", brick.address, 0, "in_service")];
+    let storage_node = StandInNode::start("b-1")?;
+    let nodes = vec![entry("s-1", storage_node.address, 0, "in_service")];
     let discovery = Discovery::start(nodes.clone())?;
     let shared = Arc::new(Shared::new()?);
     std::fs::write(shared.folder.join("pathbank.n0.0.ids"), [0xff; 512])?; // left by somebody
@@ -425,13 +428,13 @@
             check(!under_id(shared.address, id)?, format!("{id} is taken again after its process is gone"))?;
         }
     }
-    let passed = brick.seen.try_iter().filter(|seen| matches!(seen, Seen::Request { .. })).count();
+    let passed = storage_node.seen.try_iter().filter(|seen| matches!(seen, Seen::Request { .. })).count();
     expect(passed, taken.len(), "requests at the brick")
 }
 
 fn upgrade_cut_off(program: &Path) -> Outcome {
-    let brick = Brick::start("b-1")?;
-    let nodes = vec![entry("s-1", brick.address, 0, "in_service")];
+    let storage_node = StandInNode::start("b-1")?;
+    let nodes = vec![entry("s-1", storage_node.address, 0, "in_service")];
     let discovery = Discovery::start(nodes.clone())?;
     let shared = Arc::new(Shared::new()?);
     let setup = Setup { ops: true, shared: Some(shared.clone()), ..Setup::default() };
@@ -469,7 +472,8 @@
     let long: Vec<u8> = (0..5_000_000u32).map(|i| (i % 251) as u8).collect();
     let text = "0123456789abcdef".repeat(200_000);
     let sent = |wanted: &[u8]| {
-        let seen = wait_for(&scene.brick.seen, "an upload", |seen| matches!(seen, Seen::Request { .. }))?;
+        let seen =
+            wait_for(&scene.storage_node.seen, "an upload", |seen| matches!(seen, Seen::Request { .. }))?;
         let Seen::Request { head, body } = seen else { return Err(Failure::Unmet("no request".into())) };
         check(body == wanted, format!("{} bytes came of {}", body.len(), wanted.len()))?;
         Ok(head)
@@ -477,7 +481,7 @@
     // By its length, and in chunks with extensions and trailers; longer than can be held, and shorter.
     for length in [long.len(), 300_000, 65_537, 1_000] {
         let mut client = HttpClient::connect(http)?;
-        scene.brick.next(Act::Answer(answer("200 OK", "", &text)));
+        scene.storage_node.next(Act::Answer(answer("200 OK", "", &text)));
         client.send("token-read", LONG, "", &long[..length])?;
         let (status, _, body) = client.receive()?;
         check(status == 200 && body == text.as_bytes(), format!("{status}, {} bytes came back", body.len()))?;
@@ -491,7 +495,7 @@
         chunks.extend_from_slice(b"0\r\nX-Trailer: x\r\n\r\n");
         let long_answer = format!("{:x}\r\n{text}\r\n0\r\n\r\n", text.len());
         scene
-            .brick
+            .storage_node
             .next(Act::Answer(format!("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n{long_answer}")));
         let more = format!("X-Request-ID: c-{length}\r\nTransfer-Encoding: chunked\r\n");
         client.send_bare("token-read", LONG, &more, &chunks)?;
@@ -499,15 +503,15 @@
         check(status == 200 && body == text.as_bytes(), "the chunked one came back")?;
         sent(&long[..length])?;
     }
-    // A brick that breaks off half way: the client can tell, and no other attempt speaks to it.
+    // A node that breaks off half way: the client can tell, and no other attempt speaks to it.
     let half = format!("HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n{}", text.len(), &text[..200_000]);
-    scene.brick.next(Act::Cut(half));
+    scene.storage_node.next(Act::Cut(half));
     let mut client = HttpClient::connect(http)?;
     client.send("token-read", LONG, "", b"")?;
     check(client.receive().is_err(), "half an answer passed for a whole one")?;
     come_to(ops, &[("in_progress", 0), ("handled{category=\"token-read\",outcome=\"bad_gateway\"}", 1)])?;
     // A client that goes half way leaves nothing behind.
-    scene.brick.next(Act::Answer(answer("200 OK", "", &text.repeat(8))));
+    scene.storage_node.next(Act::Answer(answer("200 OK", "", &text.repeat(8))));
     let mut client = HttpClient::connect(http)?;
     client.send("token-read", LONG, "", b"")?;
     client.stream.read_exact(&mut [0; 1000])?;
@@ -536,8 +540,8 @@
     for client in &mut slow {
         expect(client.receive()?.0, 200, "a slow upload")?;
     }
-    // One whose brick is gone is refused before its end; its connection goes on.
-    scene._discovery.tell(entry("s-1", scene.brick.address, 0, "terminating"))?;
+    // One whose node is gone is refused before its end; its connection goes on.
+    scene._discovery.tell(entry("s-1", scene.storage_node.address, 0, "terminating"))?;
     scene.head.logged("state=\"Draining\"")?;
     let long = vec![b'x'; 3_000_000];
     let mut client = HttpClient::connect(http)?;
@@ -555,7 +559,8 @@
     come_to(scene.head.ops()?, &[("in_progress", 0)])
 }
 
-/// A form of request that RFC 9110 and 9112 allow or forbid, and the status that it gets; 0: closed without an answer.
+/// A form of request that RFC 9110 and 9112 allow or forbid, and the status that it gets; 0: closed without
+/// an answer.
 struct HttpForm {
     section: &'static str,
     first_line: String,
@@ -647,8 +652,8 @@
     let HttpForm { section, first_line, more_fields, body, status } = form;
     let mut client = HttpClient::connect(http)?;
     let request = format!("{first_line}\r\n{fields}X-Request-ID: form-{number}\r\n{more_fields}\r\n{body}");
-    // Cut anywhere, it is the same request. One that is refused may be so before its end: written in one, no piece of
-    // it crosses the close.
+    // Cut anywhere, it is the same request. One that is refused may be so before its end: written in one, no
+    // piece of it crosses the close.
     let piece = if *status < 400 { 37 } else { request.len() };
     for piece in request.as_bytes().chunks(piece) {
         client.stream.write_all(piece)?;
--- a/src/rehearsal/fleet/run.rs
+++ b/src/rehearsal/fleet/run.rs
@@ -13,8 +13,8 @@
     PROPOSE_PATH, ProposalOutcome, RECORDS_PATH, RecordsReply, RecordsRequest, STATE_PATH, STATUS_PATH,
     StateReply, StateRequest, VOTERS_PATH, VoterStatus,
 };
-use crate::rehearsal::brick::{Act as Answered, Brick, Seen, answer};
 use crate::rehearsal::stage::{Discovery, Head, HttpClient, Setup, Site, entry};
+use crate::rehearsal::storage_node::{Act as Answered, Seen, StandInNode, answer};
 use crate::rehearsal::{Failure, Outcome, STUCK, check, header};
 use crate::syslog::parse::{Message, parse};
 use serde::de::DeserializeOwned;
@@ -178,16 +178,16 @@
 }
 
 impl Fleet<'_> {
-    fn start<'a>(daemon: &'a Path, plan: &Plan, bricks: &[Brick]) -> Outcome<Fleet<'a>> {
+    fn start<'a>(daemon: &'a Path, plan: &Plan, storage_nodes: &[StandInNode]) -> Outcome<Fleet<'a>> {
         static SERIAL: AtomicU64 = AtomicU64::new(0);
         let name =
             format!("pathbank-fleet-{}-{}", std::process::id(), SERIAL.fetch_add(1, Ordering::Relaxed));
         let folder = std::env::temp_dir().join(name);
         let mut draw = fastrand::Rng::with_seed(plan.seed);
-        let place = |(number, brick): (usize, &Brick)| {
-            entry(&format!("s-{number}"), brick.address, number as u16, "in_service")
+        let place = |(number, storage_node): (usize, &StandInNode)| {
+            entry(&format!("s-{number}"), storage_node.address, number as u16, "in_service")
         };
-        let known: Vec<serde_json::Value> = bricks.iter().enumerate().map(place).collect();
+        let known: Vec<serde_json::Value> = storage_nodes.iter().enumerate().map(place).collect();
         let discovery = Discovery::start(known.clone())?;
         let mut fleet = Fleet {
             daemon,
@@ -651,8 +651,8 @@
 }
 
 /// Notes when each request is first seen by any node.
-fn watch(brick: Brick, notes: Arc<Notes>, known: Arc<Mutex<BTreeSet<String>>>) {
-    for seen in brick.seen.iter() {
+fn watch(storage_node: StandInNode, notes: Arc<Notes>, known: Arc<Mutex<BTreeSet<String>>>) {
+    for seen in &storage_node.seen {
         if let Seen::Request { head, .. } = seen
             && let Some(id) = header(&head, "x-request-id")
             && lock(&known).insert(id.to_string())
@@ -664,23 +664,24 @@
 
 /// Plays one run. `Err`: it could not be played, or never came to rest.
 pub fn play(daemon: &Path, plan: &Plan, faults: &[Fault]) -> Outcome<Played> {
-    let bricks =
-        (0..NODES).map(|number| Brick::start(&format!("b-{number}"))).collect::<Outcome<Vec<Brick>>>()?;
-    for brick in &bricks {
+    let storage_nodes = (0..NODES)
+        .map(|number| StandInNode::start(&format!("b-{number}")))
+        .collect::<Outcome<Vec<StandInNode>>>()?;
+    for storage_node in &storage_nodes {
         // One in four breaks off, so that there are second attempts.
         for number in 0..20_000 {
-            brick.next(match number % 4 {
+            storage_node.next(match number % 4 {
                 3 => Answered::Cut(String::new()),
                 _ => Answered::Answer(answer("200 OK", "", "ok")),
             });
         }
     }
-    let mut fleet = Fleet::start(daemon, plan, &bricks)?;
+    let mut fleet = Fleet::start(daemon, plan, &storage_nodes)?;
     let (seats, notes) = (fleet.seats.clone(), fleet.notes.clone());
     let known: Arc<Mutex<BTreeSet<String>>> = Arc::default();
-    for brick in bricks {
+    for storage_node in storage_nodes {
         let (notes, known) = (notes.clone(), known.clone());
-        thread::spawn(move || watch(brick, notes, known));
+        thread::spawn(move || watch(storage_node, notes, known));
     }
     fleet.mark()?;
     if plan.traffic {
@@ -754,9 +755,10 @@
 
 /// What agreement costs and how fast it is, with nothing broken but a leader that is killed now and then.
 pub fn measure(daemon: &Path, plan: &Plan) -> Outcome<Vec<String>> {
-    let bricks =
-        (0..NODES).map(|number| Brick::start(&format!("b-{number}"))).collect::<Outcome<Vec<Brick>>>()?;
-    let mut fleet = Fleet::start(daemon, plan, &bricks)?;
+    let storage_nodes = (0..NODES)
+        .map(|number| StandInNode::start(&format!("b-{number}")))
+        .collect::<Outcome<Vec<StandInNode>>>()?;
+    let mut fleet = Fleet::start(daemon, plan, &storage_nodes)?;
     fleet.mark()?;
     let mut told = Vec::new();
     let mut marks = (0..MEASURED).map(|_| fleet.mark()).collect::<Outcome<Vec<u64>>>()?;
--- a/src/rehearsal/leaving.rs
+++ b/src/rehearsal/leaving.rs
@@ -1,8 +1,8 @@
 //! A case of many heads and one list: watches that fall silent, then nodes that leave.
 
-use super::brick::{Brick, Seen};
 use super::cases::Case;
 use super::stage::{Discovery, Head, HttpClient, Setup, Site, entry};
+use super::storage_node::{Seen, StandInNode};
 use super::{Outcome, check, expect};
 use std::path::Path;
 
@@ -16,8 +16,8 @@
 const HEADS: u32 = 8;
 const ASKED: usize = 6;
 
-fn requests(brick: &Brick) -> usize {
-    brick.seen.try_iter().filter(|seen| matches!(seen, Seen::Request { .. })).count()
+fn requests(storage_node: &StandInNode) -> usize {
+    storage_node.seen.try_iter().filter(|seen| matches!(seen, Seen::Request { .. })).count()
 }
 
 /// Every head's clients ask; all answers have this status.
@@ -38,8 +38,8 @@
 }
 
 fn leaving(program: &Path) -> Outcome {
-    let bricks = [Brick::start("b-1")?, Brick::start("b-2")?, Brick::start("b-3")?];
-    let [first, second, third] = &bricks;
+    let storage_nodes = [StandInNode::start("b-1")?, StandInNode::start("b-2")?, StandInNode::start("b-3")?];
+    let [first, second, third] = &storage_nodes;
     let nodes =
         vec![entry("s-1", first.address, 0, "in_service"), entry("s-2", second.address, 0, "in_service")];
     let discovery = Discovery::start(nodes.clone())?;
--- a/src/rehearsal/mod.rs
+++ b/src/rehearsal/mod.rs
@@ -1,8 +1,7 @@
-//! The rehearsal kit: stand-ins for what a head meets (clients, store nodes, bricks, discovery, a syslog
+//! The rehearsal kit: stand-ins for what a head meets (clients, store nodes, nodes, discovery, a syslog
 //! receiver), a stage that starts the real program among them, and named cases that say what must come of it.
 //! All of it is on loopback, at ports from the system, and waits on events.
 
-pub mod brick;
 pub mod cases;
 pub mod client;
 pub mod daily_cases;
@@ -12,6 +11,7 @@
 pub mod leaving;
 pub mod peer;
 pub mod stage;
+pub mod storage_node;
 pub mod store;
 pub mod syslog;
 pub mod syslog_cases;
@@ -23,8 +23,8 @@
 
 /// How long anything may take before a rehearsal is called stuck. No case passes or fails by being quick.
 pub const STUCK: Duration = Duration::from_secs(20);
-/// How long one event is waited for while others go on coming: a program that tells of the same thing again and again is
-/// as stuck as one that says nothing.
+/// How long one event is waited for while others go on coming: a program that tells of the same thing again
+/// and again is as stuck as one that says nothing.
 pub const STUCK_AMID_OTHERS: Duration = Duration::from_secs(60);
 
 #[derive(Debug)]
@@ -60,8 +60,8 @@
     check(got == wanted, format!("{what}: wanted {wanted:?}, got {got:?}"))
 }
 
-/// The next event that fits; others before it are passed over. An error once nothing has come for [`STUCK`], or nothing
-/// that fits for [`STUCK_AMID_OTHERS`].
+/// The next event that fits; others before it are passed over. An error once nothing has come for [`STUCK`],
+/// or nothing that fits for [`STUCK_AMID_OTHERS`].
 pub fn wait_for<T>(events: &Receiver<T>, what: &str, fits: impl Fn(&T) -> bool) -> Outcome<T> {
     wait_within(events, what, (STUCK, STUCK_AMID_OTHERS), fits)
 }
--- a/src/rehearsal/brick.rs
+++ b/src/rehearsal/storage_node.rs
@@ -1,4 +1,4 @@
-//! A brick's stand-in: takes requests over HTTP/1.1, notes each that came whole, and answers as it is told to.
+//! A node's stand-in: takes requests over HTTP/1.1, notes each that came whole, and answers as it is told to.
 
 use super::{Outcome, read_http};
 use std::collections::VecDeque;
@@ -8,7 +8,7 @@
 use std::sync::{Arc, Mutex, PoisonError};
 use std::thread;
 
-/// What becomes of a request; without one it is answered with 200 and the brick's name.
+/// What becomes of a request; without one it is answered with 200 and the node's name.
 pub enum Act {
     /// This, then on with the connection.
     Answer(String),
@@ -25,19 +25,19 @@
     Closed,
 }
 
-pub struct Brick {
+pub struct StandInNode {
     pub address: SocketAddr,
     pub seen: Receiver<Seen>,
     acts: Arc<Mutex<VecDeque<Act>>>,
 }
 
-impl Brick {
-    pub fn start(name: &str) -> Outcome<Brick> {
+impl StandInNode {
+    pub fn start(name: &str) -> Outcome<StandInNode> {
         let listener = TcpListener::bind("127.0.0.1:0")?;
         let address = listener.local_addr()?;
         let (sender, seen) = channel();
         let acts: Arc<Mutex<VecDeque<Act>>> = Arc::default();
-        let brick = Brick { address, seen, acts: acts.clone() };
+        let storage_node = StandInNode { address, seen, acts: acts.clone() };
         let name = name.to_string();
         thread::spawn(move || {
             for stream in listener.incoming().flatten() {
@@ -50,7 +50,7 @@
                 });
             }
         });
-        Ok(brick)
+        Ok(storage_node)
     }
 
     pub fn next(&self, act: Act) {
--- a/src/rehearsal/syslog_cases.rs
+++ b/src/rehearsal/syslog_cases.rs
@@ -1,8 +1,9 @@
-//! The cases named `syslog-*`: a head that tells its events, and collectors that go about them in their own ways.
+//! The cases named `syslog-*`: a head that tells its events, and collectors that go about them in their own
+//! ways.
 
-use super::brick::{Act, Brick, answer};
 use super::cases::Case;
 use super::stage::{Discovery, Head, HttpClient, Setup, entry};
+use super::storage_node::{Act, StandInNode, answer};
 use super::syslog::{Manner, Message, Syslog};
 use super::{Failure, Outcome, STUCK, check, expect};
 use crate::config::syslog::SpoolLimits;
@@ -50,7 +51,7 @@
 ];
 
 struct Stage {
-    brick: Brick,
+    storage_node: StandInNode,
     _discovery: Discovery,
     head: Head,
 }
@@ -61,12 +62,12 @@
     }
 
     fn with(program: &Path, log: &str, node: &str) -> Outcome<Stage> {
-        let brick = Brick::start("b")?;
-        let nodes = vec![entry(node, brick.address, 0, "in_service")];
+        let storage_node = StandInNode::start("b")?;
+        let nodes = vec![entry(node, storage_node.address, 0, "in_service")];
         let discovery = Discovery::start(nodes.clone())?;
         let setup = Setup { log: format!("{log}[requests]\nserved_one_in = 1\n"), ..Setup::default() };
         let head = Head::start(program, &setup, discovery.address, nodes)?;
-        Ok(Stage { brick, _discovery: discovery, head })
+        Ok(Stage { storage_node, _discovery: discovery, head })
     }
 
     /// So many requests, each served.
@@ -104,8 +105,8 @@
     }
 }
 
-/// Reads on until all sequence ids from 1 to the one of the message that fits have come, in whatever order and however
-/// often; returns the messages, each once.
+/// Reads on until all sequence ids from 1 to the one of the message that fits have come, in whatever order
+/// and however often; returns the messages, each once.
 fn whole(syslogs: &[&Syslog], what: &str, fits: impl Fn(&Message) -> bool) -> Outcome<Vec<Message>> {
     let (start, mut seen, mut last) = (Instant::now(), std::collections::BTreeMap::new(), None);
     loop {
@@ -136,9 +137,9 @@
     let syslog = Syslog::start()?;
     let stage = Stage::start(program, &collector("tcp", &syslog))?;
     stage.serve(1)?;
-    stage.brick.next(Act::Answer(answer("500 Oops", "", "")));
+    stage.storage_node.next(Act::Answer(answer("500 Oops", "", "")));
     stage.serve(1)?;
-    stage.brick.next(Act::Answer(answer("500 Oops", "", "")));
+    stage.storage_node.next(Act::Answer(answer("500 Oops", "", "")));
     let mut client = HttpClient::connect(stage.head.http)?;
     let status = client.ask("once", 20_000, b"x")?.0;
     expect(status, 502, "an unsafe request that may have run")?;
@@ -314,7 +315,8 @@
         check(reason.contains("certificate"), format!("{check_by}: refused for {reason:?}"))?;
         check(syslog.messages.try_recv().is_err(), "a line went to a collector that is not the one")?;
     }
-    // A key that others can read, or none of the authority's clients: the head does not start, or is not let in.
+    // A key that others can read, or none of the authority's clients: the head does not start, or is not let
+    // in.
     std::fs::set_permissions(own.directory.join("key.pem"), std::fs::Permissions::from_mode(0o644))?;
     let syslog = Syslog::tls(own.server.clone())?;
     let started = Stage::start(program, &own.collector(&syslog, &own.by_authority()));
@@ -403,7 +405,8 @@
 }
 
 fn spooled(program: &Path, directory: &Path) -> Outcome {
-    // The collector's port is nobody's until the head has died: on an address of its own, where no other case listens.
+    // The collector's port is nobody's until the head has died: on an address of its own, where no other case
+    // listens.
     let process = std::process::id().to_le_bytes();
     let own_address = SocketAddr::from(([127, 77, process[0], process[1].max(1)], 0));
     let taken = Syslog::at(own_address, Manner::Good)?;
--- a/tests/crossings.rs
+++ b/tests/crossings.rs
@@ -1,14 +1,14 @@
-//! Two events that cross, forced on real sockets: the built head among peers of which each test has every byte. The table
-//! of all pairs is `docs/design/crossings.md`.
+//! Two events that cross, forced on real sockets: the built head among peers of which each test has every
+//! byte. The table of all pairs is `docs/design/crossings.md`.
 
 use bytes::Bytes;
 use pathbank::grpc::timeout;
 use pathbank::net::sftp::packet::{self, Command, Status};
-use pathbank::rehearsal::brick::{Act, Brick, Seen};
 use pathbank::rehearsal::client::{self, Client};
 use pathbank::rehearsal::grpc::{self, routes};
 use pathbank::rehearsal::peer::{Ended, Going, Peer, request, request_of};
 use pathbank::rehearsal::stage::{self, Discovery, Head, HttpClient, Setup, Shared, Site, entry};
+use pathbank::rehearsal::storage_node::{Act, Seen, StandInNode};
 use pathbank::rehearsal::store::{Fault, Files, Seen as Stored, Store, Verb};
 use pathbank::rehearsal::{header, wait_for};
 use serde_json::json;
@@ -29,17 +29,17 @@
 
 /// A head beside a node that answers as it is told to.
 struct Stage {
-    brick: Brick,
+    storage_node: StandInNode,
     discovery: Discovery,
     head: Head,
 }
 
 fn stage(setup: Setup) -> Stage {
-    let brick = Brick::start("b-1").unwrap();
-    let nodes = vec![entry("s-1", brick.address, 0, "in_service")];
+    let storage_node = StandInNode::start("b-1").unwrap();
+    let nodes = vec![entry("s-1", storage_node.address, 0, "in_service")];
     let discovery = Discovery::start(nodes.clone()).unwrap();
     let head = head(&setup, &discovery, nodes);
-    Stage { brick, discovery, head }
+    Stage { storage_node, discovery, head }
 }
 
 fn head(setup: &Setup, discovery: &Discovery, nodes: Vec<serde_json::Value>) -> Head {
@@ -57,7 +57,7 @@
 
 impl Stage {
     fn taken(&self) -> String {
-        match wait_for(&self.brick.seen, "a request", |s| matches!(s, Seen::Request { .. })).unwrap() {
+        match wait_for(&self.storage_node.seen, "a request", |s| matches!(s, Seen::Request { .. })).unwrap() {
             Seen::Request { head, .. } => header(&head, "x-request-id").unwrap().to_string(),
             other => panic!("{other:?}"),
         }
@@ -65,7 +65,7 @@
 
     /// The ids of all requests that came whole to the node so far.
     fn seen(&self) -> Vec<String> {
-        let ids = self.brick.seen.try_iter().filter_map(|seen| match seen {
+        let ids = self.storage_node.seen.try_iter().filter_map(|seen| match seen {
             Seen::Request { head, .. } => header(&head, "x-request-id").map(str::to_string),
             _ => None,
         });
@@ -94,7 +94,8 @@
 
 // ---- clients that leave ----
 
-/// What a client has sent behind its request when it goes: nothing, another request, more than a head may hold.
+/// What a client has sent behind its request when it goes: nothing, another request, more than a head may
+/// hold.
 #[test]
 fn a_request_that_waits_for_its_turn_is_never_sent_once_its_client_has_gone() {
     for going in Going::ALL {
@@ -102,7 +103,7 @@
             // Given up only long after the test is called stuck.
             let deadline = Duration::from_secs(3600);
             let stage = stage(Setup { ops: true, deadline, ..Setup::default() });
-            let node = |state| entry("s-1", stage.brick.address, 0, state);
+            let node = |state| entry("s-1", stage.storage_node.address, 0, state);
             stage.discovery.tell(node("terminating")).unwrap();
             stage.head.logged("state=\"Draining\"").unwrap();
             let mut client = Peer::connect(stage.head.http).unwrap();
@@ -167,8 +168,9 @@
     assert_eq!(written, 0);
 }
 
-/// Its node takes nothing of a body that is passed on, so that nobody reads on at the client either. An end in order lies
-/// behind what the client has sent, and can be read once its node reads; a reset is known at once.
+/// Its node takes nothing of a body that is passed on, so that nobody reads on at the client either. An end
+/// in order lies behind what the client has sent, and can be read once its node reads; a reset is known at
+/// once.
 #[test]
 fn a_client_that_goes_in_the_middle_of_a_body_that_nobody_takes_ends_its_attempt() {
     for going in Going::ALL {
@@ -221,8 +223,9 @@
     assert!(second <= 9_600, "{second}");
 }
 
-/// A node that stops reading holds up all streams of its channel. What begins behind that is not handed over to be written
-/// some time: it would tell a time that has passed by then, and might be of a client that has gone.
+/// A node that stops reading holds up all streams of its channel. What begins behind that is not handed over
+/// to be written some time: it would tell a time that has passed by then, and might be of a client that has
+/// gone.
 #[test]
 fn a_call_behind_a_blocked_channel_tells_the_time_that_is_left_and_goes_with_its_client() {
     let listener = TcpListener::bind("127.0.0.1:0").unwrap();
@@ -284,7 +287,8 @@
 
 // ---- closing ----
 
-/// A client that writes on behind a request that is turned down reads its answer whole: no reset overtakes it.
+/// A client that writes on behind a request that is turned down reads its answer whole: no reset overtakes
+/// it.
 #[test]
 fn an_answer_that_is_a_connections_last_is_read_whole_whatever_comes_behind_it() {
     let stage = stage(Setup::default());
@@ -308,13 +312,14 @@
     }
 }
 
-/// A second request in one piece with the first, whose answer is the last: it is not taken, and its client can tell.
+/// A second request in one piece with the first, whose answer is the last: it is not taken, and its client
+/// can tell.
 #[test]
 fn what_is_pipelined_behind_a_last_answer_is_not_sent_on_and_the_end_is_in_order() {
     let shared = Arc::new(Shared::new().unwrap());
     let mut stage = stage(Setup { shared: Some(shared), ..Setup::default() });
     let (release, held) = channel();
-    stage.brick.next(Act::Hold(held));
+    stage.storage_node.next(Act::Hold(held));
     let mut client = Peer::connect(stage.head.http).unwrap();
     let [first, second] = ["first", "second"].map(|id| request("GET", "token-read", id, LONG, ""));
     client.say(first + &second).unwrap();
@@ -414,7 +419,8 @@
 
 // ---- hand-overs ----
 
-/// As long as this lives, another process of the head `n0` seems to, which never says that it keeps to its half.
+/// As long as this lives, another process of the head `n0` seems to, which never says that it keeps to its
+/// half.
 fn other_process(shared: &Shared) -> File {
     let path = shared.folder.join("pathbank.n0.0.lives");
     let lives = File::options().create(true).truncate(false).write(true).open(path).unwrap();
@@ -437,7 +443,7 @@
     assert!(!lines.iter().any(|line| line.contains(" LEAVING ")), "{lines:?}");
     // The next one takes over who stood at the door.
     drop(lives);
-    let nodes = vec![entry("s-1", stage.brick.address, 0, "in_service")];
+    let nodes = vec![entry("s-1", stage.storage_node.address, 0, "in_service")];
     let _next = head(&Setup { shared: Some(shared), ..Setup::default() }, &stage.discovery, nodes);
     assert_eq!(client.receive().unwrap().0, 200);
     assert_eq!(stage.seen(), vec![client.id]);
@@ -446,8 +452,8 @@
 /// A signal comes while a head reads its configuration, which comes as slowly as the test wants.
 #[test]
 fn a_signal_before_a_head_is_ready_ends_it_in_order_or_has_it_read_again() {
-    let brick = Brick::start("b-1").unwrap();
-    let nodes = vec![entry("s-1", brick.address, 0, "in_service")];
+    let storage_node = StandInNode::start("b-1").unwrap();
+    let nodes = vec![entry("s-1", storage_node.address, 0, "in_service")];
     let discovery = Discovery::start(nodes.clone()).unwrap();
     for signal in ["TERM", "HUP"] {
         let shared = Shared::new().unwrap();
@@ -481,7 +487,8 @@
     }
 }
 
-/// Nothing of what a killed process accepted and had not read can be saved; its client comes again, to whoever is there.
+/// Nothing of what a killed process accepted and had not read can be saved; its client comes again, to
+/// whoever is there.
 #[test]
 fn who_was_accepted_by_a_process_that_is_killed_is_served_once_as_it_comes_again() {
     let shared = Arc::new(Shared::new().unwrap());
@@ -503,14 +510,15 @@
     // There is nobody: it waits at the door.
     let mut again = Peer::connect(shared.address).unwrap();
     again.say(request("GET", "once", "of-it", LONG, "")).unwrap();
-    let nodes = vec![entry("s-1", stage.brick.address, 0, "in_service")];
+    let nodes = vec![entry("s-1", stage.storage_node.address, 0, "in_service")];
     let _next = head(&setup, &stage.discovery, nodes);
     let answer = again.head().unwrap();
     assert!(answer.starts_with("HTTP/1.1 200"), "{answer}");
     assert_eq!(stage.seen(), ["of-it"]);
 }
 
-/// The old process stands still as the new one comes, and has its end before it can say that it keeps to its half.
+/// The old process stands still as the new one comes, and has its end before it can say that it keeps to its
+/// half.
 #[test]
 fn an_old_process_that_ends_before_its_word_leaves_the_new_one_to_serve() {
     for killed in [false, true] {
@@ -520,14 +528,14 @@
         let mut stays = HttpClient::connect(shared.address).unwrap();
         assert_eq!(stays.ask("token-read", LONG, b"").unwrap().0, 200);
         let (release, held) = channel();
-        stage.brick.next(Act::Hold(held));
+        stage.storage_node.next(Act::Hold(held));
         stays.send("token-read", LONG, "", b"").unwrap();
-        wait_for(&stage.brick.seen, "both", |seen| {
+        wait_for(&stage.storage_node.seen, "both", |seen| {
             matches!(seen, Seen::Request { head, .. } if header(head, "x-request-id") == Some(&stays.id))
         })
         .unwrap();
         stage.head.stop(true).unwrap();
-        let nodes = vec![entry("s-1", stage.brick.address, 0, "in_service")];
+        let nodes = vec![entry("s-1", stage.storage_node.address, 0, "in_service")];
         let new = head(&setup, &stage.discovery, nodes);
         let mut comes = HttpClient::connect(shared.address).unwrap();
         comes.send("token-read", LONG, "", b"").unwrap();
@@ -553,9 +561,9 @@
 /// Bytes come all the time, and no list is ever whole.
 #[test]
 fn a_watch_that_never_brings_a_list_to_its_end_is_broken() {
-    let brick = Brick::start("b-1").unwrap();
+    let storage_node = StandInNode::start("b-1").unwrap();
     let discovery = TcpListener::bind("127.0.0.1:0").unwrap();
-    let nodes = vec![entry("s-1", brick.address, 0, "in_service")];
+    let nodes = vec![entry("s-1", storage_node.address, 0, "in_service")];
     let setup = Setup { site: Site::Asked, watched: false, ..Setup::default() };
     let program = Path::new(env!("CARGO_BIN_EXE_pathbank"));
     let head = Head::start(program, &setup, discovery.local_addr().unwrap(), nodes.clone()).unwrap();
@@ -655,7 +663,8 @@
 
 // ---- other settings ----
 
-/// Names are none of what decides: one class alone, in no zone, whose effect is another than its name suggests.
+/// Names are none of what decides: one class alone, in no zone, whose effect is another than its name
+/// suggests.
 #[test]
 fn whether_an_attempt_is_repeated_goes_by_the_effect_that_the_settings_give_its_class() {
     for site in Site::ALL {
@@ -670,16 +679,17 @@
             settings["profiles"] = json!([stage::class(&setup, name, effect)]);
             settings["profiles"][0]["window"] = json!(window);
             settings["zones"] = json!([]);
-            let brick = Brick::start("b-1").unwrap();
-            let mut node = entry("s-1", brick.address, 0, "in_service");
+            let storage_node = StandInNode::start("b-1").unwrap();
+            let mut node = entry("s-1", storage_node.address, 0, "in_service");
             node["zone"] = json!("");
             let discovery = Discovery::start(vec![node.clone()]).unwrap();
             let head = head(&Setup { settings: Some(settings), ..setup }, &discovery, vec![node]);
             // It has come whole, and nobody knows whether it ran.
-            brick.next(Act::Cut(String::new()));
+            storage_node.next(Act::Cut(String::new()));
             let mut client = HttpClient::connect(head.http).unwrap();
             let (status, ..) = client.ask(name, LONG, b"x").unwrap();
-            let sent = brick.seen.try_iter().filter(|seen| matches!(seen, Seen::Request { .. })).count();
+            let sent =
+                storage_node.seen.try_iter().filter(|seen| matches!(seen, Seen::Request { .. })).count();
             let wanted = if repeated { (200, 2) } else { (502, 1) };
             assert_eq!((status, sent), wanted, "{site:?} {name} {effect} {window}");
         }
@@ -721,7 +731,7 @@
     let mut client = HttpClient::connect(stage.head.http).unwrap();
     // Its client would wait for longer, the class does not; the node never answers.
     let (_release, held) = channel();
-    stage.brick.next(Act::Hold(held));
+    stage.storage_node.next(Act::Hold(held));
     let (status, ..) = client.ask("token-read", LONG, b"").unwrap();
     assert!(matches!(status, 502 | 503), "{status}");
     // Others are served, as soon as the machine is quick enough for that.
@@ -730,7 +740,7 @@
         assert!(since.elapsed() < Duration::from_secs(20), "nothing is served");
     }
     let mut told = 0;
-    for seen in stage.brick.seen.try_iter() {
+    for seen in stage.storage_node.seen.try_iter() {
         if let Seen::Request { head, .. } = seen {
             let left: u64 = header(&head, "x-timeout-ms").unwrap().parse().unwrap();
             assert!((1..=60).contains(&left), "{left}");
--- a/tests/head.rs
+++ b/tests/head.rs
@@ -1,7 +1,7 @@
 //! The built head on real sockets: one test for each rule of the platform's protocol.
 
-use pathbank::rehearsal::brick::{Act, Brick, Seen, answer};
 use pathbank::rehearsal::stage::{Discovery, Head, HttpClient, Setup, Site, entry};
+use pathbank::rehearsal::storage_node::{Act, Seen, StandInNode, answer};
 use pathbank::rehearsal::{header, wait_for};
 use serde_json::json;
 use std::io::{Read, Write};
@@ -11,7 +11,7 @@
 use std::time::Duration;
 
 struct Stage {
-    brick: Brick,
+    storage_node: StandInNode,
     discovery: Discovery,
     head: Head,
 }
@@ -24,13 +24,13 @@
 }
 
 fn stage_with(setup: Setup) -> Stage {
-    let brick = Brick::start("b-1").unwrap();
-    let nodes = vec![entry("s-1", brick.address, 0, "in_service")];
+    let storage_node = StandInNode::start("b-1").unwrap();
+    let nodes = vec![entry("s-1", storage_node.address, 0, "in_service")];
     let discovery = Discovery::start(nodes.clone()).unwrap();
     // A port where nothing listens, and that the system gives to nobody.
     let address = if setup.watched { discovery.address } else { SocketAddr::from(([127, 0, 0, 1], 1)) };
     let head = Head::start(Path::new(env!("CARGO_BIN_EXE_pathbank")), &setup, address, nodes).unwrap();
-    Stage { brick, discovery, head }
+    Stage { storage_node, discovery, head }
 }
 
 impl Stage {
@@ -38,16 +38,16 @@
         HttpClient::connect(self.head.http).unwrap()
     }
 
-    /// The next request that came whole to the brick.
+    /// The next request that came whole to the node.
     fn taken(&self) -> (String, Vec<u8>) {
-        match wait_for(&self.brick.seen, "a request", |s| matches!(s, Seen::Request { .. })).unwrap() {
+        match wait_for(&self.storage_node.seen, "a request", |s| matches!(s, Seen::Request { .. })).unwrap() {
             Seen::Request { head, body } => (head, body),
             other => panic!("{other:?}"),
         }
     }
 
     fn count(&self, fits: impl Fn(&Seen) -> bool) -> usize {
-        self.brick.seen.try_iter().filter(|seen| fits(seen)).count()
+        self.storage_node.seen.try_iter().filter(|seen| fits(seen)).count()
     }
 
     fn requests(&self) -> usize {
@@ -59,7 +59,7 @@
 fn a_request_passes_on_unchanged_and_so_does_its_answer() {
     let stage = stage(1024);
     let mut client = stage.client();
-    stage.brick.next(Act::Answer(answer(
+    stage.storage_node.next(Act::Answer(answer(
         "200 OK",
         "X-Server-Load: inflight=7,queue=2\r\nX-Meter: 85\r\n",
         "a body",
@@ -77,10 +77,10 @@
 }
 
 #[test]
-fn bad_clients_get_an_error_or_a_close_and_no_brick_hears_of_them() {
+fn bad_clients_get_an_error_or_a_close_and_reach_no_node() {
     let stage = stage(1024);
     let (release, held) = channel();
-    stage.brick.next(Act::Hold(held));
+    stage.storage_node.next(Act::Hold(held));
     let mut usual = stage.client();
     usual.send("token-read", LONG, "", b"").unwrap();
     stage.taken();
@@ -136,12 +136,12 @@
     ] {
         let stage = stage(1024);
         let shown = &text[..text.len().min(60)];
-        stage.brick.next(Act::Answer(text.clone()));
+        stage.storage_node.next(Act::Answer(text.clone()));
         // It may have run: the class decides whether it is repeated, on a new connection.
         let mut client = stage.client();
         assert_eq!(client.ask("once", LONG, b"data").unwrap().0, 502, "{shown}");
         assert_eq!(client.ask("once", LONG, b"data").unwrap().2, b"b-1", "{shown}");
-        stage.brick.next(Act::Answer(text.clone()));
+        stage.storage_node.next(Act::Answer(text.clone()));
         assert_eq!(client.ask("token-read", LONG, b"").unwrap().2, b"b-1", "{shown}");
         assert_eq!(stage.count(|seen| *seen == Seen::Connected), 3, "{shown}");
     }
@@ -159,7 +159,7 @@
         (answer("200 OK", "Connection: close\r\n", "good"), 2),
     ] {
         let stage = stage(1024);
-        stage.brick.next(Act::Answer(text.clone()));
+        stage.storage_node.next(Act::Answer(text.clone()));
         let mut client = stage.client();
         assert_eq!(client.ask("once", LONG, b"data").unwrap().2, b"good", "{text}");
         assert_eq!(client.ask("once", LONG, b"data").unwrap().2, b"b-1", "{text}");
@@ -168,7 +168,7 @@
 }
 
 #[test]
-fn requests_one_after_another_share_one_connection_to_the_brick() {
+fn consecutive_requests_share_one_connection_to_the_node() {
     let stage = stage(1024);
     let mut client = stage.client();
     for _ in 0..5 {
@@ -178,7 +178,7 @@
 }
 
 #[test]
-fn what_is_malformed_or_too_long_is_answered_without_a_brick() {
+fn malformed_or_too_long_requests_are_answered_without_a_node() {
     let stage = stage(1024);
     assert_eq!(stage.client().ask("none", LONG, b"").unwrap().0, 400);
     let mut client = stage.client();
@@ -204,7 +204,7 @@
         ("once", Act::Answer(never), 200, 2),
     ] {
         let stage = stage(1024);
-        stage.brick.next(act);
+        stage.storage_node.next(act);
         assert_eq!(stage.client().ask(class, LONG, b"data").unwrap().0, status, "{class}");
         assert_eq!(stage.requests(), sent, "{class}");
     }
@@ -214,19 +214,20 @@
 fn a_connection_closed_while_idle_never_makes_a_second_attempt() {
     let stage = stage(1024);
     for _ in 0..20 {
-        stage.brick.next(Act::Cut(answer("200 OK", "", "")));
+        stage.storage_node.next(Act::Cut(answer("200 OK", "", "")));
         assert_eq!(stage.client().ask("token-read", LONG, b"").unwrap().0, 200);
         assert_eq!(stage.requests(), 1);
-        // The close may cross the next request: then it may have run, and fails; else it goes to a new connection.
+        // The close may cross the next request: then it may have run, and fails; else it goes to a new
+        // connection.
         let (status, ..) = stage.client().ask("once", LONG, b"data").unwrap();
         assert_eq!(stage.requests(), usize::from(status == 200), "{status}");
     }
 }
 
 #[test]
-fn a_draining_brick_gets_nothing_new_and_the_refusal_says_when_to_come_back() {
+fn a_draining_node_gets_nothing_new_and_the_refusal_has_a_retry_time() {
     let stage = stage(1024);
-    stage.discovery.tell(entry("s-1", stage.brick.address, 0, "terminating")).unwrap();
+    stage.discovery.tell(entry("s-1", stage.storage_node.address, 0, "terminating")).unwrap();
     stage.head.logged("state=\"Draining\"").unwrap();
     let (status, head, _) = stage.client().ask("token-read", 1000, b"").unwrap();
     assert_eq!(status, 503);
@@ -235,15 +236,15 @@
 }
 
 #[test]
-fn a_silent_brick_means_an_answer_from_the_head() {
+fn a_silent_node_means_an_answer_from_the_proxy() {
     let stage = stage(1024);
     let (release, held) = channel();
-    stage.brick.next(Act::Hold(held));
+    stage.storage_node.next(Act::Hold(held));
     assert_eq!(stage.client().ask("once", 2000, b"data").unwrap().0, 502);
     stage.taken();
-    // The brick comes to its answer now, and finds that the head has closed the connection.
+    // The node comes to its answer now, and finds that the head has closed the connection.
     drop(release);
-    wait_for(&stage.brick.seen, "the attempt given up", |seen| *seen == Seen::Closed).unwrap();
+    wait_for(&stage.storage_node.seen, "the attempt given up", |seen| *seen == Seen::Closed).unwrap();
     assert_eq!(stage.requests(), 0);
 }
 
@@ -253,10 +254,10 @@
     let mut releases = Vec::new();
     for _ in 0..4 {
         let (release, held) = channel();
-        stage.brick.next(Act::Hold(held));
+        stage.storage_node.next(Act::Hold(held));
         releases.push(release);
     }
-    // Room for nine: of ten requests that no brick answers, one is refused, whichever came last.
+    // Room for nine: of ten requests that no node answers, one is refused, whichever came last.
     let (sender, answers) = channel();
     for _ in 0..10 {
         let (mut client, sender) = (stage.client(), sender.clone());
@@ -275,7 +276,7 @@
 fn clients_that_leave_free_their_places() {
     let stage = stage(20);
     let (release, held) = channel();
-    stage.brick.next(Act::Hold(held));
+    stage.storage_node.next(Act::Hold(held));
     let mut clients: Vec<HttpClient> = (0..9).map(|_| stage.client()).collect();
     for client in &mut clients {
         client.send("token-read", LONG, "", b"").unwrap();
@@ -289,7 +290,7 @@
 }
 
 #[test]
-fn a_probe_asks_a_brick_for_its_load_under_no_clients_id() {
+fn a_probe_asks_a_node_for_its_load_under_no_clients_id() {
     let stage = stage_with(Setup { crowd: true, ..Setup::default() });
     let mut client = stage.client();
     assert_eq!(client.ask("token-read", LONG, b"").unwrap().0, 200);
@@ -301,10 +302,10 @@
 }
 
 #[test]
-fn an_idle_connection_is_dropped_by_the_head_before_the_brick_would() {
+fn an_idle_connection_is_closed_by_the_proxy_before_the_node_would() {
     let stage = stage_with(Setup { keepalive: Duration::from_secs(1), ..Setup::default() });
     assert_eq!(stage.client().ask("token-read", LONG, b"").unwrap().0, 200);
-    wait_for(&stage.brick.seen, "the idle connection's end", |seen| *seen == Seen::Closed).unwrap();
+    wait_for(&stage.storage_node.seen, "the idle connection's end", |seen| *seen == Seen::Closed).unwrap();
 }
 
 #[test]
@@ -314,7 +315,8 @@
     stage.head.logged(" WATCH_BROKE ").unwrap();
 }
 
-/// What a silent watch misses counts as told 6 s after it fell silent, heard of or not; sends may go on for 1 s then.
+/// What a silent watch misses counts as told 6 s after it fell silent, heard of or not; sends may go on for 1
+/// s then.
 #[test]
 fn an_overdue_list_gives_no_node_work_until_it_is_renewed() {
     let stage = stage_with(Setup { site: Site::Asked, ..Setup::default() });
@@ -353,7 +355,7 @@
 fn after_sigterm_what_is_held_is_finished_and_the_program_exits_in_order() {
     let mut stage = stage(1024);
     let (release, held) = channel();
-    stage.brick.next(Act::Hold(held));
+    stage.storage_node.next(Act::Hold(held));
     let (mut client, _idle) = (stage.client(), stage.client());
     client.send("token-read", LONG, "", b"").unwrap();
     stage.taken();
@@ -377,11 +379,11 @@
 
 fn sighups_move_the_watch(stage: Stage) {
     let (release, held) = channel();
-    stage.brick.next(Act::Hold(held));
+    stage.storage_node.next(Act::Hold(held));
     let mut client = stage.client();
     client.send("token-read", LONG, "", b"").unwrap();
     stage.taken();
-    let node = || entry("s-1", stage.brick.address, 0, "in_service");
+    let node = || entry("s-1", stage.storage_node.address, 0, "in_service");
     let mut places = Vec::new();
     for _ in 0..3 {
         let place = Discovery::start(vec![node()]).unwrap();
@@ -391,7 +393,7 @@
         places.push(place);
     }
     // What the last one tells is heard, and what was open all the while is answered.
-    places[2].tell(entry("s-1", stage.brick.address, 0, "terminating")).unwrap();
+    places[2].tell(entry("s-1", stage.storage_node.address, 0, "terminating")).unwrap();
     stage.head.logged("state=\"Draining\"").unwrap();
     drop(release);
     assert_eq!(client.receive().unwrap().0, 200);
@@ -406,7 +408,7 @@
         let line = stage.head.logged(" RELOAD_FAILED ").unwrap();
         assert!(line.contains(fault), "{line}");
     }
-    stage.discovery.tell(entry("s-1", stage.brick.address, 0, "terminating")).unwrap();
+    stage.discovery.tell(entry("s-1", stage.storage_node.address, 0, "terminating")).unwrap();
     stage.head.logged("state=\"Draining\"").unwrap();
 }
 
@@ -414,7 +416,7 @@
 fn a_sighup_while_the_head_leaves_does_not_hurry_it() {
     let mut stage = stage(1024);
     let (release, held) = channel();
-    stage.brick.next(Act::Hold(held));
+    stage.storage_node.next(Act::Hold(held));
     let mut client = stage.client();
     client.send("token-read", LONG, "", b"").unwrap();
     stage.taken();
@@ -454,16 +456,18 @@
     assert_eq!(stage.requests(), 0);
 }
 
-/// One of 1,024 heads, on a list of 1,024 nodes that comes indented; then a list beyond any bound, and one that stalls.
+/// One of 1,024 heads, on a list of 1,024 nodes that comes indented; then a list beyond any bound, and one
+/// that stalls.
 #[test]
 fn a_long_indented_list_is_served_and_what_cannot_be_read_leaves_it_in_force() {
-    let brick = Brick::start("b-1").unwrap();
+    let storage_node = StandInNode::start("b-1").unwrap();
     let discovery = TcpListener::bind("127.0.0.1:0").unwrap();
     let place = discovery.local_addr().unwrap();
     let setup = Setup { site: Site::Asked, watched: false, heads: 1024, ..Setup::default() };
     let head = Head::start(Path::new(env!("CARGO_BIN_EXE_pathbank")), &setup, place, Vec::new()).unwrap();
     let called = || called(&discovery);
-    let nodes: Vec<_> = (0..1024).map(|n| entry(&format!("s-{n}"), brick.address, n, "in_service")).collect();
+    let nodes: Vec<_> =
+        (0..1024).map(|n| entry(&format!("s-{n}"), storage_node.address, n, "in_service")).collect();
     let list = json!({"version": 7, "full": true, "servers": nodes});
     let text = format!("{}\n", serde_json::to_string_pretty(&list).unwrap());
     // A client of its own each time: an idle one is asked to go while the head waits for its turn to call.
@@ -480,7 +484,8 @@
     let mut watch = called();
     write!(watch, "{:x}\r\n{}\r\n", 1000, &text[..1000]).unwrap();
     head.logged("a call got no list in time").unwrap();
-    // Of so many heads the call may have come when 6 s and the time to stop were over: then the list waits for its renewal.
+    // Of so many heads the call may have come when 6 s and the time to stop were over: then the list waits
+    // for its renewal.
     assert!(matches!(ask(), 200 | 503));
     let mut watch = called();
     write!(watch, "{:x}\r\n{text}\r\n", text.len()).unwrap();
@@ -502,13 +507,13 @@
 
 #[test]
 fn what_the_old_watch_tells_while_the_new_one_opens_counts() {
-    let brick = Brick::start("b-1").unwrap();
+    let storage_node = StandInNode::start("b-1").unwrap();
     let places = [(); 2].map(|()| TcpListener::bind("127.0.0.1:0").unwrap());
     let place = |n: usize| places[n].local_addr().unwrap();
     let setup = Setup { site: Site::Asked, watched: false, ..Setup::default() };
     let head = Head::start(Path::new(env!("CARGO_BIN_EXE_pathbank")), &setup, place(0), Vec::new()).unwrap();
     let tell = |watch: &mut TcpStream, full: bool, state: &str| {
-        let nodes = [entry("s-1", brick.address, 0, state)];
+        let nodes = [entry("s-1", storage_node.address, 0, state)];
         let text =
             format!("{}\n", json!({"version": if full { 1 } else { 2 }, "full": full, "servers": nodes}));
         write!(watch, "{:x}\r\n{text}\r\n", text.len()).unwrap();
