--- a/crates/router/src/core_choice.rs
+++ b/crates/router/src/core_choice.rs
@@ -1,38 +1,37 @@
-//! Which core an edge listens to, which one leads, and when it has to ask for a configuration.
+//! To which core an edge is subscribed, which core leads, and when the edge has to fetch a configuration.
 //!
-//! Every core tells a little of itself to every edge. One of them, in the edge's own zone where there is one,
-//! is asked for all news. Reports go to the leader.
+//! Every core sends its status to every edge. The edge subscribes to the updates of one of them, in its own
+//! zone where there is one. Its reports go to the leader.
 
 use crate::Millis;
 use crate::draw::unit_draw;
 use pathbank_protocol::message::CoreStatus;
 use std::collections::BTreeMap;
 
-/// A configuration that was announced and has not come for so long is asked for, and once more after as long
-/// again.
+/// An announced configuration that has not arrived within this time is fetched, and again after the same
+/// time.
 const FETCH_TIMEOUT_MS: Millis = 200;
-/// From then on each wait is twice the one before, this often at most.
+/// From then on the time-out doubles, at most this often.
 const MAX_FETCH_BACKOFF_DOUBLINGS: u32 = 3;
-/// A core that is listened to and has the configuration is about to send it. Another one is asked only after
-/// this.
+/// Time-out while the subscribed core has the configuration: it is about to send it.
 const DELIVERY_TIMEOUT_MS: Millis = 1_500;
-/// A core that has not been current for so long is left for one that has been meanwhile.
+/// A subscribed core that has not been current for this long is replaced by one that has been.
 const FAILOVER_TIMEOUT_MS: Millis = 300;
-/// An edge that reaches its first core waits this long for one in its own zone: links to all open within a
-/// few milliseconds.
+/// An edge that is connected to its first core waits this long for one in its own zone: connections to all
+/// cores open within milliseconds.
 const SELECTION_DELAY_MS: Millis = 50;
 
 /// Names a core by its address.
 pub type CoreAddress = std::net::SocketAddr;
 
-/// What is to be said to a core.
+/// A message that is due to a core.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum CoreAction {
-    /// All news is wanted from it.
+    /// Subscribe to its updates.
     Subscribe(CoreAddress),
-    /// No longer.
+    /// Unsubscribe.
     Unsubscribe(CoreAddress),
-    /// What is newer there than the configuration in force here is wanted.
+    /// Fetch what is newer than the configuration in force here.
     Fetch(CoreAddress),
 }
 
@@ -40,7 +39,7 @@
 struct Core {
     zone: String,
     current: bool,
-    /// Since when it is current, or is not.
+    /// Since when `current` has its value.
     status_since: Millis,
     configuration_index: u64,
     leader: String,
@@ -48,36 +47,36 @@
     updated_at: Millis,
 }
 
-/// A newer configuration than the one in force was announced.
+/// A configuration that was announced and has not arrived.
 #[derive(Clone, Copy, Debug)]
 struct MissingConfiguration {
-    /// The entry of the one in force.
+    /// The log entry of the configuration in force.
     known_index: u64,
-    /// Since when nothing newer has come, or when it was asked for last.
+    /// When it was announced, or fetched last.
     since: Millis,
-    /// How often it was asked for.
+    /// How often it was fetched.
     asked: u32,
 }
 
-/// The cores that this edge reaches.
+/// The cores to which this edge is connected.
 #[derive(Clone, Debug, Default)]
 pub struct CoreChoice {
     zone: String,
     seed: u64,
     cores: BTreeMap<CoreAddress, Core>,
-    /// Since when a core is reached and none was chosen yet.
+    /// Since when a core is connected and none is chosen.
     selecting_since: Option<Millis>,
     subscribed: Option<CoreAddress>,
     missing: Option<MissingConfiguration>,
 }
 
 impl CoreChoice {
-    /// An edge in `zone` that reaches no core yet. `seed`: any number, another one at each edge.
+    /// An edge in `zone` without a connection. `seed`: any number that differs by edge.
     pub fn new(zone: String, seed: u64) -> CoreChoice {
         CoreChoice { zone, seed, ..CoreChoice::default() }
     }
 
-    /// A core told of itself.
+    /// Takes a core's status.
     pub fn update_status(&mut self, now: Millis, address: CoreAddress, status: &CoreStatus) {
         if self.cores.is_empty() {
             self.selecting_since = Some(now);
@@ -96,7 +95,7 @@
         self.cores.insert(address, core);
     }
 
-    /// The link to a core has ended.
+    /// The connection to a core has ended.
     pub fn disconnected(&mut self, address: CoreAddress) {
         self.cores.remove(&address);
         if self.subscribed == Some(address) {
@@ -104,24 +103,24 @@
         }
     }
 
-    /// The core that is listened to.
+    /// The core to which the edge is subscribed.
     pub fn subscribed(&self) -> Option<CoreAddress> {
         self.subscribed
     }
 
-    /// The leader, by the newest word of a core that is current, if this edge reaches it.
+    /// The leader by the latest status of a current core; `None`: not known, or not connected.
     pub fn leader(&self) -> Option<CoreAddress> {
         let current = self.cores.values().filter(|core| core.current && !core.leader.is_empty());
         let leader = current.max_by_key(|core| core.updated_at)?.leader.parse().ok()?;
         self.cores.contains_key(&leader).then_some(leader)
     }
 
-    /// Edges that share the system: the most that any core sees.
+    /// The number of edges in the system: the most that any core reports.
     pub fn edges(&self) -> u32 {
         self.cores.values().map(|core| core.edges).max().unwrap_or(0)
     }
 
-    /// What is to be said now; `known_index`: the entry of the configuration in force here, 0: none.
+    /// Messages that are due now. `known_index`: the log entry of the configuration in force here; 0: none.
     pub fn actions(&mut self, now: Millis, known_index: u64) -> Vec<CoreAction> {
         let mut actions = Vec::new();
         self.choose(now, &mut actions);
@@ -139,20 +138,18 @@
         actions.push(CoreAction::Subscribe(best));
     }
 
-    /// Whether the core that is listened to is as good as any other. After a start of all cores they become
-    /// current one after the other: an edge that went to the first one would go there together with all other
-    /// edges.
+    /// Whether the edge should keep its subscription. After a restart of all cores they become current one
+    /// after the other; if edges moved at once, all would move to the first one.
     fn is_well_served(&self, now: Millis) -> bool {
         let is_settled = |core: &Core| now >= core.status_since + FAILOVER_TIMEOUT_MS;
         let Some(core) = self.subscribed.and_then(|address| self.cores.get(&address)) else { return false };
         core.current || !is_settled(core) || !self.cores.values().any(|core| core.current && is_settled(core))
     }
 
-    /// The core to listen to: one that is current, in the own zone if there is one. `None`: that is not known
-    /// yet.
+    /// The core to subscribe to: a current one, in the own zone if possible. `None`: not decided yet.
     fn best(&self, now: Millis) -> Option<CoreAddress> {
         let rank = |core: &Core| (core.current, core.zone == self.zone);
-        // Of equals, different edges take different ones.
+        // Among equal cores, edges choose different ones.
         let draw = |address: &CoreAddress| unit_draw(self.seed, &address.to_string());
         let best = self.cores.iter().max_by(|(one, first), (other, second)| {
             rank(first).cmp(&rank(second)).then_with(|| draw(one).total_cmp(&draw(other)))
@@ -174,7 +171,7 @@
         if now < missing.since + self.fetch_wait(&missing) {
             return;
         }
-        // Not all edges that lack it ask the same core.
+        // Edges that lack it spread over the cores.
         let draw = |address: &CoreAddress| {
             unit_draw(self.seed.wrapping_add(missing.asked.into()), &address.to_string())
         };
--- a/crates/router/src/draw.rs
+++ b/crates/router/src/draw.rs
@@ -1,6 +1,6 @@
-//! Draws that need no state: the same number and text give the same draw.
+//! Stateless pseudo-random draws: the same number and text give the same draw.
 
-/// A number from 0 to 1 that looks random and differs by number and text.
+/// A pseudo-random number from 0 to 1 that depends on `number` and `text`.
 pub fn unit_draw(number: u64, text: &str) -> f64 {
     let seed = number.wrapping_mul(0x9e37_79b9_7f4a_7c15);
     let mixed =
--- a/crates/router/src/engine_estimates.rs
+++ b/crates/router/src/engine_estimates.rs
@@ -1,42 +1,41 @@
-//! What this edge has seen of the engines behind model servers: how fast each reads prompts, and for how long
-//! answers take a slot.
+//! This edge's estimates of the engines behind model servers: prefill rate, decode pace and slot time.
 
 use crate::Millis;
 use crate::model_servers::Instance;
 use pathbank_control::estimate::{EstimateTable, Prior};
 
-/// Tokens of prompts that a model server reads in a millisecond.
+/// Prefill rate, tokens per millisecond.
 const PREFILL_TOKENS_PER_MS: Prior = Prior { initial: 16.0, min: 0.05, max: 2_000.0 };
-/// A model server reads so many times as fast as others do.
+/// Speed of a model server relative to others.
 const SERVER_FACTOR: Prior = Prior { initial: 1.0, min: 0.05, max: 20.0 };
-/// Between two events of a stream that nothing holds up, milliseconds.
+/// Time between two events of an undisturbed stream, milliseconds.
 const DECODE_PACE_MS: Prior = Prior { initial: 40.0, min: 0.5, max: 10_000.0 };
-/// For how long an answer takes a slot, milliseconds.
+/// For how long an answer occupies a slot, milliseconds.
 const SLOT_TIME_MS: Prior = Prior { initial: 1_500.0, min: 1.0, max: 120_000.0 };
-/// A prompt with fewer tokens tells more of what comes beside reading it.
+/// For shorter prompts the time to the first token is mostly overhead, not prefill.
 const MIN_PREFILL_TOKENS: u64 = 256;
 
-/// A prompt that was read, and nothing of this edge before it at its model server.
+/// The prefill of a prompt that no other prompt of this edge was queued before.
 #[derive(Clone, Copy, Debug)]
 pub struct PrefillSample<'a> {
     /// The model server.
     pub instance: &'a Instance,
     /// The model.
     pub model: &'a str,
-    /// Tokens that had to be read there.
+    /// Tokens that had to be prefilled.
     pub tokens: u64,
-    /// From the send until the answer began, milliseconds.
+    /// Time from sending to the begin of the answer, milliseconds.
     pub took_ms: Millis,
 }
 
 /// Estimates by model and by model server.
 #[derive(Clone, Debug)]
 pub struct EngineEstimates {
-    /// By model: a large one reads more slowly.
+    /// By model.
     prefill_rate: EstimateTable<String>,
     /// By model.
     decode_pace: EstimateTable<String>,
-    /// By model server, beside others: the pace of streams tells it, for nothing else moves that.
+    /// By model server, relative to others. Derived from the decode pace, which depends on little else.
     server_factor: EstimateTable<Instance>,
     /// By model.
     slot_time: EstimateTable<String>,
@@ -54,7 +53,7 @@
 }
 
 impl EngineEstimates {
-    /// A prompt was read.
+    /// Records the prefill of a prompt.
     pub fn observe_prefill(&mut self, now: Millis, sample: PrefillSample<'_>) {
         if sample.tokens < MIN_PREFILL_TOKENS {
             return;
@@ -64,7 +63,8 @@
         self.prefill_rate.record(now, &sample.model.to_owned(), normalized);
     }
 
-    /// A stream was complete whose events came so many milliseconds apart while nothing held them up.
+    /// Records the pace of a complete stream: milliseconds between its events while nothing else held them
+    /// up.
     pub fn observe_decode_pace(&mut self, now: Millis, instance: &Instance, model: &str, pace_ms: f64) {
         if self.decode_pace.is_known(model) {
             self.server_factor.record(now, instance, self.decode_pace.value(now, model) / pace_ms);
@@ -73,47 +73,47 @@
         self.decode_pace.record(now, &model.to_owned(), normalized);
     }
 
-    /// An answer ended that took a slot for so long.
+    /// Records the slot time of an answer.
     pub fn observe_slot_time(&mut self, now: Millis, model: &str, slot_time: Millis) {
         self.slot_time.record(now, &model.to_owned(), slot_time as f64);
     }
 
-    /// How long a model server takes to read tokens of a prompt, milliseconds.
+    /// Prefill time of a number of tokens at a model server, milliseconds.
     pub fn prefill_ms(&self, now: Millis, instance: &Instance, model: &str, tokens: u64) -> f64 {
         tokens as f64 / (self.prefill_rate.value(now, model) * self.server_factor.value(now, instance))
     }
 
-    /// How long any model server takes to read tokens of a prompt, milliseconds.
+    /// Prefill time of a number of tokens at an average model server, milliseconds.
     pub fn typical_prefill_ms(&self, now: Millis, model: &str, tokens: u64) -> f64 {
         tokens as f64 / self.prefill_rate.value(now, model)
     }
 
-    /// For how long an answer of a model takes a slot, milliseconds.
+    /// Slot time of an answer of a model, milliseconds.
     pub fn slot_time_ms(&self, now: Millis, model: &str) -> f64 {
         self.slot_time.value(now, model)
     }
 
-    /// For how long an answer of any model takes a slot, milliseconds.
+    /// Mean slot time over all models, milliseconds.
     pub fn mean_slot_time_ms(&self) -> f64 {
         self.slot_time.pooled()
     }
 
-    /// Tokens of prompts that any model server reads in a millisecond, by model.
+    /// Prefill rates by model, tokens per millisecond.
     pub fn prefill_rates(&self, now: Millis) -> impl Iterator<Item = (&String, f64)> {
         self.prefill_rate.iter(now)
     }
 
-    /// How many times as fast as others each model server reads.
+    /// Relative speeds by model server.
     pub fn server_factors(&self, now: Millis) -> impl Iterator<Item = (&Instance, f64)> {
         self.server_factor.iter(now)
     }
 
-    /// For how long an answer takes a slot, by model, milliseconds.
+    /// Slot times by model, milliseconds.
     pub fn slot_times(&self, now: Millis) -> impl Iterator<Item = (&String, f64)> {
         self.slot_time.iter(now)
     }
 
-    /// Forgets what was not seen for long.
+    /// Removes estimates that were not updated for long.
     pub fn tidy(&mut self, now: Millis) {
         self.prefill_rate.expire(now);
         self.decode_pace.expire(now);
--- a/crates/router/src/evacuation.rs
+++ b/crates/router/src/evacuation.rs
@@ -1,32 +1,31 @@
-//! Streams leave a model server that is taken away at short notice, before it goes.
+//! Evacuation: streams move away from a model server that ends at short notice.
 //!
-//! A model server that says `draining` with `remaining_ms` is gone once that time is out, whatever it runs.
-//! Streams that another model server may take up are moved before: those whose clients stop waiting first go
-//! first, evenly over the time that is left, for a model server that reads many prompts at once holds up all
-//! its streams. What cannot be taken up elsewhere stays; it has the model server's slots to itself. Nothing
-//! moves where no time is told: such a model server serves what it has.
+//! A model server that reports `draining` with `remaining_ms` ends after that time, whatever it runs. Streams
+//! that another model server can resume move before, in the order of their deadlines and evenly over the
+//! remaining time: a model server that prefills many prompts at once stalls all its streams. Other requests
+//! stay and share the free slots. Without `remaining_ms` nothing moves: the model server completes what it
+//! has.
 
 use crate::Millis;
 use crate::dispatcher::RequestId;
 use std::collections::BTreeMap;
 
-/// The last streams have left so long before the model server goes, milliseconds: word of it may have been on
-/// its way for a while.
+/// The last stream moves this long before the model server ends: its report may have been delayed.
 pub const EVACUATION_MARGIN_MS: Millis = 400;
-/// A stream that ends this much before the model server goes is left to end, milliseconds.
+/// A stream that should complete this long before the model server ends does not move.
 const COMPLETION_MARGIN_MS: f64 = 150.0;
 
-/// A stream at a model server that is taken away.
+/// A stream at a model server that announced its end.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Stream {
     /// The request.
     pub id: RequestId,
-    /// When its client stops waiting.
+    /// The client's deadline.
     pub deadline: Millis,
 }
 
-/// When each stream leaves. `draw`: from 0 to 1, another one at each edge, so that edges do not move theirs
-/// together.
+/// Plans when each stream moves. `draw`: from 0 to 1, differs by edge, so that edges do not move streams at
+/// the same moments.
 pub fn plan(
     now: Millis,
     ends_at: Millis,
@@ -40,18 +39,17 @@
     streams.iter().enumerate().map(|(position, stream)| (stream.id, evacuates_at(position))).collect()
 }
 
-/// How many events a stream has for each token that its client asked for at most: a running mean over streams
-/// that were complete.
+/// Events of a stream per token of its output limit: a moving average over complete streams.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct EventRate {
     per_token: Option<f64>,
 }
 
-/// Weight of one stream in the mean.
+/// Weight of one stream in the moving average.
 const EVENT_RATE_WEIGHT: f64 = 0.1;
 
 impl EventRate {
-    /// A stream was complete with so many events.
+    /// Records a complete stream.
     pub fn observe(&mut self, output_tokens: u64, events: u64) {
         if output_tokens == 0 || events == 0 {
             return;
@@ -61,25 +59,25 @@
             Some(self.per_token.map_or(seen, |known| known + EVENT_RATE_WEIGHT * (seen - known)));
     }
 
-    /// Events that a stream should have in all; `None`: no stream was complete yet.
+    /// Events that a stream should have in total; `None`: not known yet.
     pub fn expected(&self, output_tokens: u64) -> Option<f64> {
         self.per_token.map(|per_token| per_token * output_tokens as f64)
     }
 }
 
-/// How far a stream is.
+/// The progress of a stream.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Progress {
-    /// When its first event came.
+    /// Time of its first event.
     pub started_at: Millis,
     /// Events so far.
     pub events: u64,
-    /// Events that it should have in all, if that is known.
+    /// Events that it should have in total, if known.
     pub expected: Option<f64>,
 }
 
 impl Progress {
-    /// Whether the stream should be complete before its model server goes, at the pace that it had so far.
+    /// Whether the stream should complete before its model server ends, at its pace so far.
     pub fn completes_before(&self, now: Millis, ends_at: Millis) -> bool {
         let Some(expected) = self.expected.filter(|_| self.events > 1) else { return false };
         let each = now.saturating_sub(self.started_at) as f64 / (self.events - 1) as f64;
--- a/crates/router/src/events.rs
+++ b/crates/router/src/events.rs
@@ -1,7 +1,7 @@
-//! A stream's events (`text/event-stream`) as they pass, so that a stream that breaks can be taken up at its
-//! last whole event.
+//! The events of a stream (`text/event-stream`), so that a broken stream can be resumed after its last
+//! complete event.
 
-/// Follows one stream. Only whole events are handed on.
+/// Tracks one stream. Only complete events are passed on.
 #[derive(Clone, Debug, Default)]
 pub struct EventTracker {
     partial: Vec<u8>,
@@ -9,11 +9,11 @@
     events: u64,
 }
 
-/// Bytes of one event that are held at most; a longer one is passed on as it comes.
+/// The limit of buffered bytes; an event that is longer is passed on as it arrives.
 const MAX_EVENT_BYTES: usize = 64 * 1024;
 
 impl EventTracker {
-    /// Bytes came from the model server: what may go to the client now.
+    /// Takes bytes from the model server; returns those that may go to the client now.
     pub fn pass(&mut self, bytes: &[u8]) -> Vec<u8> {
         self.partial.extend_from_slice(bytes);
         let whole = match end_of_last_event(&self.partial) {
@@ -30,23 +30,22 @@
         passed
     }
 
-    /// What is held when the stream ends in order.
+    /// Returns the buffered bytes at the regular end of the stream.
     pub fn finish(&mut self) -> Vec<u8> {
         std::mem::take(&mut self.partial)
     }
 
-    /// The stream broke: the part of an event that is held is dropped, for the next model server sends it
-    /// whole.
+    /// The stream broke: drops the buffered bytes, because the next model server sends that event in full.
     pub fn broke(&mut self) {
         self.partial.clear();
     }
 
-    /// Events with an id that were handed on.
+    /// Events with an id that were passed on.
     pub fn events(&self) -> u64 {
         self.events
     }
 
-    /// The id of the last event that was handed on.
+    /// The id of the last event that was passed on.
     pub fn last_id(&self) -> Option<&str> {
         self.last_id.as_deref()
     }
@@ -72,7 +71,7 @@
     lines.filter_map(|number| std::str::from_utf8(number).ok()?.trim().parse().ok())
 }
 
-/// The ids of whole events, the last one first.
+/// The ids of complete events, the last one first.
 fn ids(bytes: &[u8]) -> impl Iterator<Item = &[u8]> {
     bytes.split(|byte| *byte == b'\n').rev().filter_map(|line| line.strip_prefix(b"id:"))
 }
--- a/crates/router/src/lib.rs
+++ b/crates/router/src/lib.rs
@@ -1,16 +1,16 @@
-//! What an edge decides, without I/O or clock.
+//! The decisions of an edge, without I/O, clock or randomness: callers pass the time and carry out what is decided.
 //!
-//! * [`model_servers`]: the model servers that this edge knows, merged from all cores, and what it learned of each.
-//! * [`core_choice`]: which core is listened to, and which one leads.
-//! * [`dispatcher`]: which request goes to which model server next (the design's fair queueing).
-//! * [`engine_estimates`]: how fast model servers read, and for how long answers take a slot, as this edge
-//!   has seen.
-//! * [`prompt`]: what a request says of its model and prompt.
-//! * [`request_log`]: what became of the latest requests, for operators.
-//! * [`retry_budget`]: how many requests may be sent a second time.
-//! * [`usage`]: requests begun, by tenant and window.
-//! * [`wall_clock`]: the system's time of day from the cores' clocks.
-//! * [`events`]: a stream's events, so that it can be taken up at another model server.
+//! * [`model_servers`]: the model servers that this edge knows, with ejection of those that fail.
+//! * [`core_choice`]: to which core the edge is subscribed, and which core leads.
+//! * [`dispatcher`]: which request goes to which model server next; load shedding.
+//! * [`evacuation`]: when streams move away from a model server that announced its end.
+//! * [`engine_estimates`]: speed of prefill, pace of decode and slot time, estimated from this edge's requests.
+//! * [`prompt`]: the headers that name a request's model and prompt.
+//! * [`request_log`]: the steps of recent requests, for operators.
+//! * [`retry_budget`]: how many requests may be sent again.
+//! * [`usage`]: requests by tenant and window.
+//! * [`wall_clock`]: the system's wall clock, from the cores' clocks.
+//! * [`events`]: the events of a stream, so that another model server can resume it.
 
 pub mod core_choice;
 pub mod dispatcher;
--- a/crates/router/src/prompt.rs
+++ b/crates/router/src/prompt.rs
@@ -1,4 +1,4 @@
-//! What a request says of its model and prompt, in its headers.
+//! The request headers that name the model and describe the prompt.
 
 /// `X-Pathbank-Model`: a model, and after a slash an adapter of it.
 #[derive(Clone, Debug, Default, PartialEq, Eq, PartialOrd, Ord)]
@@ -10,33 +10,33 @@
 }
 
 impl ModelName {
-    /// Reads the header's value.
+    /// Parses the header's value.
     pub fn parse(value: &str) -> ModelName {
         let (model, adapter) = value.trim().split_once('/').unwrap_or((value.trim(), ""));
         ModelName { model: model.to_owned(), adapter: adapter.to_owned() }
     }
 }
 
-/// `X-Pathbank-Token-Count`: tokens of the prompt, and the most that are put out.
+/// `X-Pathbank-Token-Count`: prompt tokens and the limit of output tokens.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct TokenCount {
-    /// Tokens of the prompt.
+    /// Prompt tokens.
     pub input: u64,
-    /// The most tokens put out.
+    /// The limit of output tokens.
     pub output: u64,
 }
 
-/// A token put out counts as so many of the prompt (the users' measure of a generation's worth).
+/// Weight of an output token, in prompt tokens (the value of a generation by the users' rules).
 const OUTPUT_WEIGHT: u64 = 10;
 
 impl TokenCount {
-    /// Reads the header's value; `None` where it is malformed.
+    /// Parses the header's value; `None`: it is malformed.
     pub fn parse(value: &str) -> Option<TokenCount> {
         let (input, output) = value.split_once(',')?;
         Some(TokenCount { input: input.trim().parse().ok()?, output: output.trim().parse().ok()? })
     }
 
-    /// The told size.
+    /// The size: prompt tokens and weighted output tokens.
     pub fn size(self) -> u64 {
         self.input + OUTPUT_WEIGHT * self.output
     }
@@ -45,13 +45,13 @@
 /// One part of a prompt.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct PromptPart {
-    /// The same in every prompt that has this part at this place.
+    /// Identifies the part: the same in every prompt that has it at this position.
     pub id: u64,
     /// Its tokens.
     pub tokens: u64,
 }
 
-/// Reads `X-Pathbank-Prompt-Prefix`; what is malformed ends the list.
+/// Parses `X-Pathbank-Prompt-Prefix`; a malformed part ends the list.
 pub fn parse_parts(value: &str) -> Vec<PromptPart> {
     let part = |text: &str| {
         let (id, tokens) = text.trim().split_once(':')?;
--- a/crates/router/src/request_log.rs
+++ b/crates/router/src/request_log.rs
@@ -1,63 +1,62 @@
-//! What became of the latest requests at this edge, step by step, for operators who ask about one.
-//!
-//! Bounded by count: the oldest request is forgotten first.
+//! The steps of recent requests at this edge, for operators. Bounded by count: the oldest request is dropped
+//! first.
 
 use crate::Millis;
 use pathbank_control::result_code::ResultCode;
 use std::collections::{HashMap, VecDeque};
 
-/// Requests that are kept.
+/// The limit of requests.
 pub const MAX_REQUESTS: usize = 256;
-/// Steps of one request that are kept; a stream that is taken up again and again loses its later ones.
+/// The limit of steps of one request; later ones are dropped.
 const MAX_STEPS: usize = 24;
 
-/// One step of a request's way.
+/// A step of a request.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Step {
-    /// It was read whole and has a route.
+    /// It was received completely and has a route.
     Accepted {
         /// The route's name.
         route: String,
-        /// The service that the route chose.
+        /// The backend that the route chose.
         backend: String,
         /// The model, with an adapter behind a slash; empty: none.
         model: String,
     },
-    /// It was answered by the edge itself, without running.
+    /// The edge rejected it; it did not run.
     Refused {
-        /// Why.
+        /// The reason.
         code: ResultCode,
     },
-    /// It went to a model server.
+    /// It was sent to a model server.
     Sent {
         /// The model server's incarnation.
         instance: String,
     },
     /// The model server did not run it.
     NotRun,
-    /// The model server broke off; it may have run.
+    /// The connection to the model server broke; the request may have run.
     Broken,
-    /// The time is up; it may have run.
+    /// It timed out; it may have run.
     TimedOut,
     /// The model server began to answer.
     Answered {
         /// The answer's status.
         status: u16,
     },
-    /// A stream is taken up at another model server.
+    /// The stream is resumed at another model server.
     Resuming,
-    /// The answer is whole.
+    /// The answer is complete.
     Complete,
-    /// The client left, or the edge stopped, before the answer was whole.
+    /// The client disconnected, or the edge shut down, before the answer was complete.
     Abandoned,
 }
 
-/// A step, and when it happened.
+/// A step with its time.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct TimedStep {
-    /// Milliseconds after the request came.
+    /// Milliseconds after the request arrived.
     pub after_ms: Millis,
-    /// What happened.
+    /// The step.
     pub step: Step,
 }
 
@@ -67,7 +66,7 @@
     steps: Vec<TimedStep>,
 }
 
-/// The latest requests.
+/// The log of recent requests.
 #[derive(Clone, Debug, Default)]
 pub struct RequestLog {
     by_id: HashMap<String, LoggedRequest>,
@@ -76,7 +75,7 @@
 }
 
 impl RequestLog {
-    /// A step of the request with the client's id `id`; the first one tells of a request that has just come.
+    /// Records a step of the request with the client's id `id`; the first step adds the request.
     pub fn record(&mut self, now: Millis, id: &str, step: Step) {
         if let Some(logged) = self.by_id.get_mut(id) {
             if logged.steps.len() < MAX_STEPS {
@@ -94,7 +93,7 @@
         self.by_id.insert(id.to_owned(), LoggedRequest { arrived: now, steps });
     }
 
-    /// The steps of a request, oldest first; `None`: it is not known, or forgotten.
+    /// The steps of a request, oldest first; `None`: the request is not known any more.
     pub fn steps(&self, id: &str) -> Option<&[TimedStep]> {
         self.by_id.get(id).map(|logged| logged.steps.as_slice())
     }
--- a/crates/router/src/retry_budget.rs
+++ b/crates/router/src/retry_budget.rs
@@ -1,26 +1,27 @@
-//! How many requests this edge may send a second time, so that all edges together keep to a service's budget.
+//! The retry budget: how many requests this edge may send again, so that all edges together keep to a
+//! backend's limit.
 //!
-//! The budget of all edges is `slack` and `ratio` for each request in a window. An edge takes its even share
-//! of the slack as a store that fills over a window, and its own requests' share of the ratio.
+//! The limit over all edges in a window is `slack` and `ratio` for each request. An edge takes an equal share
+//! of the slack as a token bucket that refills over a window, and the ratio for its own requests.
 
 use crate::Millis;
 use std::collections::BTreeMap;
 
-/// Of the slack and the ratio so much is used; the rest covers windows that lie across the store's filling.
+/// The fractions of slack and ratio that are used; the rest covers windows that overlap two refills.
 const SLACK_FRACTION: f64 = 0.4;
 const RATIO_FRACTION: f64 = 0.6;
-/// A store holds, beside its share of the slack, this share of what the ratio allows for the requests of one
-/// window: what goes with a model server that is lost comes all at once. In any window an edge thus sends at
-/// most `RATIO_FRACTION + RATIO_BURST_FRACTION` of the ratio and twice `SLACK_FRACTION` of its share of the
-/// slack a second time.
+/// Beside the share of the slack, a bucket holds up to this fraction of what the ratio allows for the
+/// requests of one window: the requests of a lost model server are retried all at once. In any window an edge
+/// thus retries at most `RATIO_FRACTION + RATIO_BURST_FRACTION` of the ratio and twice `SLACK_FRACTION` of
+/// its share of the slack.
 const RATIO_BURST_FRACTION: f64 = 0.3;
 
-/// The budget of all edges together.
+/// The limits over all edges.
 #[derive(Clone, Copy, Debug)]
 pub struct RetryBudgetLimits {
-    /// Second sends for each request.
+    /// Retries for each request.
     pub ratio: f64,
-    /// Second sends beyond that in a window.
+    /// Further retries in a window.
     pub slack: f64,
     /// The window, milliseconds.
     pub window: Millis,
@@ -30,11 +31,11 @@
 struct TokenBucket {
     level: f64,
     refilled_at: Millis,
-    /// Requests of about one window, fading.
+    /// Requests of about one window: a decaying count.
     recent: f64,
 }
 
-/// This edge's share of the budgets of all services.
+/// This edge's share of the retry budgets of all backends.
 #[derive(Clone, Debug)]
 pub struct RetryBudget {
     limits: RetryBudgetLimits,
@@ -43,17 +44,17 @@
 }
 
 impl RetryBudget {
-    /// An empty bucket for each service; no head knows what was sent before it started.
+    /// Buckets start empty: an edge does not know what was sent before it started.
     pub fn new(limits: RetryBudgetLimits) -> RetryBudget {
         RetryBudget { limits, edges: u32::MAX, buckets: BTreeMap::new() }
     }
 
-    /// Edges that share the budget.
+    /// Sets the number of edges that share the budget.
     pub fn set_edges(&mut self, edges: u32) {
         self.edges = edges.max(1);
     }
 
-    /// A client's request for a service arrived.
+    /// Records a client's request for a backend.
     pub fn record_request(&mut self, now: Millis, backend: &str) {
         let earned = RATIO_FRACTION * self.limits.ratio;
         let (burst, share) = (RATIO_BURST_FRACTION * self.limits.ratio, self.slack_share());
@@ -63,7 +64,7 @@
         bucket.level = (bucket.level + earned).min(capacity.max(bucket.level));
     }
 
-    /// Takes one second send out of the budget, if there is one.
+    /// Spends one retry; returns whether the budget allows it.
     pub fn try_spend(&mut self, now: Millis, backend: &str) -> bool {
         let bucket = self.bucket(now, backend);
         let allowed = bucket.level >= 1.0;
@@ -84,7 +85,7 @@
         let bucket = self.buckets.entry(backend.to_owned()).or_insert(fresh);
         let passed = now.saturating_sub(bucket.refilled_at) as f64 / window;
         bucket.recent *= (-passed).exp();
-        // What traffic earned is not burst beyond the traffic.
+        // Tokens earned by requests expire with the requests.
         bucket.level = (bucket.level + share * passed).min(share.max(1.0) + burst * bucket.recent);
         bucket.refilled_at = now;
         bucket
--- a/crates/router/src/usage.rs
+++ b/crates/router/src/usage.rs
@@ -1,9 +1,9 @@
-//! Requests begun, by tenant and window of true time.
+//! Usage: requests that began, by tenant and window of wall-clock time.
 
 use pathbank_protocol::message::UsageWindow;
 use std::collections::{BTreeMap, BTreeSet};
 
-/// Windows that are told again and again; older ones are sealed long ago.
+/// The number of windows that are kept; older ones are sealed by then.
 const RETAINED_WINDOWS: u64 = 6;
 
 /// This edge's counts.
@@ -11,17 +11,17 @@
 pub struct UsageCounter {
     window_ms: u64,
     windows: BTreeMap<u64, BTreeMap<String, u64>>,
-    /// Windows that changed since they were told.
+    /// Windows that changed since the last report.
     changed: BTreeSet<u64>,
 }
 
 impl UsageCounter {
-    /// `window_ms`: the length of a window.
+    /// `window_ms`: the length of a window, milliseconds.
     pub fn new(window_ms: u64) -> UsageCounter {
         UsageCounter { window_ms: window_ms.max(1), windows: BTreeMap::new(), changed: BTreeSet::new() }
     }
 
-    /// A request of a tenant began to run at a time of day, milliseconds since the start of 1970.
+    /// Records that a request of a tenant began to run. `wall_clock_ms`: milliseconds since the Unix epoch.
     pub fn record_start(&mut self, wall_clock_ms: u64, tenant: &str) {
         let window = wall_clock_ms / self.window_ms;
         *self.windows.entry(window).or_default().entry(tenant.to_owned()).or_default() += 1;
@@ -29,13 +29,13 @@
         self.changed.insert(window);
     }
 
-    /// The windows that changed since the last call, whole.
+    /// The totals of the windows that changed since the last call.
     pub fn take_changed(&mut self) -> Vec<UsageWindow> {
         let changed = std::mem::take(&mut self.changed);
         self.windows().into_iter().filter(|window| changed.contains(&window.window)).collect()
     }
 
-    /// All windows that are kept, for a leader that has heard of none.
+    /// The totals of all windows that are kept, for a new leader.
     pub fn windows(&self) -> Vec<UsageWindow> {
         let counts =
             |counts: &BTreeMap<String, u64>| counts.iter().map(|(name, n)| (name.clone(), *n)).collect();
--- a/crates/router/src/wall_clock.rs
+++ b/crates/router/src/wall_clock.rs
@@ -1,10 +1,10 @@
-//! The system's time of day: the median of the cores' clocks, held against this machine's steady clock. A
-//! machine whose own time of day jumps does not notice.
+//! The system's wall clock: the median of the cores' wall clocks, as offsets from this machine's steady
+//! clock. Jumps of the machine's own wall clock have no effect.
 
 use crate::Millis;
 use std::collections::BTreeMap;
 
-/// What a core told longer ago does not count, milliseconds.
+/// How long a core's sample counts.
 const CLOCK_SAMPLE_TTL_MS: Millis = 15_000;
 
 #[derive(Clone, Copy, Debug)]
@@ -20,15 +20,15 @@
 }
 
 impl WallClock {
-    /// A core told its time of day.
+    /// Takes the wall clock of a core.
     pub fn observe(&mut self, now: Millis, core: &str, wall_clock_ms: u64) {
         let offset = i128::from(wall_clock_ms) - i128::from(now);
         self.samples.insert(core.to_owned(), ClockSample { offset, at: now });
         self.samples.retain(|_, sample| now < sample.at + CLOCK_SAMPLE_TTL_MS);
     }
 
-    /// The time of day, milliseconds since the start of 1970; `own`: this machine's, for as long as no core
-    /// told.
+    /// The wall clock, milliseconds since the Unix epoch. `own`: this machine's, used while there is no
+    /// sample.
     pub fn now(&self, now: Millis, own: u64) -> u64 {
         let mut offsets: Vec<i128> = self.samples.values().map(|sample| sample.offset).collect();
         offsets.sort_unstable();
