--- a/crates/control/tests/configuration.rs
+++ b/crates/control/tests/configuration.rs
@@ -44,73 +44,73 @@
     edge_document::difference(&as_document(before), &as_document(after)).expect("all items have names")
 }
 
-struct Story {
+struct Scenario {
     state: ControlState,
     index: u64,
 }
 
-impl Story {
-    fn given_version_5() -> Story {
-        let mut story = Story { state: ControlState::default(), index: 0 };
-        assert_eq!(story.when(replace(0, &document(5))), Ok(CommandOutcome::Applied));
-        story
+impl Scenario {
+    fn at_version_5() -> Scenario {
+        let mut scenario = Scenario { state: ControlState::default(), index: 0 };
+        assert_eq!(scenario.apply(replace(0, &document(5))), Ok(CommandOutcome::Applied));
+        scenario
     }
 
-    fn when(&mut self, change: Change) -> Result<CommandOutcome, Rejection> {
+    fn apply(&mut self, change: Change) -> Result<CommandOutcome, Rejection> {
         self.index += 1;
         self.state.apply(self.index, &Command::Change(change))
     }
 
-    fn then_rejected(&mut self, change: Change, code: ResultCode) {
+    fn assert_rejected(&mut self, change: Change, code: ResultCode) {
         let before = self.state.encode();
-        assert_eq!(self.when(change).map_err(|rejection| rejection.code), Err(code));
+        assert_eq!(self.apply(change).map_err(|rejection| rejection.code), Err(code));
         assert_eq!(self.state.encode(), before, "a rejected change changes nothing");
     }
 }
 
 #[test]
-fn what_is_read_back_is_what_was_sent() {
-    let story = Story::given_version_5();
-    let (read_back, index) = story.state.document().unwrap();
+fn a_configuration_is_read_back_as_sent() {
+    let scenario = Scenario::at_version_5();
+    let (read_back, index) = scenario.state.document().unwrap();
     assert_eq!((read_back.to_value(), index), (document(5), 1));
 }
 
 #[test]
 fn of_two_changes_on_one_base_the_first_wins() {
-    let mut story = Story::given_version_5();
-    assert_eq!(story.when(replace(5, &document(8))), Ok(CommandOutcome::Applied));
+    let mut scenario = Scenario::at_version_5();
+    assert_eq!(scenario.apply(replace(5, &document(8))), Ok(CommandOutcome::Applied));
     let mut other = document(9);
     other["limits"]["max_body_bytes"] = json!(7);
-    story.then_rejected(replace(5, &other), ResultCode::BaseMismatch);
+    scenario.assert_rejected(replace(5, &other), ResultCode::BaseMismatch);
 }
 
 #[test]
-fn a_change_that_was_taken_is_taken_again_whatever_came_since() {
-    let mut story = Story::given_version_5();
+fn an_accepted_change_is_acknowledged_again_after_later_changes() {
+    let mut scenario = Scenario::at_version_5();
     let first = update(5, &json!({ "version": 7, "delete": { "routes": ["r1"] } }));
-    assert_eq!(story.when(first.clone()), Ok(CommandOutcome::Applied));
-    assert_eq!(story.when(first.clone()), Ok(CommandOutcome::AlreadyApplied));
-    assert_eq!(story.when(replace(7, &document(9))), Ok(CommandOutcome::Applied));
-    assert_eq!(story.when(first), Ok(CommandOutcome::AlreadyApplied));
-    assert_eq!(story.state.version(), 9, "and does not come into force again");
+    assert_eq!(scenario.apply(first.clone()), Ok(CommandOutcome::Applied));
+    assert_eq!(scenario.apply(first.clone()), Ok(CommandOutcome::AlreadyApplied));
+    assert_eq!(scenario.apply(replace(7, &document(9))), Ok(CommandOutcome::Applied));
+    assert_eq!(scenario.apply(first), Ok(CommandOutcome::AlreadyApplied));
+    assert_eq!(scenario.state.version(), 9, "and does not come into force again");
 }
 
 #[test]
-fn it_is_known_after_a_restart_from_a_snapshot() {
-    let mut story = Story::given_version_5();
+fn an_accepted_change_is_recognised_after_a_restart_from_a_snapshot() {
+    let mut scenario = Scenario::at_version_5();
     let change = replace(5, &document(6));
-    story.when(change.clone()).unwrap();
-    story.state = ControlState::decode(&story.state.encode()).unwrap();
-    assert_eq!(story.when(change), Ok(CommandOutcome::AlreadyApplied));
+    scenario.apply(change.clone()).unwrap();
+    scenario.state = ControlState::decode(&scenario.state.encode()).unwrap();
+    assert_eq!(scenario.apply(change), Ok(CommandOutcome::AlreadyApplied));
 }
 
 #[test]
 fn the_same_number_with_other_content_is_another_change() {
-    let mut story = Story::given_version_5();
-    story.when(replace(5, &document(6))).unwrap();
+    let mut scenario = Scenario::at_version_5();
+    scenario.apply(replace(5, &document(6))).unwrap();
     let mut other = document(6);
     other["routes"] = json!([]);
-    story.then_rejected(replace(5, &other), ResultCode::BaseMismatch);
+    scenario.assert_rejected(replace(5, &other), ResultCode::BaseMismatch);
 }
 
 #[test_case("/backends", json!([{ "name": "two" }]), ResultCode::UnknownBackend; "unknown service")]
@@ -123,34 +123,34 @@
 #[test_case("/routes/0/type", json!("strange"), ResultCode::UnreadableDocument; "unknown type")]
 #[test_case("/routes", json!("none"), ResultCode::UnreadableDocument; "routes are no list")]
 fn an_invalid_configuration_is_rejected(place: &str, value: Value, code: ResultCode) {
-    let mut story = Story::given_version_5();
+    let mut scenario = Scenario::at_version_5();
     let mut body = document(6);
     match body.pointer_mut(place) {
         Some(found) => *found = value,
         None => body["routes"][0][place.rsplit('/').next().unwrap()] = value,
     }
-    story.then_rejected(replace(5, &body), code);
+    scenario.assert_rejected(replace(5, &body), code);
 }
 
 #[test]
-fn a_document_that_is_cut_short_is_rejected_at_any_byte() {
-    let mut story = Story::given_version_5();
-    let whole = document(6).to_string();
-    for length in (0..whole.len()).step_by(7) {
-        let change = Change { kind: ChangeKind::Replace, base: 5, body: whole[..length].to_owned() };
-        story.then_rejected(change, ResultCode::UnreadableDocument);
+fn a_truncated_document_is_rejected_at_any_byte() {
+    let mut scenario = Scenario::at_version_5();
+    let full = document(6).to_string();
+    for length in (0..full.len()).step_by(7) {
+        let change = Change { kind: ChangeKind::Replace, base: 5, body: full[..length].to_owned() };
+        scenario.assert_rejected(change, ResultCode::UnreadableDocument);
     }
 }
 
 #[test]
-fn an_update_alters_named_items_and_keeps_the_rest() {
-    let mut story = Story::given_version_5();
+fn an_update_replaces_named_items_and_keeps_the_rest() {
+    let mut scenario = Scenario::at_version_5();
     let changed = json!({ "version": 6, "upsert": {
         "routes": [route("r1", "/b/", "two"), route("r2", "/c/", "one")],
         "tenants": [{ "name": "t2", "api_keys": ["k3"] }],
         "limits": { "max_body_bytes": 200 } }, "delete": { "tenants": ["t1", "never there"] } });
-    assert_eq!(story.when(update(5, &changed)), Ok(CommandOutcome::Applied));
-    let document = story.state.document().unwrap().0.to_value();
+    assert_eq!(scenario.apply(update(5, &changed)), Ok(CommandOutcome::Applied));
+    let document = scenario.state.document().unwrap().0.to_value();
     assert_eq!(document["version"], 6);
     assert_eq!(document["routes"][0]["path_prefix"], "/b/");
     assert_eq!(document["routes"].as_array().unwrap().len(), 2);
@@ -160,14 +160,14 @@
 }
 
 #[test]
-fn an_update_that_leaves_a_route_without_its_service_is_rejected() {
-    let mut story = Story::given_version_5();
+fn an_update_that_removes_a_routes_service_is_rejected() {
+    let mut scenario = Scenario::at_version_5();
     let body = json!({ "version": 6, "delete": { "backends": ["one"] } });
-    story.then_rejected(update(5, &body), ResultCode::UnknownBackend);
+    scenario.assert_rejected(update(5, &body), ResultCode::UnknownBackend);
 }
 
 #[test]
-fn commands_come_back_from_the_log() {
+fn commands_are_decoded_as_encoded() {
     let command = Command::Change(update(5, &json!({ "version": 6 })));
     assert_eq!(Command::decode(&command.encode()).unwrap(), command);
     let unknown =
@@ -188,7 +188,7 @@
 }
 
 #[test]
-fn the_longest_prefix_of_the_host_takes_a_request() {
+fn a_request_matches_the_longest_prefix_of_its_host() {
     let mut body = document(6);
     body["routes"] = json!([route("short", "/a/", "one"), route("long", "/a/b/", "two")]);
     let table =
@@ -207,7 +207,7 @@
 #[test_case("/tenants", json!([]); "no tenants")]
 #[test_case("/limits", json!({ "max_body_bytes": 7 }); "other limits")]
 #[test_case("/backends", json!([{ "name": "two" }, { "name": "one", "runtime": { "models": [] } }]); "other services")]
-fn a_difference_makes_the_later_configuration_of_the_earlier(place: &str, value: Value) {
+fn a_difference_turns_the_earlier_configuration_into_the_later(place: &str, value: Value) {
     let before = document(5);
     let mut after = document(6);
     *after.pointer_mut(place).unwrap() = value;
@@ -226,7 +226,7 @@
 }
 
 #[test]
-fn edges_are_told_no_more_of_models_than_how_long_a_load_takes() {
+fn edges_get_only_the_load_times_of_models() {
     let mut body = document(5);
     body["backends"][0]["runtime"] = json!({ "capacity": 8, "weights_mb": 9.0, "models": [
         { "name": "m", "weights_mb": 3.0, "load_s": 4.5, "adapters": 3, "adapter_mb": 1.0 }] });
@@ -247,7 +247,7 @@
 }
 
 #[test]
-fn a_table_changed_by_differences_is_the_table_of_the_whole() {
+fn a_table_updated_by_differences_equals_one_of_the_full_configuration() {
     let mut before = document(5);
     before["routes"] = many_routes(0, 30).into();
     let mut after = document(6);
@@ -260,7 +260,7 @@
     after["tenants"] = json!([{ "name": "t1", "api_keys": ["k1"] }, { "name": "t2", "api_keys": ["k2"] }]);
     let change = difference(&before, &after).to_string();
     let read = |text: &str, is_whole| EdgeUpdate::read(text.as_bytes(), is_whole).unwrap();
-    let whole = RouteTable::default().with_update(2, read(&after.to_string(), true));
+    let full = RouteTable::default().with_update(2, read(&after.to_string(), true));
     let changed = RouteTable::default()
         .with_update(1, read(&before.to_string(), true))
         .with_update(2, read(&change, false));
@@ -268,12 +268,12 @@
         for number in 0..60 {
             let path = format!("/p{number}/x");
             let name = |table: &RouteTable| table.route(host, &path).map(|route| route.name.clone());
-            assert_eq!(name(&whole), name(&changed), "{host}{path}");
+            assert_eq!(name(&full), name(&changed), "{host}{path}");
         }
     }
     for key in ["k1", "k2"] {
         let name = |table: &RouteTable| table.tenant(key).map(|tenant| tenant.name.clone());
-        assert_eq!(name(&whole), name(&changed), "{key}");
+        assert_eq!(name(&full), name(&changed), "{key}");
     }
     assert_eq!((changed.index, changed.version), (2, 6));
     assert!(changed.route("shop.example", "/p0/").is_none(), "a route that is gone");
@@ -283,7 +283,7 @@
 #[test_case("tenants")]
 #[test_case("backends")]
 #[test_case("limits")]
-fn a_section_that_is_gone_is_gone_at_the_edges(section: &str) {
+fn a_removed_section_is_removed_at_the_edges(section: &str) {
     let before = document(5);
     let mut after = document(6);
     after.as_object_mut().unwrap().remove(section);
@@ -303,7 +303,7 @@
 }
 
 #[test]
-fn an_update_is_read_a_few_items_at_a_time() {
+fn an_update_is_parsed_a_few_items_at_a_time() {
     let mut body = document(5);
     body["routes"] = many_routes(0, 20).into();
     let text = body.to_string();
@@ -322,7 +322,7 @@
 }
 
 #[test]
-fn an_update_that_cannot_be_read_changes_nothing() {
+fn an_unreadable_update_is_an_error() {
     assert!(EdgeUpdate::read(b"{\"version\":7,\"upsert\":{\"routes\":[{\"name\":1}]}}", false).is_err());
     assert!(EdgeUpdate::read(b"{\"version\":7,\"upsert\":", false).is_err());
 }
@@ -347,13 +347,13 @@
 #[test_case(5, 9, 6, false; "a difference to one that did not come")]
 #[test_case(5, 5, 0, false; "the same again")]
 #[test_case(5, 4, 0, false; "an older one whole")]
-fn a_head_never_goes_back_to_an_older_configuration(known: u64, index: u64, base: u64, taken: bool) {
+fn an_edge_never_returns_to_an_older_configuration(known: u64, index: u64, base: u64, accepted: bool) {
     let table = RouteTable::default().with_update(known, EdgeUpdate::default());
-    assert_eq!(table.accepts(index, base), taken);
+    assert_eq!(table.accepts(index, base), accepted);
 }
 
 #[test]
-fn a_key_that_a_tenant_lost_opens_nothing() {
+fn a_removed_key_is_unknown() {
     let before = EdgeUpdate::read(document(5).to_string().as_bytes(), true).unwrap();
     let lost = json!({ "version": 6, "upsert": { "tenants": [{ "name": "t1", "api_keys": ["k2"] }] }, "delete": {} });
     let lost = EdgeUpdate::read(lost.to_string().as_bytes(), false).unwrap();
@@ -363,7 +363,7 @@
 }
 
 #[test]
-fn nothing_of_an_earlier_configuration_stays_beside_a_whole_one() {
+fn a_full_update_replaces_everything() {
     let mut next = document(6);
     next["routes"] = json!([route("r2", "/b/", "two")]);
     next["tenants"] = json!([{ "name": "t2", "api_keys": ["k9"] }]);
@@ -375,33 +375,35 @@
 }
 
 #[test]
-fn changes_are_remembered_up_to_a_bound_and_one_beyond_it_is_never_refused() {
-    let mut story = Story { state: ControlState::default(), index: 0 };
+fn changes_are_recorded_up_to_a_bound_and_an_evicted_one_is_unclear() {
+    let mut scenario = Scenario { state: ControlState::default(), index: 0 };
     let nth = |version: u64| {
         let body = json!({ "version": version, "upsert": { "limits": { "max_body_bytes": version } } });
         update(version - 1, &body)
     };
     let count = MAX_RECORDED_CHANGES as u64 + 10;
-    (1..=count).for_each(|version| assert_eq!(story.when(nth(version)), Ok(CommandOutcome::Applied)));
-    let after_a_restart = ControlState::decode(&story.state.encode()).unwrap();
-    assert_eq!(after_a_restart.encode(), story.state.encode());
-    story.state = after_a_restart;
-    (11..=count).for_each(|version| assert_eq!(story.when(nth(version)), Ok(CommandOutcome::AlreadyApplied)));
-    story.then_rejected(nth(10), ResultCode::Unclear);
+    (1..=count).for_each(|version| assert_eq!(scenario.apply(nth(version)), Ok(CommandOutcome::Applied)));
+    let after_a_restart = ControlState::decode(&scenario.state.encode()).unwrap();
+    assert_eq!(after_a_restart.encode(), scenario.state.encode());
+    scenario.state = after_a_restart;
+    (11..=count)
+        .for_each(|version| assert_eq!(scenario.apply(nth(version)), Ok(CommandOutcome::AlreadyApplied)));
+    scenario.assert_rejected(nth(10), ResultCode::Unclear);
     let mut never_sent = nth(11);
     never_sent.body = json!({ "version": 11, "delete": { "routes": ["r"] } }).to_string();
-    story.then_rejected(never_sent, ResultCode::BaseMismatch);
-    let bytes_a_change = story.state.encode().len() / MAX_RECORDED_CHANGES;
+    scenario.assert_rejected(never_sent, ResultCode::BaseMismatch);
+    let bytes_a_change = scenario.state.encode().len() / MAX_RECORDED_CHANGES;
     assert!(bytes_a_change < 100, "{bytes_a_change} bytes a change in each snapshot");
 }
 
 #[test]
-fn a_snapshot_of_the_first_program_is_read_and_refuses_no_change_that_it_had_taken() {
+fn a_snapshot_of_format_1_is_read_and_its_changes_are_unclear() {
     let first = json!({ "document": document(5), "index": 3, "version": 5,
         "taken": [{ "version": 5, "digest": 77 }], "sealed": {}, "last_sealed": 0 });
-    let mut story = Story { state: ControlState::decode(first.to_string().as_bytes()).unwrap(), index: 3 };
-    story.then_rejected(replace(0, &document(5)), ResultCode::Unclear);
-    assert_eq!(story.when(replace(5, &document(6))), Ok(CommandOutcome::Applied));
+    let mut scenario =
+        Scenario { state: ControlState::decode(first.to_string().as_bytes()).unwrap(), index: 3 };
+    scenario.assert_rejected(replace(0, &document(5)), ResultCode::Unclear);
+    assert_eq!(scenario.apply(replace(5, &document(6))), Ok(CommandOutcome::Applied));
 }
 
 #[test_case(b"{\"document\":", "cannot be read"; "cut short")]
@@ -427,10 +429,10 @@
     update["version"] = json!(6);
     let after = updated(&before, &update);
     let read = |text: Value, is_whole| EdgeUpdate::read(text.to_string().as_bytes(), is_whole).unwrap();
-    let whole = |document: &Value| read(edge_document::full(&as_document(document)), true);
-    let told = as_document(&before).updated(&update).unwrap().0;
-    let told = edge_document::difference(&as_document(&before), &told).expect("all items have names");
-    let changed = RouteTable::default().with_update(1, whole(&before)).with_update(2, read(told, false));
+    let full = |document: &Value| read(edge_document::full(&as_document(document)), true);
+    let sent = as_document(&before).updated(&update).unwrap().0;
+    let sent = edge_document::difference(&as_document(&before), &sent).expect("all items have names");
+    let changed = RouteTable::default().with_update(1, full(&before)).with_update(2, read(sent, false));
     let expected = |list: &str, key: &str, wanted: &str| {
         let items = after[list].as_array().unwrap();
         items.iter().any(|item| {
--- a/crates/control/tests/directory.rs
+++ b/crates/control/tests/directory.rs
@@ -1,31 +1,16 @@
 //! The list of model servers, and what is told of it.
 
+mod common;
+
+use common::model_server;
 use pathbank_control::directory::Directory;
 use pathbank_control::pending_changes::{PendingChanges, ServerChanges};
 use pathbank_protocol::message::{LoadedModel, ModelServer, ModelServerState, OrderStatus};
 use std::time::{Duration, Instant};
 
-const HEARTBEAT: u64 = 1_200;
-
-fn server(number: usize, models: &[&str]) -> ModelServer {
-    let held = |name: &&str| LoadedModel { name: (*name).into(), version: 1, adapters: Vec::new() };
-    ModelServer {
-        instance: format!("i-{number}"),
-        backend: "llm".into(),
-        address: format!("10.0.0.{number}:80"),
-        zone: "z".into(),
-        version: "v1".into(),
-        capacity: 64,
-        state: ModelServerState::Ready,
-        cold_remaining_ms: 0,
-        remaining_ms: 0,
-        models: models.iter().map(held).collect(),
-        sequence: 1,
-        busy: false,
-    }
-}
+const HEARTBEAT_MS: u64 = 1_200;
 
-fn later(mut server: ModelServer, sequence: u64, state: ModelServerState) -> ModelServer {
+fn next_heartbeat(mut server: ModelServer, sequence: u64, state: ModelServerState) -> ModelServer {
     (server.sequence, server.state) = (sequence, state);
     server
 }
@@ -37,65 +22,76 @@
 // ---- directory ----
 
 #[test]
-fn a_server_that_drains_never_comes_back_ready() {
-    let mut directory = Directory::new(HEARTBEAT);
-    directory.observe_heartbeat(0, server(1, &[]));
-    assert!(directory.observe_heartbeat(10, later(server(1, &[]), 5, ModelServerState::Draining)).changed);
+fn a_draining_server_never_becomes_ready_again() {
+    let mut directory = Directory::new(HEARTBEAT_MS);
+    directory.observe_heartbeat(0, model_server(1, &[]));
     assert!(
-        !directory.observe_heartbeat(20, later(server(1, &[]), 4, ModelServerState::Ready)).changed,
+        directory
+            .observe_heartbeat(10, next_heartbeat(model_server(1, &[]), 5, ModelServerState::Draining))
+            .changed
+    );
+    assert!(
+        !directory
+            .observe_heartbeat(20, next_heartbeat(model_server(1, &[]), 4, ModelServerState::Ready))
+            .changed,
         "an older word"
     );
-    directory.observe_heartbeat(30, later(server(1, &[]), 6, ModelServerState::Ready));
+    directory.observe_heartbeat(30, next_heartbeat(model_server(1, &[]), 6, ModelServerState::Ready));
     assert_eq!(state_of(&directory, "i-1"), ModelServerState::Draining);
     assert_eq!(directory.ready().count(), 0);
 }
 
 #[test]
 fn an_older_heartbeat_changes_nothing() {
-    let mut directory = Directory::new(HEARTBEAT);
-    directory.observe_heartbeat(0, later(server(1, &["new"]), 7, ModelServerState::Ready));
-    let late = directory.observe_heartbeat(10, later(server(1, &["old"]), 6, ModelServerState::Ready));
+    let mut directory = Directory::new(HEARTBEAT_MS);
+    directory.observe_heartbeat(0, next_heartbeat(model_server(1, &["new"]), 7, ModelServerState::Ready));
+    let late = directory
+        .observe_heartbeat(10, next_heartbeat(model_server(1, &["old"]), 6, ModelServerState::Ready));
     assert!(!late.changed && !late.relay);
     assert_eq!(directory.server("i-1").unwrap().models[0].name, "new");
 }
 
 #[test]
-fn a_server_that_deregistered_is_gone_whatever_comes_late() {
-    let mut directory = Directory::new(HEARTBEAT);
-    directory.observe_heartbeat(0, server(1, &[]));
+fn a_deregistered_server_stays_removed_whatever_heartbeats_arrive_late() {
+    let mut directory = Directory::new(HEARTBEAT_MS);
+    directory.observe_heartbeat(0, model_server(1, &[]));
     assert_eq!(directory.deregister(10, "i-1").unwrap().state, ModelServerState::Removed);
-    directory.observe_heartbeat(20, later(server(1, &[]), 9, ModelServerState::Ready));
+    directory.observe_heartbeat(20, next_heartbeat(model_server(1, &[]), 9, ModelServerState::Ready));
     assert_eq!(state_of(&directory, "i-1"), ModelServerState::Removed);
 }
 
 #[test]
-fn a_silent_server_is_taken_for_gone_and_comes_back_when_it_speaks() {
-    let mut directory = Directory::new(HEARTBEAT);
-    directory.observe_heartbeat(0, server(1, &[]));
-    assert!(directory.expire(5 * HEARTBEAT - 1).is_empty());
-    assert_eq!(directory.expire(5 * HEARTBEAT).len(), 1);
-    assert!(directory.observe_heartbeat(9_000, later(server(1, &[]), 2, ModelServerState::Ready)).changed);
+fn a_server_whose_heartbeats_time_out_is_removed_until_the_next_heartbeat() {
+    let mut directory = Directory::new(HEARTBEAT_MS);
+    directory.observe_heartbeat(0, model_server(1, &[]));
+    assert!(directory.expire(5 * HEARTBEAT_MS - 1).is_empty());
+    assert_eq!(directory.expire(5 * HEARTBEAT_MS).len(), 1);
+    assert!(
+        directory
+            .observe_heartbeat(9_000, next_heartbeat(model_server(1, &[]), 2, ModelServerState::Ready))
+            .changed
+    );
     assert_eq!(directory.ready().count(), 1);
 }
 
 #[test]
-fn silence_while_this_core_was_cut_off_says_nothing() {
-    let mut directory = Directory::new(HEARTBEAT);
-    directory.observe_heartbeat(0, server(1, &[]));
+fn missed_heartbeats_do_not_count_after_a_partition_of_this_core() {
+    let mut directory = Directory::new(HEARTBEAT_MS);
+    directory.observe_heartbeat(0, model_server(1, &[]));
     directory.reset_timeouts(9_000);
     assert!(directory.expire(9_100).is_empty());
-    assert_eq!(directory.expire(9_000 + 5 * HEARTBEAT).len(), 1);
+    assert_eq!(directory.expire(9_000 + 5 * HEARTBEAT_MS).len(), 1);
 }
 
 #[test]
-fn another_incarnation_at_the_address_ends_the_one_before() {
-    let mut directory = Directory::new(HEARTBEAT);
-    directory.observe_heartbeat(0, server(1, &["m"]));
-    let mut next = server(1, &[]);
+fn another_incarnation_at_the_address_removes_the_one_before() {
+    let mut directory = Directory::new(HEARTBEAT_MS);
+    directory.observe_heartbeat(0, model_server(1, &["m"]));
+    let mut next = model_server(1, &[]);
     next.instance = "i-next".into();
-    let heard = directory.observe_heartbeat(10, next);
-    assert_eq!(heard.displaced.len(), 1, "edges have to know of both");
-    assert_eq!(heard.displaced[0].state, ModelServerState::Removed);
+    let outcome = directory.observe_heartbeat(10, next);
+    assert_eq!(outcome.displaced.len(), 1, "edges have to know of both");
+    assert_eq!(outcome.displaced[0].state, ModelServerState::Removed);
     assert_eq!(state_of(&directory, "i-1"), ModelServerState::Removed);
     assert!(directory.cached_weights()["10.0.0.1:80"].contains("m"), "the machine's disk still has it");
 }
@@ -108,10 +104,10 @@
 fn a_first_heartbeat_costs_the_same_however_many_servers_are_known() {
     const SERVERS: usize = 100_000;
     const FAR_MORE_THAN_NEEDED: Duration = Duration::from_secs(20);
-    let mut directory = Directory::new(HEARTBEAT);
+    let mut directory = Directory::new(HEARTBEAT_MS);
     let begun = Instant::now();
     for number in 0..SERVERS {
-        assert!(directory.observe_heartbeat(0, server(number, &[])).changed);
+        assert!(directory.observe_heartbeat(0, model_server(number, &[])).changed);
         assert!(
             begun.elapsed() < FAR_MORE_THAN_NEEDED,
             "only {number} of {SERVERS} model servers were heard by then"
@@ -121,110 +117,112 @@
 
 #[test]
 fn a_server_is_displaced_at_the_address_where_it_is_now() {
-    let mut directory = Directory::new(HEARTBEAT);
-    directory.observe_heartbeat(0, server(1, &[]));
-    let mut moved = later(server(1, &[]), 2, ModelServerState::Ready);
+    let mut directory = Directory::new(HEARTBEAT_MS);
+    directory.observe_heartbeat(0, model_server(1, &[]));
+    let mut moved = next_heartbeat(model_server(1, &[]), 2, ModelServerState::Ready);
     moved.address = "10.0.0.2:80".into();
     directory.observe_heartbeat(10, moved);
-    let mut at_old_address = server(3, &[]);
+    let mut at_old_address = model_server(3, &[]);
     at_old_address.address = "10.0.0.1:80".into();
     assert!(directory.observe_heartbeat(20, at_old_address).displaced.is_empty());
-    assert_eq!(directory.observe_heartbeat(30, server(2, &[])).displaced.len(), 1);
+    assert_eq!(directory.observe_heartbeat(30, model_server(2, &[])).displaced.len(), 1);
     assert_eq!(state_of(&directory, "i-1"), ModelServerState::Removed);
 }
 
 #[test]
-fn a_server_that_was_forgotten_is_displaced_by_nobody() {
-    let mut directory = Directory::new(HEARTBEAT);
-    directory.observe_heartbeat(0, server(1, &[]));
+fn an_expired_server_is_not_displaced() {
+    let mut directory = Directory::new(HEARTBEAT_MS);
+    directory.observe_heartbeat(0, model_server(1, &[]));
     directory.deregister(0, "i-1");
     directory.expire(1_000_000);
     assert!(directory.server("i-1").is_none());
-    let mut next = server(1, &[]);
+    let mut next = model_server(1, &[]);
     next.instance = "i-next".into();
     assert!(directory.observe_heartbeat(1_000_000, next).displaced.is_empty());
 }
 
 #[test]
-fn unchanged_heartbeats_are_relayed_seldom_and_never_told_to_edges() {
-    let mut directory = Directory::new(HEARTBEAT);
-    directory.observe_heartbeat(0, server(1, &["m"]));
+fn unchanged_heartbeats_are_relayed_at_an_interval_and_not_published_to_edges() {
+    let mut directory = Directory::new(HEARTBEAT_MS);
+    directory.observe_heartbeat(0, model_server(1, &["m"]));
     let mut relayed = 0;
     for round in 1..=10 {
-        let heard = directory.observe_heartbeat(
-            round * HEARTBEAT,
-            later(server(1, &["m"]), round + 1, ModelServerState::Ready),
+        let outcome = directory.observe_heartbeat(
+            round * HEARTBEAT_MS,
+            next_heartbeat(model_server(1, &["m"]), round + 1, ModelServerState::Ready),
         );
-        assert!(!heard.changed);
-        relayed += u64::from(heard.relay);
+        assert!(!outcome.changed);
+        relayed += u64::from(outcome.relay);
     }
     assert_eq!(relayed, 5);
 }
 
 #[test]
-fn a_model_that_is_being_unloaded_is_told_to_nobody() {
-    let mut directory = Directory::new(HEARTBEAT);
-    directory.observe_heartbeat(0, server(1, &["m", "n"]));
+fn a_withheld_model_is_not_published() {
+    let mut directory = Directory::new(HEARTBEAT_MS);
+    directory.observe_heartbeat(0, model_server(1, &["m", "n"]));
     assert_eq!(directory.withhold("i-1", "m", "").unwrap().models.len(), 1);
-    directory.observe_heartbeat(10, later(server(1, &["m", "n"]), 2, ModelServerState::Ready));
+    directory.observe_heartbeat(10, next_heartbeat(model_server(1, &["m", "n"]), 2, ModelServerState::Ready));
     assert_eq!(directory.server("i-1").unwrap().models.len(), 1, "nor by a heartbeat on its way");
     assert_eq!(directory.release("i-1").unwrap().models.len(), 2);
 }
 
-// ---- usage ----
+// ---- order status ----
 
 /// What the leader's directory says of a model server, as another core takes it.
-fn news(leader: &Directory, instance: &str, reported: bool) -> OrderStatus {
+fn order_status(leader: &Directory, instance: &str, reported: bool) -> OrderStatus {
     leader.order_status(instance, reported).expect("it is known")
 }
 
 #[test]
-fn another_core_tells_what_the_leader_withholds_until_it_hears_of_the_end() {
-    let mut leader = Directory::new(HEARTBEAT);
-    let mut other = Directory::new(HEARTBEAT);
+fn another_core_applies_what_the_leader_withholds_until_the_order_has_ended() {
+    let mut leader = Directory::new(HEARTBEAT_MS);
+    let mut other = Directory::new(HEARTBEAT_MS);
     [&mut leader, &mut other]
         .into_iter()
-        .for_each(|directory| drop(directory.observe_heartbeat(0, server(1, &["m", "n"]))));
+        .for_each(|directory| drop(directory.observe_heartbeat(0, model_server(1, &["m", "n"]))));
     leader.withhold("i-1", "m", "");
-    assert_eq!(other.apply_order_status(10, news(&leader, "i-1", false)).unwrap().models.len(), 1);
-    assert_eq!(other.apply_order_status(20, news(&leader, "i-1", false)), None, "that is no news");
-    other.observe_heartbeat(30, later(server(1, &["m", "n"]), 2, ModelServerState::Ready));
+    assert_eq!(other.apply_order_status(10, order_status(&leader, "i-1", false)).unwrap().models.len(), 1);
+    assert_eq!(other.apply_order_status(20, order_status(&leader, "i-1", false)), None, "that is no news");
+    other.observe_heartbeat(30, next_heartbeat(model_server(1, &["m", "n"]), 2, ModelServerState::Ready));
     assert_eq!(other.server("i-1").unwrap().models.len(), 1, "a heartbeat from before the order's end");
     // The order has ended: the model server holds another model, and says so before its next heartbeat.
     leader.release("i-1");
-    let held = |name: &str| LoadedModel { name: name.into(), version: 1, adapters: Vec::new() };
-    leader.observe_report(0, "i-1", vec![held("n"), held("o")], false);
-    let told = other.apply_order_status(40, news(&leader, "i-1", true)).unwrap();
-    assert_eq!(told.models.iter().map(|held| held.name.as_str()).collect::<Vec<_>>(), ["n", "o"]);
+    let loaded = |name: &str| LoadedModel { name: name.into(), version: 1, adapters: Vec::new() };
+    leader.observe_report(0, "i-1", vec![loaded("n"), loaded("o")], false);
+    let published = other.apply_order_status(40, order_status(&leader, "i-1", true)).unwrap();
+    assert_eq!(published.models.iter().map(|loaded| loaded.name.as_str()).collect::<Vec<_>>(), ["n", "o"]);
 }
 
 /// A heartbeat that a model server had written before an order was done brought back what it had dropped: for
 /// a second heads sent it requests that it turned away.
 #[test]
-fn a_heartbeat_as_old_as_the_end_of_an_order_does_not_undo_it() {
-    let mut directory = Directory::new(HEARTBEAT);
-    directory.observe_heartbeat(0, server(1, &["a", "b"]));
+fn a_stale_heartbeat_does_not_undo_a_completed_order() {
+    let mut directory = Directory::new(HEARTBEAT_MS);
+    directory.observe_heartbeat(0, model_server(1, &["a", "b"]));
     directory.withhold("i-1", "a", "");
-    directory.observe_report(1_000, "i-1", server(1, &["b"]).models, false);
+    directory.observe_report(1_000, "i-1", model_server(1, &["b"]).models, false);
     directory.release("i-1");
     let names = |directory: &Directory| -> Vec<String> {
-        directory.server("i-1").unwrap().models.into_iter().map(|held| held.name).collect()
+        directory.server("i-1").unwrap().models.into_iter().map(|loaded| loaded.name).collect()
     };
-    directory.observe_heartbeat(1_100, later(server(1, &["a", "b"]), 2, ModelServerState::Ready));
+    directory
+        .observe_heartbeat(1_100, next_heartbeat(model_server(1, &["a", "b"]), 2, ModelServerState::Ready));
     assert_eq!(names(&directory), ["b"]);
-    directory.observe_heartbeat(2_300, later(server(1, &["a", "b"]), 3, ModelServerState::Ready));
+    directory
+        .observe_heartbeat(2_300, next_heartbeat(model_server(1, &["a", "b"]), 3, ModelServerState::Ready));
     assert_eq!(names(&directory), ["a", "b"], "its later word counts");
 }
 
 #[test]
-fn what_a_leader_withheld_that_is_gone_lapses() {
-    let mut leader = Directory::new(HEARTBEAT);
-    let mut other = Directory::new(HEARTBEAT);
+fn withheld_models_expire_without_a_leader() {
+    let mut leader = Directory::new(HEARTBEAT_MS);
+    let mut other = Directory::new(HEARTBEAT_MS);
     [&mut leader, &mut other]
         .into_iter()
-        .for_each(|directory| drop(directory.observe_heartbeat(0, server(1, &["m"]))));
+        .for_each(|directory| drop(directory.observe_heartbeat(0, model_server(1, &["m"]))));
     leader.withhold("i-1", "m", "");
-    other.apply_order_status(10, news(&leader, "i-1", false));
+    other.apply_order_status(10, order_status(&leader, "i-1", false));
     assert_eq!(leader.withholding().collect::<Vec<_>>(), ["i-1"]);
     assert!(other.expire_withheld(8_009).is_empty());
     assert_eq!(other.expire_withheld(8_010).len(), 1);
@@ -232,29 +230,29 @@
     assert!(leader.expire_withheld(1_000_000).is_empty(), "the leader knows the end of its order");
 }
 
-// ---- news of model servers ----
+// ---- pending changes ----
 
 #[test]
-fn of_many_servers_that_leave_the_first_is_told_at_once_and_the_others_together() {
-    let mut news = PendingChanges::default();
-    news.record_changed("stays".into());
-    assert_eq!(news.take_urgent(0), None, "it waits for others");
-    let mut told = Vec::new();
+fn the_first_unavailable_server_is_published_at_once_and_later_ones_in_batches() {
+    let mut pending = PendingChanges::default();
+    pending.record_changed("stays".into());
+    assert_eq!(pending.take_urgent(0), None, "it waits for others");
+    let mut published = Vec::new();
     for now in 0..100 {
-        news.record_unavailable(format!("i-{now}"));
-        told.extend(news.take_urgent(now).map(|news| (now, news.unavailable.len())));
+        pending.record_unavailable(format!("i-{now}"));
+        published.extend(pending.take_urgent(now).map(|pending| (now, pending.unavailable.len())));
     }
-    assert_eq!(told, [(0, 1), (25, 25), (50, 25), (75, 25)]);
-    assert_eq!(news.take(100).unavailable.len(), 24);
+    assert_eq!(published, [(0, 1), (25, 25), (50, 25), (75, 25)]);
+    assert_eq!(pending.take(100).unavailable.len(), 24);
 }
 
 #[test]
-fn a_server_that_leaves_is_told_so_whatever_else_changes() {
-    let mut news = PendingChanges::default();
-    news.record_changed("i-1".into());
-    news.record_unavailable("i-1".into());
-    news.record_changed("i-1".into());
-    let told = news.take_urgent(0).unwrap();
-    assert_eq!((told.unavailable.len(), told.changed.len()), (1, 0));
-    assert_eq!(news.take(1), ServerChanges::default());
+fn unavailability_goes_before_other_changes_of_a_server() {
+    let mut pending = PendingChanges::default();
+    pending.record_changed("i-1".into());
+    pending.record_unavailable("i-1".into());
+    pending.record_changed("i-1".into());
+    let published = pending.take_urgent(0).unwrap();
+    assert_eq!((published.unavailable.len(), published.changed.len()), (1, 0));
+    assert_eq!(pending.take(1), ServerChanges::default());
 }
--- a/crates/control/tests/document_history.rs
+++ b/crates/control/tests/document_history.rs
@@ -8,7 +8,7 @@
 }
 
 #[test]
-fn the_latest_are_known_by_their_entries() {
+fn the_latest_documents_are_found_by_their_log_index() {
     let mut history = DocumentHistory::default();
     for index in [3, 5, 5, 4, 9] {
         history.record(index, &Document::default(), 100);
@@ -17,7 +17,7 @@
 }
 
 #[test]
-fn they_are_bounded_in_number() {
+fn the_number_of_documents_is_bounded() {
     let mut history = DocumentHistory::default();
     (1..=1_000).for_each(|index| history.record(index, &Document::default(), 100));
     assert_eq!(known(&history, 1..=1_000), (745..=1_000).collect::<Vec<_>>());
@@ -25,7 +25,7 @@
 
 /// An operator who always sends whole documents of a megabyte must not fill a small machine's memory.
 #[test]
-fn they_are_bounded_by_what_their_changes_brought() {
+fn the_bytes_of_their_changes_are_bounded() {
     let mut history = DocumentHistory::default();
     (1..=20).for_each(|index| history.record(index, &Document::default(), 300 * 1024));
     assert_eq!(known(&history, 1..=20), [18, 19, 20]);
--- a/crates/control/tests/estimate.rs
+++ b/crates/control/tests/estimate.rs
@@ -4,12 +4,12 @@
 use test_case::test_case;
 
 const PRIOR: Prior = Prior { initial: 16.0, min: 1.0, max: 200.0 };
-const EVERY: u64 = 500;
+const INTERVAL_MS: u64 = 500;
 
-fn when_seen(estimate: &mut Estimate, from: u64, samples: &[f64]) -> u64 {
+fn record_samples(estimate: &mut Estimate, from: u64, samples: &[f64]) -> u64 {
     let mut now = from;
     for sample in samples {
-        now += EVERY;
+        now += INTERVAL_MS;
         estimate.record(now, PRIOR, *sample);
     }
     now
@@ -20,7 +20,7 @@
 }
 
 #[test]
-fn before_anything_was_seen_it_is_the_start() {
+fn without_samples_it_is_the_prior() {
     let value = Estimate::default().value(1_000, PRIOR);
     assert!((value - 16.0).abs() < 1e-9, "{value}");
 }
@@ -29,32 +29,32 @@
 fn it_follows_a_drift() {
     let mut estimate = Estimate::default();
     let samples: Vec<f64> = (0..200).map(|number| 20.0 + 0.1 * f64::from(number)).collect();
-    let now = when_seen(&mut estimate, 0, &samples);
+    let now = record_samples(&mut estimate, 0, &samples);
     assert!(is_near(estimate.value(now, PRIOR), 40.0), "{}", estimate.value(now, PRIOR));
 }
 
 #[test_case(10.0, 40.0; "exchanged for a faster one")]
 #[test_case(40.0, 10.0; "exchanged for a slower one")]
-fn a_step_is_followed_within_a_few_samples(before: f64, after: f64) {
+fn a_step_change_is_followed_within_a_few_samples(before: f64, after: f64) {
     let mut estimate = Estimate::default();
-    let now = when_seen(&mut estimate, 0, &[before; 30]);
-    let now = when_seen(&mut estimate, now, &[after; 6]);
+    let now = record_samples(&mut estimate, 0, &[before; 30]);
+    let now = record_samples(&mut estimate, now, &[after; 6]);
     assert!((estimate.value(now, PRIOR) / after).ln().abs() < 1.4_f64.ln(), "{}", estimate.value(now, PRIOR));
 }
 
 #[test]
-fn one_outlier_changes_little() {
+fn one_outlier_moves_it_little() {
     let mut estimate = Estimate::default();
-    let now = when_seen(&mut estimate, 0, &[20.0; 30]);
+    let now = record_samples(&mut estimate, 0, &[20.0; 30]);
     let before = estimate.value(now, PRIOR);
-    let now = when_seen(&mut estimate, now, &[190.0]);
+    let now = record_samples(&mut estimate, now, &[190.0]);
     assert!(is_near(estimate.value(now, PRIOR), before));
 }
 
 #[test]
-fn after_a_silence_it_leans_on_its_start_again() {
+fn without_new_samples_it_returns_to_the_prior() {
     let mut estimate = Estimate::default();
-    let now = when_seen(&mut estimate, 0, &[100.0; 30]);
+    let now = record_samples(&mut estimate, 0, &[100.0; 30]);
     let later = estimate.value(now + 600_000, PRIOR);
     assert!(is_near(later, 16.0), "{later}");
 }
@@ -64,29 +64,29 @@
 #[test_case(f64::NAN; "no number")]
 #[test_case(0.0; "nothing")]
 #[test_case(-5.0; "less than nothing")]
-fn what_a_lying_server_tells_stays_within_bounds(told: f64) {
+fn samples_out_of_range_stay_within_the_bounds(sample: f64) {
     let mut estimate = Estimate::default();
-    let now = when_seen(&mut estimate, 0, &[told; 50]);
+    let now = record_samples(&mut estimate, 0, &[sample; 50]);
     let value = estimate.value(now, PRIOR);
     assert!((PRIOR.min..=PRIOR.max).contains(&value), "{value}");
 }
 
 #[test]
-fn a_server_of_which_little_was_seen_is_taken_to_be_like_the_others() {
+fn a_key_with_few_samples_is_near_the_pooled_estimate() {
     let mut table: EstimateTable<String> = EstimateTable::new(PRIOR);
     for number in 0..20 {
-        table.record(number * EVERY, &format!("i-{number}"), 60.0);
+        table.record(number * INTERVAL_MS, &format!("i-{number}"), 60.0);
     }
-    let now = 20 * EVERY;
+    let now = 20 * INTERVAL_MS;
     assert!(is_near(table.value(now, "i-new"), 60.0), "{}", table.value(now, "i-new"));
-    (0..10).for_each(|number| table.record(now + number * EVERY, &"i-slow".to_owned(), 20.0));
-    assert!(is_near(table.value(now + 10 * EVERY, "i-slow"), 20.0));
+    (0..10).for_each(|number| table.record(now + number * INTERVAL_MS, &"i-slow".to_owned(), 20.0));
+    assert!(is_near(table.value(now + 10 * INTERVAL_MS, "i-slow"), 20.0));
     let halfway = (20.0_f64 * 60.0).sqrt();
-    assert!(table.value(now + 10 * EVERY, "i-3") > halfway, "the others are as they were");
+    assert!(table.value(now + 10 * INTERVAL_MS, "i-3") > halfway, "the others are as they were");
 }
 
 #[test]
-fn what_was_not_seen_for_long_is_forgotten() {
+fn keys_without_new_samples_expire() {
     let mut table: EstimateTable<String> = EstimateTable::new(PRIOR);
     table.record(0, &"i-1".to_owned(), 60.0);
     table.expire(1_000);
--- a/crates/control/tests/order_progress.rs
+++ b/crates/control/tests/order_progress.rs
@@ -37,7 +37,7 @@
 /// old, showed no order under way and the model still there, for it was made before the order came. It was
 /// taken for the order's end, and the model was told to all heads again.
 #[test]
-fn a_report_that_is_older_than_the_order_tells_nothing_of_its_end() {
+fn a_report_older_than_the_order_is_stale() {
     let unload = order(Operation::Unload, "a", "");
     assert_eq!(progress(&unload, 4, &contents(4, &[("a", &[])], false)), Progress::Stale);
     assert_eq!(progress(&unload, 4, &contents(5, &[("a", &[])], true)), Progress::InProgress);
@@ -50,7 +50,7 @@
 #[test_case(Operation::Unload, "a", "a1", &[("a", &[])]; "an adapter goes")]
 #[test_case(Operation::Unload, "a", "", &[]; "a model goes with its adapters")]
 #[test_case(Operation::Load, "a", "a1", &[("a", &["a1"])]; "what is there stays")]
-fn what_a_server_holds_after_an_order(
+fn contents_after_a_completed_order(
     operation: Operation,
     model: &str,
     adapter: &str,
@@ -63,7 +63,7 @@
 }
 
 #[test]
-fn the_time_of_orders_is_learned_from_those_that_were_done() {
+fn durations_are_estimated_from_completed_orders() {
     let mut times = OrderDurations::default();
     let before = times.expected(0, OrderKind::Fetch, 4_000);
     assert!((4_000..=4_400).contains(&before), "what the configuration tells: {before}");
@@ -74,7 +74,7 @@
 }
 
 #[test]
-fn an_order_that_was_done_at_the_first_look_is_looked_at_a_little_earlier_next_time() {
+fn an_order_done_at_the_first_check_is_checked_earlier_next_time() {
     let mut times = OrderDurations::default();
     for number in 0..60 {
         let looked = times.expected(number * 100, OrderKind::Adapter, 0);
--- a/crates/control/tests/outliers.rs
+++ b/crates/control/tests/outliers.rs
@@ -1,26 +1,15 @@
 //! Model servers that fail, by what all heads together saw.
 
+mod common;
+
+use common::model_server;
 use pathbank_control::demand::DemandTable;
 use pathbank_control::outliers::OutlierTable;
-use pathbank_protocol::message::{EdgeReport, ModelServer, ModelServerLoad, ModelServerState};
+use pathbank_protocol::message::{EdgeReport, ModelServer, ModelServerLoad};
 use std::collections::BTreeMap;
 
 fn servers(count: usize) -> Vec<ModelServer> {
-    let server = |number| ModelServer {
-        instance: format!("i-{number}"),
-        backend: "llm".into(),
-        address: format!("10.0.0.{number}:80"),
-        zone: "z".into(),
-        version: "v1".into(),
-        capacity: 8,
-        state: ModelServerState::Ready,
-        cold_remaining_ms: 0,
-        remaining_ms: 0,
-        models: Vec::new(),
-        sequence: 1,
-        busy: false,
-    };
-    (0..count).map(server).collect()
+    (0..count).map(|number| ModelServer { capacity: 8, ..model_server(number, &[]) }).collect()
 }
 
 fn outcome(number: usize, failed: u32, answered: u32) -> ModelServerLoad {
@@ -32,7 +21,7 @@
 }
 
 #[test]
-fn a_server_that_fails_a_little_at_many_heads_is_known_to_fail() {
+fn few_failures_at_each_of_many_edges_add_up_to_an_outlier() {
     let mut table = OutlierTable::default();
     (0..20).for_each(|_| table.record(1_000, &[outcome(0, 1, 0), outcome(1, 0, 1)]));
     let outliers = table.outliers(1_000, &servers(6));
@@ -41,14 +30,14 @@
 }
 
 #[test]
-fn one_failure_alone_says_little() {
+fn one_failure_is_no_outlier() {
     let mut table = OutlierTable::default();
     table.record(1_000, &[outcome(0, 1, 9)]);
     assert!(table.outliers(1_000, &servers(6)).is_empty());
 }
 
 #[test]
-fn a_server_that_is_left_alone_is_tried_again() {
+fn an_outlier_without_requests_is_forgotten() {
     let mut table = OutlierTable::default();
     table.record(1_000, &[outcome(0, 20, 0)]);
     assert!(!table.outliers(1_000, &servers(6)).is_empty());
@@ -59,7 +48,7 @@
 }
 
 #[test]
-fn where_most_fail_only_the_worst_are_told() {
+fn where_most_fail_only_the_worst_are_outliers() {
     let mut table = OutlierTable::default();
     let all: Vec<ModelServerLoad> = (0..9).map(|number| outcome(number, 10 + number as u32, 5)).collect();
     table.record(1_000, &all);
@@ -68,21 +57,21 @@
 }
 
 #[test]
-fn a_server_that_is_gone_is_no_outlier() {
+fn a_removed_server_is_no_outlier() {
     let mut table = OutlierTable::default();
     table.record(1_000, &[outcome(7, 20, 0)]);
     assert!(table.outliers(1_000, &servers(6)).is_empty());
 }
 
 #[test]
-fn edges_are_told_of_outliers_whether_anything_is_out_there_or_not() {
+fn joint_loads_include_outliers_without_requests_in_flight() {
     let mut demand = DemandTable::default();
-    let out = ModelServerLoad { in_flight: 3, ..outcome(1, 0, 0) };
-    let report = EdgeReport { edge: "e".into(), loads: vec![out], ..EdgeReport::default() };
+    let in_flight = ModelServerLoad { in_flight: 3, ..outcome(1, 0, 0) };
+    let report = EdgeReport { edge: "e".into(), loads: vec![in_flight], ..EdgeReport::default() };
     demand.record(1_000, &report);
     let outliers = BTreeMap::from([("i-0".to_owned(), 0.5), ("i-1".to_owned(), 0.25)]);
-    let mut told = demand.joint_loads(1_000, outliers);
-    told.sort_by(|one, other| one.instance.cmp(&other.instance));
-    let figures: Vec<_> = told.iter().map(|load| (load.in_flight, load.error_permille)).collect();
-    assert_eq!(figures, [(0, 500), (3, 250)]);
+    let mut loads = demand.joint_loads(1_000, outliers);
+    loads.sort_by(|one, other| one.instance.cmp(&other.instance));
+    let values: Vec<_> = loads.iter().map(|load| (load.in_flight, load.error_permille)).collect();
+    assert_eq!(values, [(0, 500), (3, 250)]);
 }
--- a/crates/control/tests/placement_cost.rs
+++ b/crates/control/tests/placement_cost.rs
@@ -1,11 +1,14 @@
 //! What one look at placement costs the leader, by the allocations that it makes: the same on every machine
 //! and at any load.
 
+mod common;
+
+use common::model_server;
 use pathbank_control::configuration::{Backend, Model, Runtime};
 use pathbank_control::demand::DemandTable;
 use pathbank_control::directory::CachedWeights;
 use pathbank_control::placement::Placer;
-use pathbank_protocol::message::{EdgeReport, LoadedModel, ModelDemand, ModelServer, ModelServerState};
+use pathbank_protocol::message::{EdgeReport, LoadedModel, ModelDemand, ModelServer};
 use stats_alloc::{INSTRUMENTED_SYSTEM, Region, StatsAlloc};
 use std::alloc::System;
 
@@ -15,9 +18,9 @@
 /// The size that is planned for.
 const SERVERS: usize = 1_200;
 const MODELS: usize = 1_900;
-const MODELS_OF_A_SERVER: usize = 3;
+const MODELS_PER_SERVER: usize = 3;
 /// What counting what they hold takes, and a few looks at each; a look at each for each model is hundreds.
-const MOST_FOR_A_SERVER: usize = 40;
+const MAX_ALLOCATIONS_PER_SERVER: usize = 40;
 
 fn backend() -> Backend {
     let model = |number| Model {
@@ -46,24 +49,17 @@
 }
 
 fn server(number: usize) -> ModelServer {
-    let held = |place: usize| LoadedModel {
-        name: format!("m{}", (number * MODELS_OF_A_SERVER + place) % MODELS),
+    let loaded = |position: usize| LoadedModel {
+        name: format!("m{}", (number * MODELS_PER_SERVER + position) % MODELS),
         version: 1,
         adapters: Vec::new(),
     };
     ModelServer {
-        instance: format!("i-{number}"),
-        backend: "llm".into(),
         address: format!("10.0.{}.{}:80", number / 200, number % 200),
         zone: format!("z{}", number % 4),
-        version: "v1".into(),
         capacity: 24,
-        state: ModelServerState::Ready,
-        cold_remaining_ms: 0,
-        remaining_ms: 0,
-        models: (0..MODELS_OF_A_SERVER).map(held).collect(),
-        sequence: 1,
-        busy: false,
+        models: (0..MODELS_PER_SERVER).map(loaded).collect(),
+        ..model_server(number, &[])
     }
 }
 
@@ -89,18 +85,18 @@
 /// second. For each model that is asked for, the room and the worth of what it holds was worked out anew for
 /// every instance: 105 ms of a whole core for 1,200 instances, 160 to 230 ms for 3,008.
 #[test]
-fn a_look_at_placement_does_not_cost_models_times_servers() {
+fn a_placement_pass_does_not_cost_models_times_servers() {
     let now = 100_000;
     let (backends, demand) = ([backend()], demand(now));
     let servers: Vec<ModelServer> = (0..SERVERS).map(server).collect();
     let mut placer = Placer::new();
-    for look in 0..3 {
+    for pass in 0..3 {
         let region = Region::new(ALLOCATOR);
         let orders =
-            placer.plan(now + 100 * look, &backends, &servers, &demand, &CachedWeights::default()).len();
+            placer.plan(now + 100 * pass, &backends, &servers, &demand, &CachedWeights::default()).len();
         let made = region.change();
         let allocations = made.allocations + made.reallocations;
-        println!("look {look}: {allocations} allocations, {orders} orders");
-        assert!(allocations < MOST_FOR_A_SERVER * SERVERS, "look {look}: {allocations} allocations");
+        println!("look {pass}: {allocations} allocations, {orders} orders");
+        assert!(allocations < MAX_ALLOCATIONS_PER_SERVER * SERVERS, "look {pass}: {allocations} allocations");
     }
 }
--- a/crates/control/tests/training.rs
+++ b/crates/control/tests/training.rs
@@ -18,35 +18,35 @@
 
 /// A state, and the entries of its log.
 #[derive(Default)]
-struct World {
+struct Scenario {
     state: ControlState,
     index: u64,
 }
 
-impl World {
-    fn take(&mut self, command: TrainingCommand) -> Result<CommandOutcome, ResultCode> {
+impl Scenario {
+    fn apply(&mut self, command: TrainingCommand) -> Result<CommandOutcome, ResultCode> {
         self.index += 1;
         let command =
             Command::decode(&Command::Training(command).encode()).expect("it is read as it was written");
         self.state.apply(self.index, &command).map_err(|rejection| rejection.code)
     }
 
-    fn ledger(&mut self, command: StepCommand) -> Result<CommandOutcome, ResultCode> {
-        self.take(TrainingCommand::Step(command))
+    fn apply_step(&mut self, command: StepCommand) -> Result<CommandOutcome, ResultCode> {
+        self.apply(TrainingCommand::Step(command))
     }
 
     fn announce(&mut self, key: &str) -> Result<CommandOutcome, ResultCode> {
-        self.ledger(StepCommand::Announce(StepRequest::new(key, "m", 1)))
+        self.apply_step(StepCommand::Announce(StepRequest::new(key, "m", 1)))
     }
 
     fn submit(&mut self, step: u64, prompts: &[(u64, &str)]) -> Result<CommandOutcome, ResultCode> {
         let prompts: BTreeMap<u64, Prompt> = prompts.iter().map(|(id, body)| (*id, prompt(body))).collect();
-        self.take(TrainingCommand::Submit { step, prompts })
+        self.apply(TrainingCommand::Submit { step, prompts })
     }
 
     fn open(&mut self, step: u64) {
-        self.ledger(StepCommand::FixVersion { step, version: 7 }).unwrap();
-        self.ledger(StepCommand::Open { step, members: BTreeSet::from(["w".into()]) }).unwrap();
+        self.apply_step(StepCommand::FixVersion { step, version: 7 }).unwrap();
+        self.apply_step(StepCommand::Open { step, members: BTreeSet::from(["w".into()]) }).unwrap();
     }
 
     fn record(&mut self, step: u64, prompt: u64, text: String) -> Result<CommandOutcome, ResultCode> {
@@ -54,24 +54,24 @@
         let mut versions = VersionTrail::begin(Some(7));
         versions.finish();
         let generation = Generation { step, epoch, prompt, worker: "w".into(), versions, tokens: 9 };
-        self.take(TrainingCommand::Record { generation, output: Output { text, truncated: false } })
+        self.apply(TrainingCommand::Record { generation, output: Output { text, truncated: false } })
     }
 }
 
 #[test]
-fn a_step_keeps_its_prompts_and_what_was_drawn() {
-    let mut world = World::default();
-    assert_eq!(world.announce("one"), Ok(CommandOutcome::StepAnnounced(1)));
-    assert_eq!(world.submit(1, &[(1, "a"), (2, "b")]), Ok(CommandOutcome::Applied));
-    assert_eq!(world.submit(1, &[(2, "b")]), Ok(CommandOutcome::AlreadyApplied), "the same again");
-    world.open(1);
-    assert_eq!(world.record(1, 2, "text".into()), Ok(CommandOutcome::Applied));
-    let training = world.state.training();
+fn a_step_keeps_its_prompts_and_outputs() {
+    let mut scenario = Scenario::default();
+    assert_eq!(scenario.announce("one"), Ok(CommandOutcome::StepAnnounced(1)));
+    assert_eq!(scenario.submit(1, &[(1, "a"), (2, "b")]), Ok(CommandOutcome::Applied));
+    assert_eq!(scenario.submit(1, &[(2, "b")]), Ok(CommandOutcome::AlreadyApplied), "the same again");
+    scenario.open(1);
+    assert_eq!(scenario.record(1, 2, "text".into()), Ok(CommandOutcome::Applied));
+    let training = scenario.state.training();
     assert_eq!(training.prompt(1, 1), Some(&prompt("a")));
     assert_eq!(training.output(1, 2).map(|output| output.text.as_str()), Some("text"));
-    assert_eq!(training.last_changed(1), world.index);
-    let back = ControlState::decode(&world.state.encode()).expect("a snapshot");
-    assert_eq!(back.training(), world.state.training());
+    assert_eq!(training.last_changed(1), scenario.index);
+    let back = ControlState::decode(&scenario.state.encode()).expect("a snapshot");
+    assert_eq!(back.training(), scenario.state.training());
 }
 
 #[test]
@@ -82,60 +82,60 @@
 }
 
 #[test]
-fn a_number_that_stands_for_another_prompt_changes_nothing() {
-    let mut world = World::default();
-    world.announce("one").unwrap();
-    world.submit(1, &[(1, "a")]).unwrap();
-    assert_eq!(world.submit(1, &[(1, "other"), (2, "b")]), Err(ResultCode::PromptTaken));
-    assert_eq!(world.state.training().prompt(1, 2), None);
-    assert_eq!(world.state.training().prompt(1, 1), Some(&prompt("a")));
+fn a_prompt_id_with_other_content_is_rejected() {
+    let mut scenario = Scenario::default();
+    scenario.announce("one").unwrap();
+    scenario.submit(1, &[(1, "a")]).unwrap();
+    assert_eq!(scenario.submit(1, &[(1, "other"), (2, "b")]), Err(ResultCode::PromptTaken));
+    assert_eq!(scenario.state.training().prompt(1, 2), None);
+    assert_eq!(scenario.state.training().prompt(1, 1), Some(&prompt("a")));
 }
 
 #[test]
-fn prompts_beyond_a_steps_room_are_refused_whole() {
-    let mut world = World::default();
-    world.announce("one").unwrap();
+fn prompts_beyond_the_byte_limit_are_all_rejected() {
+    let mut scenario = Scenario::default();
+    scenario.announce("one").unwrap();
     let half = "x".repeat(MAX_PROMPT_BYTES / 2 + 1);
-    assert_eq!(world.submit(1, &[(1, &half)]), Ok(CommandOutcome::Applied));
-    assert_eq!(world.submit(1, &[(2, &half), (3, "b")]), Err(ResultCode::StepTooLarge));
-    assert_eq!(world.state.training().prompt(1, 3), None);
-    assert_eq!(world.submit(1, &[(3, "b")]), Ok(CommandOutcome::Applied));
+    assert_eq!(scenario.submit(1, &[(1, &half)]), Ok(CommandOutcome::Applied));
+    assert_eq!(scenario.submit(1, &[(2, &half), (3, "b")]), Err(ResultCode::StepTooLarge));
+    assert_eq!(scenario.state.training().prompt(1, 3), None);
+    assert_eq!(scenario.submit(1, &[(3, "b")]), Ok(CommandOutcome::Applied));
 }
 
 #[test]
-fn generations_beyond_the_room_count_without_their_text() {
-    let mut world = World::default();
-    world.announce("one").unwrap();
-    world.submit(1, &[(1, "a"), (2, "b")]).unwrap();
-    world.open(1);
-    world.record(1, 1, "x".repeat(MAX_OUTPUT_BYTES)).unwrap();
-    world.record(1, 2, "y".into()).unwrap();
-    let training = world.state.training();
+fn generations_beyond_the_byte_limit_count_without_their_text() {
+    let mut scenario = Scenario::default();
+    scenario.announce("one").unwrap();
+    scenario.submit(1, &[(1, "a"), (2, "b")]).unwrap();
+    scenario.open(1);
+    scenario.record(1, 1, "x".repeat(MAX_OUTPUT_BYTES)).unwrap();
+    scenario.record(1, 2, "y".into()).unwrap();
+    let training = scenario.state.training();
     assert_eq!(training.output(1, 2), Some(&Output { text: String::new(), truncated: true }));
     assert_eq!(training.step_table().step(1).map(|step| step.counts.counted), Some(2));
 }
 
 #[test]
-fn no_more_steps_than_that_are_taken_at_once() {
-    let mut world = World::default();
+fn the_number_of_open_steps_is_limited() {
+    let mut scenario = Scenario::default();
     for number in 0..MAX_OPEN_STEPS {
-        world.announce(&format!("{number}")).unwrap();
+        scenario.announce(&format!("{number}")).unwrap();
     }
-    assert_eq!(world.announce("more"), Err(ResultCode::TooManySteps));
-    assert_eq!(world.announce("0"), Ok(CommandOutcome::StepAnnounced(1)), "one that stands is told again");
-    world.ledger(StepCommand::Abort { step: 1 }).unwrap();
-    assert_eq!(world.announce("more"), Ok(CommandOutcome::StepAnnounced(MAX_OPEN_STEPS as u64 + 1)));
+    assert_eq!(scenario.announce("more"), Err(ResultCode::TooManySteps));
+    assert_eq!(scenario.announce("0"), Ok(CommandOutcome::StepAnnounced(1)), "one that stands is told again");
+    scenario.apply_step(StepCommand::Abort { step: 1 }).unwrap();
+    assert_eq!(scenario.announce("more"), Ok(CommandOutcome::StepAnnounced(MAX_OPEN_STEPS as u64 + 1)));
 }
 
 #[test]
-fn what_old_steps_said_goes_and_their_counts_stay() {
-    let mut world = World::default();
+fn contents_of_old_steps_expire_and_their_counts_stay() {
+    let mut scenario = Scenario::default();
     for number in 1..=6 {
-        world.announce(&format!("{number}")).unwrap();
-        world.submit(number, &[(1, "a")]).unwrap();
-        world.ledger(StepCommand::Abort { step: number }).unwrap();
+        scenario.announce(&format!("{number}")).unwrap();
+        scenario.submit(number, &[(1, "a")]).unwrap();
+        scenario.apply_step(StepCommand::Abort { step: number }).unwrap();
     }
-    let training = world.state.training();
+    let training = scenario.state.training();
     let kept: Vec<u64> = (1..=6).filter(|step| training.prompt(*step, 1).is_some()).collect();
     assert_eq!(kept, [3, 4, 5, 6]);
     assert!(
@@ -144,19 +144,19 @@
 }
 
 #[test]
-fn a_thousand_steps_leave_no_more_than_the_last_ones() {
-    let mut world = World::default();
+fn a_thousand_steps_keep_only_the_latest_in_the_snapshot() {
+    let mut scenario = Scenario::default();
     for number in 1..=1_000 {
-        world.announce(&format!("{number}")).unwrap();
-        world.submit(number, &[(1, "a")]).unwrap();
-        world.open(number);
-        world.record(number, 1, "text".into()).unwrap();
-        world.ledger(StepCommand::Close { step: number, allow_missing: false }).unwrap();
-        world.ledger(StepCommand::Seal { step: number }).unwrap();
+        scenario.announce(&format!("{number}")).unwrap();
+        scenario.submit(number, &[(1, "a")]).unwrap();
+        scenario.open(number);
+        scenario.record(number, 1, "text".into()).unwrap();
+        scenario.apply_step(StepCommand::Close { step: number, allow_missing: false }).unwrap();
+        scenario.apply_step(StepCommand::Seal { step: number }).unwrap();
     }
-    let bytes = world.state.encode().len();
+    let bytes = scenario.state.encode().len();
     assert!(bytes < 100_000, "{bytes} bytes of a snapshot");
-    let last = world.state.training().step_table().step(1_000).map(|step| step.state());
+    let last = scenario.state.training().step_table().step(1_000).map(|step| step.state());
     assert_eq!(last, Some(StepState::Sealed));
 }
 
@@ -165,19 +165,19 @@
 #[test_case(StepCommand::FixVersion { step: 2, version: 1 }, ResultCode::EarlierStep; "an earlier one is not over")]
 #[test_case(StepCommand::Close { step: 1, allow_missing: false }, ResultCode::MissingGenerations; "a prompt has no generation")]
 #[test_case(StepCommand::Announce(StepRequest::new("one", "n", 1)), ResultCode::StepKeyTaken; "the key is another step's")]
-fn a_refusal_has_a_number_and_changes_nothing(command: StepCommand, code: ResultCode) {
-    let mut world = World::default();
-    world.announce("one").unwrap();
-    world.announce("two").unwrap();
-    world.submit(1, &[(1, "a")]).unwrap();
-    let before = world.state.training().clone();
-    assert_eq!(world.ledger(command), Err(code));
-    assert_eq!(*world.state.training(), before);
+fn a_rejected_command_has_a_result_code_and_changes_nothing(command: StepCommand, code: ResultCode) {
+    let mut scenario = Scenario::default();
+    scenario.announce("one").unwrap();
+    scenario.announce("two").unwrap();
+    scenario.submit(1, &[(1, "a")]).unwrap();
+    let before = scenario.state.training().clone();
+    assert_eq!(scenario.apply_step(command), Err(code));
+    assert_eq!(*scenario.state.training(), before);
     assert!((400..500).contains(&code.status()));
 }
 
 #[test]
-fn every_refusal_has_a_number_of_its_own() {
+fn every_step_error_has_its_own_result_code() {
     let state = StepState::Open;
     let refusals = [
         StepError::UnknownStep(1),
--- a/crates/control/tests/training_workers.rs
+++ b/crates/control/tests/training_workers.rs
@@ -1,28 +1,17 @@
 //! Which model servers are a step's workers.
 
+mod common;
+
+use common::model_server;
 use pathbank_control::configuration::{Model, Runtime};
 use pathbank_control::training::workers::{Workers, choose};
-use pathbank_protocol::message::{LoadedModel, ModelServer, ModelServerState};
+use pathbank_protocol::message::ModelServer;
 use pathbank_rollout::step::{RequestedWorkers, StepRequest};
 use std::collections::BTreeSet;
 use test_case::test_case;
 
 fn server(instance: &str, models: &[&str]) -> ModelServer {
-    let held = |name: &&str| LoadedModel { name: (*name).to_owned(), version: 1, adapters: Vec::new() };
-    ModelServer {
-        instance: instance.into(),
-        backend: "llm".into(),
-        address: "10.0.0.1:80".into(),
-        zone: "z".into(),
-        version: "v".into(),
-        capacity: 8,
-        state: ModelServerState::Ready,
-        cold_remaining_ms: 0,
-        remaining_ms: 0,
-        models: models.iter().map(held).collect(),
-        sequence: 1,
-        busy: false,
-    }
+    ModelServer { instance: instance.into(), capacity: 8, ..model_server(1, models) }
 }
 
 /// Model servers with room for two models.
@@ -62,21 +51,26 @@
 #[test_case(RequestedWorkers::Count(2), 3, 3, 0; "no fewer than the floor")]
 #[test_case(RequestedWorkers::Count(11), 1, 11, 7; "one more loads the model where there is room")]
 #[test_case(RequestedWorkers::Count(12), 1, 11, 7; "nobody else's model has to go for a step")]
-fn so_many_servers_are_workers(workers: RequestedWorkers, floor: u32, chosen: usize, serving_floor: usize) {
+fn the_requested_number_of_servers_are_workers(
+    workers: RequestedWorkers,
+    floor: u32,
+    chosen: usize,
+    serving_floor: usize,
+) {
     let found = choose(&request(workers, floor), &runtime(), &servers(), &names(&[]), &names(&[]));
     assert_eq!((found.chosen.len(), found.serving_floor), (chosen, serving_floor), "{found:?}");
     assert!(!found.chosen.contains("full"));
 }
 
 #[test]
-fn workers_stay_workers() {
+fn earlier_workers_are_chosen_first() {
     let before = names(&["w7", "w9", "gone"]);
     let found = choose(&request(RequestedWorkers::Count(3), 1), &runtime(), &servers(), &before, &names(&[]));
     assert_eq!(found.chosen, names(&["w0", "w7", "w9"]));
 }
 
 #[test]
-fn a_worker_that_has_dropped_the_old_version_still_counts() {
+fn a_worker_that_changes_versions_still_counts() {
     let servers = [server("a", &["m"]), server("b", &[])];
     let request = request(RequestedWorkers::All, 1);
     let found = choose(&request, &runtime(), &servers, &names(&[]), &names(&["b"]));
@@ -84,7 +78,7 @@
 }
 
 #[test]
-fn servers_of_another_service_are_no_workers() {
+fn servers_of_another_service_are_not_chosen() {
     let other = ModelServer { backend: "other".into(), ..server("x", &["m"]) };
     let request = request(RequestedWorkers::All, 1);
     let found = choose(&request, &runtime(), &[other], &names(&[]), &names(&[]));
--- a/crates/control/tests/usage.rs
+++ b/crates/control/tests/usage.rs
@@ -3,39 +3,39 @@
 use pathbank_control::usage::{MIN_SEAL_DELAY_MS, SealRule, UsageTable};
 use pathbank_protocol::message::UsageWindow;
 
-const ALL_TOLD: SealRule = SealRule { window_ms: 5_000, all_reported: true, max_delay_ms: 8_000 };
+const ALL_REPORTED: SealRule = SealRule { window_ms: 5_000, all_reported: true, max_delay_ms: 8_000 };
 
 #[test]
-fn a_new_leader_seals_nothing_before_all_edges_have_told_it_their_counts() {
+fn a_new_leader_seals_nothing_before_all_edges_have_reported() {
     // Given a leader that began long after the window's end, and has heard one edge of two.
-    let mut ledger = UsageTable::default();
+    let mut table = UsageTable::default();
     let window = |count| [UsageWindow { window: 7, counts: vec![("t".into(), count)] }];
-    ledger.record("edge-1", 1, &window(30), 0);
+    table.record("edge-1", 1, &window(30), 0);
     let end = 8 * 5_000;
-    let some_told = SealRule { all_reported: false, ..ALL_TOLD };
+    let some_reported = SealRule { all_reported: false, ..ALL_REPORTED };
     // Then it waits for the other one.
-    assert_eq!(ledger.next_to_seal(end + MIN_SEAL_DELAY_MS + 1_000, some_told, 0), None);
-    ledger.record("edge-2", 1, &window(2_900), 0);
-    let (_, counts) = ledger.next_to_seal(end + MIN_SEAL_DELAY_MS + 1_200, ALL_TOLD, 0).unwrap();
+    assert_eq!(table.next_to_seal(end + MIN_SEAL_DELAY_MS + 1_000, some_reported, 0), None);
+    table.record("edge-2", 1, &window(2_900), 0);
+    let (_, counts) = table.next_to_seal(end + MIN_SEAL_DELAY_MS + 1_200, ALL_REPORTED, 0).unwrap();
     assert_eq!(counts["t"], 2_930);
     // But not beyond when usage is due: an edge that never tells holds nobody up.
-    assert_eq!(ledger.next_to_seal(end + 7_999, some_told, 0), None);
-    assert!(ledger.next_to_seal(end + 8_000, some_told, 0).is_some());
+    assert_eq!(table.next_to_seal(end + 7_999, some_reported, 0), None);
+    assert!(table.next_to_seal(end + 8_000, some_reported, 0).is_some());
 }
 
 #[test]
-fn a_window_is_due_once_it_has_settled_with_the_counts_of_all_edges() {
-    let mut ledger = UsageTable::default();
+fn a_window_is_sealed_after_the_delay_with_the_counts_of_all_edges() {
+    let mut table = UsageTable::default();
     let window = |count| [UsageWindow { window: 7, counts: vec![("t".into(), count)] }];
-    ledger.record("edge-1", 1, &window(3), 0);
-    ledger.record("edge-1", 1, &window(2), 0);
-    ledger.record("edge-1", 2, &window(4), 0);
-    ledger.record("edge-2", 1, &window(5), 0);
+    table.record("edge-1", 1, &window(3), 0);
+    table.record("edge-1", 1, &window(2), 0);
+    table.record("edge-1", 2, &window(4), 0);
+    table.record("edge-2", 1, &window(5), 0);
     let end = 8 * 5_000;
-    assert_eq!(ledger.next_to_seal(end + MIN_SEAL_DELAY_MS - 1, ALL_TOLD, 0), None);
-    let (due, counts) = ledger.next_to_seal(end + MIN_SEAL_DELAY_MS, ALL_TOLD, 0).unwrap();
-    assert_eq!((due, counts["t"]), (7, 12), "an older report lowers nothing; another life adds");
-    assert_eq!(ledger.next_to_seal(end + MIN_SEAL_DELAY_MS, ALL_TOLD, 7), None, "sealed");
-    ledger.record("edge-1", 1, &window(9), 7);
-    assert_eq!(ledger.next_to_seal(end + MIN_SEAL_DELAY_MS, ALL_TOLD, 7), None, "and stays so");
+    assert_eq!(table.next_to_seal(end + MIN_SEAL_DELAY_MS - 1, ALL_REPORTED, 0), None);
+    let (sealed, counts) = table.next_to_seal(end + MIN_SEAL_DELAY_MS, ALL_REPORTED, 0).unwrap();
+    assert_eq!((sealed, counts["t"]), (7, 12), "an older report lowers nothing; another life adds");
+    assert_eq!(table.next_to_seal(end + MIN_SEAL_DELAY_MS, ALL_REPORTED, 7), None, "sealed");
+    table.record("edge-1", 1, &window(9), 7);
+    assert_eq!(table.next_to_seal(end + MIN_SEAL_DELAY_MS, ALL_REPORTED, 7), None, "and stays so");
 }
