--- a/src/config/fleet.rs
+++ b/src/config/fleet.rs
@@ -1,15 +1,22 @@
-//! The fleet's file: whether this head takes part in the view that the heads keep, and by which times. Errors name the key.
+//! The fleet's file: whether this process takes part in the membership view that the processes gossip, and its timing.
+//! Errors name the key.
 
-use super::{ConfigError, operators_file, unreadable};
+use super::optional_file::{self, Rule};
+use super::{ConfigError, unreadable};
 use pathbank_coordination::gossip::timing::GossipTiming;
 use serde::Deserialize;
+use std::ops::RangeInclusive;
 
 const PATH: &str = "deploy/fleet.toml";
+const PROBE_INTERVAL_US: RangeInclusive<u64> = 20_000..=10_000_000;
+const MAX_INDIRECT_PROBES: usize = 10;
 
+/// The membership view that processes of one fleet keep by gossip.
 #[derive(Clone, Debug, PartialEq)]
 pub struct FleetView {
-    /// Only heads of one name hear each other.
+    /// Messages of processes with another name are dropped.
     pub fleet: String,
+    /// Probe interval and indirect probes (SWIM, section 4.1).
     pub timing: GossipTiming,
 }
 
@@ -25,14 +32,20 @@
 }
 
 impl FleetView {
-    /// `None`: it is off, as on the platform.
+    /// Reads the file that `PATHBANK_FLEET` names, or `deploy/fleet.toml`. `None`: it is off, as on the platform.
+    ///
+    /// # Errors
+    ///
+    /// The file that is named cannot be read, or a key is wrong.
     pub fn from_environment() -> Result<Option<FleetView>, ConfigError> {
-        match operators_file("PATHBANK_FLEET", PATH)? {
-            Some(text) => FleetView::read(&text),
-            None => Ok(None),
-        }
+        optional_file::from_environment("PATHBANK_FLEET", PATH, FleetView::read)
     }
 
+    /// Reads the file's text. `None`: it says that the view is off.
+    ///
+    /// # Errors
+    ///
+    /// The key that is wrong, and what it has to be.
     pub fn read(text: &str) -> Result<Option<FleetView>, ConfigError> {
         let file: File = toml::from_str(text).map_err(|problem| unreadable("fleet", problem))?;
         if !file.enabled {
@@ -41,15 +54,18 @@
         let usual = GossipTiming::default();
         let period = file.period_ms.map_or(usual.probe_interval_us, |ms| ms.saturating_mul(1_000));
         let helpers = file.helpers.unwrap_or(usual.indirect_probes);
-        for (key, good, why) in [
-            ("fleet", !file.fleet.is_empty(), "a name is due"),
-            ("period_ms", (20_000..=10_000_000).contains(&period), "20 to 10000 are due"),
-            ("helpers", helpers <= 10, "10 is the most"),
-        ] {
-            if !good {
-                return Err(unreadable(format!("fleet: {key}"), why));
-            }
-        }
+        optional_file::check(
+            "fleet",
+            [
+                Rule { key: "fleet", holds: !file.fleet.is_empty(), expected: "a name is due" },
+                Rule {
+                    key: "period_ms",
+                    holds: PROBE_INTERVAL_US.contains(&period),
+                    expected: "20 to 10000 are due",
+                },
+                Rule { key: "helpers", holds: helpers <= MAX_INDIRECT_PROBES, expected: "10 is the most" },
+            ],
+        )?;
         Ok(Some(FleetView {
             fleet: file.fleet,
             timing: GossipTiming { probe_interval_us: period, indirect_probes: helpers },
--- a/src/config/mod.rs
+++ b/src/config/mod.rs
@@ -3,6 +3,7 @@
 pub mod agree;
 pub mod fleet;
 pub mod grpc;
+mod optional_file;
 pub mod settings;
 pub mod sftp;
 pub mod syslog;
