--- a/benches/agree.rs
+++ b/benches/agree.rs
@@ -77,7 +77,7 @@
     let (disk, saved) = told("a start on it", || VoterDatabase::open(&folder, 1 << 40).expect("it opens"));
     println!("entries read at the start: {}", saved.log.len());
     let found =
-        told("a check of every digest", || disk.verify(DigestChain::default()).expect("it is read").done());
+        told("a check of every digest", || disk.verify(DigestChain::default()).expect("it is read").finish());
     println!("{found:?}");
     let (mut disk, archive, keep) = (disk, Archive::beside(&folder), 100_000);
     let mut longest = 0.0_f64;
@@ -94,7 +94,7 @@
     let found = told("a check of both", || {
         let mut chain = DigestChain::default();
         archive.follow(&mut chain).expect("it is read");
-        disk.verify(chain).expect("it is read").done()
+        disk.verify(chain).expect("it is read").finish()
     });
     println!("{found:?}");
     drop(disk);
--- a/src/agree/archive.rs
+++ b/src/agree/archive.rs
@@ -1,32 +1,35 @@
-//! Which old entries leave a voter's log for its archive, and whether what is left, here and there, is what
-//! was written. No I/O: whoever holds the files says what is in them.
+//! Which old entries move from a voter's log to its archive, and the verification of the digests of both. No I/O: the
+//! caller reads the files.
 
 use super::document_state::{Digest, next_digest};
 use super::{Entry, Index};
 use serde::{Deserialize, Serialize};
 
-/// So many entries at the most leave at once, and no further one beyond so many bytes: a voter stands still
-/// meanwhile.
+/// Entries of a segment: the voter waits while they are copied.
 pub const MAX_SEGMENT_ENTRIES: u64 = 4_096;
+/// No further entry is added to a segment that has this many bytes.
 pub const MAX_SEGMENT_BYTES: usize = 4 * 1024 * 1024;
-/// Digits of an index in a segment's name: names are in the entries' order.
+/// Digits of an index in a segment's name: names sort as entries do.
 const DIGITS: usize = 20;
 const EXTENSION: &str = ".jsonl";
 
-/// Entries that lie together in one segment, the first and the last one.
+/// The entries of one segment.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 pub struct EntryRange {
+    /// The first entry.
     pub from: Index,
+    /// The last entry.
     pub to: Index,
 }
 
 impl EntryRange {
+    /// The name of the segment's file.
     pub fn name(&self) -> String {
         format!("{:0DIGITS$}-{:0DIGITS$}{EXTENSION}", self.from, self.to)
     }
 
-    /// `None`: that is no segment's name.
-    pub fn of(name: &str) -> Option<EntryRange> {
+    /// Reads a file's name. `None`: it is no segment's.
+    pub fn parse(name: &str) -> Option<EntryRange> {
         let (from, to) = name.strip_suffix(EXTENSION)?.split_once('-')?;
         let index = |text: &str| (text.len() == DIGITS).then(|| text.parse().ok()).flatten();
         let (from, to): (Index, Index) = (index(from)?, index(to)?);
@@ -34,27 +37,28 @@
     }
 }
 
-/// Entries that may leave a log which begins with `first`: those that the ledger up to `base` stands for, but
-/// for the last `keep` of them, and only where they fill a segment. `None`: all stay.
+/// The next segment of a log that begins with `first`: of the entries that the snapshot at `base` stands for, all but the
+/// last `keep`, where they fill a segment. `None`: all stay.
 pub fn next_segment(first: Index, base: Index, keep: u64) -> Option<EntryRange> {
     let to = first + MAX_SEGMENT_ENTRIES.min(keep.max(1)) - 1;
     (first >= 1 && to.saturating_add(keep) <= base).then_some(EntryRange { from: first, to })
 }
 
-/// What a check of all entries found.
+/// The result of verifying all entries.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct Verification {
+    /// Entries that were verified.
     pub entries: u64,
+    /// The last of them.
     pub last: Index,
-    /// Entries that are not here, from and to: all that they came to was taken over from another voter, or
-    /// their segment was moved away.
+    /// Entries that are missing, from and to: the voter got a snapshot in their place, or their segment was moved away.
     pub gaps: Vec<(Index, Index)>,
-    /// The first entry that is not what was written.
+    /// The first entry whose digest is wrong.
     #[serde(rename = "wrong")]
     pub corrupt: Option<Index>,
 }
 
-/// Follows the digest of each entry and all before it, over segments and log.
+/// Verifies the digests of segments and log, entry by entry.
 #[derive(Debug, Default)]
 pub struct DigestChain {
     found: Verification,
@@ -62,10 +66,12 @@
 }
 
 impl DigestChain {
-    pub fn done(self) -> Verification {
+    /// What was found.
+    pub fn finish(self) -> Verification {
         self.found
     }
 
+    /// The last verified entry.
     pub fn last(&self) -> Index {
         self.found.last
     }
@@ -75,8 +81,8 @@
         &self.digest
     }
 
-    /// From here on there is nothing to follow: that entry is not what was written.
-    pub fn fail(&mut self, index: Index) {
+    /// Ends the verification: that entry is not what was written.
+    pub fn mark_corrupt(&mut self, index: Index) {
         self.found.corrupt.get_or_insert(index);
     }
 
@@ -101,14 +107,14 @@
             match before() {
                 Some(before) => self.digest = before,
                 None => {
-                    self.fail(index);
+                    self.mark_corrupt(index);
                     return false;
                 }
             }
         }
         let sound = stored.filter(|(digest, entry)| **digest == next_digest(&self.digest, entry));
         let Some((digest, _)) = sound else {
-            self.fail(index);
+            self.mark_corrupt(index);
             return false;
         };
         (self.digest, self.found.last) = (*digest, index);
--- a/src/agree/archive/tests.rs
+++ b/src/agree/archive/tests.rs
@@ -30,7 +30,7 @@
     ];
     let names = spans.map(|span| span.name());
     assert!(names.is_sorted());
-    assert_eq!(names.each_ref().map(|name| EntryRange::of(name)), spans.map(Some));
+    assert_eq!(names.each_ref().map(|name| EntryRange::parse(name)), spans.map(Some));
     let name = &names[0];
     for other in [
         "",
@@ -42,7 +42,7 @@
         &name.replacen("01-", "0x-", 1),
         &EntryRange { from: 5, to: 4 }.name(),
     ] {
-        assert_eq!(EntryRange::of(other), None, "{other}");
+        assert_eq!(EntryRange::parse(other), None, "{other}");
     }
 }
 
@@ -67,7 +67,7 @@
             let before = || known.then(|| digests[*index as usize - 1]);
             chain.follow(*index, Some((&digests[*index as usize], &entry(*term))), before);
         }
-        let found = chain.done();
+        let found = chain.finish();
         assert_eq!((found.entries, &found.gaps[..], found.corrupt), (*entries, *gaps, *wrong), "{told:?}");
     }
 }
--- a/src/agree/document.rs
+++ b/src/agree/document.rs
@@ -1,45 +1,51 @@
-//! Documents, their fields, and how strict each value is. Whoever does not know which of several values is in
+//! Documents, their fields, and the order of strictness of values: a process that cannot know which of several values is in
 //! force acts by one that none of them forbids.
 
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
 use std::fmt;
 
-/// How often a class's requests may be repeated, the fewest first.
+/// Which of a class's requests may be sent again, the strictest first.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Repeats {
+    /// Not at all.
     Never,
+    /// Only requests with a key by which nodes drop repeats.
     Keyed,
+    /// All of them.
     Always,
 }
 
-/// A field's value. All but `Plain` decide what a head may do.
+/// A field's value. All but `Plain` are rules that bind processes.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case", deny_unknown_fields)]
 pub enum Value {
-    /// Units a second over all heads; and what it is never set below without waiting for the long leases.
+    /// A rate limit, units a second.
     Limit {
+        /// Over all processes together.
         rate: f64,
+        /// No edit sets the rate below this before all long leases are over.
         least: f64,
     },
-    /// Attempts at one request.
+    /// Attempts at one request, the first one included.
     Attempts(u32),
+    /// Which requests of a class may be repeated.
     Repeats(Repeats),
-    /// Whether a node takes requests: `false` where it is taken out by hand.
+    /// Whether a node gets requests: `false` where an operator took it out of rotation.
     Node(bool),
-    /// Weights, worths, names: heads that differ in these break no rule.
+    /// Weights, values, names: processes that differ in these break no rule.
     Plain(String),
 }
 
-/// How fresh a head's knowledge is.
+/// Which of its leases a process holds.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum LeaseLevel {
-    /// Neither lease runs.
+    /// None: nothing that it knows needs be true any more.
     NoLease,
-    /// The long lease runs.
+    /// The long lease only.
     LongLease,
-    /// Both do.
+    /// Both.
     FullLease,
 }
 
@@ -54,8 +60,8 @@
         }
     }
 
-    /// What neither of two values forbids. Of two kinds there is none but what a head does at `NoLease`.
-    pub fn safe(&self, other: &Value) -> Value {
+    /// The value that neither of two forbids. For values of two kinds it is what a process may do without a lease.
+    pub fn strictest(&self, other: &Value) -> Value {
         match (self, other) {
             (Value::Limit { rate: a, least: c }, Value::Limit { rate: b, least: d }) => {
                 Value::Limit { rate: a.min(*b), least: c.min(*d) }
@@ -65,12 +71,12 @@
             (Value::Node(a), Value::Node(b)) => Value::Node(*a && *b),
             (_, Value::Plain(_)) => other.clone(),
             (a, b) if a.kind() == b.kind() => a.clone(),
-            _ => other.at(LeaseLevel::NoLease),
+            _ => other.at_level(LeaseLevel::NoLease),
         }
     }
 
-    /// What a head acts on that knows this value, by how fresh that knowledge is.
-    pub fn at(&self, level: LeaseLevel) -> Value {
+    /// What a process may act on that knows this value, by the leases that it holds.
+    pub fn at_level(&self, level: LeaseLevel) -> Value {
         match (self, level) {
             (value, LeaseLevel::FullLease) => value.clone(),
             (Value::Limit { least, .. }, LeaseLevel::LongLease) => {
@@ -85,7 +91,7 @@
         }
     }
 
-    /// Whether whoever acts on this keeps to that as well: the promise, field by field.
+    /// Whether acting on this value breaks no rule of the other: the guarantee, field by field.
     pub fn satisfies(&self, other: &Value) -> bool {
         match (self, other) {
             (Value::Limit { rate: a, .. }, Value::Limit { rate: b, .. }) => a <= b,
@@ -97,10 +103,10 @@
         }
     }
 
-    /// Whether a head at `LongLease` that knows this one would not keep to that one: only then have long
-    /// leases to end.
+    /// Whether a process that knows only this value could break the other on its long lease: only then does the change
+    /// wait for the long leases to end.
     fn needs_long_lease(&self, other: &Value) -> bool {
-        !self.at(LeaseLevel::LongLease).satisfies(other)
+        !self.at_level(LeaseLevel::LongLease).satisfies(other)
     }
 
     fn validation_error(&self) -> Option<&'static str> {
@@ -120,22 +126,26 @@
 /// A document: its fields, and the number of its edits.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct Document {
+    /// The number of its edits; 0: never edited.
     pub version: u64,
+    /// By name.
     pub fields: BTreeMap<String, Value>,
     /// The version that last changed each field, those taken out included.
     changed: BTreeMap<String, u64>,
 }
 
-/// Some fields of documents, changed by somebody who saw each of these at its version `base`. All of it or
-/// nothing.
+/// A change of fields of documents, applied completely or not at all.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Edit {
-    /// Whoever sends it again sends the same: it counts once.
+    /// Idempotency key: an edit that is sent again with the same id is applied once.
     pub id: u64,
+    /// Changes by document.
     pub parts: BTreeMap<String, DocumentChange>,
+    /// The operator.
     pub who: String,
+    /// The operator's reason, for the history.
     pub why: String,
-    /// Unix milliseconds at whoever made it: told, never decided by.
+    /// Unix milliseconds at the editor, for the history only.
     pub at_ms: u64,
 }
 
@@ -143,15 +153,17 @@
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct DocumentChange {
+    /// The version that the editor saw.
     pub base: u64,
     /// `None`: the field is taken out.
     pub changes: BTreeMap<String, Option<Value>>,
 }
 
-/// About how many bytes a field takes beside its name.
+/// Estimated bytes of a field beside its name.
 const FIELD_OVERHEAD_BYTES: usize = 48;
 
 impl Edit {
+    /// An estimate of its size in bytes.
     pub fn weight(&self) -> usize {
         let part = |(name, part): (&String, &DocumentChange)| {
             name.len()
@@ -162,28 +174,34 @@
     }
 }
 
+/// Why an edit changes nothing.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum EditRejection {
-    /// Somebody else changed these fields since `base`.
+    /// These fields were changed since `base`.
     Conflict(Vec<String>),
-    /// A document has no such version yet.
+    /// `base` is a version that does not exist yet.
     Ahead,
+    /// A value is wrong.
     Fault {
+        /// Of which field.
         field: String,
+        /// What the value has to be.
         what: String,
     },
-    /// Rules cannot be taken out: a head could not know that there was one.
+    /// A field keeps its kind of value, and rules cannot be removed: a process could not know that there was one.
     Kind {
+        /// Of which field.
         field: String,
     },
+    /// It changes no field.
     Empty,
-    /// All documents together would be larger than may be.
+    /// All documents together would be larger than one message.
     Full,
 }
 
 impl EditRejection {
-    /// The same with the document named.
-    pub fn of(self, document: &str) -> EditRejection {
+    /// The same rejection with the document's name before each field.
+    pub fn in_document(self, document: &str) -> EditRejection {
         let named = |field: String| format!("{document}.{field}");
         match self {
             EditRejection::Conflict(fields) => {
@@ -214,6 +232,7 @@
 }
 
 impl Document {
+    /// An estimate of its size in bytes.
     pub fn weight(&self) -> usize {
         self.fields.keys().map(|name| name.len() + FIELD_OVERHEAD_BYTES).sum()
     }
@@ -223,7 +242,11 @@
         self.changed.get(field).copied().unwrap_or(0)
     }
 
-    /// The document after an edit. Edits on one base go together where they touch different fields.
+    /// The document after an edit. Edits on one base merge where they change different fields.
+    ///
+    /// # Errors
+    ///
+    /// See [`EditRejection`].
     pub fn edited(&self, edit: &DocumentChange) -> Result<Document, EditRejection> {
         if edit.changes.is_empty() {
             return Err(EditRejection::Empty);
@@ -260,8 +283,8 @@
         Ok(after)
     }
 
-    /// Whether heads that know only this one could act against `after` on their long leases. A rule that is
-    /// new is known to nobody who has not prepared for it: they act without.
+    /// Whether processes that know only this version could break rules of `after` on their long leases. A new rule binds
+    /// no process that has not prepared for it.
     pub fn needs_long_lease(&self, after: &Document) -> bool {
         after.fields.iter().any(|(field, value)| match self.fields.get(field) {
             Some(before) => before.needs_long_lease(value),
--- a/src/agree/document/tests.rs
+++ b/src/agree/document/tests.rs
@@ -14,15 +14,15 @@
     for a in values() {
         assert!(
             a.satisfies(&a)
-                && a.at(LeaseLevel::LongLease).satisfies(&a)
-                && a.at(LeaseLevel::NoLease).satisfies(&a.at(LeaseLevel::LongLease))
+                && a.at_level(LeaseLevel::LongLease).satisfies(&a)
+                && a.at_level(LeaseLevel::NoLease).satisfies(&a.at_level(LeaseLevel::LongLease))
         );
         for b in values().into_iter().filter(|b| b.kind() == a.kind()) {
-            let safe = a.safe(&b);
-            assert!(safe.satisfies(&a) && safe.satisfies(&b), "{a:?} {b:?}: {safe:?}");
-            assert!(a.at(LeaseLevel::NoLease).satisfies(&b), "{a:?} {b:?}: bottom contradicts nothing");
+            let strictest = a.strictest(&b);
+            assert!(strictest.satisfies(&a) && strictest.satisfies(&b), "{a:?} {b:?}: {strictest:?}");
+            assert!(a.at_level(LeaseLevel::NoLease).satisfies(&b), "{a:?} {b:?}: bottom contradicts nothing");
             // Where long leases need not end, whoever runs on one keeps to both.
-            assert!(a.needs_long_lease(&b) || a.at(LeaseLevel::LongLease).satisfies(&b), "{a:?} {b:?}");
+            assert!(a.needs_long_lease(&b) || a.at_level(LeaseLevel::LongLease).satisfies(&b), "{a:?} {b:?}");
             for c in values().into_iter().filter(|c| c.kind() == a.kind()) {
                 assert!(!(a.satisfies(&b) && b.satisfies(&c)) || a.satisfies(&c), "{a:?} {b:?} {c:?}");
             }
--- a/src/agree/document_state.rs
+++ b/src/agree/document_state.rs
@@ -1,6 +1,5 @@
-//! What the committed part of the log says: the documents in force, and the edits that are prepared and not
-//! in force yet. Every voter and head that has read the same entries knows the same, and has the same digest
-//! of all that it read.
+//! The state machine of the agreement: documents in force, and edits that are prepared but not in force yet. All that
+//! have applied the same entries have the same state and the same digest of these entries.
 
 use super::document::{Document, Edit, EditRejection, Value};
 use super::voter::Voters;
@@ -10,15 +9,16 @@
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use std::sync::Arc;
 
-/// So many edits are told apart from those that come a second time; an older one that comes again meets its
-/// own base.
+/// Results of edits that are kept, by which an edit that is sent again is applied once. An older one that comes again
+/// conflicts with its own change.
 const MAX_RESULTS: usize = 4_096;
-/// Documents together, in bytes as they are counted here: what a head can hold, and one message can carry.
+/// All documents together by their estimated size: one message can carry them.
 const MAX_DOCUMENTS_BYTES: usize = 4 * 1024 * 1024;
 
 /// Over an entry and all before it.
 pub type Digest = [u8; 32];
 
+/// The digest of the log with one more entry: SHA-256 over the one before and the entry's JSON.
 pub fn next_digest(before: &Digest, entry: &Entry) -> Digest {
     let mut context = digest::Context::new(&digest::SHA256);
     context.update(before);
@@ -29,17 +29,19 @@
     after
 }
 
-/// An edit that is prepared for: heads act by what neither it nor what is in force forbids.
+/// A prepared edit: processes act by what neither it nor the documents in force forbid.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 struct Pending {
     index: Index,
     after: BTreeMap<String, Arc<Document>>,
-    /// It changes who votes: heads that do not know count by others.
+    /// It changes the membership, by which processes count grants.
     voters: bool,
-    /// Heads on their long leases could act against it.
-    long: bool,
+    /// Processes that hold only the long lease could act against it.
+    #[serde(rename = "long")]
+    needs_long_lease: bool,
 }
 
+/// The replicated state machine: applying the same entries gives the same state.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct DocumentState {
     /// The last entry that was applied.
@@ -50,11 +52,14 @@
     active: Index,
     in_force: BTreeMap<String, Arc<Document>>,
     pending: VecDeque<Pending>,
-    /// What became of the last edits, by id and in their order.
+    /// What became of the last edits, by their ids.
     results: BTreeMap<u64, Result<Index, EditRejection>>,
-    order: VecDeque<u64>,
+    /// Ids of edits in `results`, the oldest first.
+    #[serde(rename = "order")]
+    result_order: VecDeque<u64>,
+    /// Estimated size of all documents, bytes.
     weight: usize,
-    /// Who votes, and the entry that said so; `None`: those that all were started with.
+    /// The membership, and the entry that set it; `None`: that of the configuration.
     voters: Option<Voters>,
     voters_at: Index,
 }
@@ -65,14 +70,17 @@
         self.applied
     }
 
+    /// Over all applied entries.
     pub fn digest(&self) -> &Digest {
         &self.digest
     }
 
+    /// The last edit that is in force.
     pub fn active(&self) -> Index {
         self.active
     }
 
+    /// A document as it is in force.
     pub fn document(&self, name: &str) -> Option<&Document> {
         self.in_force.get(name).map(AsRef::as_ref)
     }
@@ -88,7 +96,7 @@
         pending.or(self.in_force.get(name)).map(AsRef::as_ref)
     }
 
-    /// All that heads may have to act by: names of documents in force or prepared.
+    /// Names of documents in force or prepared; a name may come twice.
     pub fn names(&self) -> impl Iterator<Item = &str> {
         let pending = self.pending.iter().flat_map(|pending| pending.after.keys());
         self.in_force.keys().chain(pending).map(String::as_str)
@@ -100,11 +108,12 @@
         self.voters.as_ref()
     }
 
+    /// The entry that set [`DocumentState::latest_voters`], or 0.
     pub fn voters_at(&self) -> Index {
         self.voters_at
     }
 
-    /// Some head may still count by the voters of before.
+    /// Some process may still count grants of the voters before the last change.
     pub fn voters_pending(&self) -> bool {
         self.pending.iter().any(|pending| pending.voters)
     }
@@ -119,19 +128,19 @@
         self.pending.back().map_or(self.active, |pending| pending.index)
     }
 
-    /// The first edit behind `known` on which a head that knows no more could act against, on its short or
-    /// long lease.
+    /// The first edit behind `known` that a process which knows no more could act against, on either lease or on its
+    /// long lease only.
     pub fn first_conflict(&self, known: Index, long_only: bool) -> Option<Index> {
-        let against = |pending: &&Pending| pending.index > known && (pending.long || !long_only);
+        let against = |pending: &&Pending| pending.index > known && (pending.needs_long_lease || !long_only);
         self.pending.iter().find(against).map(|pending| pending.index)
     }
 
-    /// The last edit up to there.
+    /// The last prepared edit up to that entry.
     pub fn last_pending_up_to(&self, index: Index) -> Option<Index> {
         self.pending.iter().rev().map(|pending| pending.index).find(|edit| *edit <= index)
     }
 
-    /// The next entry. The same log gives the same ledger, whoever reads it.
+    /// Applies the next entry.
     pub fn apply(&mut self, entry: &Entry) {
         self.applied += 1;
         self.digest = next_digest(&self.digest, entry);
@@ -141,7 +150,12 @@
             Command::Voters(voters) => {
                 (self.voters, self.voters_at) = (Some(voters.clone()), self.applied);
                 let after = BTreeMap::new();
-                self.pending.push_back(Pending { index: self.applied, after, voters: true, long: true });
+                self.pending.push_back(Pending {
+                    index: self.applied,
+                    after,
+                    voters: true,
+                    needs_long_lease: true,
+                });
             }
             Command::ActivateUpTo(to) => {
                 let to = (*to).min(self.applied);
@@ -163,9 +177,9 @@
             self.applied
         });
         self.results.insert(edit.id, result);
-        self.order.push_back(edit.id);
-        if self.order.len() > MAX_RESULTS
-            && let Some(oldest) = self.order.pop_front()
+        self.result_order.push_back(edit.id);
+        if self.result_order.len() > MAX_RESULTS
+            && let Some(oldest) = self.result_order.pop_front()
         {
             self.results.remove(&oldest);
         }
@@ -176,12 +190,12 @@
         if edit.parts.is_empty() {
             return Err(EditRejection::Empty);
         }
-        let (mut after, mut long, mut weight, nothing) =
+        let (mut after, mut needs_long_lease, mut weight, nothing) =
             (BTreeMap::new(), false, self.weight, Document::default());
         for (name, part) in &edit.parts {
             let before = self.latest(name).unwrap_or(&nothing);
-            let document = before.edited(part).map_err(|rejected| rejected.of(name))?;
-            long |= before.needs_long_lease(&document);
+            let document = before.edited(part).map_err(|rejected| rejected.in_document(name))?;
+            needs_long_lease |= before.needs_long_lease(&document);
             weight = (weight + document.weight()).saturating_sub(before.weight());
             if before.version == 0 {
                 weight += name.len();
@@ -191,7 +205,7 @@
         if weight > MAX_DOCUMENTS_BYTES {
             return Err(EditRejection::Full);
         }
-        Ok((Pending { index: self.applied, after, voters: false, long }, weight))
+        Ok((Pending { index: self.applied, after, voters: false, needs_long_lease }, weight))
     }
 
     /// The names of a document's fields, in force or prepared.
@@ -201,10 +215,10 @@
         documents.flat_map(|document| document.fields.keys()).map(String::as_str).collect()
     }
 
-    /// What a head acts on that knows this much: what is in force, and nothing that a prepared edit forbids.
+    /// The value to act on with this knowledge: the strictest of what is in force and what is prepared.
     pub fn effective_value(&self, document: &str, field: &str) -> Option<Value> {
         let pending = self.pending.iter().filter_map(|pending| pending.after.get(document));
         let values = self.in_force.get(document).into_iter().chain(pending);
-        values.filter_map(|document| document.fields.get(field).cloned()).reduce(|a, b| a.safe(&b))
+        values.filter_map(|document| document.fields.get(field).cloned()).reduce(|a, b| a.strictest(&b))
     }
 }
--- a/src/agree/lease_holder.rs
+++ b/src/agree/lease_holder.rs
@@ -1,4 +1,5 @@
-//! A head's side: what it was told, under which leases, and what it may act on at a given moment.
+//! The side of a process that acts: the entries it has applied, its leases, and what it may act on at a given moment
+//! (leases: Raft thesis, section 6.4.1; here a majority of voters grants them, not the leader alone).
 
 use super::document::{LeaseLevel, Repeats, Value};
 use super::document_state::DocumentState;
@@ -7,44 +8,49 @@
 use std::collections::BTreeMap;
 use std::sync::Arc;
 
-/// What a head knows, and since when it may act by it: looked at with each act.
+/// What a process knows, and since when it holds its leases: asked at each act, not by a timer.
 #[derive(Clone, Debug)]
 pub struct LeaseView {
     state: Arc<DocumentState>,
     times: Timings,
-    /// Since when a majority has granted it its leases.
-    since: Option<Micros>,
+    /// Since when it holds its leases: the newest time at which a majority's granted requests had been sent.
+    held_since: Option<Micros>,
 }
 
+/// The state of the process that asks for leases.
 #[derive(Clone, Debug)]
 pub struct LeaseHolder {
     id: HolderId,
-    /// Those of the start, while the log says nothing of them.
+    /// By the configuration, while the log says nothing of them.
     initial_voters: Voters,
     view: LeaseView,
-    /// When the request was sent that each voter last granted, by this head's clock.
+    /// When the last request was sent that each voter granted, by this process's clock.
     granted_at: BTreeMap<VoterId, Micros>,
 }
 
 impl LeaseHolder {
+    /// Knows nothing yet and holds no lease; `voters` are those of the configuration.
     pub fn new(id: HolderId, voters: &Voters, times: Timings) -> LeaseHolder {
-        let view = LeaseView { state: Arc::default(), times, since: None };
+        let view = LeaseView { state: Arc::default(), times, held_since: None };
         LeaseHolder { id, initial_voters: voters.clone(), view, granted_at: BTreeMap::new() }
     }
 
+    /// The process.
     pub fn id(&self) -> &HolderId {
         &self.id
     }
 
+    /// What the process may act on, for those that act.
     pub fn view(&self) -> &LeaseView {
         &self.view
     }
 
+    /// All committed entries that it has applied.
     pub fn state(&self) -> &DocumentState {
         &self.view.state
     }
 
-    /// Whom it asks.
+    /// The voters whose grants count.
     pub fn voters(&self) -> &Voters {
         self.view.state.latest_voters().unwrap_or(&self.initial_voters)
     }
@@ -55,6 +61,7 @@
         Message::LeaseRequest { holder: self.id.clone(), requested_at: now, prepared: self.state().applied() }
     }
 
+    /// Takes a voter's reply: applies its entries and counts its grant.
     pub fn step(&mut self, from: VoterId, message: Message) {
         let Message::LeaseReply { start, requested_at, granted, after, snapshot, entries } = message else {
             return;
@@ -62,16 +69,16 @@
         if let Some(snapshot) = snapshot.filter(|snapshot| snapshot.applied() > self.state().applied()) {
             self.view.state = Arc::new(*snapshot);
         }
-        self.learn(after, &entries);
+        self.apply_entries(after, &entries);
         if granted && start == self.id.start && self.voters().contains_key(&from) {
             let granted_at = self.granted_at.entry(from).or_insert(requested_at);
             *granted_at = requested_at.max(*granted_at);
         }
-        self.view.since = self.majority_granted_since();
+        self.view.held_since = self.majority_granted_since();
     }
 
     /// Committed entries never change: what is known already is passed over, what would leave a gap is left.
-    fn learn(&mut self, after: Index, entries: &[Entry]) {
+    fn apply_entries(&mut self, after: Index, entries: &[Entry]) {
         let known = self.state().applied();
         let mut new = entries.iter().zip(after + 1..).filter(|(_, index)| *index > known).peekable();
         if new.peek().is_some_and(|(_, index)| *index == known + 1) {
@@ -90,18 +97,14 @@
 }
 
 impl LeaseView {
+    /// All committed entries that the process has applied.
     pub fn state(&self) -> &DocumentState {
         &self.state
     }
 
-    /// The same knowledge: neither entries nor grants have come since.
-    pub fn same(&self, other: &LeaseView) -> bool {
-        self.state.applied() == other.state.applied() && self.since == other.since
-    }
-
     /// Asked at each act, never by a timer: whoever stood still finds on waking that its leases are over.
     pub fn level(&self, now: Micros) -> LeaseLevel {
-        let Some(since) = self.since else { return LeaseLevel::NoLease };
+        let Some(since) = self.held_since else { return LeaseLevel::NoLease };
         match now.saturating_sub(since) {
             age if age < self.times.lease => LeaseLevel::FullLease,
             age if age < self.times.long_lease => LeaseLevel::LongLease,
@@ -109,18 +112,9 @@
         }
     }
 
-    /// When the level goes down next, if nothing is heard until then.
-    pub fn ends(&self, now: Micros) -> Option<Micros> {
-        let since = self.since?;
-        [self.times.lease, self.times.long_lease]
-            .map(|lease| since + lease)
-            .into_iter()
-            .find(|end| *end > now)
-    }
-
     /// What it may act on now. `None`: no such rule; with no lease at all, nobody can know that.
     pub fn value(&self, now: Micros, document: &str, field: &str) -> Option<Value> {
-        self.state.effective_value(document, field).map(|value| value.at(self.level(now)))
+        self.state.effective_value(document, field).map(|value| value.at_level(self.level(now)))
     }
 
     /// Units a second that all heads together may spend.
@@ -131,6 +125,7 @@
         }
     }
 
+    /// Attempts at one request. `None`: no such rule.
     pub fn attempts(&self, now: Micros, document: &str, field: &str) -> Option<u32> {
         match self.value(now, document, field) {
             Some(Value::Attempts(most)) => Some(most),
@@ -138,6 +133,7 @@
         }
     }
 
+    /// Which requests may be repeated. `None`: no such rule.
     pub fn repeats(&self, now: Micros, document: &str, field: &str) -> Option<Repeats> {
         match self.value(now, document, field) {
             Some(Value::Repeats(repeats)) => Some(repeats),
@@ -147,7 +143,7 @@
 
     /// Whether a node may be sent to: one that nobody took out may, unless it cannot be known that nobody
     /// did.
-    pub fn takes(&self, now: Micros, document: &str, node: &str) -> bool {
+    pub fn accepts_requests(&self, now: Micros, document: &str, node: &str) -> bool {
         match self.value(now, document, node) {
             Some(Value::Node(takes)) => takes,
             _ => self.level(now) != LeaseLevel::NoLease,
--- a/src/agree/lease_holder/tests.rs
+++ b/src/agree/lease_holder/tests.rs
@@ -9,7 +9,7 @@
         let limit = holder.limit(now, name, "rate").map_or("any".into(), |rate| rate.to_string());
         let attempts = holder.attempts(now, name, "tries").map_or("any".into(), |most| most.to_string());
         let repeats = holder.repeats(now, name, "again").map_or("any".into(), |some| format!("{some:?}"));
-        format!("{limit} {attempts} {repeats} {}", holder.takes(now, name, "node"))
+        format!("{limit} {attempts} {repeats} {}", holder.accepts_requests(now, name, "node"))
     };
     format!("{} | {}", of("plan"), of("none"))
 }
--- a/src/agree/report.rs
+++ b/src/agree/report.rs
@@ -1,4 +1,4 @@
-//! Documents and their history as people read and write them. No I/O.
+//! Documents and their history as text, for operators. No I/O.
 
 use super::document::{Document, DocumentChange, Edit, Repeats, Value};
 use super::{Command, Entry, Index};
@@ -47,6 +47,7 @@
     }))
 }
 
+/// A value in the form that [`parse_value`] reads.
 pub fn value(value: &Value) -> String {
     match value {
         Value::Limit { rate, least } => format!("limit:{rate},{least}"),
@@ -69,6 +70,7 @@
     Ok((field.to_string(), parse_value(value)?))
 }
 
+/// A document with its fields, one a line; `note` follows the version.
 pub fn document(name: &str, document: &Document, note: &str) -> String {
     let mut text = format!("{name} version {}{note}\n", document.version);
     for (field, at) in &document.fields {
--- a/src/agree/rules.rs
+++ b/src/agree/rules.rs
@@ -1,5 +1,5 @@
-//! What a head may do by the documents: the settings that its decision module is told, which nodes are out,
-//! and whether an attempt may start at this moment. Documents and their fields, as
+//! What a process may do by the documents: the settings of its decision module, which nodes are out of rotation, and
+//! whether an attempt may start at this moment. Documents and their fields, as
 //! `docs/operators/agreement.md` has them: `plan/NAME` (`limit`; plain `rate`, `reserve`, `weight`, `price`),
 //! `class/NAME` (`attempts`, `repeats`), `nodes` (a field for each node's id), `volumes` (a plan's name for
 //! each volume).
@@ -11,27 +11,33 @@
 use crate::interface::{self, Plan, Settings, VolumeId};
 use std::collections::BTreeMap;
 
+/// The document with a field for each node.
 pub const NODES: &str = "nodes";
+/// The document with a field for each volume.
 pub const VOLUMES: &str = "volumes";
 
-/// An agreed limit of nothing: 0 would be no limit to the module.
+/// A rate limit of nothing: to the decision module 0 means no limit.
 const NO_UNITS: f64 = f64::MIN_POSITIVE;
 
-/// What the module's numbers stand for.
+/// Names by the decision module's numbers.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Names {
+    /// By the number of the class.
     pub classes: Vec<String>,
+    /// By the number of the plan.
     pub plans: Vec<String>,
 }
 
-/// The rules that a request came under. Stricter ones bind it from their time on, laxer ones never.
+/// The rules at a request's arrival. Stricter ones bind it as soon as they are known, laxer ones never.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct AdmittedRules {
+    /// Attempts at the request, the first one included.
     pub attempts: u32,
+    /// Whether it may be sent again.
     pub repeats: Repeats,
 }
 
-/// What the documents say, by the module's numbers.
+/// The documents, by the decision module's numbers.
 #[derive(Clone, Debug, Default, PartialEq)]
 struct EffectiveRules {
     attempts: Vec<Option<Value>>,
@@ -40,11 +46,11 @@
     plans: Vec<PlanOverrides>,
     nodes: BTreeMap<String, Value>,
     volumes: BTreeMap<VolumeId, usize>,
-    /// Fields that mean nothing here.
+    /// Fields without a meaning here.
     ignored: Vec<String>,
 }
 
-/// A plan's plain figures, where the documents have any.
+/// A plan's values that the documents override.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 struct PlanOverrides {
     rate: Option<f64>,
@@ -53,22 +59,25 @@
     price: Option<f64>,
 }
 
-/// What has changed since the last look.
+/// What has changed since the last refresh.
 #[derive(Clone, Debug, PartialEq)]
 pub struct RulesChange {
+    /// Now.
     pub level: LeaseLevel,
+    /// Before.
     pub was: LeaseLevel,
-    /// The documents say something else to a head.
+    /// The effective rules have changed.
     pub revised: bool,
 }
 
 impl RulesChange {
-    /// The module has to be told.
+    /// Whether the decision module needs the new settings.
     pub fn affects_module(&self) -> bool {
         self.revised || self.level != self.was
     }
 }
 
+/// The rules of this process, compiled from the documents.
 #[derive(Debug)]
 pub struct Rules {
     base: Settings,
@@ -81,6 +90,7 @@
 }
 
 impl Rules {
+    /// Rules over the process's own settings `base`; at first without a lease.
     pub fn new(base: Settings, names: Names, view: LeaseView) -> Rules {
         let mut rules = Rules {
             base,
@@ -100,14 +110,17 @@
         self.effective = self.compile();
     }
 
+    /// The leases at the last refresh.
     pub fn level(&self) -> LeaseLevel {
         self.level
     }
 
+    /// The documents at the last refresh.
     pub fn state(&self) -> &DocumentState {
         self.view.state()
     }
 
+    /// Fields without a meaning here, for the log.
     pub fn ignored(&self) -> &[String] {
         &self.effective.ignored
     }
@@ -200,7 +213,8 @@
         plan.reserve = overrides.reserve.unwrap_or(plan.reserve);
         plan.weight = overrides.weight.unwrap_or(plan.weight);
         plan.price = overrides.price.unwrap_or(plan.price);
-        let limit = self.effective.limits.get(number).cloned().flatten().map(|value| value.at(self.level));
+        let limit =
+            self.effective.limits.get(number).cloned().flatten().map(|value| value.at_level(self.level));
         let rate = match (limit, self.level) {
             (_, LeaseLevel::NoLease) => 0.0,
             (Some(Value::Limit { rate, .. }), _) => rate,
@@ -214,7 +228,8 @@
 
     /// Attempts at one request of the class that may be made, the first one counted.
     pub fn attempts(&self, class: usize) -> u32 {
-        let agreed = self.effective.attempts.get(class).cloned().flatten().map(|value| value.at(self.level));
+        let agreed =
+            self.effective.attempts.get(class).cloned().flatten().map(|value| value.at_level(self.level));
         match (agreed, self.level) {
             (Some(Value::Attempts(most)), _) => most.min(self.base.max_attempts),
             (_, LeaseLevel::NoLease) => 0,
@@ -223,7 +238,8 @@
     }
 
     fn repeats(&self, class: usize) -> Repeats {
-        let agreed = self.effective.repeats.get(class).cloned().flatten().map(|value| value.at(self.level));
+        let agreed =
+            self.effective.repeats.get(class).cloned().flatten().map(|value| value.at_level(self.level));
         match (agreed, self.level) {
             (Some(Value::Repeats(repeats)), _) => repeats,
             (_, LeaseLevel::NoLease) => Repeats::Never,
@@ -243,7 +259,7 @@
 
     /// Whether a node may be sent to. Without any lease nobody can know which of them were taken out.
     pub fn accepts_requests(&self, node: &str) -> bool {
-        match self.effective.nodes.get(node).map(|value| value.at(self.level)) {
+        match self.effective.nodes.get(node).map(|value| value.at_level(self.level)) {
             Some(Value::Node(takes)) => takes,
             _ => self.level != LeaseLevel::NoLease,
         }
--- a/src/agree/voter/mod.rs
+++ b/src/agree/voter/mod.rs
@@ -1,8 +1,8 @@
-//! A voter: keeps the log with the others by terms and majorities, grants heads their leases, and says of an
-//! edit when no head can act any more without knowing of it, as far as its own grants go.
+//! A voter: a Raft server that also grants leases, and says of an edit when no process can act any more without knowing
+//! of it, as far as its own grants go. Rules of Raft cite sections of the thesis.
 //!
-//! Whatever is in `Output::save` has to be on disk before anything in `Output::send` leaves. Where it cannot
-//! be saved, the voter is to be thrown away and read from its disk again.
+//! Invariant: whatever is in [`Output::save`] is on disk before anything in [`Output::send`] leaves. Where it cannot be
+//! saved, the voter is dropped and made again from its database.
 
 mod election;
 mod grants;
@@ -21,30 +21,35 @@
 use std::collections::BTreeMap;
 use thiserror::Error;
 
-/// None stay in memory where they are this large.
+/// Applied entries that take more bytes than this leave memory.
 const MAX_TAIL_BYTES: usize = 4 * 1024 * 1024;
-/// A term that began within so many waits for a leader after the one before it began soon.
+/// A term counts as rapid when it begins within this many election time-outs after the one before.
 const RAPID_TERM_TIMEOUTS: Micros = 4;
-/// The wait for a leader is doubled so often at most.
 const MAX_TIMEOUT_DOUBLINGS: u32 = 2;
-/// Leases that are out at once: far more heads than there are.
+/// Leases at once: far more than there are processes.
 const MAX_GRANTS: usize = 10_000;
 
+/// Whom a message is for.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Recipient {
+    /// A peer.
     Voter(VoterId),
+    /// The process that asked for a lease.
     LeaseHolder(HolderId),
 }
 
+/// What one call of a voter asks its caller to do.
 #[derive(Debug, Default)]
 pub struct Output {
+    /// Saved before any of `send` leaves.
     pub save: Vec<PersistentChange>,
+    /// Messages may be lost, repeated and overtake each other.
     pub send: Vec<(Recipient, Message)>,
-    /// A voter of that number spoke from an older disk than before, and was not heard.
+    /// This peer runs on an older copy of its database: its message was dropped.
     pub stale_peer: Option<VoterId>,
 }
 
-/// What the leader knows of another voter.
+/// What the leader knows of a peer.
 #[derive(Clone, Copy, Debug)]
 struct Peer {
     progress: ReplicationProgress,
@@ -58,30 +63,31 @@
     at: Micros,
 }
 
-/// Somebody else leads, or nobody.
+/// This voter does not lead; the leader, as far as it knows.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct NotLeader(pub Option<VoterId>);
 
-/// Why voters are not changed now.
+/// Why a change of the membership is refused.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Error)]
 pub enum MembershipChangeError {
     /// Somebody else leads, or nobody.
     #[error("this voter does not lead")]
     NotLeader(Option<VoterId>),
-    /// One is added, taken out or moved at a time, and one at least stays.
+    /// One voter is added, removed or moved at a time, and one at least stays (section 4.1).
     #[error("one voter is added, removed or moved at a time, and one stays")]
     NotSingleChange,
-    /// Some head may not know of the last change yet, or this leader has only begun.
+    /// The last change is not in force yet, or the leader has not committed an entry of its term.
     #[error("some head may not know of the last change yet, or the leader is new")]
     PreviousChangePending,
 }
 
+/// A Raft server that also grants leases.
 #[derive(Clone, Debug)]
 pub struct Voter {
     id: VoterId,
     times: Timings,
     saved: PersistentState,
-    /// As the log has them, counted or not; before it says anything, those of the start.
+    /// The membership by the log's last entry on it, committed or not, or the initial one.
     voters: Voters,
     initial_voters: Voters,
     role: Role,
@@ -92,20 +98,21 @@
     votes: VoteTally<VoterId>,
     peers: BTreeMap<VoterId, Peer>,
     grants: BTreeMap<HolderId, Grant>,
-    /// In this start it has seen all that counted for some leader: until then its disk may be an old one,
-    /// which does not know what it has to wait for.
+    /// In this run it has had all that some leader had committed. Until then its database may be an old copy, which
+    /// does not know the barrier, and it grants no lease.
     caught_up: bool,
-    /// Grants of before are not known: it is as if one had been given to somebody who knew nothing.
+    /// Grants of earlier runs are not known: as if one had been given at the start to a process that knew nothing.
     started_at: Micros,
     election_at: Micros,
     heartbeat_at: Micros,
-    /// When it came into its term, and how many terms on end began soon after the one before.
+    /// When it came into its term.
     term_began_at: Option<Micros>,
+    /// How often the election time-out is doubled: once for each rapid term in a row.
     timeout_doublings: u32,
 }
 
 impl Voter {
-    /// `draw` is any number, another one at each call.
+    /// A voter that starts with what its database holds. `draw` is any random number, another one at each call.
     pub fn new(
         id: VoterId,
         voters: &Voters,
@@ -141,45 +148,52 @@
         voter
     }
 
+    /// What the committed entries came to.
     pub fn state(&self) -> &DocumentState {
         &self.state
     }
 
+    /// Whether it takes itself for the leader.
     pub fn is_leader(&self) -> bool {
         self.role == Role::Leader
     }
 
-    /// Who leads, as far as it knows.
+    /// The leader, as far as it knows.
     pub fn leader(&self) -> Option<VoterId> {
         if self.is_leader() { Some(self.id) } else { self.leader }
     }
 
+    /// The current term.
     pub fn term(&self) -> Term {
         self.saved.term
     }
 
+    /// Of this run.
     pub fn incarnation(&self) -> Incarnation {
         self.saved.incarnation
     }
 
+    /// The membership, with the log's last word on it, committed or not.
     pub fn voters(&self) -> &Voters {
         &self.voters
     }
 
-    /// What it has on disk.
+    /// What it has on disk once all that it put into [`Output::save`] is saved.
     pub fn saved(&self) -> &PersistentState {
         &self.saved
     }
 
+    /// The last entry of its log.
     pub fn last_index(&self) -> Index {
         self.saved.log.last_index()
     }
 
+    /// The last committed entry that it knows of.
     pub fn commit(&self) -> Index {
         self.commit
     }
 
-    /// When it wants to be asked again.
+    /// When [`Voter::tick`] has something to do.
     pub fn next_tick_at(&self) -> Micros {
         if self.is_leader() { self.heartbeat_at } else { self.election_at }
     }
@@ -221,6 +235,7 @@
         out.save.push(save);
     }
 
+    /// Takes the passing of time: heartbeats of a leader, elections of the others. `draw` is any random number.
     pub fn tick(&mut self, now: Micros, draw: u64) -> Output {
         let mut out = Output::default();
         if self.is_leader() {
--- a/src/agree/voter/persistent.rs
+++ b/src/agree/voter/persistent.rs
@@ -1,4 +1,5 @@
-//! What a voter keeps on disk, and each change of it.
+//! The state that a voter must not forget (the persistent state of Raft's figure 3.1, with the barrier of leases), and
+//! each change of it.
 
 use crate::agree::document_state::DocumentState;
 use crate::agree::{Entry, Index, Term, VoterId};
@@ -7,53 +8,68 @@
 
 /// The voters, and where each is reached.
 pub type Voters = BTreeMap<VoterId, String>;
-/// How often a voter was started on its disk (the upper half), and a draw at each start: a copy of the disk
-/// from before its last start shows by it, for a second start of one count draws another number.
+/// One run of a voter: how often its database was opened (the upper 32 bits), and a random number of each run (the
+/// lower). A second run from an older copy of the database has the same count and another number, which its peers see.
 pub type Incarnation = u64;
 
+/// The incarnation of the next run; `draw` is any random number.
 pub fn next_incarnation(before: Incarnation, draw: u64) -> Incarnation {
     ((before >> 32) + 1) << 32 | draw & 0xffff_ffff
 }
 
-/// Whether somebody speaks from an older disk than was heard of.
+/// Whether a peer runs on an older copy of its database than the one that was heard of.
 pub(super) fn is_older(incarnation: Incarnation, known: Incarnation) -> bool {
     incarnation != known && incarnation >> 32 <= known >> 32
 }
 
-/// What a voter must never forget.
+/// What a voter must have on disk before it sends anything that rests on it.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct PersistentState {
+    /// Of this start.
     pub incarnation: Incarnation,
+    /// The current term (section 3.4).
     pub term: Term,
+    /// Who got the vote in that term.
     pub voted: Option<VoterId>,
-    /// Heads that are not prepared up to there get no lease.
+    /// Processes that have not prepared for the edits up to there get no lease, also after a restart.
     pub barrier: Index,
     /// The last incarnation of each other voter that was heard of.
     pub peer_incarnations: BTreeMap<VoterId, Incarnation>,
-    /// What a first part of the log came to, and the term of its last entry.
+    /// What the first entries of the log came to.
     pub state: DocumentState,
+    /// The term of the last of these entries.
     pub state_term: Term,
     /// The entries that are still in memory.
     pub log: LogTail<Entry>,
 }
 
+/// One change of a [`PersistentState`], saved in this order.
 #[derive(Clone, Debug, PartialEq)]
 pub enum PersistentChange {
+    /// A term, and the vote in it.
     Vote {
+        /// Never falls.
         term: Term,
+        /// `None`: no vote in this term yet.
         voted: Option<VoterId>,
     },
+    /// See [`PersistentState::barrier`].
     Barrier(Index),
+    /// See [`PersistentState::peer_incarnations`].
     PeerIncarnation(VoterId, Incarnation),
     /// The log ends with this entry.
     Truncate(Index),
+    /// The next entry of the log; one that is there already is replaced, with all behind it.
     Append(Index, Entry),
     /// The state after the entries up to `state.applied()`, the last of them of `term`. `replaces_after`: it was
     /// installed by the leader and replaces the log behind that entry, which was committed here already; `None`: it
     /// only summarizes what the log holds.
     Snapshot {
+        /// After the entries up to `state.applied()`.
         state: Box<DocumentState>,
+        /// Of the last of them.
         term: Term,
+        /// The last entry that stays, or `None`.
         replaces_after: Option<Index>,
     },
 }
--- a/src/net/agree/archive.rs
+++ b/src/net/agree/archive.rs
@@ -47,7 +47,7 @@
         };
         let mut spans = Vec::new();
         for file in files {
-            spans.extend(file.map_err(DatabaseError::Io)?.file_name().to_str().and_then(EntryRange::of));
+            spans.extend(file.map_err(DatabaseError::Io)?.file_name().to_str().and_then(EntryRange::parse));
         }
         spans.sort_unstable();
         Ok(spans)
@@ -114,7 +114,7 @@
         let last = chain.last();
         for span in self.segments()?.into_iter().filter(|span| span.to > last) {
             let Ok((before, records)) = self.open(span) else {
-                chain.fail(span.from);
+                chain.mark_corrupt(span.from);
                 return Ok(());
             };
             let mut next = span.from;
@@ -129,7 +129,7 @@
                 next += 1;
             }
             if next != span.to + 1 {
-                chain.fail(next);
+                chain.mark_corrupt(next);
                 return Ok(());
             }
         }
--- a/src/net/agree/call.rs
+++ b/src/net/agree/call.rs
@@ -17,6 +17,7 @@
 /// Why a call gave no answer.
 #[derive(Debug, Error)]
 pub enum CallError {
+    /// The answer did not come in time.
     #[error("no answer in time")]
     TimedOut,
     /// The log names no address for that voter.
@@ -25,6 +26,7 @@
     /// The request cannot be made of that address and path.
     #[error(transparent)]
     Request(#[from] hyper::http::Error),
+    /// The connection failed.
     #[error("{0}")]
     Connection(#[from] hyper_util::client::legacy::Error),
     /// The answer broke off, or is too large.
@@ -46,6 +48,7 @@
 }
 
 impl Caller {
+    /// For voters of that cluster.
     pub fn new(cluster: &str) -> Caller {
         let mut connector = HttpConnector::new();
         connector.set_nodelay(true);
--- a/src/net/agree/command/storage.rs
+++ b/src/net/agree/command/storage.rs
@@ -30,7 +30,7 @@
     let (database, _) = VoterDatabase::open(directory, MAX_DISK_BYTES)?;
     let mut chain = DigestChain::default();
     Archive::beside(directory).follow(&mut chain)?;
-    print_verification(output, &directory.display().to_string(), &database.verify(chain)?.done())
+    print_verification(output, &directory.display().to_string(), &database.verify(chain)?.finish())
 }
 
 /// Each voter's own verification; fails with the last that failed.
--- a/src/net/agree/database.rs
+++ b/src/net/agree/database.rs
@@ -81,9 +81,11 @@
 /// An entry with the digest of the log up to it, as peers, operators, archive and backup have it.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Record {
+    /// Of the entry.
     pub index: Index,
     /// Of this entry and all before it, SHA-256 in hexadecimal digits.
     pub digest: String,
+    /// The entry.
     pub entry: Entry,
 }
 
@@ -334,7 +336,7 @@
                 break;
             }
             if chain.last() == self.base.index && *chain.digest() != self.base.digest {
-                chain.fail(index);
+                chain.mark_corrupt(index);
                 break;
             }
         }
--- a/src/net/agree/database/tests.rs
+++ b/src/net/agree/database/tests.rs
@@ -27,7 +27,7 @@
 }
 
 fn found(disk: &VoterDatabase) -> Verification {
-    disk.verify(DigestChain::default()).unwrap().done()
+    disk.verify(DigestChain::default()).unwrap().finish()
 }
 
 /// Batches as a voter writes them: votes, entries, cuts, snapshots of its own and of others.
@@ -176,7 +176,7 @@
             all.push(record.index);
         }
     }
-    (disk.verify(chain).unwrap().done(), all)
+    (disk.verify(chain).unwrap().finish(), all)
 }
 
 const WHOLE: Verification = Verification { entries: 22, last: 22, gaps: Vec::new(), corrupt: None };
@@ -252,7 +252,7 @@
         }
         let mut chain = DigestChain::default();
         archive.follow(&mut chain).unwrap();
-        assert_eq!(disk.verify(chain).unwrap().done(), due, "{text:?}");
+        assert_eq!(disk.verify(chain).unwrap().finish(), due, "{text:?}");
         std::fs::write(at(spans[segment]), &texts[segment]).unwrap();
     }
     assert_eq!(both(&disk, &archive).0, WHOLE);
--- a/src/net/agree/tests.rs
+++ b/src/net/agree/tests.rs
@@ -52,7 +52,7 @@
 fn verify(folder: &Path, disk: &VoterDatabase) -> Verification {
     let mut chain = DigestChain::default();
     Archive::beside(folder).follow(&mut chain).unwrap();
-    disk.verify(chain).unwrap().done()
+    disk.verify(chain).unwrap().finish()
 }
 
 #[test]
--- a/src/net/agree/voter_service/inspection.rs
+++ b/src/net/agree/voter_service/inspection.rs
@@ -60,7 +60,7 @@
         let guard = lock(&self.host);
         let host = guard.as_ref().ok_or(VoterError::Unavailable)?;
         self.archive().follow(&mut chain)?;
-        Ok(host.database.verify(chain)?.done())
+        Ok(host.database.verify(chain)?.finish())
     }
 
     fn archive(&self) -> Archive {
--- a/tests/agree.rs
+++ b/tests/agree.rs
@@ -346,7 +346,7 @@
         for field in FIELDS {
             let effective = match self.brk {
                 Break::LeaseByTimer => {
-                    holder.state().effective_value("plan", field).map(|value| value.at(level))
+                    holder.state().effective_value("plan", field).map(|value| value.at_level(level))
                 }
                 _ => holder.view().value(now, "plan", field),
             };
