--- a/crates/rollout/examples/training_steps.rs
+++ b/crates/rollout/examples/training_steps.rs
@@ -66,8 +66,8 @@
         audit.mixed,
         audit.overlapping,
         world.merchants_served() / without,
-        mean(figures, |step| step.change_over_ms as f64),
-        mean(figures, |step| step.change_over_ms as f64 / step.bound_ms as f64),
+        mean(figures, |step| step.rollout_ms as f64),
+        mean(figures, |step| step.rollout_ms as f64 / step.bound_ms as f64),
         mean(figures, |step| (step.sealed - step.opened) as f64),
     );
 }
@@ -75,7 +75,7 @@
 fn plot(path: &Path, figures: &[Figures]) -> Result<(), Box<dyn std::error::Error>> {
     let area = SVGBackend::new(path, (760, 360)).into_drawing_area();
     area.fill(&WHITE)?;
-    let longest = figures.iter().map(|step| step.change_over_ms.max(step.bound_ms)).max().unwrap_or(1);
+    let longest = figures.iter().map(|step| step.rollout_ms.max(step.bound_ms)).max().unwrap_or(1);
     let last = figures.last().map_or(1, |step| step.step);
     let mut chart = ChartBuilder::on(&area)
         .caption("Change of versions by step, ms (red: its bound)", ("sans-serif", 18))
@@ -85,7 +85,7 @@
         .build_cartesian_2d(0..last + 1, 0..longest + longest / 10)?;
     chart.configure_mesh().x_desc("step").draw()?;
     chart.draw_series(
-        figures.iter().map(|step| Circle::new((step.step, step.change_over_ms), 2, BLUE.filled())),
+        figures.iter().map(|step| Circle::new((step.step, step.rollout_ms), 2, BLUE.filled())),
     )?;
     chart.draw_series(LineSeries::new(figures.iter().map(|step| (step.step, step.bound_ms)), &RED))?;
     area.present()?;
--- a/crates/rollout/tests/controller.rs
+++ b/crates/rollout/tests/controller.rs
@@ -1,4 +1,4 @@
-//! The leader's part: what it proposes, orders and says.
+//! The step controller: what it proposes, orders and starts.
 
 use pathbank_rollout::controller::{
     Action, Draw, DrawEnd, DrawOutcome, Settings, StepController, WaitReason,
@@ -62,20 +62,20 @@
 #[test_case(trail(Some(7), &[7]), None; "the step's version")]
 #[test_case(trail(Some(8), &[]), Some(RemovalReason::VersionMismatch); "another version")]
 #[test_case(trail(Some(7), &[8]), Some(RemovalReason::UnknownVersion); "two versions")]
-#[test_case(trail(None, &[7]), Some(RemovalReason::UnknownVersion); "no version at its head")]
-fn a_worker_leaves_the_step_when_it_says(versions: VersionTrail, leaves: Option<RemovalReason>) {
+#[test_case(trail(None, &[7]), Some(RemovalReason::UnknownVersion); "no version in its headers")]
+fn an_answer_decides_whether_its_worker_is_removed(versions: VersionTrail, leaves: Option<RemovalReason>) {
     let (table, mut controller) = open();
     let draw = draws(&controller.tick(5_000, &table)).remove(0);
     let worker = draw.worker.clone();
     let end = DrawEnd { draw, outcome: DrawOutcome::Complete(versions), tokens: 10 };
     let actions = controller.draw_ended(end, &table);
-    assert!(matches!(&actions[0], Action::Propose(Command::Record(_))), "the ledger judges it");
+    assert!(matches!(&actions[0], Action::Propose(Command::Record(_))), "the step table judges it");
     let leave = leaves.map(|reason| Action::Propose(Command::RemoveWorker { step: 1, worker, reason }));
     assert_eq!(actions.get(1).cloned(), leave);
 }
 
 #[test]
-fn generations_take_the_slots_that_merchants_leave() {
+fn generations_use_the_slots_that_serving_leaves_free() {
     let (table, mut controller) = open();
     controller.observe_report(5_000, report("a", 2));
     let begun = draws(&controller.tick(5_000, &table));
@@ -86,7 +86,7 @@
 }
 
 #[test]
-fn a_prompt_whose_generation_broke_off_is_drawn_again() {
+fn retries_a_prompt_whose_generation_ended_without_an_answer() {
     let (table, mut controller) = open();
     let first = draws(&controller.tick(5_000, &table)).remove(0);
     let prompt = first.prompt;
@@ -97,7 +97,7 @@
 }
 
 #[test]
-fn a_generation_that_is_never_heard_of_is_drawn_again_once_its_time_is_over() {
+fn retries_a_generation_that_timed_out() {
     let (table, mut controller) = open();
     let first = draws(&controller.tick(5_000, &table));
     controller.observe_report(5_900, report("a", 0));
@@ -108,7 +108,7 @@
 }
 
 #[test]
-fn a_worker_that_is_gone_or_silent_leaves_the_step() {
+fn removes_a_worker_that_is_lost_or_unresponsive() {
     let (table, mut controller) = open();
     controller.remove_worker("a");
     let leave = |worker: &str, reason| {
@@ -120,14 +120,14 @@
 }
 
 #[test]
-fn a_new_leader_takes_nobody_for_gone_before_it_could_hear_of_all() {
+fn a_new_leader_removes_no_worker_before_all_could_report() {
     let (table, _) = open();
     let mut controller = StepController::new("m".into(), SETTINGS, 9_000);
     assert_eq!(controller.tick(9_050, &table), []);
 }
 
 #[test]
-fn what_a_step_waits_for_is_told() {
+fn wait_reason_follows_the_state_of_a_step() {
     let (mut table, mut controller) = open();
     assert_eq!(controller.wait_reason(5_000, &table, 1), Some(WaitReason::Generations));
     let next = StepRequest::new("two", "m", 1);
@@ -143,7 +143,7 @@
 }
 
 #[test]
-fn what_may_still_be_drawn_holds_up_the_seal_and_not_its_prompt() {
+fn a_generation_with_unknown_end_delays_the_seal_but_not_its_prompt() {
     // Given a step whose generations are all under way, when one breaks off and its worker may go on with it,
     let (mut table, mut controller) = open();
     let mut begun = draws(&controller.tick(5_000, &table));
@@ -164,7 +164,7 @@
 }
 
 #[test]
-fn no_more_generations_begin_than_there_are_heads_for() {
+fn starts_no_more_generations_than_the_limit() {
     let (table, mut controller) = open();
     assert_eq!(controller.drawable_prompts(5_000, &table), 4);
     assert_eq!(draws(&controller.tick_with_limit(5_000, &table, 3)).len(), 3);
@@ -173,7 +173,7 @@
 }
 
 #[test]
-fn a_generation_that_may_begin_late_is_waited_for_as_long() {
+fn time_out_of_a_generation_includes_its_start_time_out() {
     let (table, _) = open();
     let settings = Settings { begin_timeout_ms: 300, ..SETTINGS };
     let mut controller = StepController::new("m".into(), settings, 0);
@@ -184,7 +184,7 @@
 }
 
 #[test]
-fn a_step_that_takes_too_long_is_given_up() {
+fn aborts_a_step_at_its_deadline() {
     let mut table = StepTable::default();
     let request = StepRequest { deadline_ms: Some(4_000), ..StepRequest::new("one", "m", 1) };
     table.apply(1, &Command::Announce(request)).unwrap();
--- a/crates/rollout/tests/search.rs
+++ b/crates/rollout/tests/search.rs
@@ -1,6 +1,6 @@
-//! The steps' protocol over small bounds, exhaustively: two workers, two steps of one prompt each, one crash,
-//! one change of leaders, one publication, one step closed early, in every order of so many events. The same
-//! code as everywhere; only the order of things is chosen here, all of it.
+//! Exhaustive search of the step protocol over small bounds: two workers, two steps of one prompt each, one crash, one
+//! change of leaders, one publication and one step closed early, in every order of a number of events. The code under
+//! test is the real one; only the order of events is chosen here.
 //!
 //! `SEARCH_DEEPER=N` goes N events deeper.
 
@@ -348,7 +348,7 @@
 }
 
 #[test]
-fn in_every_order_of_so_many_events_no_step_mixes_and_no_two_epochs_draw() {
+fn exhaustive_search_finds_no_mixed_step_and_no_overlapping_epochs() {
     let deeper: usize = std::env::var("SEARCH_DEEPER").ok().and_then(|text| text.parse().ok()).unwrap_or(0);
     for (begins, first, depth) in [
         ("with steps announced", World::new(), 8),
@@ -380,7 +380,7 @@
 
 /// From wherever a search by draws gets to, all steps come to their end once nothing goes wrong any more.
 #[test]
-fn while_the_floor_holds_no_step_waits_for_good() {
+fn every_step_ends_while_enough_workers_are_left() {
     let mut random = fastrand::Rng::with_seed(5);
     for _ in 0..300 {
         let mut world = World::new();
--- a/crates/rollout/tests/step_table.rs
+++ b/crates/rollout/tests/step_table.rs
@@ -1,4 +1,4 @@
-//! Stories of the ledger: what is taken, what is refused, and what counts.
+//! The step table: which commands it accepts and rejects, and which results count.
 
 use pathbank_rollout::evidence::VersionTrail;
 use pathbank_rollout::step::{RemovalReason, RequestedVersion, StepCounts, StepRequest, StepState};
@@ -61,7 +61,7 @@
 }
 
 #[test]
-fn the_same_call_is_the_same_step_and_another_under_its_key_is_refused() {
+fn announcing_is_idempotent_and_rejects_another_request_under_the_key() {
     let mut table = StepTable::default();
     let announce = Command::Announce(request("one"));
     assert_eq!(table.apply(1, &announce), Ok(Applied::Step(1)));
@@ -72,7 +72,7 @@
 }
 
 #[test]
-fn a_step_waits_for_the_one_before_of_its_model_alone() {
+fn steps_of_one_model_run_one_after_the_other() {
     let mut table = open();
     table.apply(110, &Command::Announce(request("two"))).unwrap();
     let of_another_model = StepRequest { model: "n".into(), ..request("three") };
@@ -100,7 +100,7 @@
 }
 
 #[test]
-fn a_step_that_names_its_version_draws_from_no_other() {
+fn a_step_with_an_exact_version_accepts_no_other() {
     let mut table = StepTable::default();
     let exact = StepRequest { version: RequestedVersion::Exactly(5), ..request("one") };
     table.apply(1, &Command::Announce(exact)).unwrap();
@@ -109,7 +109,7 @@
 }
 
 #[test]
-fn a_step_opens_with_its_floor_of_workers_and_its_epoch_is_the_logs_entry() {
+fn a_step_opens_with_enough_workers_and_its_epoch_is_the_log_index() {
     let mut table = StepTable::default();
     table.apply(1, &Command::Announce(request("one"))).unwrap();
     table.apply(2, &Command::FixVersion { step: 1, version: VERSION }).unwrap();
@@ -126,7 +126,7 @@
 #[test_case(Generation { versions: drawn_from(&[]), ..generation(1) }, DiscardReason::VersionMismatch; "of no known version")]
 #[test_case(Generation { versions: VersionTrail::begin(Some(VERSION)), ..generation(1) }, DiscardReason::VersionMismatch; "that is not complete")]
 #[test_case(generation(9), DiscardReason::UnknownPrompt; "for a prompt that nobody submitted")]
-fn a_generation_that_is_not_shown_to_be_right_does_not_count(generation: Generation, why: DiscardReason) {
+fn discards_a_generation(generation: Generation, why: DiscardReason) {
     let mut table = open();
     assert_eq!(table.apply(101, &Command::Record(generation)), Ok(Applied::Discarded(why)));
     let counts = StepCounts { submitted: 2, discarded: 1, ..StepCounts::default() };
@@ -134,7 +134,7 @@
 }
 
 #[test]
-fn a_prompt_counts_once_whoever_draws_for_it() {
+fn a_prompt_counts_once() {
     let mut table = open();
     assert_eq!(table.apply(101, &Command::Record(generation(1))), Ok(Applied::Done));
     let other = Generation { worker: "b".into(), ..generation(1) };
@@ -143,7 +143,7 @@
 }
 
 #[test]
-fn what_a_worker_that_left_draws_does_not_count_and_what_it_drew_before_does() {
+fn results_of_a_removed_worker_count_up_to_its_removal() {
     let mut table = open();
     table.apply(101, &Command::Record(generation(1))).unwrap();
     let leave = Command::RemoveWorker { step: 1, worker: "a".into(), reason: RemovalReason::Lost };
@@ -158,7 +158,7 @@
 }
 
 #[test]
-fn a_step_is_closed_whole_or_with_the_trainers_word_and_says_what_it_lacks() {
+fn a_step_closes_complete_or_with_missing_prompts_allowed() {
     let mut table = open();
     table.apply(101, &Command::Record(generation(1))).unwrap();
     assert_eq!(
@@ -189,20 +189,20 @@
 }
 
 #[test]
-fn a_ledger_is_read_from_a_snapshot_as_it_was() {
+fn a_step_table_survives_a_snapshot() {
     let table = sealed();
     let text = serde_json::to_string(&table).unwrap();
     assert_eq!(serde_json::from_str::<StepTable>(&text).unwrap(), table);
 }
 
 #[test]
-fn unknown_steps_are_refused() {
+fn rejects_unknown_steps() {
     let mut table = StepTable::default();
     assert_eq!(table.apply(1, &Command::Seal { step: 4 }), Err(StepError::UnknownStep(4)));
 }
 
 #[test]
-fn the_oldest_steps_that_are_over_are_forgotten() {
+fn removes_the_oldest_final_steps() {
     let mut table = StepTable::default();
     for (number, key) in (1..=4).zip(["one", "two", "three", "four"]) {
         table.apply(number, &Command::Announce(request(key))).unwrap();
@@ -216,7 +216,7 @@
 }
 
 #[test]
-fn a_close_that_is_asked_again_after_the_seal_was_carried_out_before() {
+fn closing_again_after_the_seal_changes_nothing() {
     let mut table = sealed();
     let close = Command::Close { step: 1, allow_missing: false };
     assert_eq!(table.apply(300, &close), Ok(Applied::AlreadyApplied));
--- a/crates/rollout/tests/steps/engine.rs
+++ b/crates/rollout/tests/steps/engine.rs
@@ -1,5 +1,5 @@
-//! An engine as the published protocol has it: slots, one order at a time, a load that brings in the newest
-//! version, versions told with each answer; and what may be wrong with it.
+//! An engine that follows the published protocol: slots, one order at a time, loads of the newest version, and versions
+//! in each answer; with the faults that it may have.
 
 use pathbank_rollout::controller::Draw;
 use pathbank_rollout::evidence::VersionTrail;
--- a/crates/rollout/tests/steps/main.rs
+++ b/crates/rollout/tests/steps/main.rs
@@ -1,5 +1,5 @@
-//! Steps in virtual time: the real deciding parts, engines that load and draw as the published protocol has it, merchants
-//! who are served meanwhile, faults at seeded moments, and an auditor that reads only what engines and trainers saw.
+//! Training steps in simulated time: the real controller and step table, simulated engines, clients whose traffic is
+//! served meanwhile, seeded faults, and an audit of what engines ran and trainers received.
 
 mod engine;
 mod world;
@@ -24,7 +24,7 @@
 }
 
 #[test]
-fn step_after_step_is_drawn_from_one_version_each() {
+fn each_step_has_one_version() {
     let world = played(plan(1));
     sound(&world);
     let versions = world.versions_by_step();
@@ -44,7 +44,7 @@
 #[test_case(Fault::Burst; "merchants come all at once")]
 #[test_case(Fault::LateResult; "results come after the seal")]
 #[test_case(Fault::ZoneLost; "a quarter of the workers is lost in mid-step")]
-fn steps_stay_whole(fault: Fault) {
+fn steps_stay_consistent_under_each_fault(fault: Fault) {
     for seed in 0..4 {
         let faults = (1..10).map(|nth| (2_000 * nth + 137 * seed, fault)).collect();
         sound(&played(Plan { faults, ..plan(seed) }));
@@ -55,7 +55,7 @@
 #[test_case(0)]
 #[test_case(100)]
 #[test_case(200)]
-fn steps_stay_whole_whatever_comes(first: u64) {
+fn steps_stay_consistent_under_random_faults(first: u64) {
     for seed in first..first + 10 {
         let mut draw = fastrand::Rng::with_seed(seed);
         let fault = |_| (draw.u64(500..40_000), Fault::ALL[draw.usize(..Fault::ALL.len())]);
@@ -67,7 +67,7 @@
 }
 
 #[test]
-fn below_its_floor_a_step_waits_and_says_so() {
+fn a_step_waits_below_its_minimum_of_workers() {
     // Given a step that needs all workers but two, when a quarter of them is lost in its midst.
     let mut world = World::new(Plan { steps: 1_000, prompts: 2_000, ..plan(3) });
     (world.floor, world.patient) = (18, true);
@@ -82,7 +82,7 @@
 }
 
 #[test]
-fn merchants_are_served_while_workers_change_over() {
+fn traffic_is_served_during_a_version_rollout() {
     let with_steps = played(Plan { steps: 20, ..plan(5) });
     let mut without = World::new(Plan { mode: Mode::Nothing, ..plan(5) });
     without.run_until(with_steps.now());
@@ -91,13 +91,13 @@
 }
 
 #[test]
-fn a_change_over_takes_little_more_than_it_must() {
+fn a_version_rollout_keeps_to_its_expected_duration() {
     let world = played(plan(6));
     // Before the first one a new leader waits for what an earlier one may have begun.
     let figures = &world.figures()[1..];
     assert!(figures.len() > 3);
     for step in figures {
-        assert!(step.change_over_ms as f64 <= 1.3 * step.bound_ms as f64, "{step:?}");
+        assert!(step.rollout_ms as f64 <= 1.3 * step.bound_ms as f64, "{step:?}");
     }
 }
 
@@ -111,7 +111,7 @@
 }
 
 #[test]
-fn stopping_everything_costs_merchants() {
+fn stopping_all_workers_costs_traffic() {
     let mut world = World::new(Plan { mode: Mode::StopAll, ..plan(8) });
     world.run_until(40_000);
     assert_eq!(world.audit().problems, Vec::<String>::new());
--- a/crates/rollout/tests/steps/world.rs
+++ b/crates/rollout/tests/steps/world.rs
@@ -1,4 +1,4 @@
-//! Engines, a store, merchants, a trainer and the leader, and the time that passes for them.
+//! The simulation: engines, a weight store, client traffic, a trainer, the leader, and the passing of time.
 
 // The tests and the example each use a part.
 #![allow(dead_code)]
@@ -65,7 +65,7 @@
     pub step: u64,
     pub workers: usize,
     /// From when it could begin to prepare until it was open, and the bound of that.
-    pub change_over_ms: u64,
+    pub rollout_ms: u64,
     pub bound_ms: u64,
     pub opened: u64,
     pub closed: u64,
@@ -373,7 +373,7 @@
                 let (began, due) = self.preparing.remove(step).unwrap_or((now, 0));
                 let bound_ms =
                     version_rollout::max_duration_ms(&self.bounds(), self.engines.len(), due, LOAD_MS);
-                let figures = Figures { change_over_ms: now - began, bound_ms, ..Figures::default() };
+                let figures = Figures { rollout_ms: now - began, bound_ms, ..Figures::default() };
                 self.open = Figures { step: *step, opened: now, workers: members.len(), ..figures };
             }
             Command::Close { .. } => self.open.closed = now,
--- a/crates/rollout/tests/workers.rs
+++ b/crates/rollout/tests/workers.rs
@@ -1,4 +1,4 @@
-//! Workers' states, and changes of versions beside serving.
+//! The states of workers, and rollouts of versions beside serving traffic.
 
 use pathbank_rollout::version_rollout::{
     LoadRateLimiter, RolloutLimits, WorkerAction, is_behind, max_duration_ms, plan,
@@ -19,7 +19,7 @@
 }
 
 #[test]
-fn a_worker_is_verified_by_its_own_word_alone() {
+fn a_worker_is_verified_by_its_own_report_only() {
     let mut worker = Worker::new(0, report(1, None, 0));
     assert_eq!(worker.state(), WorkerState::Serving);
     worker.observe_report(10, WorkerReport { busy: true, ..report(1, Some(4), 1) });
@@ -31,7 +31,7 @@
 }
 
 #[test]
-fn a_report_from_before_an_order_says_nothing_of_what_the_order_brings() {
+fn ignores_reports_from_before_an_order() {
     let mut worker = Worker::new(0, report(1, Some(4), 3));
     worker.drain(400);
     worker.load_ordered();
@@ -46,7 +46,7 @@
 }
 
 #[test]
-fn an_order_that_was_turned_away_leaves_the_worker_as_it_was() {
+fn a_rejected_order_restores_the_state() {
     let mut worker = Worker::new(0, report(1, Some(4), 3));
     worker.drain(400);
     worker.load_ordered();
@@ -55,7 +55,7 @@
 }
 
 #[test]
-fn a_worker_that_has_said_nothing_for_long_is_not_verified() {
+fn an_old_report_does_not_verify() {
     let worker = Worker::new(1_000, report(1, Some(4), 0));
     assert!(worker.is_verified(1_000 + REPORT_TTL_MS - 1, 4));
     assert!(!worker.is_verified(1_000 + REPORT_TTL_MS, 4));
@@ -63,7 +63,7 @@
 }
 
 #[test]
-fn the_floor_of_serving_is_kept_in_every_wave() {
+fn min_serving_holds_in_every_wave() {
     let mut workers = workers(10);
     let mut load_limiter = LoadRateLimiter::default();
     for now in (0..20_000).step_by(50) {
@@ -81,7 +81,7 @@
 }
 
 #[test]
-fn loads_begin_no_faster_than_the_store_permits() {
+fn loads_are_rate_limited() {
     let bounds = RolloutLimits { min_serving: 0, ..BOUNDS };
     let mut workers = workers(30);
     let mut load_limiter = LoadRateLimiter::default();
@@ -95,7 +95,7 @@
 }
 
 #[test]
-fn many_loads_a_second_begin_although_the_leader_looks_seldom() {
+fn a_high_load_rate_is_reached_with_rare_ticks() {
     let bounds = RolloutLimits { min_serving: 0, max_loads_per_s: 400.0, ..BOUNDS };
     let mut workers = workers(1_000);
     let mut load_limiter = LoadRateLimiter::default();
@@ -108,7 +108,7 @@
 }
 
 #[test]
-fn what_a_draining_worker_has_ends_before_it_loads_but_for_no_longer_than_the_bound() {
+fn a_worker_loads_once_drained_or_at_the_drain_time_out() {
     let mut workers = workers(10);
     let mut load_limiter = LoadRateLimiter::default();
     let busy = WorkerReport { active: 3, ..report(0, Some(1), 0) };
@@ -123,7 +123,7 @@
 }
 
 #[test]
-fn the_bound_of_a_change_follows_the_store_or_the_waves() {
+fn max_duration_follows_the_store_or_the_waves() {
     assert_eq!(max_duration_ms(&BOUNDS, 10, 10, 800), 4_500 + 1_200, "by the store");
     let quick = RolloutLimits { max_loads_per_s: 100.0, ..BOUNDS };
     assert_eq!(max_duration_ms(&quick, 10, 10, 800), 4 * 1_200, "by waves of three");
@@ -143,7 +143,7 @@
 }
 
 #[test]
-fn a_worker_that_does_not_hold_the_model_leaves_nobody_unserved() {
+fn a_worker_without_the_model_needs_no_disruption_budget() {
     // Given a floor that all holders of the model are needed for.
     let bounds = RolloutLimits { min_serving: 2, max_loads_per_s: 100.0, drain_timeout_ms: 0 };
     let mut workers = workers(3);
--- a/crates/router/tests/core_choice.rs
+++ b/crates/router/tests/core_choice.rs
@@ -1,4 +1,4 @@
-//! Which core an edge listens to, over changes of leaders, cuts and restarts.
+//! The subscription of an edge to a core, over changes of leaders, partitions and restarts.
 
 use pathbank_protocol::message::CoreStatus;
 use pathbank_router::core_choice::{CoreAction, CoreAddress, CoreChoice};
@@ -27,7 +27,7 @@
 }
 
 #[test]
-fn the_core_of_its_own_zone_is_listened_to_and_the_leader_is_known() {
+fn subscribes_to_the_core_of_its_own_zone_and_knows_the_leader() {
     let mut choice = three_cores();
     assert_eq!(choice.actions(0, 4), [CoreAction::Subscribe(core(2))]);
     assert!(choice.actions(10, 4).is_empty());
@@ -35,7 +35,7 @@
 }
 
 #[test]
-fn when_it_is_lost_another_one_is_listened_to_at_once() {
+fn subscribes_to_another_core_when_disconnected() {
     let mut choice = three_cores();
     choice.actions(0, 4);
     choice.disconnected(core(2));
@@ -43,7 +43,7 @@
 }
 
 #[test]
-fn one_that_is_cut_off_from_the_others_is_left_after_a_while() {
+fn leaves_a_partitioned_core_after_the_time_out() {
     let mut choice = three_cores();
     choice.actions(0, 4);
     choice.update_status(500, core(2), &status("z2", 2, 4, false));
@@ -56,7 +56,7 @@
 }
 
 #[test]
-fn a_configuration_that_was_announced_and_does_not_come_is_asked_for() {
+fn fetches_an_announced_configuration_that_does_not_arrive() {
     let mut choice = three_cores();
     choice.actions(0, 4);
     choice.update_status(100, core(3), &status("z3", 1, 5, true));
@@ -69,7 +69,7 @@
 }
 
 #[test]
-fn while_no_core_is_current_one_is_listened_to_all_the_same() {
+fn subscribes_to_a_core_while_none_is_current() {
     let mut choice = CoreChoice::new("z1".into(), 7);
     choice.update_status(0, core(1), &status("z1", 1, 0, false));
     assert_eq!(choice.actions(0, 0), [CoreAction::Subscribe(core(1))]);
@@ -85,7 +85,7 @@
 // in one moment. Its list of 3,008 model servers for each went before its heartbeats, and the others deposed
 // it. They were current 20 to 70 ms after it.
 #[test]
-fn nobody_runs_to_the_first_core_that_is_current_again() {
+fn edges_do_not_all_move_to_the_first_current_core() {
     let mut choice = CoreChoice::new("z1".into(), 7);
     for now in [0, 700] {
         choice.update_status(now, core(1), &status("z1", 2, 0, false));
@@ -102,7 +102,7 @@
 // After all were killed, edges listened to whichever core they reached first: 138, 113, 44 and none at the
 // last two.
 #[test]
-fn the_core_of_its_own_zone_is_waited_for_a_moment() {
+fn waits_briefly_for_a_core_of_its_own_zone() {
     let mut choice = CoreChoice::new("z2".into(), 7);
     choice.update_status(0, core(1), &status("z1", 1, 4, true));
     assert!(choice.actions(0, 4).is_empty());
@@ -111,7 +111,7 @@
 }
 
 #[test]
-fn where_its_own_zone_has_no_core_another_one_is_listened_to_after_a_moment() {
+fn subscribes_to_another_zone_where_its_own_has_no_core() {
     let mut choice = CoreChoice::new("z9".into(), 7);
     choice.update_status(1_000, core(1), &status("z1", 1, 4, true));
     assert!(choice.actions(1_049, 4).is_empty());
@@ -134,7 +134,7 @@
 // 82 edges that came back at once were sent 193 whole configurations: each asked another core again every 0.2
 // s while the one that it listened to was sending.
 #[test]
-fn what_the_core_that_is_listened_to_is_sending_is_not_asked_for_elsewhere() {
+fn does_not_fetch_what_the_subscribed_core_is_sending() {
     let mut choice = three_cores();
     assert_eq!(choice.actions(0, 0), [CoreAction::Subscribe(core(2))]);
     for now in (100..1_500).step_by(100) {
@@ -144,7 +144,7 @@
 }
 
 #[test]
-fn waits_between_questions_double_until_something_comes() {
+fn fetch_time_outs_double() {
     let mut choice = three_cores();
     choice.actions(0, 4);
     choice.update_status(0, core(3), &status("z3", 1, 5, true));
@@ -162,7 +162,7 @@
 }
 
 #[test]
-fn heads_that_lack_the_same_do_not_all_ask_the_same_core() {
+fn fetches_of_many_edges_spread_over_the_cores() {
     let mut asked = std::collections::BTreeMap::<CoreAddress, usize>::new();
     for seed in 0..200 {
         let mut choice = CoreChoice::new("z1".into(), seed);
--- a/crates/router/tests/dispatch.rs
+++ b/crates/router/tests/dispatch.rs
@@ -1,4 +1,4 @@
-//! Stories of one edge's dispatcher.
+//! The dispatcher of one edge.
 
 use pathbank_control::result_code::ResultCode;
 use pathbank_protocol::message::{
@@ -103,7 +103,7 @@
 }
 
 #[test]
-fn a_request_goes_at_once_to_a_server_that_holds_its_model() {
+fn sends_a_request_to_a_server_with_its_model() {
     let mut story = Story::given(vec![server("i-1", &["a"]), server("i-2", &["b"])]);
     assert_eq!(sent(&story.asked(1, "b")), [(1, "i-2".into())]);
     assert_eq!(sent(&story.asked(2, "a/a1")), [(2, "i-1".into())]);
@@ -111,7 +111,7 @@
 }
 
 #[test]
-fn a_head_keeps_no_more_at_a_server_than_its_slots_and_the_end_of_one_frees_a_slot() {
+fn in_flight_requests_keep_to_the_slots_of_a_server() {
     let mut story = Story::given(vec![server("i-1", &["a"])]);
     let first: Vec<_> = (1..=4).flat_map(|id| sent(&story.asked(id, "a"))).collect();
     assert_eq!(first.len(), 2);
@@ -120,7 +120,7 @@
 }
 
 #[test]
-fn the_slots_that_other_heads_take_are_left_to_them() {
+fn slots_in_use_by_other_edges_are_not_taken() {
     let mut story = Story::given(vec![server("i-1", &["a"])]);
     story.asked(1, "a");
     story.dispatcher.observe_load(story.now, "i-1", 2, 0);
@@ -138,7 +138,7 @@
 }
 
 #[test]
-fn prompts_that_are_not_read_yet_send_the_next_one_elsewhere() {
+fn a_prefill_backlog_diverts_the_next_prompt() {
     let mut story = Story::given(vec![server("i-1", &["a"]), server("i-2", &["a"])]);
     let first = sent(&story.asked(1, "a"))[0].1.clone();
     let second = sent(&story.asked(2, "a"))[0].1.clone();
@@ -146,7 +146,7 @@
 }
 
 #[test]
-fn a_prompt_goes_where_its_parts_are_kept() {
+fn a_prompt_goes_to_the_server_with_its_prefix_cached() {
     let mut story = Story::given(vec![server("i-1", &["a"]), server("i-2", &["a"])]);
     let mut shared = offer(1, "a", story.now);
     shared.parts = vec![PromptPart { id: 7, tokens: 900 }];
@@ -160,8 +160,8 @@
 }
 
 #[test_case(ModelServerState::Draining; "draining")]
-#[test_case(ModelServerState::Removed; "gone")]
-fn a_server_that_leaves_gets_nothing_more_not_even_what_waits_for_it(state: ModelServerState) {
+#[test_case(ModelServerState::Removed; "removed")]
+fn a_draining_server_gets_no_request_and_its_queue_moves(state: ModelServerState) {
     let mut story = Story::given(vec![server("i-1", &["a"])]);
     (1..=3).for_each(|id| drop(story.asked(id, "a")));
     let leaving = ModelServer { state, sequence: 2, ..server("i-1", &["a"]) };
@@ -175,7 +175,7 @@
 }
 
 #[test]
-fn what_no_server_holds_is_told_to_the_cores_while_it_waits_and_sent_when_one_does() {
+fn a_request_for_an_absent_model_is_reported_and_sent_once_loaded() {
     let mut story = Story::given(vec![server("i-1", &["b"])]);
     story.asked(1, "a");
     assert!(story.dispatcher.take_urgent_demand());
@@ -190,7 +190,7 @@
 }
 
 #[test]
-fn what_a_load_can_serve_in_time_is_refused_early_with_when_to_come_back() {
+fn a_request_is_rejected_early_when_a_load_can_serve_its_retry() {
     let mut story = Story::given(vec![server("i-1", &["b"])]);
     story.asked(1, "a");
     assert!(story.after(150).is_empty());
@@ -209,7 +209,7 @@
 /// Requests whose objective is longer than a load were sent away with the time of a whole load, came back
 /// after it, and earned half of what they would have earned by waiting.
 #[test]
-fn what_a_load_serves_within_its_objective_waits_for_it() {
+fn a_request_waits_for_a_load_within_its_latency_target() {
     let mut story = Story::given(vec![server("i-1", &["b"])]);
     let patient = Offer { target_latency_ms: 4_000, ..offer(1, "a", story.now) };
     story.dispatcher.offer(story.now, patient, true);
@@ -220,7 +220,7 @@
 }
 
 #[test]
-fn a_client_comes_back_when_the_leaders_load_is_done() {
+fn retry_after_follows_the_leaders_load() {
     let mut story = Story::given(vec![server("i-1", &["b"])]);
     story.asked(1, "a");
     story.dispatcher.set_expected_models(story.now, expected("a", 2_400));
@@ -234,7 +234,7 @@
 /// Clients leave a stream that is silent for long. Requests for a model on its way were held until their
 /// clients had gone, with nothing gained by either.
 #[test]
-fn a_request_that_its_client_leaves_before_the_load_is_refused_at_once() {
+fn a_request_that_would_be_abandoned_before_the_load_is_rejected_at_once() {
     let mut story = Story::given(vec![server("i-1", &["b"])]);
     let previously_rejected =
         Offer { previously_rejected: true, abandon_at: story.now + 2_000, ..offer(1, "a", story.now) };
@@ -244,7 +244,7 @@
 }
 
 #[test]
-fn a_client_that_came_back_is_held_until_it_is_hopeless() {
+fn a_retried_request_waits_until_it_is_hopeless() {
     let mut story = Story::given(vec![server("i-1", &["b"])]);
     let previously_rejected = Offer { previously_rejected: true, ..offer(1, "a", story.now) };
     story.dispatcher.offer(story.now, previously_rejected, true);
@@ -253,14 +253,14 @@
 }
 
 #[test]
-fn while_no_server_of_the_service_is_known_clients_come_back_soon() {
+fn retry_after_is_short_while_a_backend_has_no_server() {
     let mut story = Story::given(Vec::new());
     story.asked(1, "a");
     assert_eq!(refused(&story.after(260)), [(1, ResultCode::NoModelServer, 1_000)]);
 }
 
 #[test]
-fn a_head_that_stops_refuses_what_is_at_no_server() {
+fn shutdown_rejects_requests_that_were_not_sent() {
     let mut story = Story::given(vec![server("i-1", &["a"])]);
     (1..=3).for_each(|id| drop(story.asked(id, "a")));
     story.asked(4, "nowhere");
@@ -270,7 +270,7 @@
 }
 
 #[test]
-fn a_server_that_cannot_be_reached_rests_and_is_tried_again() {
+fn an_unreachable_server_is_ejected_and_used_again() {
     let mut story = Story::given(vec![server("i-1", &["a"])]);
     for id in 1..=2 {
         assert_eq!(sent(&story.asked(id, "a")).len(), 1);
@@ -285,7 +285,7 @@
 }
 
 #[test]
-fn a_server_that_lacks_the_model_is_not_asked_for_it_again_at_once() {
+fn a_server_without_the_model_is_avoided_for_it() {
     let mut story = Story::given(vec![server("i-1", &["a"]), server("i-2", &["a"])]);
     let first = sent(&story.asked(1, "a"))[0].1.clone();
     story.ended(1, AttemptOutcome::Misdirected);
@@ -296,7 +296,7 @@
 }
 
 #[test]
-fn a_request_that_was_tried_at_a_server_goes_to_another_one() {
+fn a_retry_goes_to_another_server() {
     let mut story = Story::given(vec![server("i-1", &["a"]), server("i-2", &["a"])]);
     let again = Offer { excluded: ["i-1".to_owned()].into(), ..offer(1, "a", story.now) };
     assert_eq!(sent(&story.dispatcher.offer(story.now, again, false)), [(1, "i-2".into())]);
@@ -304,7 +304,7 @@
 }
 
 #[test]
-fn a_client_that_leaves_takes_its_request_with_it() {
+fn a_disconnected_client_cancels_its_request() {
     let mut story = Story::given(vec![server("i-1", &["a"])]);
     (1..=4).for_each(|id| drop(story.asked(id, "a")));
     story.ended(3, AttemptOutcome::Abandoned);
@@ -312,7 +312,7 @@
 }
 
 #[test]
-fn a_server_that_only_fell_silent_comes_back_with_the_same_word() {
+fn a_timed_out_server_returns_with_the_same_sequence() {
     let mut story = Story::given(vec![server("i-1", &["a"])]);
     story.update_servers(vec![ModelServer { state: ModelServerState::Removed, ..server("i-1", &["a"]) }]);
     assert!(sent(&story.asked(1, "a")).is_empty());
@@ -327,7 +327,7 @@
 }
 
 #[test]
-fn a_server_that_no_list_names_goes_after_a_while() {
+fn an_unlisted_server_is_removed_after_the_retention() {
     let mut story = Story::given(vec![server("i-1", &["a"])]);
     story.update_servers(Vec::new());
     story.after(9_000);
@@ -338,7 +338,7 @@
 }
 
 #[test]
-fn a_new_incarnation_at_an_address_ends_the_one_before() {
+fn a_new_incarnation_at_an_address_displaces_the_old_one() {
     let mut story = Story::given(vec![server("i-1", &["a"])]);
     (1..=3).for_each(|id| drop(story.asked(id, "a")));
     let address = server("i-1", &[]).address;
@@ -349,7 +349,7 @@
 }
 
 #[test]
-fn a_server_that_keeps_saying_it_is_not_the_one_rests() {
+fn a_server_is_ejected_after_repeated_misdirected_requests() {
     let mut story = Story::given(vec![server("i-1", &["a", "b", "c", "d"])]);
     for (id, model) in [(1, "a"), (2, "b"), (3, "c")] {
         assert_eq!(sent(&story.asked(id, model)).len(), 1);
@@ -359,7 +359,7 @@
 }
 
 #[test]
-fn a_server_that_fails_part_of_its_requests_is_avoided_and_tried_again_later() {
+fn a_server_with_errors_is_avoided_and_used_again_later() {
     let mut story = Story::given(vec![server("i-1", &["a"]), server("i-2", &["a"])]);
     let (mut id, mut at_grey) = (0, 0);
     let mut round = |story: &mut Story, requests: u64| {
@@ -387,7 +387,7 @@
 }
 
 #[test]
-fn when_all_servers_of_a_service_fail_requests_still_go_to_them() {
+fn requests_are_sent_even_if_all_servers_of_a_backend_fail() {
     let mut story = Story::given(vec![server("i-1", &["a"]), server("i-2", &["a"])]);
     for id in 1..40 {
         assert_eq!(sent(&story.asked(id, "a")).len(), 1);
@@ -402,7 +402,7 @@
 }
 
 #[test]
-fn a_request_goes_where_the_leader_granted_it() {
+fn a_request_goes_to_the_granted_server() {
     let mut story = Story::given(vec![server("i-1", &["a"]), server("i-2", &["a"])]);
     let now = story.now;
     for (id, instance) in [(1, "i-1"), (2, "i-2"), (3, "i-1")] {
@@ -413,7 +413,7 @@
 
 #[test_case(&["b"], BTreeSet::new(); "it has lost the model meanwhile")]
 #[test_case(&["a"], BTreeSet::from(["i-1".to_owned()]); "the request was there before")]
-fn a_grant_that_is_of_no_use_any_more_is_passed_over(models: &[&str], excluded: BTreeSet<String>) {
+fn an_obsolete_grant_is_ignored(models: &[&str], excluded: BTreeSet<String>) {
     let mut story = Story::given(vec![server("i-1", models), server("i-2", &["a"])]);
     let now = story.now;
     let offer = Offer { excluded, ..granted(1, "i-1", now) };
@@ -421,7 +421,7 @@
 }
 
 #[test]
-fn a_granted_server_without_a_free_slot_is_passed_over() {
+fn a_granted_server_without_a_free_slot_is_ignored() {
     let mut story = Story::given(vec![server("i-1", &["a"]), server("i-2", &["a"])]);
     let now = story.now;
     (1..=2).for_each(|id| drop(story.dispatcher.offer(now, granted(id, "i-1", now), true)));
@@ -430,7 +430,7 @@
 }
 
 #[test]
-fn the_leader_may_choose_among_servers_that_hold_the_model_and_have_a_slot() {
+fn admission_options_are_servers_with_the_model_and_a_slot() {
     let mut story = Story::given(vec![
         server("i-1", &["a"]),
         server("i-2", &["b"]),
@@ -449,7 +449,7 @@
 }
 
 #[test]
-fn a_server_that_keeps_the_prompt_needs_less_to_read_it() {
+fn a_cached_prefix_reduces_the_prefill_time() {
     let mut story = Story::given(vec![server("i-1", &["a"]), server("i-2", &["a"])]);
     let parts = vec![PromptPart { id: 7, tokens: 900 }];
     let first = Offer { parts: parts.clone(), ..granted(1, "i-2", story.now) };
@@ -469,7 +469,7 @@
 }
 
 #[test]
-fn a_server_that_fails_at_other_heads_is_avoided_here_and_not_for_ever() {
+fn errors_seen_by_other_edges_count_for_a_while() {
     let mut story = Story::given(vec![server("i-1", &["a"]), server("i-2", &["a"])]);
     let chosen = |story: &mut Story, id: u64| {
         let instance = sent(&story.asked(id, "a"))[0].1.clone();
@@ -485,7 +485,7 @@
 }
 
 #[test]
-fn how_requests_ended_is_told_once() {
+fn outcomes_are_reported_once() {
     let mut story = Story::given(vec![server("i-1", &["a"])]);
     for (id, outcome) in
         [(1, AttemptOutcome::Answered), (2, AttemptOutcome::Failed), (3, AttemptOutcome::Abandoned)]
@@ -505,7 +505,7 @@
 }
 
 #[test]
-fn a_request_for_a_version_goes_to_no_server_with_another_one() {
+fn a_request_for_a_version_goes_to_no_other_version() {
     let mut story = Story::given(vec![server_of_version("i-1", 1), server_of_version("i-2", 2)]);
     for id in 1..=2 {
         let of_two = Offer { version: Some(2), ..offer(id, "a", story.now) };
@@ -517,7 +517,7 @@
 }
 
 #[test]
-fn a_version_that_no_server_holds_asks_for_no_load() {
+fn an_absent_version_is_not_reported_as_demand() {
     let mut story = Story::given(vec![server_of_version("i-1", 2)]);
     let of_one = Offer { version: Some(1), resumable: true, ..offer(1, "a", story.now) };
     assert_eq!(story.dispatcher.offer(story.now, of_one, false), []);
--- a/crates/router/tests/evacuation.rs
+++ b/crates/router/tests/evacuation.rs
@@ -1,4 +1,4 @@
-//! Streams at a model server that is taken away at short notice.
+//! Evacuation of streams from a model server that ends at short notice.
 
 use pathbank_protocol::message::{LoadedModel, ModelServer, ModelServerState, ModelServerUpdate};
 use pathbank_router::dispatcher::{Action, Dispatcher, Offer};
@@ -97,7 +97,7 @@
 }
 
 #[test]
-fn streams_leave_before_the_server_goes_those_with_the_least_time_first() {
+fn streams_move_before_the_server_ends_by_deadline() {
     // Given three streams that may be taken up elsewhere, and one that may not.
     let mut story = Story::given(&[(1, 9_000, true), (2, 5_000, true), (3, 7_000, false), (4, 6_000, true)]);
     let noticed = story.now;
@@ -112,7 +112,7 @@
 }
 
 #[test]
-fn a_server_that_drains_without_notice_keeps_its_streams() {
+fn a_draining_server_without_an_end_keeps_its_streams() {
     let mut story = Story::given(&[(1, 9_000, true)]);
     story.update_servers(server("i-1", ModelServerState::Draining, 0, 2));
     story.after(8_000);
@@ -129,7 +129,7 @@
 }
 
 #[test]
-fn a_later_word_neither_moves_a_stream_twice_nor_gives_it_longer() {
+fn a_later_report_neither_moves_a_stream_again_nor_delays_it() {
     let mut story = Story::given(&[(1, 9_000, true)]);
     story.update_servers(server("i-1", ModelServerState::Draining, NOTICE, 2));
     story.after(400);
@@ -140,15 +140,15 @@
 }
 
 #[test]
-fn notice_that_comes_too_late_moves_all_at_once() {
+fn a_late_notice_moves_all_streams_at_once() {
     let streams = [Stream { id: 1, deadline: 9_000 }, Stream { id: 2, deadline: 8_000 }];
     let leaves = plan(1_000, 1_100, streams.to_vec(), 0.9);
     assert_eq!((leaves[&1], leaves[&2]), (1_000, 1_000));
 }
 
-#[test_case(0.0; "the first head")]
-#[test_case(0.99; "the last head")]
-fn every_stream_has_its_turn_in_the_time_that_is_left(draw: f64) {
+#[test_case(0.0; "the first edge")]
+#[test_case(0.99; "the last edge")]
+fn moves_spread_over_the_remaining_time(draw: f64) {
     let streams: Vec<Stream> = (0..10).map(|id| Stream { id, deadline: 9_000 - id }).collect();
     let leaves = plan(1_000, 3_000, streams, draw);
     assert_eq!(leaves.len(), 10);
@@ -157,7 +157,7 @@
 }
 
 #[test]
-fn a_stream_that_will_be_complete_in_time_is_known_by_its_pace() {
+fn completion_in_time_is_predicted_by_the_pace() {
     let mut rate = EventRate::default();
     assert_eq!(rate.expected(100), None, "nothing is known yet");
     (0..50).for_each(|_| rate.observe(100, 20));
--- a/crates/router/tests/model_servers.rs
+++ b/crates/router/tests/model_servers.rs
@@ -1,4 +1,4 @@
-//! Model servers that fail, rest and are tried again, as edges see them.
+//! Ejection of failing model servers, and the table of model servers.
 
 use pathbank_protocol::message::{LoadedModel, ModelServer, ModelServerState, ModelServerUpdate};
 use pathbank_router::model_servers::{AttemptOutcome, ModelServerTable};
@@ -61,7 +61,7 @@
 }
 
 #[test]
-fn a_server_that_fails_twice_in_a_row_rests_longer_each_time() {
+fn ejections_grow_with_failures_in_a_row() {
     let mut head = Head::given(1);
     head.sends_and_ends(1_000, AttemptOutcome::Failed);
     assert!(head.has_slot(1_000), "one failure says little");
@@ -79,7 +79,7 @@
 }
 
 #[test]
-fn after_a_rest_one_request_at_a_time_tries_a_server_until_one_is_answered() {
+fn a_half_open_circuit_passes_one_request_at_a_time() {
     let mut head = Head::given(1);
     (0..2).for_each(|_| head.sends_and_ends(1_000, AttemptOutcome::Failed));
     let now = head.tried_again(1_000);
@@ -93,7 +93,7 @@
 }
 
 #[test]
-fn heads_do_not_all_try_a_server_again_in_the_same_moment() {
+fn ejections_end_at_different_times_by_edge() {
     // Given a hundred edges whose requests failed at once.
     let mut times: Vec<u64> = (0..100)
         .map(|seed| {
@@ -114,7 +114,7 @@
 /// already, to find an earlier one at its address: 0.15 s of a tenth of a core for 3,008 model servers. As
 /// many come here as take minutes in that way.
 #[test]
-fn a_server_that_is_told_of_first_costs_the_same_however_many_are_known() {
+fn cost_of_an_update_does_not_grow_with_the_table() {
     const SERVERS: usize = 100_000;
     const TOLD_TOGETHER: usize = 1_000;
     const FAR_MORE_THAN_NEEDED: Duration = Duration::from_secs(20);
@@ -132,7 +132,7 @@
 }
 
 #[test]
-fn an_instance_is_displaced_at_the_address_where_it_is_now() {
+fn an_instance_is_displaced_at_its_current_address() {
     let mut table = ModelServerTable::new(1);
     let mut tell =
         |server: ModelServer| table.update(0, ModelServerUpdate { complete: false, servers: vec![server] });
--- a/crates/router/tests/parts.rs
+++ b/crates/router/tests/parts.rs
@@ -10,10 +10,10 @@
 const BOUNDS: RetryBudgetLimits = RetryBudgetLimits { ratio: 0.2, slack: 56.0, window: 10_000 };
 
 /// All edges send again whatever they may, whenever they may; some of them start anew in between.
-#[test_case(1, 10; "one head")]
-#[test_case(8, 40; "eight heads")]
-#[test_case(82, 400; "eighty-two heads")]
-fn all_heads_together_keep_to_the_budget_in_any_window(edges: u32, requests_per_s: u64) {
+#[test_case(1, 10; "one edge")]
+#[test_case(8, 40; "eight edges")]
+#[test_case(82, 400; "eighty-two edges")]
+fn all_edges_together_keep_to_the_budget_in_any_window(edges: u32, requests_per_s: u64) {
     let fresh = || {
         let mut budget = RetryBudget::new(BOUNDS);
         budget.set_edges(edges);
@@ -53,10 +53,10 @@
 
 /// Edges save up for a while, and then send again whatever they may: what comes all at once when model
 /// servers are lost.
-#[test_case(1, 10; "one head")]
-#[test_case(8, 40; "eight heads")]
-#[test_case(82, 400; "eighty-two heads")]
-fn what_heads_have_saved_up_keeps_to_the_budget_too(edges: u32, requests_per_s: u64) {
+#[test_case(1, 10; "one edge")]
+#[test_case(8, 40; "eight edges")]
+#[test_case(82, 400; "eighty-two edges")]
+fn saved_tokens_keep_to_the_budget(edges: u32, requests_per_s: u64) {
     let mut random = fastrand::Rng::with_seed(9);
     let mut budgets: Vec<RetryBudget> = (0..edges).map(|_| RetryBudget::new(BOUNDS)).collect();
     budgets.iter_mut().for_each(|budget| budget.set_edges(edges));
@@ -81,7 +81,7 @@
 }
 
 #[test]
-fn a_head_of_many_takes_up_several_streams_of_one_lost_server_at_once() {
+fn an_edge_of_many_resumes_several_streams_at_once() {
     // Given one edge of eighty-two, with five requests a second.
     let mut budget = RetryBudget::new(BOUNDS);
     budget.set_edges(82);
@@ -97,14 +97,14 @@
 }
 
 #[test]
-fn a_head_that_does_not_know_how_many_there_are_sends_nothing_again_at_once() {
+fn an_edge_that_does_not_know_the_others_retries_nothing() {
     let mut budget = RetryBudget::new(BOUNDS);
     budget.record_request(0, "s");
     assert!(!budget.try_spend(0, "s"));
 }
 
 #[test]
-fn requests_are_counted_in_the_window_of_true_time() {
+fn usage_is_counted_by_wall_clock_window() {
     let mut usage = UsageCounter::new(5_000);
     usage.record_start(9_999, "a");
     usage.record_start(10_000, "a");
@@ -121,7 +121,7 @@
 }
 
 #[test]
-fn one_core_whose_clock_jumps_moves_nobody() {
+fn a_jump_of_one_clock_does_not_move_the_median() {
     let mut clock = WallClock::default();
     assert_eq!(clock.now(5, 42), 42, "nothing is told yet");
     for (core, wall) in [("a", 1_000_000), ("b", 1_000_010), ("c", 9_000_000)] {
@@ -134,12 +134,12 @@
 #[test_case("m", "m", ""; "a model")]
 #[test_case("m/a3", "m", "a3"; "an adapter")]
 #[test_case("", "", ""; "none")]
-fn a_model_and_its_adapter_are_told_apart(value: &str, model: &str, adapter: &str) {
+fn parses_a_model_and_its_adapter(value: &str, model: &str, adapter: &str) {
     assert_eq!(ModelName::parse(value), ModelName { model: model.into(), adapter: adapter.into() });
 }
 
 #[test]
-fn prompts_are_read_as_far_as_they_are_well_formed() {
+fn parses_prompt_parts_up_to_the_first_malformed_one() {
     assert_eq!(TokenCount::parse("1460,80"), Some(TokenCount { input: 1_460, output: 80 }));
     assert_eq!(TokenCount::parse("1460,80").unwrap().size(), 2_260);
     assert_eq!(TokenCount::parse("1460"), None);
@@ -157,7 +157,7 @@
 #[test_case(1; "byte by byte")]
 #[test_case(7; "in sevens")]
 #[test_case(1_000; "at once")]
-fn only_whole_events_pass_and_the_last_id_is_known(piece: usize) {
+fn passes_complete_events_and_tracks_the_last_id(piece: usize) {
     let mut tracker = EventTracker::default();
     let stream = b"id: 1\ndata: a\n\nid: 2\ndata: b\n\nid: 3\ndata: c";
     let passed = pass_all(&mut tracker, stream, piece);
@@ -168,7 +168,7 @@
 }
 
 #[test]
-fn what_ends_in_order_is_passed_to_its_last_byte() {
+fn a_regular_end_passes_the_remaining_bytes() {
     let mut tracker = EventTracker::default();
     let mut passed = tracker.pass(b"id:9\r\ndata: x\r\n\r\ntail");
     passed.extend(tracker.finish());
--- a/crates/router/tests/request_log.rs
+++ b/crates/router/tests/request_log.rs
@@ -1,4 +1,4 @@
-//! What became of a request, as operators are told.
+//! The log of recent requests.
 
 use pathbank_control::result_code::ResultCode;
 use pathbank_router::request_log::{MAX_REQUESTS, RequestLog, Step, TimedStep};
@@ -8,7 +8,7 @@
 }
 
 #[test]
-fn the_steps_of_a_request_come_in_order_with_their_times() {
+fn steps_are_logged_in_order_with_their_times() {
     let mut log = RequestLog::default();
     log.record(100, "a", sent("i-1"));
     log.record(105, "b", Step::Refused { code: ResultCode::Overloaded });
@@ -22,7 +22,7 @@
 }
 
 #[test]
-fn the_oldest_request_is_forgotten_first_and_each_is_bounded() {
+fn the_log_is_bounded_by_requests_and_by_steps() {
     let mut log = RequestLog::default();
     (0..=MAX_REQUESTS).for_each(|number| log.record(number as u64, &format!("r{number}"), Step::NotRun));
     assert_eq!(log.steps("r0"), None);
