--- /dev/null
+++ b/crates/router/tests/wall_clock.rs
@@ -0,0 +1,14 @@
+//! The wall clock from the cores' clocks.
+
+use pathbank_router::wall_clock::WallClock;
+
+#[test]
+fn a_jump_of_one_clock_does_not_move_the_median() {
+    let mut clock = WallClock::default();
+    assert_eq!(clock.now(5, 42), 42, "nothing is told yet");
+    for (core, wall) in [("a", 1_000_000), ("b", 1_000_010), ("c", 9_000_000)] {
+        clock.observe(100, core, wall);
+    }
+    assert_eq!(clock.now(150, 0), 1_000_060);
+    assert_eq!(clock.now(60_000, 7), 1_059_910, "without a core the steady clock goes on");
+}
