--- a/crates/system/src/command/demo.rs
+++ b/crates/system/src/command/demo.rs
@@ -10,7 +10,7 @@
 use std::net::{SocketAddr, TcpStream};
 use std::time::Duration;
 
-const PATIENCE: Duration = Duration::from_secs(20);
+const TIMEOUT: Duration = Duration::from_secs(20);
 
 /// Starts everything, shows a request's answer, and stops everything.
 pub fn run() -> Result<()> {
@@ -20,13 +20,13 @@
     let ingress = system.edges.first().context("an edge head")?.ingress;
     println!("control planes: {:?}   clients: {ingress}", system.control);
     start_server(system.server_address(0)?, &system.control)?;
-    until("the configuration is taken", PATIENCE, || {
+    until("the configuration is taken", TIMEOUT, || {
         call(system.control[0], "POST", "/api/config/replace", Some(0), &document())
             .is_ok_and(|answer| answer.status == 200)
     })?;
     println!("configuration taken; a request:");
     let mut answer = String::new();
-    until("the request is answered", PATIENCE, || {
+    until("the request is answered", TIMEOUT, || {
         answer = ask(ingress).unwrap_or_default();
         answer.starts_with("HTTP/1.1 200")
     })?;
@@ -61,8 +61,8 @@
 }
 
 fn ask(ingress: SocketAddr) -> Result<String> {
-    let mut stream = TcpStream::connect_timeout(&ingress, PATIENCE)?;
-    stream.set_read_timeout(Some(PATIENCE))?;
+    let mut stream = TcpStream::connect_timeout(&ingress, TIMEOUT)?;
+    stream.set_read_timeout(Some(TIMEOUT))?;
     stream.write_all(
         b"POST /chat/1 HTTP/1.1\r\nHost: demo.example\r\nX-Pathbank-Request-Id: demo-1\r\nX-Pathbank-Model: m1\r\n\
           X-Pathbank-Token-Count: 5,5\r\nX-Pathbank-Credential: demo-key\r\nConnection: close\r\nContent-Length: 2\r\n\r\nhi",
--- a/crates/system/src/command/operator.rs
+++ b/crates/system/src/command/operator.rs
@@ -10,14 +10,14 @@
 use std::path::{Path, PathBuf};
 use std::time::Duration;
 
-const PATIENCE: Duration = Duration::from_secs(5);
-/// Heads lead on to the leader so often at most.
-const MOST_REDIRECTS: usize = 3;
+const TIMEOUT: Duration = Duration::from_secs(5);
+/// Redirects to the leader that are followed.
+const MAX_REDIRECTS: usize = 3;
 
 /// Which system is asked.
 #[derive(Debug, Args)]
 pub struct Target {
-    /// The control plane of any head, `ip:port`.
+    /// The control plane of any core, `ip:port`.
     #[arg(long)]
     control: SocketAddr,
 }
@@ -61,7 +61,7 @@
 /// One call to a control plane, led on to the leader where need be.
 pub fn call(target: SocketAddr, method: &str, path: &str, base: Option<u64>, body: &str) -> Result<Answer> {
     let mut address = target;
-    for _ in 0..=MOST_REDIRECTS {
+    for _ in 0..=MAX_REDIRECTS {
         let answer = call_one(address, method, path, base, body)?;
         let Some(location) = answer.location.as_deref().filter(|_| answer.status == 307) else {
             return Ok(answer);
@@ -69,12 +69,12 @@
         let host = location.trim_start_matches("http://").split('/').next().unwrap_or_default();
         address = host.parse().with_context(|| format!("led on to {location}"))?;
     }
-    bail!("led on more than {MOST_REDIRECTS} times")
+    bail!("redirected more than {MAX_REDIRECTS} times")
 }
 
 fn call_one(address: SocketAddr, method: &str, path: &str, base: Option<u64>, body: &str) -> Result<Answer> {
-    let mut stream = TcpStream::connect_timeout(&address, PATIENCE).with_context(|| address.to_string())?;
-    stream.set_read_timeout(Some(PATIENCE))?;
+    let mut stream = TcpStream::connect_timeout(&address, TIMEOUT).with_context(|| address.to_string())?;
+    stream.set_read_timeout(Some(TIMEOUT))?;
     let base = base.map(|base| format!("X-Pathbank-Base-Version: {base}\r\n")).unwrap_or_default();
     write!(
         stream,
--- a/crates/system/src/command/steps.rs
+++ b/crates/system/src/command/steps.rs
@@ -7,7 +7,7 @@
 use serde_json::Value;
 use std::time::Duration;
 
-const LOOK_EVERY: Duration = Duration::from_millis(500);
+const POLL_INTERVAL: Duration = Duration::from_millis(500);
 
 /// What is asked about training steps.
 #[derive(Debug, Subcommand)]
@@ -99,7 +99,7 @@
             println!("step {} is {state}, version {}", one.step, known(&step, "version"));
             return Ok(());
         }
-        std::thread::sleep(LOOK_EVERY);
+        std::thread::sleep(POLL_INTERVAL);
     }
 }
 
--- a/crates/system/src/core/mod.rs
+++ b/crates/system/src/core/mod.rs
@@ -61,7 +61,7 @@
     let (close, closing) = watch::channel(false);
     let limits = Limits {
         head_bytes: MAX_HEAD_BYTES,
-        head_within: HEAD_TIMEOUT,
+        head_timeout: HEAD_TIMEOUT,
         connections: (settings.max_descriptors as f64 * CALLER_DESCRIPTOR_FRACTION) as usize,
     };
     let service = api::service(events.clone());
--- a/crates/system/src/edge/mod.rs
+++ b/crates/system/src/edge/mod.rs
@@ -71,7 +71,7 @@
     let (close, closing) = watch::channel(false);
     let limits = Limits {
         head_bytes: MAX_HEAD_BYTES,
-        head_within: IDLE_TIMEOUT,
+        head_timeout: IDLE_TIMEOUT,
         connections: (settings.max_descriptors as f64 * CLIENT_DESCRIPTOR_FRACTION) as usize,
     };
     let count = ConnectionCount::default();
--- a/crates/system/src/local.rs
+++ b/crates/system/src/local.rs
@@ -1,4 +1,4 @@
-//! A whole system on loopback addresses of this machine: each head a process of this program. For the quick
+//! A whole system on loopback addresses of this machine: each a process of this program. For the quick
 //! start, for rehearsals and for tests.
 
 use crate::settings::SETTINGS_VARIABLE;
@@ -10,7 +10,7 @@
 use std::sync::atomic::{AtomicU8, Ordering};
 use std::time::{Duration, Instant};
 
-const LOOK_EVERY: Duration = Duration::from_millis(20);
+const POLL_INTERVAL: Duration = Duration::from_millis(20);
 /// The host of the first edge in a system's network; cores begin at 1.
 const FIRST_EDGE_HOST: u8 = 101;
 /// The host of the first stand-in model server.
@@ -145,7 +145,7 @@
     pub cores: u8,
     /// Edges.
     pub edges: u8,
-    /// Zones, named z1, z2 and so on; heads stand in them by turns.
+    /// Zones, named z1, z2 and so on; processes are assigned to them in turn.
     pub zones: u8,
     /// What processes log is thrown away.
     pub quiet: bool,
@@ -171,7 +171,7 @@
     pub cores: Vec<Process>,
     /// Their control planes.
     pub control: Vec<SocketAddr>,
-    /// Where they take links from other heads.
+    /// Where they take links from other processes.
     pub internal: Vec<SocketAddr>,
     /// Edges.
     pub edges: Vec<LocalEdge>,
@@ -240,7 +240,7 @@
         Ok(process)
     }
 
-    /// Starts all heads.
+    /// Starts all processes.
     ///
     /// # Errors
     ///
@@ -284,7 +284,7 @@
     format!("z{}", number % usize::from(zones.max(1)) + 1)
 }
 
-/// What a head listens for.
+/// What a process listens for.
 #[derive(Clone, Copy)]
 enum Purpose {
     Internal,
@@ -295,7 +295,7 @@
 }
 
 /// A port that the kernel gives to nobody who asks for any free one: between its choice and the start of the
-/// head that listens there, a stand-in on the same address could get it. Processes whose numbers share an
+/// process that listens there, a stand-in on the same address could get it. Processes whose numbers share an
 /// address have other ports.
 fn port(ip: IpAddr, purpose: Purpose) -> Result<u16> {
     const FIRST: u32 = 10_000;
@@ -316,7 +316,7 @@
     let start = Instant::now();
     while !holds() {
         ensure!(start.elapsed() < patience, "not within {patience:?}: {what}");
-        std::thread::sleep(LOOK_EVERY);
+        std::thread::sleep(POLL_INTERVAL);
     }
     Ok(())
 }
--- a/crates/system/src/net/client.rs
+++ b/crates/system/src/net/client.rs
@@ -15,13 +15,13 @@
 use std::time::Duration;
 
 /// A connection that does not come up in this time is given up.
-pub const CONNECT_WITHIN: Duration = Duration::from_millis(600);
+pub const CONNECT_TIMEOUT: Duration = Duration::from_millis(600);
 /// An idle connection is used again for so long where the server states nothing, milliseconds.
-const DEFAULT_IDLE_MS: u64 = 4_000;
+const DEFAULT_IDLE_TIMEOUT_MS: u64 = 4_000;
 /// An idle connection is left alone so long before the server's stated end, milliseconds.
 const IDLE_MARGIN_MS: u64 = 700;
 /// Bytes of a small answer that is read whole.
-const MOST_ANSWER_BYTES: usize = 1024 * 1024;
+const MAX_ANSWER_BYTES: usize = 1024 * 1024;
 
 type Sender = SendRequest<Full<Bytes>>;
 
@@ -91,7 +91,7 @@
     }
 
     async fn open(address: SocketAddr) -> std::io::Result<Sender> {
-        let stream = socket::connect(address, CONNECT_WITHIN).await?;
+        let stream = socket::connect(address, CONNECT_TIMEOUT).await?;
         let handshake = http1::handshake(TokioIo::new(stream)).await;
         let (sender, connection) = handshake.map_err(std::io::Error::other)?;
         tokio::spawn(async move {
@@ -188,7 +188,7 @@
         let whole = async {
             let Exchange { response, lease } = exchange.await.ok()?;
             let status = response.status().as_u16();
-            let body = Limited::new(response.into_body(), MOST_ANSWER_BYTES).collect().await.ok()?.to_bytes();
+            let body = Limited::new(response.into_body(), MAX_ANSWER_BYTES).collect().await.ok()?.to_bytes();
             self.give_back(lease);
             Some((status, body))
         };
@@ -224,9 +224,9 @@
         return None;
     }
     let keep_alive = headers.get("keep-alive").and_then(|value| value.to_str().ok());
-    let Some(keep_alive) = keep_alive else { return Some(DEFAULT_IDLE_MS) };
+    let Some(keep_alive) = keep_alive else { return Some(DEFAULT_IDLE_TIMEOUT_MS) };
     let stated = keep_alive.split(',').find_map(|item| item.trim().strip_prefix("timeout="));
     let seconds: Option<u64> = stated.and_then(|seconds| seconds.trim().parse().ok());
-    let Some(seconds) = seconds else { return Some(DEFAULT_IDLE_MS) };
+    let Some(seconds) = seconds else { return Some(DEFAULT_IDLE_TIMEOUT_MS) };
     Some((seconds * 1_000).saturating_sub(IDLE_MARGIN_MS)).filter(|left| *left > 0)
 }
--- a/crates/system/src/net/link.rs
+++ b/crates/system/src/net/link.rs
@@ -1,4 +1,5 @@
-//! A framed connection between two processes. Both sides send a ping regularly; one that hears nothing closes.
+//! A framed connection between two processes. Both sides send a ping regularly; one that hears nothing
+//! closes.
 
 use crate::clock;
 use bytes::{Bytes, BytesMut};
@@ -15,21 +16,21 @@
 use tokio::time::timeout;
 
 /// How often a link that says nothing else sends a ping.
-const PING_EVERY: Duration = Duration::from_millis(700);
+const PING_INTERVAL: Duration = Duration::from_millis(700);
 /// A link without a byte for so long is closed.
-const SILENCE: Duration = Duration::from_millis(2_200);
+const READ_TIMEOUT: Duration = Duration::from_millis(2_200);
 /// A write of which nothing goes for so long closes the link: the other side does not read.
-const WRITE_PATIENCE: Duration = Duration::from_millis(2_500);
+const WRITE_TIMEOUT: Duration = Duration::from_millis(2_500);
 /// Messages that wait for a slow reader; beyond, the link is closed.
-const QUEUE_LENGTH: usize = 512;
+const MAX_QUEUED_MESSAGES: usize = 512;
 /// Messages are joined into one write up to this.
-const JOINED_BYTES: usize = 16 * 1024;
+const MAX_BATCH_BYTES: usize = 16 * 1024;
 const READ_BUFFER_BYTES: usize = 16 * 1024;
 
 /// Bytes that wait for a slow reader; beyond, the link is closed.
-const QUEUE_BYTES: u64 = 2 * 1024 * 1024;
+const MAX_QUEUED_BYTES: u64 = 2 * 1024 * 1024;
 /// What one message counts for among them at most: a long one may wait, and others behind it.
-const MOST_COUNTED_BYTES: u64 = QUEUE_BYTES / 2;
+const MAX_COUNTED_BYTES: u64 = MAX_QUEUED_BYTES / 2;
 
 static RECEIVED: AtomicU64 = AtomicU64::new(0);
 static SENT: AtomicU64 = AtomicU64::new(0);
@@ -83,7 +84,7 @@
         let (length, counted) = (bytes.len() as u64, counted(&bytes));
         let waiting = self.progress.waiting.fetch_add(counted, Ordering::Relaxed) + counted;
         self.progress.queued.fetch_add(length, Ordering::Relaxed);
-        let is_lost = self.overrun.load(Ordering::Relaxed) || waiting > QUEUE_BYTES;
+        let is_lost = self.overrun.load(Ordering::Relaxed) || waiting > MAX_QUEUED_BYTES;
         if is_lost || self.queue.try_send(bytes).is_err() {
             // What is lost here cannot be made good on this link: the next one begins anew.
             self.overrun.store(true, Ordering::Relaxed);
@@ -109,7 +110,7 @@
 }
 
 fn counted(message: &Bytes) -> u64 {
-    MOST_COUNTED_BYTES.min(message.len() as u64)
+    MAX_COUNTED_BYTES.min(message.len() as u64)
 }
 
 /// What waits to be written on a link.
@@ -123,7 +124,7 @@
 impl Outbox {
     /// What is to be written next, or a ping after a while. `None`: the link ends.
     async fn next(&mut self) -> Option<Bytes> {
-        let first = match timeout(PING_EVERY, self.messages.recv()).await {
+        let first = match timeout(PING_INTERVAL, self.messages.recv()).await {
             Ok(bytes) => bytes?,
             Err(_) => return Some(self.ping()),
         };
@@ -131,12 +132,12 @@
         if self.overrun.load(Ordering::Relaxed) {
             return None;
         }
-        if first.len() >= JOINED_BYTES || self.messages.is_empty() {
+        if first.len() >= MAX_BATCH_BYTES || self.messages.is_empty() {
             return Some(first);
         }
         // Short messages that wait go in one write.
         let mut joined = BytesMut::from(&first[..]);
-        while joined.len() < JOINED_BYTES {
+        while joined.len() < MAX_BATCH_BYTES {
             let Ok(more) = self.messages.try_recv() else { break };
             self.progress.waiting.fetch_sub(counted(&more), Ordering::Relaxed);
             joined.extend_from_slice(&more);
@@ -153,7 +154,7 @@
 
 /// The sending end of a link that is about to open, and what is to be written on it.
 pub fn channel() -> (Link, Outbox) {
-    let (queue, messages) = mpsc::channel(QUEUE_LENGTH);
+    let (queue, messages) = mpsc::channel(MAX_QUEUED_MESSAGES);
     let (progress, overrun) = (Arc::<Progress>::default(), Arc::<AtomicBool>::default());
     let outbox = Outbox { messages, progress: progress.clone(), overrun: overrun.clone() };
     (Link { queue, progress, overrun }, outbox)
@@ -172,7 +173,7 @@
     let mut buffer = Vec::new();
     let mut chunk = vec![0; READ_BUFFER_BYTES];
     loop {
-        let Ok(Ok(count)) = timeout(SILENCE, reader.read(&mut chunk)).await else { return };
+        let Ok(Ok(count)) = timeout(READ_TIMEOUT, reader.read(&mut chunk)).await else { return };
         if count == 0 {
             return;
         }
@@ -204,12 +205,14 @@
     }
 }
 
-/// Writes a message, however long that takes while some of it goes. `false`: the link has ended, or its reader stands still.
+/// Writes a message, however long that takes while some of it goes. `false`: the link has ended, or its
+/// reader stands still.
 async fn write_all(writer: &mut OwnedWriteHalf, bytes: &[u8], progress: &Progress) -> bool {
     let mut rest = bytes;
     while !rest.is_empty() {
-        // Patience is with each part: many readers that come back at once share a link, and a long message takes its time.
-        let Ok(Ok(count)) = timeout(WRITE_PATIENCE, writer.write(rest)).await else { return false };
+        // Patience is with each part: many readers that come back at once share a link, and a long message
+        // takes its time.
+        let Ok(Ok(count)) = timeout(WRITE_TIMEOUT, writer.write(rest)).await else { return false };
         if count == 0 {
             return false;
         }
--- a/crates/system/src/net/mesh.rs
+++ b/crates/system/src/net/mesh.rs
@@ -10,12 +10,13 @@
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
 use std::time::Duration;
 
-/// An attempt to connect is given up after this. A machine without power drops it in silence, and the kernel asks again only after a
-/// second: a new attempt, made as soon as an election could be due, reaches one that has just come back.
-pub const CONNECT_WITHIN: Duration = Duration::from_millis(250);
+/// An attempt to connect is given up after this. A machine without power drops it in silence, and the kernel
+/// asks again only after a second: a new attempt, made as soon as an election could be due, reaches one that
+/// has just come back.
+pub const CONNECT_TIMEOUT: Duration = Duration::from_millis(250);
 /// The pause before a link is opened again, and its longest with failures in a row.
-pub const RETRY_AFTER: Duration = Duration::from_millis(100);
-const LONGEST_RETRY: Duration = Duration::from_millis(300);
+pub const RETRY_BACKOFF: Duration = Duration::from_millis(100);
+const MAX_RETRY_BACKOFF: Duration = Duration::from_millis(300);
 
 /// What a mesh reports.
 #[derive(Debug)]
@@ -102,10 +103,10 @@
     }
 
     async fn keep_open(self, address: SocketAddr) {
-        let mut pause = RETRY_AFTER;
+        let mut pause = RETRY_BACKOFF;
         loop {
-            if let Ok(stream) = socket::connect(address, CONNECT_WITHIN).await {
-                pause = RETRY_AFTER;
+            if let Ok(stream) = socket::connect(address, CONNECT_TIMEOUT).await {
+                pause = RETRY_BACKOFF;
                 let (link, outbox) = link::channel();
                 link.send(&Frame::Hello(self.hello.clone()));
                 self.links().open.insert(address, link);
@@ -119,7 +120,7 @@
                 (self.handler)(MeshEvent::Closed(address));
             }
             tokio::time::sleep(pause).await;
-            pause = (pause * 2).min(LONGEST_RETRY);
+            pause = (pause * 2).min(MAX_RETRY_BACKOFF);
         }
     }
 }
--- a/crates/system/src/net/server.rs
+++ b/crates/system/src/net/server.rs
@@ -15,7 +15,7 @@
 use tokio::sync::watch;
 
 /// After an accept that failed (no descriptors left), the next one comes after this.
-const ACCEPT_PAUSE: Duration = Duration::from_millis(20);
+const ACCEPT_BACKOFF: Duration = Duration::from_millis(20);
 
 /// What a server's connections may do.
 #[derive(Clone, Copy, Debug)]
@@ -23,7 +23,7 @@
     /// Bytes of a request's head.
     pub head_bytes: usize,
     /// Until a head is whole, and for how long a connection may rest before the next one.
-    pub head_within: Duration,
+    pub head_timeout: Duration,
     /// Connections at once; beyond, new ones are closed.
     pub connections: usize,
 }
@@ -74,7 +74,7 @@
 {
     loop {
         let Ok((stream, peer)) = listener.accept().await else {
-            tokio::time::sleep(ACCEPT_PAUSE).await;
+            tokio::time::sleep(ACCEPT_BACKOFF).await;
             continue;
         };
         if count.get() >= limits.connections {
@@ -106,7 +106,7 @@
 {
     let connection = http1::Builder::new()
         .timer(TokioTimer::new())
-        .header_read_timeout(limits.head_within)
+        .header_read_timeout(limits.head_timeout)
         .max_buf_size(limits.head_bytes.max(8_192))
         .serve_connection(TokioIo::new(stream), service);
     let mut connection = std::pin::pin!(connection);
--- a/crates/system/src/net/socket.rs
+++ b/crates/system/src/net/socket.rs
@@ -9,8 +9,8 @@
 /// Unacknowledged bytes break a connection after this.
 const USER_TIMEOUT: Duration = Duration::from_millis(2_500);
 /// A connection without a byte for so long is asked whether it still stands.
-const KEEPALIVE_AFTER: Duration = Duration::from_secs(2);
-const KEEPALIVE_EVERY: Duration = Duration::from_secs(1);
+const KEEPALIVE_IDLE: Duration = Duration::from_secs(2);
+const KEEPALIVE_INTERVAL: Duration = Duration::from_secs(1);
 /// New connections that wait to be accepted.
 const BACKLOG: u32 = 1_024;
 
@@ -21,7 +21,7 @@
     let _ = stream.set_nodelay(true);
     let _ = socket.set_tcp_user_timeout(Some(USER_TIMEOUT));
     let _ = socket
-        .set_tcp_keepalive(&TcpKeepalive::new().with_time(KEEPALIVE_AFTER).with_interval(KEEPALIVE_EVERY));
+        .set_tcp_keepalive(&TcpKeepalive::new().with_time(KEEPALIVE_IDLE).with_interval(KEEPALIVE_INTERVAL));
 }
 
 /// Connects within a time.
--- a/crates/system/src/rehearsal/stage.rs
+++ b/crates/system/src/rehearsal/stage.rs
@@ -17,7 +17,7 @@
 use std::time::{Duration, Instant};
 use tokio::task::AbortHandle;
 
-const PATIENCE: Duration = Duration::from_secs(60);
+const TIMEOUT: Duration = Duration::from_secs(60);
 const HEARTBEAT: Duration = Duration::from_millis(1_200);
 const LOOK: Duration = Duration::from_millis(2);
 const ZONES: usize = 12;
@@ -136,7 +136,7 @@
     async fn until(&self, what: &str, holds: impl Fn(&Stage) -> bool) -> Result<()> {
         let start = Instant::now();
         while !holds(self) {
-            ensure!(start.elapsed() < PATIENCE, "not within {PATIENCE:?}: {what}");
+            ensure!(start.elapsed() < TIMEOUT, "not within {TIMEOUT:?}: {what}");
             self.edges.iter().for_each(HollowEdge::maintain);
             tokio::time::sleep(LOOK).await;
         }
@@ -158,7 +158,7 @@
                     return Ok(());
                 }
             }
-            ensure!(start.elapsed() < PATIENCE, "version {version} was not acknowledged within {PATIENCE:?}");
+            ensure!(start.elapsed() < TIMEOUT, "version {version} was not acknowledged within {TIMEOUT:?}");
             tokio::time::sleep(LOOK).await;
         }
     }
@@ -207,7 +207,7 @@
             let (start, version) = (Instant::now(), self.version);
             let mut waiting: Vec<&HollowEdge> = self.edges.iter().collect();
             while !waiting.is_empty() {
-                ensure!(start.elapsed() < PATIENCE, "version {version} is not in force everywhere");
+                ensure!(start.elapsed() < TIMEOUT, "version {version} is not in force everywhere");
                 let in_force = |edge: &&HollowEdge| edge.configuration_version() >= version;
                 let done = waiting.iter().filter(|edge| in_force(edge)).count();
                 delays.extend(std::iter::repeat_n(millis(start.elapsed()), done));
@@ -251,7 +251,7 @@
         let mut delays: Vec<f64> = Vec::new();
         let mut next = 0;
         while next < self.edges.len() || !begun.is_empty() {
-            ensure!(start.elapsed() < Duration::from_secs(seconds) + PATIENCE, "edges do not come back");
+            ensure!(start.elapsed() < Duration::from_secs(seconds) + TIMEOUT, "edges do not come back");
             while next < self.edges.len() && start.elapsed() >= apart * next as u32 {
                 self.restart_edge(next)?;
                 begun.push((next, Instant::now()));
@@ -287,7 +287,7 @@
         }
         let mut configured: Vec<Option<f64>> = vec![None; self.edges.len()];
         while !self.edges.iter().all(|edge| self.knows_all(edge)) {
-            ensure!(start.elapsed() < PATIENCE, "service does not come back within {PATIENCE:?}");
+            ensure!(start.elapsed() < TIMEOUT, "service does not come back within {TIMEOUT:?}");
             for (edge, at) in self.edges.iter().zip(&mut configured) {
                 edge.maintain();
                 if at.is_none() && edge.configuration_version() == self.version {
--- a/crates/system/src/rehearsal/steps/faults.rs
+++ b/crates/system/src/rehearsal/steps/faults.rs
@@ -98,7 +98,7 @@
         self.next = now + self.pause.mul_f64(0.5 + self.draw.f64());
         let fault = Fault::ALL[self.draw.usize(..Fault::ALL.len())];
         let drawn = self.draw.usize(..);
-        // Control bears the loss of one head at a time, and a target that is not well yet is left alone.
+        // Control bears the loss of one core at a time, and a target that is not well yet is left alone.
         let Some(target) =
             stage.target(fault, drawn, self.repairs.iter().map(|repair| (repair.fault, repair.target)))
         else {
--- a/crates/system/src/rehearsal/steps/merchants.rs
+++ b/crates/system/src/rehearsal/steps/merchants.rs
@@ -7,9 +7,9 @@
 use std::thread::JoinHandle;
 use std::time::{Duration, Instant};
 
-const CONNECT_WITHIN: Duration = Duration::from_millis(300);
+const CONNECT_TIMEOUT: Duration = Duration::from_millis(300);
 const READ_WITHIN: Duration = Duration::from_secs(5);
-/// A client that got nothing tries other heads, as often in all.
+/// A client that got nothing tries other edges.
 const TRIES: usize = 3;
 
 /// What clients got.
@@ -116,7 +116,7 @@
 
 /// One stream. Returns when its first piece came, if it came whole.
 fn ask(head: SocketAddr, id: &str, last: &str, start: Instant) -> Option<Duration> {
-    let mut stream = TcpStream::connect_timeout(&head, CONNECT_WITHIN).ok()?;
+    let mut stream = TcpStream::connect_timeout(&head, CONNECT_TIMEOUT).ok()?;
     stream.set_read_timeout(Some(READ_WITHIN)).ok()?;
     let request = format!(
         "POST /llm/x HTTP/1.1\r\nHost: shop.example\r\nX-Pathbank-Request-Id: {id}\r\nX-Pathbank-Model: m1\r\n\
--- a/crates/system/src/rehearsal/steps/mod.rs
+++ b/crates/system/src/rehearsal/steps/mod.rs
@@ -22,9 +22,9 @@
 use std::sync::mpsc;
 use std::time::Duration;
 
-const LOOK_EVERY: Duration = Duration::from_millis(25);
+const POLL_INTERVAL: Duration = Duration::from_millis(25);
 /// A step that is not sealed within this is given up, and asked for anew.
-const PATIENCE: Duration = Duration::from_secs(60);
+const TIMEOUT: Duration = Duration::from_secs(60);
 /// Merchants are watched alone for so long before the first step.
 const ALONE: Duration = Duration::from_secs(8);
 /// A client asks again so long after its last answer.
@@ -151,7 +151,7 @@
     drop(merchants);
     let drawn = drawn::generations(&stage.drawn()?);
     let told: Vec<TrainerRecord> = played.sealed.iter().map(told).collect();
-    let trainer = Trainer::new(stage.control().to_vec(), PATIENCE);
+    let trainer = Trainer::new(stage.control().to_vec(), TIMEOUT);
     let read_back: Result<Vec<TrainerRecord>> = told
         .iter()
         .map(|told| Ok(TrainerRecord { results: trainer.results(told.step)?, ..told.clone() }))
@@ -188,7 +188,7 @@
     let bar = ProgressBar::new(plan.steps as u64);
     bar.set_style(ProgressStyle::with_template("steps [{bar:40}] {pos}/{len} {msg}")?);
     let (sender, news) = mpsc::channel();
-    let trainer = Trainer::new(stage.control().to_vec(), PATIENCE);
+    let trainer = Trainer::new(stage.control().to_vec(), TIMEOUT);
     let (steps, template) = (plan.steps, step_plan(plan));
     let (publish, published) = mpsc::channel();
     let training = std::thread::Builder::new().name("trainer".into()).spawn(move || {
@@ -213,7 +213,7 @@
                 }
             }
         }
-        std::thread::sleep(LOOK_EVERY);
+        std::thread::sleep(POLL_INTERVAL);
     }
     faults.finish(stage)?;
     sealed.extend(news.try_iter().filter_map(|news| match news {
--- a/crates/system/src/rehearsal/steps/stage.rs
+++ b/crates/system/src/rehearsal/steps/stage.rs
@@ -12,7 +12,7 @@
 use std::path::PathBuf;
 use std::time::Duration;
 
-const PATIENCE: Duration = Duration::from_secs(30);
+const TIMEOUT: Duration = Duration::from_secs(30);
 const ZONES: u8 = 3;
 /// Loads a second that the store permits, for each worker.
 const LOADS_PER_WORKER_S: f64 = 1.0;
@@ -53,14 +53,14 @@
         stage.workers.iter_mut().try_for_each(|worker| worker.process.start())?;
         let document = document(plan);
         let control = stage.control().to_vec();
-        until("the configuration is taken", PATIENCE, || {
+        until("the configuration is taken", TIMEOUT, || {
             control.iter().any(|control| {
                 call(*control, "POST", "/api/config/replace", Some(0), &document)
                     .is_ok_and(|answer| answer.status == 200)
             })
         })?;
         let readiness: Vec<SocketAddr> = stage.system.edges.iter().map(|edge| edge.readiness).collect();
-        until("all edge heads are ready", PATIENCE, || {
+        until("all edge heads are ready", TIMEOUT, || {
             readiness.iter().all(|head| {
                 call(*head, "GET", "/api/readyz", None, "").is_ok_and(|answer| answer.status == 200)
             })
--- a/crates/system/src/settings.rs
+++ b/crates/system/src/settings.rs
@@ -53,7 +53,7 @@
     pub zone: String,
     /// Where clients come in.
     pub ingress: Option<SocketAddr>,
-    /// Where the platform asks whether the head is ready.
+    /// Where the platform asks whether the edge is ready.
     pub readiness: Option<SocketAddr>,
     /// Where model servers and operators come in.
     pub control_plane: Option<SocketAddr>,
--- a/crates/system/src/stand_in/mod.rs
+++ b/crates/system/src/stand_in/mod.rs
@@ -18,8 +18,8 @@
 use store::WeightStore;
 use viz::{Body, Request, RequestExt, Response, Result, Router, StatusCode};
 
-const HEARTBEAT_EVERY: Duration = Duration::from_millis(200);
-const CALL_WITHIN: Duration = Duration::from_millis(800);
+const HEARTBEAT_INTERVAL: Duration = Duration::from_millis(200);
+const CALL_TIMEOUT: Duration = Duration::from_millis(800);
 
 /// Heartbeats of some model servers.
 #[derive(Debug, Default)]
@@ -73,7 +73,7 @@
             load_ms: 0,
             stream_pieces: 5,
             stream_pause: Duration::from_millis(10),
-            heartbeat_every: HEARTBEAT_EVERY,
+            heartbeat_every: HEARTBEAT_INTERVAL,
             counts: Arc::default(),
         }
     }
@@ -162,14 +162,14 @@
             .header("content-type", "application/json")
             .body(Full::new(Bytes::from(body.to_string())));
         let answer = match request {
-            Ok(request) => pool.call(control, request, CALL_WITHIN).await,
+            Ok(request) => pool.call(control, request, CALL_TIMEOUT).await,
             Err(_) => None,
         };
         let taken = matches!(answer, Some((200, _)));
         let count = if taken { &settings.counts.acknowledged } else { &settings.counts.failed };
         count.fetch_add(1, Ordering::Relaxed);
         if !taken {
-            // A head that does not answer is left for the next one.
+            // A core that does not answer is left for the next one.
             head = (head + 1) % settings.control.len();
         }
         tokio::time::sleep_until(next).await;
--- a/crates/system/src/trainer.rs
+++ b/crates/system/src/trainer.rs
@@ -1,4 +1,5 @@
-//! A trainer's end of the control plane: opens steps, submits prompts, takes results. For examples, rehearsals and tests.
+//! A trainer's end of the control plane: opens steps, submits prompts, takes results. For examples,
+//! rehearsals and tests.
 
 use crate::command::{Answer, call};
 use anyhow::{Context, Result, bail};
@@ -7,9 +8,9 @@
 use std::net::SocketAddr;
 use std::time::{Duration, Instant};
 
-/// A call without a clear answer is made again, at another head, after this.
-const RETRY_AFTER: Duration = Duration::from_millis(100);
-const LOOK_EVERY: Duration = Duration::from_millis(50);
+/// A call without a clear answer is made again, at another core, after this.
+const RETRY_BACKOFF: Duration = Duration::from_millis(100);
+const POLL_INTERVAL: Duration = Duration::from_millis(50);
 
 /// A trainer before some control planes.
 #[derive(Clone, Debug)]
@@ -68,7 +69,7 @@
             match call(control, method, path, None, body) {
                 Ok(answer) if ![307, 500, 503].contains(&answer.status) => return Ok(answer),
                 _ if start.elapsed() >= self.patience => break,
-                _ => std::thread::sleep(RETRY_AFTER),
+                _ => std::thread::sleep(RETRY_BACKOFF),
             }
         }
         bail!("{method} {path}: no clear answer within {:?}", self.patience)
@@ -170,7 +171,7 @@
             if state == "aborted" || start.elapsed() >= self.patience {
                 bail!("step {step} is {state} after {:?}: {told}", start.elapsed());
             }
-            std::thread::sleep(LOOK_EVERY);
+            std::thread::sleep(POLL_INTERVAL);
         }
     }
 
@@ -190,7 +191,7 @@
             if start.elapsed() >= self.patience {
                 bail!("step {step} is not drawn after {:?}: {told}", start.elapsed());
             }
-            std::thread::sleep(LOOK_EVERY);
+            std::thread::sleep(POLL_INTERVAL);
         }
     }
 
--- a/crates/system/tests/links.rs
+++ b/crates/system/tests/links.rs
@@ -95,7 +95,7 @@
 #[test]
 fn a_link_that_hung_while_the_other_machine_was_down_is_tried_anew_before_an_election_is_due() {
     let election = Duration::from_millis(Timing::default().election_timeout_ms);
-    assert!(mesh::CONNECT_WITHIN + mesh::RETRY_AFTER <= election);
+    assert!(mesh::CONNECT_TIMEOUT + mesh::RETRY_BACKOFF <= election);
 }
 
 // A core that leaves the group is hung up on by the edges, which then waited for its news for ever: nobody
