--- a/crates/control/tests/whole_document.rs
+++ b/crates/control/tests/full_document.rs
@@ -1,6 +1,6 @@
-//! A change that is checked by what it touches is taken exactly when the whole document that it makes is valid, and makes that
-//! document; and an edge that is told the difference knows what one knows that is told the whole. The check of whole documents
-//! stands here, written for this comparison alone.
+//! A change that is checked by what it touches is taken exactly when the whole document that it makes is
+//! valid, and makes that document; and an edge that is told the difference knows what one knows that is told
+//! the whole. The check of whole documents stands here, written for this comparison alone.
 
 use facet::Facet;
 use pathbank_control::checked_document::CheckedDocument;
@@ -13,8 +13,8 @@
 use serde_json::{Map, Value, json};
 use std::collections::{BTreeMap, BTreeSet};
 
-const CHAINS: u64 = 1_500;
-const CHANGES: u64 = 12;
+const SEQUENCES: u64 = 1_500;
+const CHANGES_PER_SEQUENCE: u64 = 12;
 
 #[derive(Facet)]
 struct Configuration {
@@ -31,18 +31,20 @@
 
 // ---- the comparison: whole documents ----
 
-fn named(item: &Value) -> Option<&str> {
+fn name_of_item(item: &Value) -> Option<&str> {
     item.get("name")?.as_str()
 }
 
-fn apply_whole(current: &Value, update: &Value) -> Option<Value> {
+fn apply_to_full_document(current: &Value, update: &Value) -> Option<Value> {
     let mut document = current.as_object().cloned().unwrap_or_default();
     document.insert("version".into(), update.get("version")?.clone());
     for (section, names) in update.get("delete").and_then(Value::as_object).into_iter().flatten() {
         let names = names.as_array()?;
         let list = document.entry(section.clone()).or_insert_with(|| json!([]));
         if let Some(items) = list.as_array_mut() {
-            items.retain(|item| !names.iter().any(|name| name.is_string() && name.as_str() == named(item)));
+            items.retain(|item| {
+                !names.iter().any(|name| name.is_string() && name.as_str() == name_of_item(item))
+            });
         }
     }
     for (section, value) in update.get("upsert").and_then(Value::as_object).into_iter().flatten() {
@@ -53,8 +55,8 @@
         let list = document.entry(section.clone()).or_insert_with(|| json!([]));
         let Some(items) = list.as_array_mut() else { continue };
         for item in changed {
-            let place =
-                named(item).and_then(|name| items.iter().position(|known| named(known) == Some(name)));
+            let place = name_of_item(item)
+                .and_then(|name| items.iter().position(|known| name_of_item(known) == Some(name)));
             match place {
                 Some(place) => items[place] = item.clone(),
                 None => items.push(item.clone()),
@@ -156,18 +158,18 @@
         }
     }
 
-    fn items(&mut self, section: &str, most: usize) -> Value {
+    fn items(&mut self, section: &str, max: usize) -> Value {
         if self.rarely() {
             return self.one(&[json!(3), json!({}), Value::Null]);
         }
-        (0..self.0.usize(..=most)).map(|_| self.item(section)).collect()
+        (0..self.0.usize(..=max)).map(|_| self.item(section)).collect()
     }
 
-    fn sections(&mut self, most: usize) -> Map<String, Value> {
+    fn sections(&mut self, max: usize) -> Map<String, Value> {
         let mut sections = Map::new();
         for section in ["routes", "tenants", "backends", "labels"] {
             if self.0.u32(..3) > 0 {
-                sections.insert(section.into(), self.items(section, most));
+                sections.insert(section.into(), self.items(section, max));
             }
         }
         if self.0.u32(..4) == 0 {
@@ -190,8 +192,9 @@
     }
 }
 
-/// What an edge that knows `before` makes of the document of a state, told as a difference, is what it makes of the whole.
-fn then_an_edge_knows_the_same(table: &RouteTable, before: &Document, state: &ControlState) -> RouteTable {
+/// What an edge that knows `before` makes of the document of a state, told as a difference, is what it makes
+/// of the whole.
+fn assert_edge_has_the_same(table: &RouteTable, before: &Document, state: &ControlState) -> RouteTable {
     let (after, index) = state.document().expect("a document");
     let read =
         |told: Value, is_whole| EdgeUpdate::read(told.to_string().as_bytes(), is_whole).expect("readable");
@@ -221,13 +224,13 @@
 }
 
 #[test]
-fn a_change_is_taken_exactly_when_the_whole_document_is_valid() {
-    let (mut taken, mut refused) = (0, 0);
-    for seed in 0..CHAINS {
+fn a_change_is_accepted_exactly_when_the_full_document_is_valid() {
+    let (mut accepted, mut refused) = (0, 0);
+    for seed in 0..SEQUENCES {
         let mut draw = Draw(fastrand::Rng::with_seed(seed));
         let mut state = ControlState::default();
         let mut table = RouteTable::default();
-        for number in 1..=CHANGES {
+        for number in 1..=CHANGES_PER_SEQUENCE {
             let before = read_back(&state);
             let known = state.document().map(|(document, _)| document.clone()).unwrap_or_default();
             let base = state.version();
@@ -242,7 +245,7 @@
             };
             let whole = match kind {
                 ChangeKind::Replace => Some(body.clone()),
-                ChangeKind::Update => apply_whole(&before, &body),
+                ChangeKind::Update => apply_to_full_document(&before, &body),
             };
             let change = Change { kind, base, body: body.to_string() };
             let result = state.apply(number, &Command::Change(change));
@@ -250,8 +253,8 @@
                 Some(whole) => {
                     assert!(result.is_ok(), "seed {seed}, change {number}: {result:?}, {body}\non {before}");
                     assert_eq!(read_back(&state), whole, "seed {seed}, change {number}: {body}\non {before}");
-                    table = then_an_edge_knows_the_same(&table, &known, &state);
-                    taken += 1;
+                    table = assert_edge_has_the_same(&table, &known, &state);
+                    accepted += 1;
                 }
                 None => {
                     assert!(result.is_err(), "seed {seed}, change {number}: taken: {body}\non {before}");
@@ -263,11 +266,11 @@
         let again = ControlState::decode(&state.encode()).expect("a snapshot");
         assert_eq!(again.encode(), state.encode());
     }
-    assert!(taken > 2_000 && refused > 2_000, "{taken} taken, {refused} refused");
+    assert!(accepted > 2_000 && refused > 2_000, "{accepted} taken, {refused} refused");
 }
 
 #[test]
-fn a_whole_document_and_its_snapshot_are_the_same() {
+fn a_full_document_and_its_snapshot_are_the_same() {
     let body = json!({ "version": 4, "routes": [], "labels": [1, { "name": "x" }], "limits": { "max_body_bytes": 3 } });
     let checked = CheckedDocument::try_from(body.as_object().unwrap().clone()).unwrap();
     assert_eq!(serde_json::to_value(&checked).unwrap(), body);
--- a/crates/control/tests/recovery/main.rs
+++ b/crates/control/tests/recovery/main.rs
@@ -1,4 +1,4 @@
-//! Cores on small processors: how long it takes, after all were dark, until each hands out the newest
+//! Cores on small processors: the time from a power failure of all cores until each publishes the newest
 //! configuration.
 //!
 //! Processor time is charged in virtual time by the allocations of the state machine, which are the same on
@@ -18,14 +18,14 @@
 #[global_allocator]
 static ALLOCATOR: &StatsAlloc<System> = &INSTRUMENTED_SYSTEM;
 
-const HEADS: usize = 3;
+const CORES: usize = 3;
 /// Allocations that a core with half of a core gets through in a millisecond: it took 2.3 to 3 ms for a
 /// change that made 2,300 of them. Their bytes tell less: a parser's workspace of 58 kB is not touched.
 const ALLOCATIONS_PER_MS: u64 = 900;
 /// The least that any entry takes there, microseconds.
-const LEAST_US: u64 = 40;
+const MIN_ENTRY_US: u64 = 40;
 /// After this edges are in touch again, and refuse nothing that was confirmed before, milliseconds.
-const IN_TOUCH_AFTER: u64 = 3_000;
+const CURRENT_TIMEOUT_MS: u64 = 3_000;
 
 fn route(number: usize, timeout_ms: u64) -> Value {
     json!({ "name": format!("r-{number:05}"), "hostname": format!("host{}.example", number % 7),
@@ -73,18 +73,18 @@
     assert_eq!(state.apply(index, &command), Ok(CommandOutcome::Applied));
     let made = region.change();
     let allocations = (made.allocations + made.reallocations) as u64;
-    LEAST_US.max(1_000 * allocations / ALLOCATIONS_PER_MS)
+    MIN_ENTRY_US.max(1_000 * allocations / ALLOCATIONS_PER_MS)
 }
 
-struct Heads {
+struct Cores {
     fleet: Fleet,
     states: Vec<ControlState>,
-    applied: [usize; HEADS],
+    applied: [usize; CORES],
 }
 
-impl Heads {
-    fn given_a_log(commands: &[Vec<u8>]) -> Heads {
-        let mut fleet = Fleet::new(HEADS, 0, 46);
+impl Cores {
+    fn with_log(commands: &[Vec<u8>]) -> Cores {
+        let mut fleet = Fleet::new(CORES, 0, 46);
         assert!(fleet.run_until_led(3_000), "a first leader");
         for (number, command) in commands.iter().enumerate() {
             assert!(fleet.propose(command));
@@ -93,31 +93,31 @@
             }
         }
         (0..500).for_each(|_| fleet.step());
-        Heads { fleet, states: Vec::new(), applied: [0; HEADS] }
+        Cores { fleet, states: Vec::new(), applied: [0; CORES] }
     }
 
-    fn when_all_were_dark_for_a_second(&mut self) {
-        (0..HEADS).for_each(|head| self.fleet.power_off(head));
+    fn power_cycle_all(&mut self) {
+        (0..CORES).for_each(|core| self.fleet.power_off(core));
         self.fleet.run(1_000);
-        (0..HEADS).for_each(|head| self.fleet.start(head));
-        self.states = vec![ControlState::default(); HEADS];
+        (0..CORES).for_each(|core| self.fleet.start(core));
+        self.states = vec![ControlState::default(); CORES];
     }
 
     fn run(&mut self) {
         self.fleet.step();
-        for (head, applied) in self.applied.iter_mut().enumerate() {
-            for (index, bytes) in &self.fleet.machines[head].applied[*applied..].to_vec() {
-                let takes_us = apply(&mut self.states[head], *index, bytes);
-                self.fleet.charge(head, takes_us);
+        for (core, applied) in self.applied.iter_mut().enumerate() {
+            for (index, bytes) in &self.fleet.machines[core].applied[*applied..].to_vec() {
+                let takes_us = apply(&mut self.states[core], *index, bytes);
+                self.fleet.charge(core, takes_us);
                 *applied += 1;
             }
         }
     }
 
-    fn hands_out(&self, head: usize, version: u64) -> bool {
-        let replica = self.fleet.machines[head].replica.as_ref();
+    fn publishes(&self, core: usize, version: u64) -> bool {
+        let replica = self.fleet.machines[core].replica.as_ref();
         let is_current = replica.is_some_and(|replica| replica.is_current(self.fleet.now, LEADER_TIMEOUT_MS));
-        is_current && !self.fleet.is_frozen(head) && self.states[head].version() == version
+        is_current && !self.fleet.is_frozen(core) && self.states[core].version() == version
     }
 }
 
@@ -125,21 +125,21 @@
 // later. Each entry of the log took 2.3 to 3 ms to be applied, for the whole document was copied, written,
 // read and checked anew for a change of one item; 64 entries were applied 0.8 s after the start, 772 after
 // 3.1 to 3.7 s.
-fn then_all_are_current_in_time(routes: usize, models: usize, changes: usize) {
-    let mut heads = Heads::given_a_log(&commands(routes, models, changes));
-    heads.when_all_were_dark_for_a_second();
-    let started = heads.fleet.now;
+fn assert_all_are_current_in_time(routes: usize, models: usize, changes: usize) {
+    let mut cores = Cores::with_log(&commands(routes, models, changes));
+    cores.power_cycle_all();
+    let started = cores.fleet.now;
     let version = changes as u64 + 2;
-    while !(0..HEADS).all(|head| heads.hands_out(head, version)) {
-        heads.run();
-        let took = heads.fleet.now - started;
-        assert!(took < IN_TOUCH_AFTER, "not all hand out version {version} {took} ms after the start");
+    while !(0..CORES).all(|core| cores.publishes(core, version)) {
+        cores.run();
+        let took = cores.fleet.now - started;
+        assert!(took < CURRENT_TIMEOUT_MS, "not all publish version {version} {took} ms after the start");
     }
-    let took = heads.fleet.now - started;
+    let took = cores.fleet.now - started;
     println!("{routes} routes, {changes} changes: {took} ms");
 }
 
-fn then_a_change_costs_the_same_whatever_stands_beside_it() {
+fn assert_a_changes_cost_does_not_grow_with_the_document() {
     let cost = |routes: usize| {
         let mut state = ControlState::default();
         let costs = commands(routes, 30, 300).into_iter().enumerate();
@@ -155,7 +155,7 @@
 /// One test after the other: the allocator counts for the whole process.
 #[test]
 fn recovery_does_not_grow_with_the_log() {
-    then_all_are_current_in_time(30, 31, 800);
-    then_all_are_current_in_time(120, 330, 3_000);
-    then_a_change_costs_the_same_whatever_stands_beside_it();
+    assert_all_are_current_in_time(30, 31, 800);
+    assert_all_are_current_in_time(120, 330, 3_000);
+    assert_a_changes_cost_does_not_grow_with_the_document();
 }
--- a/crates/control/tests/safety/faults.rs
+++ b/crates/control/tests/safety/faults.rs
@@ -16,13 +16,13 @@
     /// A disk is lost, if all others are there, and all lose power at once.
     WipeAndPowerOff(usize),
     /// A machine is cut off from all others.
-    Cut(usize),
+    Partition(usize),
     /// It hears others and is not heard.
-    CutOut(usize),
+    PartitionOutbound(usize),
     /// It is heard and hears nobody.
-    CutIn(usize),
+    PartitionInbound(usize),
     /// Two machines on one side, the others on the other.
-    Halves(usize, usize),
+    PartitionHalves(usize, usize),
     /// A process stands still.
     Freeze(usize),
     /// A disk answers nothing.
@@ -42,7 +42,7 @@
     /// The machine that leads: its process dies, stands still, or is cut off.
     KillLeader,
     FreezeLeader,
-    CutLeader,
+    PartitionLeader,
 }
 
 /// A disturbance, how long it lasts, and the pause behind it, milliseconds.
@@ -69,10 +69,10 @@
         Just(Fault::PowerOff),
         machine.clone().prop_map(Fault::Wipe),
         machine.clone().prop_map(Fault::WipeAndPowerOff),
-        machine.clone().prop_map(Fault::Cut),
-        machine.clone().prop_map(Fault::CutOut),
-        machine.clone().prop_map(Fault::CutIn),
-        (0..MACHINES, 0..MACHINES).prop_map(|(one, other)| Fault::Halves(one, other)),
+        machine.clone().prop_map(Fault::Partition),
+        machine.clone().prop_map(Fault::PartitionOutbound),
+        machine.clone().prop_map(Fault::PartitionInbound),
+        (0..MACHINES, 0..MACHINES).prop_map(|(one, other)| Fault::PartitionHalves(one, other)),
         machine.clone().prop_map(Fault::Freeze),
         machine.clone().prop_map(Fault::Stall),
         machine.clone().prop_map(Fault::SlowDisk),
@@ -83,11 +83,11 @@
         Just(Fault::RestartAll),
         Just(Fault::KillLeader),
         Just(Fault::FreezeLeader),
-        Just(Fault::CutLeader),
+        Just(Fault::PartitionLeader),
     ]
 }
 
-fn cut_off(fleet: &mut Fleet, side: &[usize], inwards: bool, outwards: bool) {
+fn partition(fleet: &mut Fleet, side: &[usize], inwards: bool, outwards: bool) {
     let others = (0..MACHINES).filter(|machine| !side.contains(machine));
     for (other, machine) in others.flat_map(|other| side.iter().map(move |machine| (other, *machine))) {
         if inwards {
@@ -121,11 +121,11 @@
                 power_off(fleet);
             }
             Fault::Wipe(_) | Fault::WipeAndPowerOff(_) => {}
-            Fault::Cut(machine) => cut_off(fleet, &[machine], true, true),
-            Fault::CutLeader => cut_off(fleet, &[leader], true, true),
-            Fault::CutOut(machine) => cut_off(fleet, &[machine], false, true),
-            Fault::CutIn(machine) => cut_off(fleet, &[machine], true, false),
-            Fault::Halves(one, other) => cut_off(fleet, &[one, other], true, true),
+            Fault::Partition(machine) => partition(fleet, &[machine], true, true),
+            Fault::PartitionLeader => partition(fleet, &[leader], true, true),
+            Fault::PartitionOutbound(machine) => partition(fleet, &[machine], false, true),
+            Fault::PartitionInbound(machine) => partition(fleet, &[machine], true, false),
+            Fault::PartitionHalves(one, other) => partition(fleet, &[one, other], true, true),
             Fault::Freeze(machine) => fleet.machines[machine].frozen_until = u64::MAX,
             Fault::FreezeLeader => fleet.machines[leader].frozen_until = u64::MAX,
             Fault::Stall(machine) => fleet.machines[machine].stalled = true,
--- a/crates/control/tests/safety/history.rs
+++ b/crates/control/tests/safety/history.rs
@@ -1,13 +1,14 @@
 //! What operators saw, and whether one register could have answered so.
 //!
-//! The committed log gives the one order of all changes that were taken, so the check is exact: each call is at one place of
-//! that order or has a range of places, and a call that began after another one had ended must not be before it.
+//! The committed log gives the one order of all changes that were taken, so the check is exact: each call is
+//! at one place of that order or has a range of places, and a call that began after another one had ended
+//! must not be before it.
 
 use std::collections::BTreeMap;
 
 /// What a call wanted.
 #[derive(Clone, Debug, PartialEq)]
-pub enum Wanted {
+pub enum Operation {
     /// The configuration.
     Read,
     /// A change of this number on a base.
@@ -16,13 +17,13 @@
 
 /// What it got in the end.
 #[derive(Clone, Debug, PartialEq)]
-pub enum Got {
+pub enum Outcome {
     /// The configuration of this change; 0: none yet.
     Read(u64),
     /// The change is in force.
     Acknowledged,
     /// Another version than its base is current.
-    Refused,
+    Rejected,
     /// No clear answer.
     Nothing,
 }
@@ -30,55 +31,56 @@
 /// A call from its first try to its answer.
 #[derive(Clone, Debug)]
 pub struct Call {
-    pub wanted: Wanted,
+    pub operation: Operation,
     pub began: u64,
     pub ended: u64,
-    pub got: Got,
+    pub outcome: Outcome,
 }
 
-/// Checks a history against the changes in the order in which they were committed. `versions`: each change's version.
+/// Checks a history against the changes in the order in which they were committed. `versions`: each change's
+/// version.
 pub fn check(calls: &[Call], order: &[u64], versions: &BTreeMap<u64, u64>) -> Result<(), String> {
-    let place_of: BTreeMap<u64, usize> =
+    let position_of: BTreeMap<u64, usize> =
         [(0, 0)].into_iter().chain(order.iter().enumerate().map(|(at, id)| (*id, at + 1))).collect();
-    let version_at = |place: usize| match place.checked_sub(1) {
+    let version_at = |position: usize| match position.checked_sub(1) {
         Some(at) => versions[&order[at]],
         None => 0,
     };
-    let mut placed: Vec<(&Call, usize, bool)> = Vec::new();
+    let mut positioned: Vec<(&Call, usize, bool)> = Vec::new();
     for call in calls {
-        match (&call.wanted, &call.got) {
-            (Wanted::Change { id, .. }, Got::Acknowledged) => {
-                let place = place_of.get(id).ok_or(format!("acknowledged and lost: {call:?}"))?;
-                placed.push((call, *place, true));
+        match (&call.operation, &call.outcome) {
+            (Operation::Change { id, .. }, Outcome::Acknowledged) => {
+                let position = position_of.get(id).ok_or(format!("acknowledged and lost: {call:?}"))?;
+                positioned.push((call, *position, true));
             }
-            (Wanted::Change { id, .. }, Got::Refused) if place_of.contains_key(id) => {
+            (Operation::Change { id, .. }, Outcome::Rejected) if position_of.contains_key(id) => {
                 return Err(format!("refused and in force: {call:?}"));
             }
-            (Wanted::Read, Got::Read(id)) => {
-                let place = place_of.get(id).ok_or(format!("read and never committed: {call:?}"))?;
-                placed.push((call, *place, false));
+            (Operation::Read, Outcome::Read(id)) => {
+                let position = position_of.get(id).ok_or(format!("read and never committed: {call:?}"))?;
+                positioned.push((call, *position, false));
             }
             _ => {}
         }
     }
-    check_order(&placed)?;
-    let refusals = calls.iter().filter(|call| call.got == Got::Refused);
+    check_order(&positioned)?;
+    let refusals = calls.iter().filter(|call| call.outcome == Outcome::Rejected);
     for call in refusals {
-        let Wanted::Change { base, .. } = call.wanted else { continue };
-        let before = placed.iter().filter(|(other, ..)| other.ended < call.began);
-        let earliest = before.map(|(_, place, _)| *place).max().unwrap_or(0);
-        let after = placed.iter().filter(|(other, ..)| other.began > call.ended);
-        let latest = after.map(|(_, place, is_change)| place - usize::from(*is_change)).min();
+        let Operation::Change { base, .. } = call.operation else { continue };
+        let before = positioned.iter().filter(|(other, ..)| other.ended < call.began);
+        let earliest = before.map(|(_, position, _)| *position).max().unwrap_or(0);
+        let after = positioned.iter().filter(|(other, ..)| other.began > call.ended);
+        let latest = after.map(|(_, position, is_change)| position - usize::from(*is_change)).min();
         let latest = latest.unwrap_or(order.len());
-        if !(earliest..=latest).any(|place| version_at(place) != base) {
+        if !(earliest..=latest).any(|position| version_at(position) != base) {
             return Err(format!("refused although its base was current all the while: {call:?}"));
         }
     }
     Ok(())
 }
 
-fn check_order(placed: &[(&Call, usize, bool)]) -> Result<(), String> {
-    let mut by_beginning: Vec<&(&Call, usize, bool)> = placed.iter().collect();
+fn check_order(positioned: &[(&Call, usize, bool)]) -> Result<(), String> {
+    let mut by_beginning: Vec<&(&Call, usize, bool)> = positioned.iter().collect();
     by_beginning.sort_by_key(|(call, ..)| call.began);
     let mut by_end = by_beginning.clone();
     by_end.sort_by_key(|(call, ..)| call.ended);
@@ -88,9 +90,9 @@
         while let Some(earlier) = ended.next_if(|(call, ..)| call.ended < later.0.began) {
             newest = newest.filter(|known| known.1 >= earlier.1).or(Some(earlier));
         }
-        let (call, place, is_change) = later;
+        let (call, position, is_change) = later;
         let floor = newest.map_or(0, |newest| newest.1 + usize::from(*is_change));
-        if *place < floor && newest.is_some_and(|newest| newest.0.ended < call.began) {
+        if *position < floor && newest.is_some_and(|newest| newest.0.ended < call.began) {
             return Err(format!(
                 "older than what had been answered: {call:?} after {:?}",
                 newest.map(|n| n.0)
--- a/crates/control/tests/safety/main.rs
+++ b/crates/control/tests/safety/main.rs
@@ -1,6 +1,6 @@
-//! The whole control path under faults in virtual time: operators with changes, reads, lost answers and repeats; heads that
-//! hand out configurations; leaders that act outside the group. Every history is checked for linearizability of the
-//! configuration, and for what fencing promises.
+//! The control path under faults in virtual time: operators with changes, reads, lost answers and
+//! repeats; cores that publish configurations; leaders that act outside the group. Every history is checked
+//! for linearizability of the configuration, and for what fencing promises.
 //!
 //! `PATHBANK_HISTORIES=100000 cargo test --release -p pathbank-control --test safety` plays more of them.
 
@@ -19,7 +19,7 @@
 /// Histories that are played without another word.
 const HISTORIES: u32 = 2_000;
 /// They are played in so many parts at the same time.
-const PARTS: u32 = 8;
+const SHARDS: u32 = 8;
 
 fn histories() -> u32 {
     let asked = std::env::var("PATHBANK_HISTORIES").ok();
@@ -40,14 +40,14 @@
 #[test_case(5; "part 6")]
 #[test_case(6; "part 7")]
 #[test_case(7; "part 8")]
-fn drawn_histories_are_linearizable(part: u8) {
+fn drawn_histories_are_linearizable(shard: u8) {
     let config = Config {
-        cases: histories() / PARTS,
+        cases: histories() / SHARDS,
         failure_persistence: None,
         max_shrink_iters: 300,
         ..Config::default()
     };
-    let mut runner = TestRunner::new_with_rng(config, TestRng::from_seed(RngAlgorithm::ChaCha, &[part; 32]));
+    let mut runner = TestRunner::new_with_rng(config, TestRng::from_seed(RngAlgorithm::ChaCha, &[shard; 32]));
     let cases = (proptest::num::u64::ANY, schedules());
     let played = runner.run(&cases, |(seed, steps)| {
         let answered = play(seed, &steps).map_err(proptest::test_runner::TestCaseError::fail)?;
@@ -59,12 +59,13 @@
     }
 }
 
-/// Long cuts of twenty seconds: of the leader, of a follower, one way, in halves; and a leader that stands still.
-#[test_case(Fault::CutLeader; "the leader is cut off")]
-#[test_case(Fault::Cut(1); "a machine is cut off")]
-#[test_case(Fault::CutIn(0); "a machine hears nobody")]
-#[test_case(Fault::CutOut(0); "a machine is not heard")]
-#[test_case(Fault::Halves(0, 1); "two on one side")]
+/// Partitions of twenty seconds: of the leader, of a follower, one way, in halves; and a leader that stands
+/// still.
+#[test_case(Fault::PartitionLeader; "the leader is cut off")]
+#[test_case(Fault::Partition(1); "a machine is cut off")]
+#[test_case(Fault::PartitionInbound(0); "a machine hears nobody")]
+#[test_case(Fault::PartitionOutbound(0); "a machine is not heard")]
+#[test_case(Fault::PartitionHalves(0, 1); "two on one side")]
 #[test_case(Fault::FreezeLeader; "the leader stands still")]
 #[test_case(Fault::Stall(0); "a disk stands still")]
 fn for_twenty_seconds(fault: Fault) {
@@ -75,9 +76,10 @@
     }
 }
 
-/// Disks are lost one after the other, as soon as the group is whole again, with compaction and restarts between.
+/// Disks are lost one after the other, as soon as the group is whole again, with compaction and restarts
+/// between.
 #[test]
-fn disks_lost_again_and_again_as_soon_as_the_group_is_whole() {
+fn disks_lost_repeatedly_as_soon_as_the_group_is_complete() {
     let lost = |machine: usize| Step { fault: Fault::WipeAndPowerOff(machine), lasts: 600, pause: 3_500 };
     let steps: Vec<Step> = (0..12)
         .flat_map(|round| [lost(round % 3), Step { fault: Fault::Compact, lasts: 0, pause: 0 }])
--- a/crates/control/tests/safety/operators.rs
+++ b/crates/control/tests/safety/operators.rs
@@ -1,15 +1,15 @@
 //! Operators that change and read the configuration at any head, lose answers, and send the same again.
 
-use crate::history::{Call, Got, Wanted};
+use crate::history::{Call, Operation, Outcome};
 use pathbank_control::operator_calls::Reply;
 use pathbank_control::result_code::ResultCode;
 use pathbank_control::state::{Change, ChangeKind};
 use serde_json::json;
 
 /// An operator gives up a call after so many tries.
-const MOST_TRIES: u32 = 12;
+const MAX_ATTEMPTS: u32 = 12;
 /// A try without an answer is given up after this, milliseconds.
-pub const TRY_WITHIN: u64 = 1_000;
+pub const ATTEMPT_TIMEOUT_MS: u64 = 1_000;
 
 /// One operator.
 pub struct Operator {
@@ -21,18 +21,18 @@
 }
 
 struct Open {
-    wanted: Wanted,
+    operation: Operation,
     change: Option<Change>,
     /// That of its change.
     version: u64,
     began: u64,
-    tries: u32,
+    attempts: u32,
     /// Where it is led on to.
     next: Option<usize>,
 }
 
 /// A try that is to be made.
-pub struct Try {
+pub struct Attempt {
     pub machine: Option<usize>,
     pub change: Option<Change>,
 }
@@ -49,66 +49,68 @@
     }
 
     /// Goes on with its call, or begins one. `draw`: any number; `id`: that of a change that begins now.
-    pub fn next_try(&mut self, now: u64, draw: u64, id: u64) -> (Try, Option<(u64, u64)>) {
+    pub fn next_attempt(&mut self, now: u64, draw: u64, id: u64) -> (Attempt, Option<(u64, u64)>) {
         let mut began = None;
         if self.current.is_none() {
-            let wanted = match draw % 3 {
-                0 => Wanted::Read,
-                _ => Wanted::Change { id, base: self.known },
+            let operation = match draw % 3 {
+                0 => Operation::Read,
+                _ => Operation::Change { id, base: self.known },
             };
             let version = self.known + 1 + draw / 3 % 4;
-            let change = match wanted {
-                Wanted::Read => None,
-                Wanted::Change { id, base } => {
+            let change = match operation {
+                Operation::Read => None,
+                Operation::Change { id, base } => {
                     began = Some((id, version));
                     Some(change(id, base, version))
                 }
             };
-            self.current = Some(Open { wanted, change, version, began: now, tries: 0, next: None });
+            self.current = Some(Open { operation, change, version, began: now, attempts: 0, next: None });
         }
         let open = self.current.as_mut().expect("a call is open");
-        open.tries += 1;
-        (Try { machine: open.next.take(), change: open.change.clone() }, began)
+        open.attempts += 1;
+        (Attempt { machine: open.next.take(), change: open.change.clone() }, began)
     }
 
     /// What came of a try. Returns the call if it has ended.
-    pub fn hear(
+    pub fn receive_reply(
         &mut self,
         now: u64,
         reply: Option<&Reply>,
         machine_at: impl Fn(&str) -> Option<usize>,
     ) -> Option<Call> {
         let open = self.current.as_mut()?;
-        let got = match reply {
+        let outcome = match reply {
             Some(Reply::Json(body)) => {
                 let document: serde_json::Value = serde_json::from_slice(body).expect("a document");
                 self.known = document["version"].as_u64().unwrap_or(0);
-                Got::Read(document["limits"]["max_body_bytes"].as_u64().unwrap_or(0))
+                Outcome::Read(document["limits"]["max_body_bytes"].as_u64().unwrap_or(0))
             }
             Some(Reply::Result(ResultCode::Done, _)) => {
                 self.known = open.version;
-                Got::Acknowledged
+                Outcome::Acknowledged
+            }
+            Some(Reply::Result(ResultCode::BaseMismatch | ResultCode::VersionNotAbove, _)) => {
+                Outcome::Rejected
             }
-            Some(Reply::Result(ResultCode::BaseMismatch | ResultCode::VersionNotAbove, _)) => Got::Refused,
             Some(Reply::LeaderAt(address)) => {
                 open.next = machine_at(address);
                 self.acts_at = now + 2;
                 return None;
             }
-            _ if open.tries < MOST_TRIES => {
-                self.acts_at = now + 50 * u64::from(open.tries);
+            _ if open.attempts < MAX_ATTEMPTS => {
+                self.acts_at = now + 50 * u64::from(open.attempts);
                 return None;
             }
-            _ => Got::Nothing,
+            _ => Outcome::Nothing,
         };
         let open = self.current.take()?;
         self.acts_at = now + 20;
-        Some(Call { wanted: open.wanted, began: open.began, ended: now, got })
+        Some(Call { operation: open.operation, began: open.began, ended: now, outcome })
     }
 
     /// Its call at the end of the history has no answer.
     pub fn end(&mut self, now: u64) -> Option<Call> {
         let open = self.current.take()?;
-        Some(Call { wanted: open.wanted, began: open.began, ended: now, got: Got::Nothing })
+        Some(Call { operation: open.operation, began: open.began, ended: now, outcome: Outcome::Nothing })
     }
 }
--- a/crates/control/tests/safety/world.rs
+++ b/crates/control/tests/safety/world.rs
@@ -4,7 +4,7 @@
 use crate::common::{Fleet, member};
 use crate::faults::{Fault, Step};
 use crate::history::{self, Call};
-use crate::operators::{Operator, TRY_WITHIN};
+use crate::operators::{ATTEMPT_TIMEOUT_MS, Operator};
 use pathbank_control::command_outcome::CommandOutcome;
 use pathbank_control::operator_calls::{self, LEADER_TIMEOUT_MS, LeadershipStatus, Reply};
 use pathbank_control::state::{Change, Command, ControlState};
@@ -14,14 +14,14 @@
 pub const FOUNDERS: usize = 3;
 pub const MACHINES: usize = 5;
 /// What one entry of the log takes to be applied, microseconds.
-const ENTRY_TAKES_US: [u64; 4] = [0, 0, 500, 4_000];
+const ENTRY_US: [u64; 4] = [0, 0, 500, 4_000];
 /// How long turns of two leaders have to be apart, milliseconds.
 const TURN_WAIT: u64 = 3_000;
 /// A leader without contact leads for no longer than this, milliseconds, and a follower believes it for
 /// [`LEADER_TIMEOUT_MS`] more.
-const LEADER_STEPS_DOWN: u64 = 900;
+const LEADER_STEP_DOWN_MS: u64 = 900;
 /// Within this after the last fault an operator's change is taken, milliseconds.
-const RECOVERS_WITHIN: u64 = 12_000;
+const RECOVERY_TIMEOUT_MS: u64 = 12_000;
 
 /// What a machine has applied.
 #[derive(Default)]
@@ -71,7 +71,7 @@
         (FOUNDERS..MACHINES).for_each(|machine| fleet.kill(machine));
         let mut random = fastrand::Rng::with_seed(seed);
         // Some groups run on processors on which a log takes its time to be applied.
-        let entry_takes_us = ENTRY_TAKES_US[random.usize(..ENTRY_TAKES_US.len())];
+        let entry_takes_us = ENTRY_US[random.usize(..ENTRY_US.len())];
         fleet.machines.iter_mut().for_each(|machine| machine.entry_takes_us = entry_takes_us);
         let operators = (0..operators).map(|_| Operator::new(1_500 + random.u64(0..300))).collect();
         World {
@@ -112,7 +112,7 @@
         let acknowledged = self.acknowledged.len();
         while self.acknowledged.len() < acknowledged + 2 {
             self.run(50)?;
-            if self.fleet.now > since + RECOVERS_WITHIN {
+            if self.fleet.now > since + RECOVERY_TIMEOUT_MS {
                 return Err("no change is taken after the last fault".into());
             }
         }
@@ -127,7 +127,7 @@
             self.deliver_answers();
             self.operate();
             if self.fleet.now.is_multiple_of(20) {
-                self.check_heads()?;
+                self.check_cores()?;
                 self.act()?;
             }
         }
@@ -209,7 +209,7 @@
 
     /// A head in contact hands out nothing older than what contact allows, and a leader within its lease
     /// nothing old at all.
-    fn check_heads(&self) -> Result<(), String> {
+    fn check_cores(&self) -> Result<(), String> {
         let now = self.fleet.now;
         for (machine, applied) in self.applied.iter().enumerate() {
             let Some(replica) = self.fleet.machines[machine].replica.as_ref() else { continue };
@@ -218,7 +218,7 @@
             }
             let leads =
                 matches!(LeadershipStatus::of(replica, now), LeadershipStatus::Leader { lease_valid: true });
-            let grace = if leads { 0 } else { LEADER_STEPS_DOWN + LEADER_TIMEOUT_MS };
+            let grace = if leads { 0 } else { LEADER_STEP_DOWN_MS + LEADER_TIMEOUT_MS };
             let due = self.acknowledged.iter().filter(|(_, at)| at + grace < now);
             let newest = due.map(|(version, _)| *version).max().unwrap_or(0);
             if applied.state.version() < newest {
@@ -289,7 +289,7 @@
         let lost = self.random.u64(0..100) < self.answers_lost_in_100;
         let (reply, takes) = match reply.filter(|_| !lost) {
             Some(reply) => (Some(reply), self.random.u64(1..6)),
-            None => (None, TRY_WITHIN),
+            None => (None, ATTEMPT_TIMEOUT_MS),
         };
         self.answers.push(Answer { at: self.fleet.now + takes, operator, reply });
     }
@@ -300,9 +300,11 @@
         for Answer { operator, reply, .. } in due {
             let machine_at =
                 |address: &str| (0..MACHINES).find(|at| member(*at, 0).control_address == address);
-            let Some(call) = self.operators[operator].hear(now, reply.as_ref(), machine_at) else { continue };
-            if let (history::Wanted::Change { id, .. }, history::Got::Acknowledged) =
-                (&call.wanted, &call.got)
+            let Some(call) = self.operators[operator].receive_reply(now, reply.as_ref(), machine_at) else {
+                continue;
+            };
+            if let (history::Operation::Change { id, .. }, history::Outcome::Acknowledged) =
+                (&call.operation, &call.outcome)
             {
                 self.acknowledged.push((self.versions[id], now));
             }
@@ -319,7 +321,7 @@
                 continue;
             }
             let (draw, id) = (self.random.u64(0..1_000), self.next_change);
-            let (next, began) = self.operators[operator].next_try(now, draw, id);
+            let (next, began) = self.operators[operator].next_attempt(now, draw, id);
             if let Some((id, version)) = began {
                 self.versions.insert(id, version);
                 self.next_change += 1;
@@ -376,6 +378,6 @@
 
     /// How many calls had a clear answer.
     pub fn answered(&self) -> usize {
-        self.calls.iter().filter(|call| call.got != history::Got::Nothing).count()
+        self.calls.iter().filter(|call| call.outcome != history::Outcome::Nothing).count()
     }
 }
