--- a/src/agree/archive/tests.rs
+++ b/src/agree/archive/tests.rs
@@ -2,7 +2,7 @@
 use crate::agree::Command;
 
 #[test]
-fn old_entries_leave_in_whole_segments_and_the_last_ones_stay() {
+fn old_entries_are_archived_in_full_segments_and_the_last_ones_stay() {
     let span = |from, to| Some(EntryRange { from, to });
     for (first, base, keep, due) in [
         (1, 100, 50, span(1, 50)),
@@ -22,7 +22,7 @@
 }
 
 #[test]
-fn names_are_read_back_in_order_and_others_are_none() {
+fn segment_names_sort_as_entries_and_other_names_are_rejected() {
     let spans = [
         EntryRange { from: 1, to: 9 },
         EntryRange { from: 10, to: 99 },
@@ -47,7 +47,7 @@
 }
 
 #[test]
-fn a_chain_names_the_first_entry_that_is_not_what_was_written() {
+fn verification_names_the_first_corrupt_entry() {
     let entry = |term| Entry { term, command: Command::Noop };
     let mut digests = vec![Digest::default()];
     (1..=9).for_each(|i| digests.push(next_digest(&digests[i - 1], &entry(i as u64))));
--- a/src/agree/document/tests.rs
+++ b/src/agree/document/tests.rs
@@ -10,7 +10,7 @@
 }
 
 #[test]
-fn a_safe_reading_keeps_to_both_and_less_knowledge_is_never_laxer() {
+fn the_strictest_of_two_values_satisfies_both_and_fewer_leases_are_never_laxer() {
     for a in values() {
         assert!(
             a.satisfies(&a)
@@ -38,7 +38,7 @@
 }
 
 #[test]
-fn edits_on_one_base_go_together_unless_they_touch_one_field() {
+fn edits_on_one_base_merge_unless_they_change_the_same_field() {
     let limit = |rate| Some(Value::Limit { rate, least: 1.0 });
     let one =
         Document::default().edited(&edit(0, &[("a", limit(5.0)), ("b", Some(Value::Attempts(3)))])).unwrap();
@@ -73,7 +73,7 @@
 }
 
 #[test]
-fn only_what_long_leases_rely_on_waits_for_them() {
+fn only_rules_that_long_leases_rely_on_wait_for_them() {
     let with = |value| Document { fields: BTreeMap::from([("x".to_string(), value)]), ..Document::default() };
     let limit = |rate, least| Value::Limit { rate, least };
     for (before, after, long) in [
--- a/src/agree/lease_holder/tests.rs
+++ b/src/agree/lease_holder/tests.rs
@@ -15,7 +15,7 @@
 }
 
 #[test]
-fn what_a_head_may_do_follows_its_leases_to_the_microsecond() {
+fn effective_values_follow_the_leases_to_the_microsecond() {
     let (times, id) = (Timings::default(), HolderId { head: "n0".into(), start: 2 });
     let mut holder = LeaseHolder::new(id, &(0..3).map(|id| (id, String::new())).collect(), times);
     let fields = [
--- a/src/agree/report.rs
+++ b/src/agree/report.rs
@@ -137,8 +137,8 @@
     for field in fields.into_keys() {
         let (was, is) = (before.fields.get(field), after.fields.get(field));
         if was != is {
-            let told = |at: Option<&Value>| at.map_or("none".to_string(), value);
-            let _ = writeln!(text, "{field}: {} -> {}", told(was), told(is));
+            let format = |at: Option<&Value>| at.map_or("none".to_string(), value);
+            let _ = writeln!(text, "{field}: {} -> {}", format(was), format(is));
         }
     }
     text
--- a/src/agree/report/tests.rs
+++ b/src/agree/report/tests.rs
@@ -1,7 +1,7 @@
 use super::*;
 
 #[test]
-fn values_are_read_as_they_are_written_and_nothing_else_is() {
+fn values_are_parsed_as_they_are_formatted_and_all_else_is_rejected() {
     for text in [
         "limit:10,2",
         "limit:0.5,0",
@@ -38,7 +38,7 @@
 }
 
 #[test]
-fn a_history_tells_each_version_and_what_changed_between_two() {
+fn a_history_has_each_version_and_the_difference_of_two() {
     let edit = |id, base, change: &str| {
         let edit = edit(id, "plan/gold", base, &[change.to_string()], ("ops", "less", 1_000)).unwrap();
         Entry { term: 1, command: Command::Edit(edit) }
@@ -47,9 +47,9 @@
     let versions = versions(entries.iter(), "plan/gold");
     assert_eq!(versions.iter().map(|at| at.version).collect::<Vec<_>>(), [0, 1, 2], "the second was refused");
     assert_eq!(diff(&versions[1], &versions[2]), "limit: limit:9,1 -> limit:4,1\n");
-    let told = entry(7, &entries[2], None).unwrap();
+    let formatted = entry(7, &entries[2], None).unwrap();
     assert_eq!(
-        told,
+        formatted,
         "7: edit 3 by ops at 1970-01-01T00:00:01Z: less\n  plan/gold.limit=limit:4,1 (on version 1)\n"
     );
     assert_eq!(entry(7, &entries[2], Some("nodes")), None);
--- a/src/agree/rules/tests.rs
+++ b/src/agree/rules/tests.rs
@@ -20,7 +20,7 @@
     Names { classes: names(&["read", "keyed", "once"]), plans: names(&["gold", "free"]) }
 }
 
-/// A head that holds its leases since 0 and was told these edits, in force or only prepared.
+/// A process that holds its leases since 0 and has applied these edits, in force or only prepared.
 fn holder(edits: &[&[(&str, &str, Value)]], in_force: usize) -> LeaseHolder {
     let voters = BTreeMap::from([(1, String::new())]);
     let mut holder = LeaseHolder::new(HolderId { head: "n0".into(), start: 1 }, &voters, Timings::default());
@@ -51,7 +51,7 @@
 }
 
 #[test]
-fn every_rule_follows_the_documents_and_less_is_allowed_the_less_is_known() {
+fn rules_follow_the_documents_and_get_stricter_as_leases_expire() {
     let limit = |rate| Value::Limit { rate, least: 1.0 };
     let first: &[(&str, &str, Value)] = &[
         ("plan/gold", "limit", limit(4.0)),
@@ -68,7 +68,7 @@
         &[("plan/gold", "limit", limit(2.0)), ("class/read", "repeats", Value::Repeats(Repeats::Never))];
     let holder = holder(&[first, second], 1);
     let mut rules = Rules::new(base(), names(), holder.view().clone());
-    let told = |rules: &Rules| {
+    let formatted = |rules: &Rules| {
         let settings = rules.settings();
         let limits: Vec<(f64, f64)> = settings.plans.iter().map(|p| (p.limit, p.limit_burst)).collect();
         let repeats: Vec<interface::Repeats> = settings.classes.iter().map(|c| c.repeats).collect();
@@ -103,7 +103,7 @@
         let reading = rules.refresh(at, holder.view()).expect("it has changed");
         assert_eq!((reading.level, reading.was), (level, was));
         assert!(rules.refresh(at, holder.view()).is_none(), "nothing has changed since");
-        assert_eq!(told(&rules), wanted, "{level:?}");
+        assert_eq!(formatted(&rules), wanted, "{level:?}");
     }
     assert_eq!(rules.settings().plans[0].weight, 2.5);
     assert_eq!((rules.plan(10), rules.plan(11)), (Some(1), None));
@@ -111,7 +111,7 @@
 }
 
 #[test]
-fn an_open_request_is_bound_by_stricter_rules_and_never_loosened() {
+fn an_open_request_is_bound_by_stricter_rules_but_not_freed_by_laxer_ones() {
     let strict: &[(&str, &str, Value)] = &[
         ("class/read", "attempts", Value::Attempts(1)),
         ("class/keyed", "repeats", Value::Repeats(Repeats::Never)),
--- a/src/agree/voter/election.rs
+++ b/src/agree/voter/election.rs
@@ -1,4 +1,4 @@
-//! How a voter waits for a leader, stands for election, and gives its vote.
+//! Elections: the time-out, pre-votes (Raft thesis, section 9.6) and votes (section 3.4).
 
 use super::{MAX_TIMEOUT_DOUBLINGS, Output, Peer, PersistentChange, RAPID_TERM_TIMEOUTS, Recipient, Voter};
 use crate::agree::{Message, Micros, Term, VoterId};
@@ -6,9 +6,8 @@
 use pathbank_coordination::consensus::quorum::has_majority;
 
 impl Voter {
-    /// How long it waits for a leader's word or another voter's answer. Longer where leaders follow each
-    /// other fast: a large entry on a busy machine holds up its leader's beats, and would bring down one
-    /// leader after the other.
+    /// How long it waits for a leader's heartbeat or a peer's answer, microseconds. Doubled where terms are rapid: a large
+    /// entry on a busy machine delays its leader's heartbeats, and would depose one leader after the other.
     pub fn current_election_timeout(&self, now: Micros) -> Micros {
         let current_election_timeout = self.times.election_timeout << self.timeout_doublings;
         match self.term_began_at {
@@ -43,7 +42,7 @@
         (self.role, self.leader, self.leader_heard_at) = (Role::Follower, None, None);
     }
 
-    /// A majority has answered within twice that wait.
+    /// Whether a majority has answered this leader within twice the election time-out (section 6.2).
     pub(super) fn has_quorum_contact(&self, now: Micros) -> bool {
         let current_election_timeout = 2 * self.current_election_timeout(now);
         let lately = |other: &Peer| now.saturating_sub(other.heard_at) < current_election_timeout;
@@ -74,7 +73,7 @@
         }
     }
 
-    /// Another voter asks for this one's vote.
+    /// Takes a candidate's request: grants the vote where the rules of sections 3.4, 3.6.1 and 9.6 allow it.
     pub(super) fn step_vote_request(
         &mut self,
         now: Micros,
@@ -108,7 +107,7 @@
         }
     }
 
-    /// What another voter said to this one's question.
+    /// Takes the answer to this candidate's request.
     pub(super) fn step_vote_reply(
         &mut self,
         now: Micros,
--- a/src/agree/voter/grants.rs
+++ b/src/agree/voter/grants.rs
@@ -1,10 +1,11 @@
-//! Heads' leases: who holds one, and up to which edit no head can act any more without knowing of it.
+//! Grants of leases, and up to which edit no process can act any more without knowing of it.
 
 use super::{Grant, MAX_GRANTS, Output, Recipient, Voter};
 use crate::agree::{HolderId, Index, Message, Micros, message_batch};
 
 impl Voter {
-    /// Up to which edit no head can act without knowing of it, as far as this voter's grants go.
+    /// The last edit without which no process can act any more, as far as this voter's grants go. A grant to a process that
+    /// has not prepared blocks it until the lease is over by the grantor's clock, drift included.
     pub(super) fn cleared(&self, now: Micros) -> Index {
         let unknown = Grant { prepared: 0, at: self.started_at };
         let blocks = |grant: &Grant| {
@@ -21,15 +22,16 @@
         first.map_or(self.state.prepared(), |first| first - 1)
     }
 
-    /// A head asks for its lease. One that is behind gets what it lacks, and none.
+    /// Answers a process that asks for its lease. One that has not prepared for the barrier gets the entries it lacks and
+    /// no lease.
     pub fn renew(&mut self, now: Micros, holder: HolderId, requested_at: Micros, prepared: Index) -> Output {
         let over = self.times.grantor_wait(self.times.long_lease);
         self.grants.retain(|_, grant| now.saturating_sub(grant.at) <= over);
-        let room = self.grants.len() < MAX_GRANTS || self.grants.contains_key(&holder);
-        let granted = prepared >= self.saved.barrier && room && self.caught_up;
+        let has_capacity = self.grants.len() < MAX_GRANTS || self.grants.contains_key(&holder);
+        let granted = prepared >= self.saved.barrier && has_capacity && self.caught_up;
         if granted {
             let grant = self.grants.entry(holder.clone()).or_insert(Grant { prepared, at: now });
-            // What it knows it knows for good; late messages of its own do not undo that.
+            // Entries are never forgotten: a request that comes late does not undo what a later one said.
             (grant.prepared, grant.at) = (grant.prepared.max(prepared), now);
         }
         let base = self.saved.log.base().index;
--- a/src/agree/voter/mod.rs
+++ b/src/agree/voter/mod.rs
@@ -202,15 +202,15 @@
         self.voters.keys().copied().filter(|other| *other != self.id).collect()
     }
 
-    /// The last word of the log on who votes counts from the moment that it is there.
+    /// Membership is by the log's last entry on it, from when it is appended (section 4.1).
     fn read_voters(&mut self) {
-        let told = self.saved.log.entries().iter().rev().find_map(|entry| match &entry.command {
+        let voters = self.saved.log.entries().iter().rev().find_map(|entry| match &entry.command {
             Command::Voters(voters) => Some(voters),
             _ => None,
         });
-        let told = told.or(self.state.latest_voters()).unwrap_or(&self.initial_voters);
-        if self.voters != *told {
-            self.voters = told.clone();
+        let voters = voters.or(self.state.latest_voters()).unwrap_or(&self.initial_voters);
+        if self.voters != *voters {
+            self.voters = voters.clone();
         }
         if self.is_leader() {
             let (progress, now) =
@@ -242,8 +242,7 @@
             if now >= self.heartbeat_at {
                 self.heartbeat_at = now + self.times.heartbeat_interval;
                 if !self.has_quorum_contact(now) {
-                    // Others may hear it, yet nothing that it says can ever count: they are to choose another
-                    // one.
+                    // Peers may hear it, but it can commit nothing: it steps down, so that they elect another leader.
                     (self.role, self.leader, self.leader_heard_at) = (Role::Follower, None, None);
                     self.reset_election_timer(now, draw);
                     return out;
@@ -262,7 +261,7 @@
         out
     }
 
-    /// Something that another voter said, in so many starts.
+    /// Takes a peer's message; `incarnation` is the peer's.
     pub fn step(
         &mut self,
         now: Micros,
@@ -276,7 +275,7 @@
         }
         let known = self.saved.peer_incarnations.get(&from).copied().unwrap_or(0);
         if is_older(incarnation, known) {
-            // A copy of its disk: what it voted and granted since then it does not know.
+            // A copy of its database: it does not know what it voted and granted after that.
             out.stale_peer = Some(from);
             return out;
         }
@@ -314,17 +313,29 @@
         }
     }
 
-    /// Somebody's edit. What became of it the ledger tells once it is committed.
+    /// Appends an edit. Its result is in [`DocumentState::result`] once it is committed.
+    ///
+    /// # Errors
+    ///
+    /// This voter does not lead.
     pub fn propose(&mut self, now: Micros, edit: Edit) -> Result<Output, NotLeader> {
         self.append_command(now, Command::Edit(edit)).map(|(_, out)| out)
     }
 
-    /// An entry that changes nothing: once it is committed, the ledger holds all that was before this call.
+    /// Appends an entry that changes nothing: once it is committed, the state has all that was committed before this call.
+    ///
+    /// # Errors
+    ///
+    /// This voter does not lead.
     pub fn propose_read_barrier(&mut self, now: Micros) -> Result<(Index, Output), NotLeader> {
         self.append_command(now, Command::Noop)
     }
 
-    /// Peer voters: one more, one less, or one at another address.
+    /// Appends another membership: one voter more, one less, or one at another address.
+    ///
+    /// # Errors
+    ///
+    /// See [`MembershipChangeError`].
     pub fn change_membership(
         &mut self,
         now: Micros,
@@ -338,8 +349,8 @@
         if more + less > 1 || voters.is_empty() || voters == self.voters {
             return Err(MembershipChangeError::NotSingleChange);
         }
-        // Heads count by the voters that they know: two changes apart, two majorities need have nobody in
-        // common. And what another leader began counts only with an entry of this one's.
+        // Processes count grants by the voters that they know: majorities two changes apart need not overlap. And what an
+        // earlier leader appended is committed only by an entry of this term.
         let begun = self.saved.log.term_at(self.commit) == Some(self.saved.term);
         let in_log =
             |index| matches!(self.saved.log.entry(index), Some(Entry { command: Command::Voters(_), .. }));
--- a/src/agree/voter/replication.rs
+++ b/src/agree/voter/replication.rs
@@ -1,4 +1,4 @@
-//! The log on its way from the leader to the others, and what counts by the copies that are there.
+//! Log replication (Raft thesis, section 3.5), snapshots (section 5.3), the commit index, and the activation of edits.
 
 use super::{MAX_TAIL_BYTES, Output, Peer, PersistentChange, Recipient, Voter};
 use crate::agree::document_state::DocumentState;
@@ -6,7 +6,7 @@
 use pathbank_coordination::consensus::election::Role;
 use pathbank_coordination::consensus::quorum::{majority_match_index, may_commit};
 
-/// Entries of a leader, as [`Message::AppendRequest`] has them.
+/// The fields of a [`Message::AppendRequest`].
 pub(super) struct AppendRequest {
     pub term: Term,
     pub previous_index: Index,
@@ -15,7 +15,7 @@
     pub commit: Index,
 }
 
-/// A voter's answer to them, as [`Message::AppendReply`] has it.
+/// The fields of a [`Message::AppendReply`].
 pub(super) struct AppendReply {
     pub term: Term,
     pub accepted: bool,
@@ -24,7 +24,7 @@
 }
 
 impl Voter {
-    /// Whether a leader's word counts: of its term there is no other.
+    /// Whether the sender is the leader of the current term, of which there is one at most (section 3.4); follows it then.
     pub(super) fn follow_leader(
         &mut self,
         now: Micros,
@@ -95,7 +95,8 @@
         out.send.push((Recipient::Voter(to), message));
     }
 
-    /// Takes what a leader has; what differs from it goes. A late message takes nothing away.
+    /// Appends the leader's entries and removes those that conflict with them (section 3.5). A late message removes
+    /// nothing. Returns the last entry that matches.
     pub(super) fn append_entries(
         &mut self,
         previous_index: Index,
@@ -113,7 +114,7 @@
         matched
     }
 
-    /// Of so many voters a majority has that or more.
+    /// The largest value that a majority of voters has reached.
     pub(super) fn reached_by_quorum(&self, own: Index, of: impl Fn(&Peer) -> Index) -> Index {
         let each = |id: &VoterId| match self.peers.get(id) {
             Some(other) => of(other),
@@ -123,7 +124,7 @@
         majority_match_index(self.voters.keys().map(each))
     }
 
-    /// Only what is of its own term counts by copies; what came previous_index counts by that.
+    /// Commits by counting replicas only entries of its own term, which commit those before them (section 3.6.2).
     pub(super) fn advance_commit(&mut self, out: &mut Output) {
         let reached = self.reached_by_quorum(self.last_index(), |other| other.progress.match_index);
         if may_commit(reached, self.commit, self.saved.log.term_at(reached), self.saved.term) {
@@ -149,7 +150,7 @@
             self.advance_commit(out);
             self.append_to_all(out);
         }
-        // Whoever is no voter any more, and has seen that this counts, leaves the others to choose.
+        // A leader that is no voter any more steps down once its removal is committed (section 4.2.2).
         if !self.voters.contains_key(&self.id) && self.commit >= self.state.voters_at() {
             (self.role, self.leader, self.leader_heard_at) = (Role::Follower, None, None);
         }
@@ -165,7 +166,7 @@
         self.compact_log(out);
     }
 
-    /// From here on nobody gets a lease who has not prepared for it, also after a restart.
+    /// From here on a process that has not prepared for these edits gets no lease, also after a restart.
     pub(super) fn raise_barrier(&mut self, out: &mut Output) {
         let prepared = self.state.prepared();
         if prepared > self.saved.barrier {
@@ -173,7 +174,7 @@
         }
     }
 
-    /// Memory holds the log's end only; the disk has all of it.
+    /// Drops old entries from memory, where a snapshot stands for them; the database keeps them.
     pub(super) fn compact_log(&mut self, out: &mut Output) {
         let counted = (self.commit - self.saved.log.base().index) as usize;
         let bytes: usize = self.saved.log.entries()[..counted].iter().map(Entry::weight).sum();
@@ -183,13 +184,13 @@
         let term = self.saved.log.term_at(self.commit).unwrap_or(0);
         let state = Box::new(self.state.clone());
         self.save(PersistentChange::Snapshot { state, term, replaces_after: None }, out);
-        let gone =
+        let dropped =
             if bytes > MAX_TAIL_BYTES { counted } else { counted - self.times.retained_entries.min(counted) };
-        let base = self.saved.log.base().index + gone as Index;
+        let base = self.saved.log.base().index + dropped as Index;
         self.saved.log.compact_to(base);
     }
 
-    /// Entries of a leader.
+    /// Takes entries or a heartbeat of a leader.
     pub(super) fn step_append_request(
         &mut self,
         now: Micros,
@@ -200,7 +201,7 @@
     ) {
         let (mut accepted, mut matched) = (false, 0);
         if self.follow_leader(now, draw, from, term, out) {
-            // What it has for good is as the leader has it, also where the entry itself is gone.
+            // Committed entries are the same everywhere, also where the entry itself has left memory.
             accepted = previous_index <= self.commit
                 || self.saved.log.term_at(previous_index) == Some(previous_term);
             if accepted {
@@ -212,7 +213,7 @@
         self.send_append_reply(now, from, accepted, matched, out);
     }
 
-    /// What a leader's entries came to, in their place.
+    /// Takes a snapshot of a leader in place of entries.
     pub(super) fn step_snapshot(
         &mut self,
         now: Micros,
@@ -225,8 +226,8 @@
         if self.follow_leader(now, draw, from, term, out) {
             (accepted, matched, self.caught_up) = (true, state.applied(), true);
             if self.saved.log.term_at(state.applied()) == Some(last_term) {
-                // One that comes late: the log has all of it, and what follows in it was said to be saved. In
-                // its place the ledger would take that away, maybe from a majority that has it.
+                // It is late: the log has all of it, and entries behind it that were acknowledged. To install the
+                // snapshot would remove these, maybe from a majority that has them.
                 self.commit_up_to(state.applied(), out);
             } else if state.applied() > self.commit {
                 let replaces_after = Some(self.commit);
@@ -238,7 +239,7 @@
         self.send_append_reply(now, from, accepted, matched, out);
     }
 
-    /// What another voter has of this leader's log.
+    /// Takes a peer's answer: how much of this leader's log it has.
     pub(super) fn step_append_reply(
         &mut self,
         now: Micros,
@@ -259,14 +260,14 @@
         other.heard_at = now;
         if accepted {
             other.progress.on_accepted(matched.min(last));
-            // Nothing is sent ahead of what was answered.
+            // Nothing is sent before the last message was answered.
             other.progress.resend_after_match();
             other.cleared = cleared;
         } else {
             other.progress.on_rejected(tried / 2);
         }
         self.activate_cleared(now, out);
-        // Where the last try brought nothing new, the next one waits for the beat.
+        // Where the last message brought nothing new, the next one waits for the heartbeat.
         let more = |other: &Peer| {
             other.progress.next_index != tried && other.progress.next_index <= self.last_index()
         };
--- a/src/agree/voter/tests.rs
+++ b/src/agree/voter/tests.rs
@@ -75,7 +75,7 @@
 }
 
 #[test]
-fn an_entry_that_holds_its_leader_up_for_longer_than_a_wait_for_elections_comes_to_count() {
+fn an_entry_that_delays_its_leader_beyond_the_election_timeout_is_committed() {
     let wait = Timings::default().election_timeout;
     for (cost, within) in [(wait / 10, 3 * S), (3 * wait, 30 * S)] {
         for seed in 0..40 {
@@ -86,7 +86,7 @@
 }
 
 #[test]
-fn a_voter_waits_longer_only_while_terms_follow_each_other_fast() {
+fn the_election_timeout_is_doubled_only_while_terms_are_rapid() {
     let times = Timings::default();
     let mut voter = Voter::new(0, &Voters::new(), times, PersistentState::default(), 0, 0);
     let beat = |term| Message::AppendRequest {
--- a/src/config/agree/tests.rs
+++ b/src/config/agree/tests.rs
@@ -3,7 +3,7 @@
 const GOOD: &str = "enabled = true\ncluster = \"fleet-a\"\n[voters]\n7 = \"127.0.0.1:7100\"\n";
 
 #[test]
-fn a_file_is_read_whole_or_refused_by_its_key() {
+fn a_file_is_read_completely_or_rejected_by_its_key() {
     assert_eq!(Agreement::read("").unwrap(), None);
     assert_eq!(Agreement::read(&GOOD.replace("true", "false")).unwrap(), None);
     let read = Agreement::read(GOOD).unwrap().unwrap();
--- a/src/config/fleet/tests.rs
+++ b/src/config/fleet/tests.rs
@@ -1,7 +1,7 @@
 use super::*;
 
 #[test]
-fn a_file_is_read_whole_or_refused_by_its_key() {
+fn a_file_is_read_completely_or_rejected_by_its_key() {
     for off in ["", "enabled = false\nfleet = \"a\"\n"] {
         assert_eq!(FleetView::read(off).unwrap(), None);
     }
--- a/src/net/agree/backup.rs
+++ b/src/net/agree/backup.rs
@@ -164,9 +164,9 @@
                 return Ok(());
             }
         }
-        let told = digest.as_ref().map(|digest| (digest, &record.entry));
+        let stored = digest.as_ref().map(|digest| (digest, &record.entry));
         let base = self.base.filter(|(index, _)| index + 1 == record.index).map(|(_, digest)| digest);
-        if !self.chain.follow(record.index, told, || base) {
+        if !self.chain.follow(record.index, stored, || base) {
             return Err(BackupError::Changed { line, index: record.index });
         }
         if self.base.is_none() {
--- a/src/net/agree/database/tests.rs
+++ b/src/net/agree/database/tests.rs
@@ -66,7 +66,7 @@
 }
 
 #[test]
-fn a_machine_that_dies_at_any_byte_comes_back_with_all_of_a_batch_or_nothing() {
+fn a_crash_at_any_byte_leaves_a_batch_complete_or_absent() {
     let batches = batches();
     let mut states = vec![PersistentState::default()];
     for batch in &batches {
@@ -82,10 +82,10 @@
         let used = left - memory.image().left.unwrap();
         (memory, done, used)
     };
-    let (_, done, whole) = written(usize::MAX);
+    let (_, done, total_bytes) = written(usize::MAX);
     assert_eq!(done, batches.len());
     let (mut before, mut after) = (0, 0);
-    for left in (0..whole).step_by(whole / 100) {
+    for left in (0..total_bytes).step_by(total_bytes / 100) {
         let (memory, done, _) = written(left);
         let images = {
             let image = memory.image();
@@ -94,9 +94,12 @@
         for bytes in images {
             let (disk, loaded) = VoterDatabase::on(MemoryDisk::of(bytes))
                 .unwrap_or_else(|problem| panic!("{left}: {problem}"));
-            // What was said to be on disk is; the batch that it died in is there whole, or not at all.
+            // What was acknowledged is on disk; the batch that it died in is there completely or not at all.
             let is = (done..=(done + 1).min(batches.len())).find(|state| same(&loaded, &states[*state]));
-            assert!(is.is_some(), "died after {left} of {whole} bytes, {done} batches done: {loaded:?}");
+            assert!(
+                is.is_some(),
+                "died after {left} of {total_bytes} bytes, {done} batches done: {loaded:?}"
+            );
             if is == Some(done) {
                 before += 1
             } else {
@@ -109,7 +112,7 @@
 }
 
 #[test]
-fn a_full_disk_says_so_and_loses_nothing_that_it_had() {
+fn a_full_disk_is_an_error_and_loses_nothing() {
     let memory = new_database();
     let (mut disk, _) = VoterDatabase::on(memory.clone()).unwrap();
     disk.save(&[PersistentChange::Append(1, entry(1)), PersistentChange::Vote { term: 2, voted: Some(1) }])
@@ -125,7 +128,7 @@
 }
 
 #[test]
-fn a_changed_past_is_found_and_named_and_gaps_are_told() {
+fn verification_finds_changed_entries_and_lists_gaps() {
     let memory = new_database();
     let (mut disk, _) = VoterDatabase::on(memory.clone()).unwrap();
     batches().iter().for_each(|batch| disk.save(batch).unwrap());
@@ -179,22 +182,22 @@
     (disk.verify(chain).unwrap().finish(), all)
 }
 
-const WHOLE: Verification = Verification { entries: 22, last: 22, gaps: Vec::new(), corrupt: None };
+const INTACT: Verification = Verification { entries: 22, last: 22, gaps: Vec::new(), corrupt: None };
 
 #[test]
-fn old_entries_leave_for_the_archive_and_none_is_lost_wherever_the_machine_dies() {
+fn archiving_loses_no_entry_wherever_the_machine_crashes() {
     let span = |from, to| Some(EntryRange { from, to });
     let (memory, mut disk, archive, folder) = twenty("archive");
     assert_eq!(disk.archive(&archive, None).unwrap(), None);
     for due in [span(1, 6), span(7, 12), None] {
         assert_eq!(disk.archive(&archive, Some(6)).unwrap(), due);
-        assert_eq!(both(&disk, &archive), (WHOLE, (1..=22).collect()), "{due:?}");
+        assert_eq!(both(&disk, &archive), (INTACT, (1..=22).collect()), "{due:?}");
     }
     drop(disk);
     let (mut disk, saved) = VoterDatabase::on(memory).unwrap();
     assert_eq!((saved.log.base().index, saved.log.len()), (20, 2));
     disk.save(&[PersistentChange::Append(23, entry(23))]).unwrap();
-    assert_eq!(both(&disk, &archive).0, Verification { entries: 23, last: 23, ..WHOLE });
+    assert_eq!(both(&disk, &archive).0, Verification { entries: 23, last: 23, ..INTACT });
     std::fs::remove_dir_all(&folder).unwrap();
     let mut lefts = (0, 0);
     for left in (0..).step_by(997) {
@@ -208,10 +211,10 @@
         for bytes in images {
             let (mut disk, _) =
                 VoterDatabase::on(MemoryDisk::of(bytes)).unwrap_or_else(|e| panic!("{left}: {e}"));
-            assert_eq!(both(&disk, &archive), (WHOLE, (1..=22).collect()), "{left}");
+            assert_eq!(both(&disk, &archive), (INTACT, (1..=22).collect()), "{left}");
             // It goes on where it stopped.
             while disk.archive(&archive, Some(6)).unwrap().is_some() {}
-            assert_eq!(both(&disk, &archive), (WHOLE, (1..=22).collect()), "{left}");
+            assert_eq!(both(&disk, &archive), (INTACT, (1..=22).collect()), "{left}");
             assert_eq!(archive.segments().unwrap().len(), 2, "{left}");
         }
         std::fs::remove_dir_all(&folder).unwrap();
@@ -224,13 +227,13 @@
 }
 
 #[test]
-fn an_archive_that_is_changed_cut_or_moved_away_is_found_and_named() {
+fn verification_finds_archives_that_were_changed_truncated_or_moved_away() {
     let (_paper, mut disk, archive, folder) = twenty("changed");
     while disk.archive(&archive, Some(6)).unwrap().is_some() {}
     let at = |span: EntryRange| folder.join("archive").join(span.name());
     let spans = archive.segments().unwrap();
     let texts: Vec<String> = spans.iter().map(|span| std::fs::read_to_string(at(*span)).unwrap()).collect();
-    let gap = |entries, gap| Verification { entries, gaps: vec![gap], ..WHOLE };
+    let gap = |entries, gap| Verification { entries, gaps: vec![gap], ..INTACT };
     let wrong = |entries, gaps, wrong| Verification { entries, last: wrong - 1, gaps, corrupt: Some(wrong) };
     let lines = |text: &str, count: usize| {
         text.lines().take(count).map(|line| format!("{line}\n")).collect::<String>()
@@ -255,7 +258,7 @@
         assert_eq!(disk.verify(chain).unwrap().finish(), due, "{text:?}");
         std::fs::write(at(spans[segment]), &texts[segment]).unwrap();
     }
-    assert_eq!(both(&disk, &archive).0, WHOLE);
+    assert_eq!(both(&disk, &archive).0, INTACT);
     // A file in the folder's place: nothing leaves, and what is here stays.
     std::fs::remove_dir_all(folder.join("archive")).unwrap();
     std::fs::write(folder.join("archive"), "").unwrap();
@@ -265,7 +268,7 @@
 }
 
 #[test]
-fn what_is_no_voters_disk_is_named_and_never_voted_on() {
+fn files_that_are_no_voters_database_are_rejected() {
     let folder = std::env::temp_dir().join(format!("pathbank-disk-{}", std::process::id()));
     let open = || VoterDatabase::open(&folder, 1 << 30);
     assert!(matches!(open(), Err(DatabaseError::Absent(_))));
@@ -276,7 +279,7 @@
     assert!(matches!(open(), Err(DatabaseError::Foreign { .. })), "two processes have it");
     drop(disk);
     assert_eq!(open().unwrap().1.incarnation >> 32, 2);
-    let whole = std::fs::read(path(&folder)).unwrap();
+    let total_bytes = std::fs::read(path(&folder)).unwrap();
     let of = |bytes: &[u8]| {
         std::fs::write(path(&folder), bytes).unwrap();
         open().map(|(disk, _)| disk.id())
@@ -284,7 +287,7 @@
     for (what, bytes) in [
         ("empty", &b""[..]),
         ("a text", b"not a database"),
-        ("cut", &whole[..whole.len() / 3]),
+        ("cut", &total_bytes[..total_bytes.len() / 3]),
         ("zeroes", &[0; 9000]),
     ] {
         assert!(of(bytes).is_err(), "{what}");
--- a/src/net/agree/tests.rs
+++ b/src/net/agree/tests.rs
@@ -56,7 +56,7 @@
 }
 
 #[test]
-fn the_stored_database_and_archive_hold_the_vote_the_log_and_the_state() {
+fn the_stored_database_and_archive_have_the_vote_the_log_and_the_state() {
     let folder = Folder::of_voter("database");
     let (disk, saved) = VoterDatabase::open(&folder.0, 1 << 30).unwrap();
     assert_eq!(disk.id(), VOTER);
@@ -75,8 +75,8 @@
     assert!(records.iter().map(|record| record.index).eq(1..=14));
     let stored: Vec<Entry> = records.into_iter().map(|record| record.entry).collect();
     assert_eq!(stored, entries());
-    let whole = Verification { entries: 14, last: 14, gaps: Vec::new(), corrupt: None };
-    assert_eq!(verify(&folder.0, &disk), whole);
+    let intact = Verification { entries: 14, last: 14, gaps: Vec::new(), corrupt: None };
+    assert_eq!(verify(&folder.0, &disk), intact);
 }
 
 #[test]
@@ -145,7 +145,7 @@
 
 /// Both ways: this program writes the same bytes for the same values, and reads those bytes as these values.
 #[test]
-fn messages_between_voters_heads_and_operators_have_the_stored_bytes() {
+fn messages_of_the_protocol_have_the_stored_bytes() {
     let stored = fs::read_to_string(fixture("agreement-messages.tsv")).unwrap();
     let written: String = messages().into_iter().map(|(kind, json)| format!("{kind}\t{json}\n")).collect();
     assert_eq!(written, stored);
--- a/tests/agree.rs
+++ b/tests/agree.rs
@@ -679,7 +679,7 @@
 }
 
 #[test]
-fn an_edit_reaches_every_head_however_many_there_are() {
+fn an_edit_reaches_every_process_for_any_number_of_processes() {
     let many = std::env::var("AGREE_HEADS").ok().and_then(|text| text.parse().ok()).unwrap_or(30);
     for heads in [3, many] {
         let mut took: Vec<Micros> =
@@ -696,7 +696,7 @@
 }
 
 #[test]
-fn no_head_acts_against_what_is_in_force_whatever_breaks_and_all_comes_to_rest() {
+fn no_process_breaks_a_rule_in_force_under_faults_and_all_converge_afterwards() {
     let (mut acts, mut committed, mut still) = ([0; 3], 0, 0);
     for seed in 0..seeds(60) {
         let world = play(seed, Break::None);
@@ -742,7 +742,7 @@
 /// What a voter waited for has to outlast its process. Seeds seldom meet what takes a word of before its end
 /// that comes late: here it does.
 #[test]
-fn a_barrier_that_is_not_saved_is_caught() {
+fn an_unsaved_lease_barrier_is_caught() {
     let edit = Edit {
         id: 1,
         parts: BTreeMap::from([(
@@ -786,7 +786,7 @@
 /// A ledger that was sent in place of entries comes late, after a restart in which nothing counts yet but
 /// what the voter's own ledger stands for: entries behind it that the voter has said to be saved stay.
 #[test]
-fn a_late_ledger_takes_no_entries_away_that_were_said_to_be_saved() {
+fn a_late_snapshot_removes_no_acknowledged_entries() {
     let entry = |term| Entry { term, command: Command::Noop };
     let log: Vec<Entry> = [1, 1, 1, 2, 2, 2].map(entry).into();
     let state = |to: usize| {
--- a/tests/agree_model.rs
+++ b/tests/agree_model.rs
@@ -243,7 +243,7 @@
 }
 
 #[test]
-fn in_every_order_of_so_many_steps_nothing_forks_and_no_act_is_against_what_is_in_force() {
+fn in_every_order_of_steps_the_log_does_not_fork_and_no_act_breaks_a_rule_in_force() {
     let deeper: usize = std::env::var("MODEL_DEEPER").ok().and_then(|text| text.parse().ok()).unwrap_or(0);
     // Before a leader is chosen; after that; and when the head holds its lease, the first edit counts and the
     // head does not know of it: from there on the ways lead to where it is in force.
--- a/tests/fleet/main.rs
+++ b/tests/fleet/main.rs
@@ -88,7 +88,7 @@
 }
 
 #[test]
-fn a_leader_that_hears_nobody_while_all_hear_it_is_replaced() {
+fn a_leader_with_a_one_way_partition_is_replaced() {
     // Whichever of the three leads has its turn.
     assert_sound_beside_a_join(
         11,
@@ -97,7 +97,7 @@
 }
 
 #[test]
-fn a_leader_that_stood_still_wakes_after_its_successors_changes() {
+fn a_suspended_leader_resumes_after_its_successors_changes() {
     assert_sound_beside_a_join(
         12,
         &[0, 1, 2].map(|voter| validation_error(400 + 2_400 * voter as u64, 2_200, Kind::Stop, voter)),
@@ -107,7 +107,7 @@
 /// Clients ask for far more than the limit gives, and two heads of five hear nothing for longer than both of
 /// their leases.
 #[test]
-fn a_limit_is_lowered_in_a_surge_while_more_than_a_third_of_the_heads_hear_nothing() {
+fn a_limit_is_lowered_in_a_surge_while_over_a_third_of_the_processes_are_partitioned() {
     let plan = Plan { lowers: true, ..plan(13) };
     let faults =
         [validation_error(300, 4_200, Kind::Isolate, 3), validation_error(300, 4_200, Kind::Isolate, 4)];
@@ -119,7 +119,7 @@
 }
 
 #[test]
-fn a_majority_is_lost_for_longer_than_all_leases_and_comes_back() {
+fn a_majority_is_lost_for_longer_than_all_leases_and_recovers() {
     assert_sound_beside_a_join(
         14,
         &[validation_error(400, 4_000, Kind::Kill, 0), validation_error(600, 4_200, Kind::Kill, 1)],
@@ -127,7 +127,7 @@
 }
 
 #[test]
-fn more_than_half_of_the_heads_are_killed_while_changes_are_under_way() {
+fn over_half_of_the_processes_are_killed_during_changes() {
     assert_sound_beside_a_join(
         15,
         &[validation_error(600, 900, Kind::Half, 0), validation_error(2_400, 700, Kind::Half, 0)],
@@ -135,17 +135,17 @@
 }
 
 #[test]
-fn a_voter_that_lost_its_disk_is_replaced_under_load() {
+fn a_voter_that_lost_its_database_is_replaced_under_load() {
     assert_sound_beside_a_join(16, &[validation_error(500, 800, Kind::Empty, 1)]);
 }
 
 #[test]
-fn a_voter_with_a_damaged_disk_votes_no_more_and_is_replaced() {
+fn a_voter_with_a_damaged_database_stops_voting_and_is_replaced() {
     assert_sound_beside_a_join(17, &[validation_error(500, 800, Kind::Damaged, 2)]);
 }
 
 #[test]
-fn a_voter_on_an_older_copy_of_its_disk_is_not_heard_and_is_replaced() {
+fn a_voter_on_an_older_copy_of_its_database_is_ignored_and_replaced() {
     let Played { verdict, old_disks, .. } =
         play_fleet(&plan(18), &[validation_error(500, 800, Kind::Old, 1)]);
     assert_eq!(verdict.problems, Vec::<String>::new());
@@ -153,7 +153,7 @@
 }
 
 #[test]
-fn a_head_that_takes_its_leases_for_longer_than_they_are_is_found() {
+fn a_process_with_too_long_leases_is_detected() {
     let plan = Plan { long_leases: true, ..plan(1) };
     let faults =
         [validation_error(400, 2_500, Kind::Isolate, 3), validation_error(900, 2_500, Kind::Isolate, 4)];
@@ -175,7 +175,7 @@
 }
 
 #[test]
-fn ten_thousand_documents_change_by_one_edit_while_a_disk_fills_and_its_voter_comes_back() {
+fn ten_thousand_documents_change_by_one_edit_while_a_disk_fills_and_its_voter_recovers() {
     let cluster = Cluster::new("documents", 3);
     let ids = [71, 72, 73];
     let heads = ids.map(|id| cluster.start(id, &ids, if id == 73 { 2 } else { 64 }));
@@ -214,7 +214,7 @@
 }
 
 #[test]
-fn what_a_head_lacks_reaches_it_though_it_takes_longer_than_a_lease() {
+fn a_process_catches_up_although_that_takes_longer_than_a_lease() {
     let cluster = Cluster::new("slow-link", 1);
     let _voter = cluster.start(71, &[71], 64);
     let entry = cluster.propose(&[71], &all(1, 2_000, 0, "1")).unwrap();
@@ -229,7 +229,7 @@
 }
 
 #[test]
-fn a_voter_comes_from_nothing_in_a_lost_ones_place_and_a_backup_begins_a_new_cluster() {
+fn a_new_voter_replaces_a_lost_one_and_a_backup_starts_a_new_cluster() {
     let mut cluster = Cluster::new("recovery", 3);
     let ids = [71, 72, 73];
     let mut heads: Vec<Head> = ids.map(|id| cluster.start(id, &ids, 64)).into();
@@ -283,7 +283,7 @@
 /// line came from the leader, its entries from the first voter that answered, and that one had not heard yet
 /// that the last of them counts. Here the voter that is asked first answers, but the others reach it no more.
 #[test]
-fn a_voter_that_lags_and_is_asked_first_hides_nothing_that_counts() {
+fn a_lagging_voter_that_is_asked_first_hides_no_committed_entries() {
     let mut cluster = Cluster::new("lagging", 3);
     let ids = [71, 72, 73];
     let heads: Vec<Head> = ids.map(|id| cluster.start(id, &ids, 64)).into();
@@ -322,7 +322,7 @@
 /// A voter that keeps cluster entries: the old ones are told from its archive, and where that was moved away,
 /// as missing. A backup from then still begins a cluster.
 #[test]
-fn old_entries_are_told_from_the_archive_and_a_backup_does_without_those_that_were_moved_away() {
+fn history_reads_the_archive_and_a_backup_does_without_segments_that_were_moved_away() {
     let mut cluster = Cluster::new("archive", 1);
     let (ids, first) = ([71], cluster.voters[0].1.to_string());
     let head = cluster.start_with(71, &ids, "keep_entries = 8", "[rehearsal]\nkept = 4\n");
@@ -399,7 +399,7 @@
 
 /// One voter's head, alone in its cluster, and its next process: the old one keeps the voter until it ends.
 #[test]
-fn the_two_processes_of_an_upgrade_are_one_voter_and_the_later_one_takes_it_over() {
+fn the_second_process_of_an_upgrade_takes_over_the_voter() {
     let folder = std::env::temp_dir().join(format!("pathbank-upgrade-agree-{}", std::process::id()));
     VoterDatabase::create(&folder, 77).unwrap();
     // Both processes are to listen there, one after the other.
