--- a/crates/control/tests/recovery/main.rs
+++ b/crates/control/tests/recovery/main.rs
@@ -7,7 +7,7 @@
 #[path = "../../../coordination/tests/common/mod.rs"]
 mod common;
 
-use common::Fleet;
+use common::Cluster;
 use pathbank_control::command_outcome::CommandOutcome;
 use pathbank_control::operator_calls::LEADER_TIMEOUT_MS;
 use pathbank_control::state::{Change, ChangeKind, Command, ControlState};
@@ -77,15 +77,15 @@
 }
 
 struct Cores {
-    fleet: Fleet,
+    fleet: Cluster,
     states: Vec<ControlState>,
     applied: [usize; CORES],
 }
 
 impl Cores {
     fn with_log(commands: &[Vec<u8>]) -> Cores {
-        let mut fleet = Fleet::new(CORES, 0, 46);
-        assert!(fleet.run_until_led(3_000), "a first leader");
+        let mut fleet = Cluster::new(CORES, 0, 46);
+        assert!(fleet.run_until_leader(3_000), "a first leader");
         for (number, command) in commands.iter().enumerate() {
             assert!(fleet.propose(command));
             if number % 20 == 0 {
@@ -117,7 +117,7 @@
     fn publishes(&self, core: usize, version: u64) -> bool {
         let replica = self.fleet.machines[core].replica.as_ref();
         let is_current = replica.is_some_and(|replica| replica.is_current(self.fleet.now, LEADER_TIMEOUT_MS));
-        is_current && !self.fleet.is_frozen(core) && self.states[core].version() == version
+        is_current && !self.fleet.is_paused(core) && self.states[core].version() == version
     }
 }
 
--- a/crates/control/tests/safety/faults.rs
+++ b/crates/control/tests/safety/faults.rs
@@ -1,6 +1,6 @@
 //! What happens to machines, disks and links, within what a group of three bears.
 
-use crate::common::Fleet;
+use crate::common::Cluster;
 use crate::world::{FOUNDERS, MACHINES};
 use proptest::prelude::*;
 
@@ -87,36 +87,36 @@
     ]
 }
 
-fn partition(fleet: &mut Fleet, side: &[usize], inwards: bool, outwards: bool) {
+fn partition(fleet: &mut Cluster, side: &[usize], inwards: bool, outwards: bool) {
     let others = (0..MACHINES).filter(|machine| !side.contains(machine));
     for (other, machine) in others.flat_map(|other| side.iter().map(move |machine| (other, *machine))) {
         if inwards {
-            fleet.cut.insert((other, machine));
+            fleet.partitions.insert((other, machine));
         }
         if outwards {
-            fleet.cut.insert((machine, other));
+            fleet.partitions.insert((machine, other));
         }
     }
 }
 
-fn power_off(fleet: &mut Fleet) {
+fn power_off(fleet: &mut Cluster) {
     let running: Vec<usize> = (0..MACHINES).filter(|machine| runs(fleet, *machine)).collect();
     running.into_iter().for_each(|machine| fleet.power_off(machine));
 }
 
-fn runs(fleet: &Fleet, machine: usize) -> bool {
+fn runs(fleet: &Cluster, machine: usize) -> bool {
     fleet.machines[machine].replica.is_some()
 }
 
 impl Fault {
-    pub fn begin(self, fleet: &mut Fleet, random: &mut fastrand::Rng) {
+    pub fn begin(self, fleet: &mut Cluster, random: &mut fastrand::Rng) {
         let leader = fleet.leader().unwrap_or(0);
         match self {
             Fault::Kill(machine) => fleet.kill(machine),
             Fault::KillLeader => fleet.kill(leader),
             Fault::PowerOff => power_off(fleet),
-            Fault::Wipe(machine) if fleet.is_whole() => fleet.wipe(machine),
-            Fault::WipeAndPowerOff(machine) if fleet.is_whole() => {
+            Fault::Wipe(machine) if fleet.is_healthy() => fleet.wipe(machine),
+            Fault::WipeAndPowerOff(machine) if fleet.is_healthy() => {
                 fleet.wipe(machine);
                 power_off(fleet);
             }
@@ -126,17 +126,17 @@
             Fault::PartitionOutbound(machine) => partition(fleet, &[machine], false, true),
             Fault::PartitionInbound(machine) => partition(fleet, &[machine], true, false),
             Fault::PartitionHalves(one, other) => partition(fleet, &[one, other], true, true),
-            Fault::Freeze(machine) => fleet.machines[machine].frozen_until = u64::MAX,
-            Fault::FreezeLeader => fleet.machines[leader].frozen_until = u64::MAX,
-            Fault::Stall(machine) => fleet.machines[machine].stalled = true,
-            Fault::SlowDisk(machine) => fleet.machines[machine].sync_takes = 90,
+            Fault::Freeze(machine) => fleet.machines[machine].paused_until = u64::MAX,
+            Fault::FreezeLeader => fleet.machines[leader].paused_until = u64::MAX,
+            Fault::Stall(machine) => fleet.machines[machine].disk_stalled = true,
+            Fault::SlowDisk(machine) => fleet.machines[machine].sync_ms = 90,
             Fault::Loss => fleet.loss_in_1000 = random.u64(5..120),
             Fault::Compact => (0..MACHINES).for_each(|machine| fleet.compact(machine)),
             Fault::Replace(machine) => {
                 if let Some(spare) = (FOUNDERS..MACHINES).find(|spare| !runs(fleet, *spare)) {
                     fleet.start(spare);
                 }
-                if fleet.is_whole() && runs(fleet, machine) {
+                if fleet.is_healthy() && runs(fleet, machine) {
                     fleet.terminate(machine);
                 }
             }
@@ -145,21 +145,21 @@
         }
     }
 
-    pub fn end(self, fleet: &mut Fleet) {
+    pub fn end(self, fleet: &mut Cluster) {
         if !matches!(self, Fault::Compact) {
             Fault::end_all(fleet);
         }
     }
 
     /// All disturbances end, and whoever is down starts.
-    pub fn end_all(fleet: &mut Fleet) {
-        fleet.cut.clear();
+    pub fn end_all(fleet: &mut Cluster) {
+        fleet.partitions.clear();
         fleet.loss_in_1000 = 0;
         for machine in 0..MACHINES {
             let state = &mut fleet.machines[machine];
-            state.stalled = false;
-            state.sync_takes = crate::common::SYNC;
-            fleet.thaw(machine);
+            state.disk_stalled = false;
+            state.sync_ms = crate::common::SYNC_MS;
+            fleet.resume(machine);
             let has_run = machine < FOUNDERS || fleet.machines[machine].disk.last_index() > 0;
             if has_run && !runs(fleet, machine) {
                 fleet.start(machine);
--- a/crates/control/tests/safety/world.rs
+++ b/crates/control/tests/safety/world.rs
@@ -1,7 +1,7 @@
 //! The control path in virtual time: replicas with the state machine, operators, and what every head would
 //! hand out.
 
-use crate::common::{Fleet, member};
+use crate::common::{Cluster, member};
 use crate::faults::{Fault, Step};
 use crate::history::{self, Call};
 use crate::operators::{ATTEMPT_TIMEOUT_MS, Operator};
@@ -49,7 +49,7 @@
 }
 
 pub struct World {
-    pub fleet: Fleet,
+    pub fleet: Cluster,
     random: fastrand::Rng,
     applied: Vec<Applied>,
     operators: Vec<Operator>,
@@ -67,12 +67,12 @@
 
 impl World {
     pub fn new(seed: u64, operators: usize) -> World {
-        let mut fleet = Fleet::new(FOUNDERS, MACHINES - FOUNDERS, seed);
+        let mut fleet = Cluster::new(FOUNDERS, MACHINES - FOUNDERS, seed);
         (FOUNDERS..MACHINES).for_each(|machine| fleet.kill(machine));
         let mut random = fastrand::Rng::with_seed(seed);
         // Some groups run on processors on which a log takes its time to be applied.
-        let entry_takes_us = ENTRY_US[random.usize(..ENTRY_US.len())];
-        fleet.machines.iter_mut().for_each(|machine| machine.entry_takes_us = entry_takes_us);
+        let apply_us_per_entry = ENTRY_US[random.usize(..ENTRY_US.len())];
+        fleet.machines.iter_mut().for_each(|machine| machine.apply_us_per_entry = apply_us_per_entry);
         let operators = (0..operators).map(|_| Operator::new(1_500 + random.u64(0..300))).collect();
         World {
             fleet,
@@ -185,7 +185,7 @@
     fn receive(&mut self, operator: usize, machine: usize, change: Option<Change>) {
         let now = self.fleet.now;
         let Some(replica) =
-            self.fleet.machines[machine].replica.as_ref().filter(|_| !self.fleet.is_frozen(machine))
+            self.fleet.machines[machine].replica.as_ref().filter(|_| !self.fleet.is_paused(machine))
         else {
             return self.send_answer(operator, None);
         };
@@ -213,7 +213,7 @@
         let now = self.fleet.now;
         for (machine, applied) in self.applied.iter().enumerate() {
             let Some(replica) = self.fleet.machines[machine].replica.as_ref() else { continue };
-            if self.fleet.is_frozen(machine) || !replica.is_current(now, LEADER_TIMEOUT_MS) {
+            if self.fleet.is_paused(machine) || !replica.is_current(now, LEADER_TIMEOUT_MS) {
                 continue;
             }
             let leads =
@@ -238,7 +238,7 @@
         let now = self.fleet.now;
         let mut acting = None;
         for machine in 0..MACHINES {
-            if self.fleet.is_frozen(machine) {
+            if self.fleet.is_paused(machine) {
                 continue;
             }
             let state = &mut self.fleet.machines[machine];
--- a/crates/coordination/src/types.rs
+++ b/crates/coordination/src/types.rs
@@ -1,15 +1,15 @@
-//! The replicated log's vocabulary: stores, members, entries and messages.
+//! The types of the replicated log: stores, members, entries, snapshots and messages.
 
 use crate::consensus::log_tail::LogEntry;
 use crate::consensus::quorum;
 use serde::{Deserialize, Serialize};
 
-/// Milliseconds of a steady clock that the caller supplies.
+/// Milliseconds of a monotonic clock that the caller reads.
 pub type Millis = u64;
 pub use crate::consensus::{Index, Term};
 
-/// Names one store: the data directory of one replica. A directory that was lost and made anew is another
-/// store.
+/// The identity of a store, which is the data directory of one replica. A directory that was lost and created again is
+/// another store.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct StoreId(pub u64);
 
@@ -26,7 +26,8 @@
     pub control_address: String,
 }
 
-/// Who votes. While the group changes, both the new and the old group have to agree (joint consensus).
+/// The voters. During a change both the new and the old ones have to agree (joint consensus, section 4.3 of Ongaro's
+/// thesis).
 ///
 /// ```
 /// use pathbank_coordination::types::{Member, Membership, StoreId};
@@ -45,24 +46,24 @@
 /// ```
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Membership {
-    /// The voters of the current or, during a change, of the new group.
+    /// The current voters; during a change the new ones.
     pub voters: Vec<Member>,
-    /// The voters of the old group during a change; empty otherwise.
+    /// The old voters during a change; empty otherwise.
     pub outgoing: Vec<Member>,
 }
 
 impl Membership {
-    /// A group that is not changing.
+    /// A membership that is not changing.
     pub fn of(voters: Vec<Member>) -> Membership {
         Membership { voters, outgoing: Vec::new() }
     }
 
-    /// Whether a change is under way.
+    /// Whether a change is in progress.
     pub fn is_joint(&self) -> bool {
         !self.outgoing.is_empty()
     }
 
-    /// Whether a store votes, in either group.
+    /// Whether a store is a new or an old voter.
     pub fn contains(&self, id: StoreId) -> bool {
         self.members().any(|member| member.id == id)
     }
@@ -78,10 +79,11 @@
         self.groups().all(|group| quorum::has_majority(group, |member| agrees(member.id)))
     }
 
-    /// The highest index that a majority of every group has reached; `reached`: each store's.
-    pub fn quorum_match_index(&self, reached: impl Fn(StoreId) -> Index) -> Index {
-        let of_group =
-            |group: &[Member]| quorum::majority_match_index(group.iter().map(|member| reached(member.id)));
+    /// The highest index that a majority of every group has. `match_index`: each store's.
+    pub fn quorum_match_index(&self, match_index: impl Fn(StoreId) -> Index) -> Index {
+        let of_group = |group: &[Member]| {
+            quorum::majority_match_index(group.iter().map(|member| match_index(member.id)))
+        };
         self.groups().map(of_group).min().unwrap_or(0)
     }
 
@@ -97,14 +99,14 @@
 pub enum Payload {
     /// A leader's first entry of its term, with the name of its machine.
     LeaderStart(String),
-    /// Another group of voters; counts as soon as it is in a replica's log.
+    /// Another membership; it counts as soon as it is in a replica's log, committed or not.
     Membership(Membership),
     /// A command of the replicated state machine.
     Command(Vec<u8>),
 }
 
 impl Payload {
-    /// Bytes that the payload takes, roughly.
+    /// The approximate size, bytes.
     pub fn size(&self) -> usize {
         match self {
             Payload::LeaderStart(name) => name.len(),
@@ -131,7 +133,7 @@
     }
 }
 
-/// The state that a first part of the log came to.
+/// The state that the log up to an entry leads to.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Snapshot {
     /// The last entry covered.
@@ -140,22 +142,22 @@
     pub term: Term,
     /// The voters at that point.
     pub membership: Membership,
-    /// The machine that led last at that point, and those that led before it.
+    /// The machines that led up to that point, in order.
     pub leaders: Vec<String>,
     /// The state machine's own encoding.
     pub data: Vec<u8>,
 }
 
-/// What replicas say to each other.
+/// The messages between replicas.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Message {
-    /// Asks for a vote, or (`pre`) whether one would be given.
+    /// Requests a vote, or a pre-vote.
     VoteRequest {
-        /// The candidate's term; of a `pre` request the one that it would begin.
+        /// The candidate's term; of a pre-vote the one that it would begin.
         term: Term,
-        /// Only asks; changes nothing.
+        /// A pre-vote: asks whether the vote would be granted, and changes nothing.
         pre: bool,
-        /// The leader itself handed over: its lease does not stand in the way.
+        /// The leader asked the candidate to campaign: voters need not protect its lease.
         leadership_transfer: bool,
         /// The candidate's last entry.
         last_index: Index,
@@ -164,11 +166,11 @@
     },
     /// The answer to a [`Message::VoteRequest`].
     VoteReply {
-        /// The voter's term; of a granted `pre` request the one asked for.
+        /// The voter's term; of a granted pre-vote the one requested.
         term: Term,
-        /// Answers a `pre` request.
+        /// Answers a pre-vote.
         pre: bool,
-        /// Whether the vote was given.
+        /// Whether the vote was granted.
         granted: bool,
     },
     /// Entries, or none as the leader's heartbeat.
@@ -183,10 +185,10 @@
         entries: Vec<Entry>,
         /// All up to here is committed.
         commit: Index,
-        /// When the leader sent it, by its own clock.
+        /// When the leader sent it, by the leader's clock.
         sent_at: Millis,
     },
-    /// The answer to [`Message::Append`], and to the last part of a snapshot.
+    /// The reply to [`Message::Append`], and to the last chunk of a snapshot.
     AppendReply {
         /// The follower's term.
         term: Term,
@@ -194,11 +196,11 @@
         accepted: bool,
         /// Accepted: all up to here is on this follower's disk. Otherwise: where the leader should try next.
         index: Index,
-        /// `sent_at` of the message that is answered.
+        /// `sent_at` of the message that this answers.
         sent_at: Millis,
     },
-    /// A part of the state in place of entries that the leader no longer has. Without bytes it is a heartbeat
-    /// that asks how much has come.
+    /// A chunk of a snapshot, in place of entries that the leader no longer has. Without bytes it is a heartbeat that
+    /// asks how much has been received.
     SnapshotChunk(SnapshotChunk),
     /// The answer to [`Message::SnapshotChunk`].
     SnapshotReply {
@@ -206,50 +208,50 @@
         term: Term,
         /// The last entry that the snapshot covers.
         index: Index,
-        /// Bytes of the encoded snapshot that have come, from its start without gaps.
+        /// Bytes of the encoded snapshot that were received, from its start without gaps.
         received: u64,
-        /// `sent_at` of the part that is answered.
+        /// `sent_at` of the chunk that this answers.
         sent_at: Millis,
     },
-    /// The leader hands over: the receiver is to become a candidate at once.
+    /// Leadership transfer (`TimeoutNow`, section 3.10): the receiver starts an election at once.
     CampaignNow {
         /// The leader's term.
         term: Term,
     },
-    /// A store that no leader speaks to asks to take part.
+    /// A store that hears no leader asks to take part.
     Join,
-    /// A voter that is about to end asks the leader to be taken out of the group first.
+    /// A voter whose process is about to end asks the leader to be taken out of the membership first.
     Leave,
     /// The leader's answer to [`Message::Leave`].
     LeaveReply {
         /// The leader's term.
         term: Term,
-        /// Another store is about to take the voter's place: it should go on until it is out of the group.
+        /// Another store is about to take the voter's place: it should run until it is out of the membership.
         replacing: bool,
     },
 }
 
-/// A part of an encoded snapshot on its way to a follower.
+/// A part of an encoded snapshot.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct SnapshotChunk {
     /// The leader's term.
     pub term: Term,
-    /// Which snapshot it is a part of.
+    /// The snapshot.
     pub id: SnapshotId,
-    /// Where these bytes belong.
+    /// The offset of the bytes in the encoded snapshot.
     pub offset: u64,
     /// The bytes.
     pub bytes: Vec<u8>,
-    /// When the leader sent it, by its own clock.
+    /// When the leader sent it, by the leader's clock.
     pub sent_at: Millis,
 }
 
-/// Tells one encoded snapshot from another, whoever sends it.
+/// The identity of an encoded snapshot, whichever leader sends it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct SnapshotId {
     /// The last entry covered.
     pub index: Index,
-    /// Bytes of its encoding.
+    /// The length of its encoding, bytes.
     pub length: u64,
     /// CRC-32 of its encoding.
     pub checksum: u32,
--- a/crates/coordination/tests/recent_peers.rs
+++ b/crates/coordination/tests/recent_peers.rs
@@ -1,9 +1,9 @@
-//! Who spoke lately, after hundreds of replaced machines.
+//! Peers that sent a message lately, after hundreds of replaced machines.
 
 use pathbank_coordination::recent_peers::RecentPeers;
 
 #[test]
-fn the_newest_of_hundreds_of_replaced_machines_is_still_noticed() {
+fn the_newest_peers_are_kept_beyond_the_limit() {
     let mut recent_peers = RecentPeers::default();
     for machine in 0..400_u64 {
         assert!(recent_peers.record(machine * 100, &format!("10.0.{machine}.1:7000")), "machine {machine}");
@@ -14,7 +14,7 @@
 }
 
 #[test]
-fn whoever_goes_on_speaking_is_kept() {
+fn a_peer_that_keeps_sending_is_kept() {
     let mut recent_peers = RecentPeers::default();
     recent_peers.record(0, "old");
     for machine in 0..400_u64 {
@@ -23,7 +23,11 @@
     }
     assert!(recent_peers.addresses().any(|address| address == "old"));
     recent_peers.expire(60_000);
-    assert_eq!(recent_peers.addresses().collect::<Vec<_>>().len(), 64, "the others spoke less than 30 s ago");
+    assert_eq!(
+        recent_peers.addresses().collect::<Vec<_>>().len(),
+        64,
+        "the others were heard less than 30 s ago"
+    );
     recent_peers.expire(90_000);
     assert_eq!(recent_peers.addresses().count(), 0);
 }
--- a/crates/coordination/tests/snapshots.rs
+++ b/crates/coordination/tests/snapshots.rs
@@ -1,9 +1,8 @@
-//! Snapshots on their way: in parts, resumed, one at a time, behind heartbeats; and what a follower keeps
-//! beside them.
+//! Snapshot transfers: in chunks, resumed, beside heartbeats; and the entries that a follower keeps.
 
 mod common;
 
-use common::{Fleet, member};
+use common::{Cluster, member};
 use pathbank_coordination::record::{DurableState, Record};
 use pathbank_coordination::replica::{Effects, Replica, SNAPSHOT_CHUNK_BYTES, Timing};
 use pathbank_coordination::types::{
@@ -44,9 +43,9 @@
     (SnapshotId { index, length: bytes.len() as u64, checksum: crc32fast::hash(&bytes) }, bytes)
 }
 
-fn part(replica: &mut Replica, id: SnapshotId, offset: usize, bytes: &[u8]) -> Effects {
-    let part = SnapshotChunk { term: 3, id, offset: offset as u64, bytes: bytes.to_vec(), sent_at: 20 };
-    replica.step(20, voters()[1].clone(), Message::SnapshotChunk(part))
+fn chunk(replica: &mut Replica, id: SnapshotId, offset: usize, bytes: &[u8]) -> Effects {
+    let chunk = SnapshotChunk { term: 3, id, offset: offset as u64, bytes: bytes.to_vec(), sent_at: 20 };
+    replica.step(20, voters()[1].clone(), Message::SnapshotChunk(chunk))
 }
 
 fn received(effects: &Effects) -> Option<u64> {
@@ -56,127 +55,127 @@
     })
 }
 
-/// The leader counts what was acknowledged for good: a snapshot that comes late must not take it away again.
+/// The leader relies on acknowledged entries: a late snapshot must not remove them.
 #[test]
-fn entries_acknowledged_behind_a_snapshot_outlast_its_late_arrival() {
+fn a_late_snapshot_keeps_acknowledged_entries_after_it() {
     let mut replica = follower();
     append(&mut replica, (0, 0), (1..=20).map(|index| entry(index, 3)).collect(), 10);
     assert_eq!(replica.durable().last_index(), 20, "all twenty are acknowledged");
     let (id, bytes) = encoded(12, 3, 5);
-    let effects = part(&mut replica, id, 0, &bytes);
+    let effects = chunk(&mut replica, id, 0, &bytes);
     assert!(effects.install.is_some());
     assert_eq!(replica.durable().last_index(), 20);
     assert!(effects.records.iter().any(|record| matches!(record, Record::Snapshot { keep_tail: true, .. })));
 }
 
 #[test]
-fn entries_that_do_not_follow_on_a_snapshot_go() {
+fn entries_of_another_term_than_the_snapshots_are_removed() {
     let mut replica = follower();
     append(&mut replica, (0, 0), (1..=20).map(|index| entry(index, 2)).collect(), 10);
     let (id, bytes) = encoded(12, 3, 5);
-    part(&mut replica, id, 0, &bytes);
+    chunk(&mut replica, id, 0, &bytes);
     assert_eq!(replica.durable().last_index(), 12);
 }
 
 #[test]
-fn parts_are_put_together_in_order_and_others_are_left_out() {
+fn chunks_are_assembled_in_order_and_others_are_ignored() {
     let mut replica = follower();
     let (id, bytes) = encoded(12, 3, 1_000);
-    assert_eq!(received(&part(&mut replica, id, 0, &bytes[..400])), Some(400));
-    assert_eq!(received(&part(&mut replica, id, 0, &bytes[..400])), Some(400), "the same part again");
-    assert_eq!(received(&part(&mut replica, id, 600, &bytes[600..])), Some(400), "one was lost before this");
-    assert_eq!(received(&part(&mut replica, id, 400, &[])), Some(400), "a heartbeat");
-    assert!(part(&mut replica, id, 400, &bytes[400..]).install.is_some());
+    assert_eq!(received(&chunk(&mut replica, id, 0, &bytes[..400])), Some(400));
+    assert_eq!(received(&chunk(&mut replica, id, 0, &bytes[..400])), Some(400), "the same chunk again");
+    assert_eq!(received(&chunk(&mut replica, id, 600, &bytes[600..])), Some(400), "one was lost before this");
+    assert_eq!(received(&chunk(&mut replica, id, 400, &[])), Some(400), "a heartbeat");
+    assert!(chunk(&mut replica, id, 400, &bytes[400..]).install.is_some());
     assert_eq!(replica.commit(), 12);
 }
 
 #[test]
-fn another_snapshot_begins_anew_and_a_broken_one_is_not_taken() {
+fn another_snapshot_restarts_the_transfer_and_a_corrupted_one_is_rejected() {
     let mut replica = follower();
     let (old, old_bytes) = encoded(12, 3, 1_000);
     let (new, new_bytes) = encoded(15, 3, 1_000);
-    part(&mut replica, old, 0, &old_bytes[..400]);
-    assert_eq!(received(&part(&mut replica, new, 400, &new_bytes[400..])), Some(0));
+    chunk(&mut replica, old, 0, &old_bytes[..400]);
+    assert_eq!(received(&chunk(&mut replica, new, 400, &new_bytes[400..])), Some(0));
     let mut broken = new_bytes.clone();
     broken[500] ^= 1;
-    let effects = part(&mut replica, new, 0, &broken);
+    let effects = chunk(&mut replica, new, 0, &broken);
     assert!(effects.install.is_none());
     assert_eq!(received(&effects), Some(0), "it asks for all of it again");
-    assert!(part(&mut replica, new, 0, &new_bytes).install.is_some());
+    assert!(chunk(&mut replica, new, 0, &new_bytes).install.is_some());
 }
 
-/// A follower that comes back far behind, over a link of 10 Mbit/s, while changes go on at ten a second.
+/// A follower restarts far behind, over a link of 10 Mbit/s, while ten commands a second are proposed.
 #[test_case(1; "1 MB")]
 #[test_case(4; "4 MB")]
 #[test_case(16; "16 MB")]
-fn a_large_state_comes_over_a_slow_link_without_an_election(megabytes: u64) {
+fn a_large_snapshot_over_a_slow_link_causes_no_election(megabytes: u64) {
     const BYTES_A_MS: u64 = 1_250;
-    let mut fleet = Fleet::new(3, 0, 21);
-    assert!(fleet.run_until_led(4_000));
-    fleet.run(500);
-    let behind = (0..3).find(|machine| Some(*machine) != fleet.leader()).unwrap();
-    fleet.kill(behind);
+    let mut cluster = Cluster::new(3, 0, 21);
+    assert!(cluster.run_until_leader(4_000));
+    cluster.run(500);
+    let lagging = (0..3).find(|machine| Some(*machine) != cluster.leader()).unwrap();
+    cluster.kill(lagging);
     for _ in 0..megabytes * 4 {
-        assert!(fleet.propose(&vec![1; 256 * 1024]));
-        fleet.run(30);
+        assert!(cluster.propose(&vec![1; 256 * 1024]));
+        cluster.run(30);
     }
-    (0..3).for_each(|machine| fleet.compact(machine));
-    fleet.run(500);
-    fleet.bandwidth = BYTES_A_MS;
-    let changes = fleet.leader_changes;
-    fleet.start(behind);
-    let started = fleet.now;
+    (0..3).for_each(|machine| cluster.compact(machine));
+    cluster.run(500);
+    cluster.bandwidth_bytes_per_ms = BYTES_A_MS;
+    let changes = cluster.leader_changes;
+    cluster.start(lagging);
+    let started = cluster.now;
     let wire_time = megabytes * 1_048_576 / BYTES_A_MS;
-    let leader = fleet.leader().unwrap();
-    while fleet.machines[behind].applied.len() < fleet.machines[leader].applied.len() {
-        assert!(fleet.propose(b"a change meanwhile"), "it is led all the while");
-        fleet.run(100);
-        assert!(fleet.now < started + wire_time * 5 / 4 + 1_500, "caught up in time");
+    let leader = cluster.leader().unwrap();
+    while cluster.machines[lagging].applied.len() < cluster.machines[leader].applied.len() {
+        assert!(cluster.propose(b"a change meanwhile"), "there is a leader throughout");
+        cluster.run(100);
+        assert!(cluster.now < started + wire_time * 5 / 4 + 1_500, "caught up in time");
     }
-    assert_eq!(fleet.leader_changes, changes, "no election meanwhile");
-    fleet.check_nothing_is_lost();
+    assert_eq!(cluster.leader_changes, changes, "no election meanwhile");
+    cluster.check_no_acknowledged_entry_is_lost();
 }
 
 #[test]
-fn a_snapshot_goes_on_where_it_broke_off_when_the_link_or_the_leader_changes() {
-    let mut fleet = Fleet::new(3, 0, 22);
-    assert!(fleet.run_until_led(4_000));
-    let behind = (0..3).find(|machine| Some(*machine) != fleet.leader()).unwrap();
-    fleet.kill(behind);
+fn a_transfer_completes_despite_lost_messages_and_a_leader_change() {
+    let mut cluster = Cluster::new(3, 0, 22);
+    assert!(cluster.run_until_leader(4_000));
+    let lagging = (0..3).find(|machine| Some(*machine) != cluster.leader()).unwrap();
+    cluster.kill(lagging);
     for _ in 0..16 {
-        assert!(fleet.propose(&vec![1; SNAPSHOT_CHUNK_BYTES]));
-        fleet.run(30);
+        assert!(cluster.propose(&vec![1; SNAPSHOT_CHUNK_BYTES]));
+        cluster.run(30);
     }
-    (0..3).for_each(|machine| fleet.compact(machine));
-    fleet.bandwidth = 1_250;
-    fleet.loss_in_1000 = 100;
-    fleet.start(behind);
-    fleet.run(1_000);
-    let old = fleet.leader().unwrap();
-    fleet.kill(old);
-    fleet.run(500);
-    fleet.start(old);
-    fleet.run(12_000);
-    fleet.loss_in_1000 = 0;
-    fleet.run(2_000);
-    assert_eq!(fleet.machines[behind].applied.len(), 16);
-    fleet.check_nothing_is_lost();
+    (0..3).for_each(|machine| cluster.compact(machine));
+    cluster.bandwidth_bytes_per_ms = 1_250;
+    cluster.loss_in_1000 = 100;
+    cluster.start(lagging);
+    cluster.run(1_000);
+    let old = cluster.leader().unwrap();
+    cluster.kill(old);
+    cluster.run(500);
+    cluster.start(old);
+    cluster.run(12_000);
+    cluster.loss_in_1000 = 0;
+    cluster.run(2_000);
+    assert_eq!(cluster.machines[lagging].applied.len(), 16);
+    cluster.check_no_acknowledged_entry_is_lost();
 }
 
-/// A follower that comes back with less than it had acknowledged to this very leader gets it again.
+/// A follower restarts with fewer entries than it had acknowledged to the same leader.
 #[test]
-fn what_a_follower_lost_within_one_term_is_sent_again() {
-    let mut fleet = Fleet::new(3, 0, 23);
-    assert!(fleet.run_until_led(4_000));
-    let behind = (0..3).find(|machine| Some(*machine) != fleet.leader()).unwrap();
+fn entries_that_a_follower_lost_within_a_term_are_sent_again() {
+    let mut cluster = Cluster::new(3, 0, 23);
+    assert!(cluster.run_until_leader(4_000));
+    let lagging = (0..3).find(|machine| Some(*machine) != cluster.leader()).unwrap();
     for number in 0..10 {
-        assert!(fleet.propose(&[number]));
-        fleet.run(30);
+        assert!(cluster.propose(&[number]));
+        cluster.run(30);
     }
-    fleet.kill(behind);
-    let lost_from = fleet.machines[behind].disk.last_index() - 3;
-    fleet.machines[behind].disk.log.truncate(lost_from);
-    fleet.start(behind);
-    fleet.run(1_500);
-    assert_eq!(fleet.machines[behind].applied.len(), 10);
+    cluster.kill(lagging);
+    let lost_from = cluster.machines[lagging].disk.last_index() - 3;
+    cluster.machines[lagging].disk.log.truncate(lost_from);
+    cluster.start(lagging);
+    cluster.run(1_500);
+    assert_eq!(cluster.machines[lagging].applied.len(), 10);
 }
--- a/crates/coordination/tests/stored_form.rs
+++ b/crates/coordination/tests/stored_form.rs
@@ -1,44 +1,26 @@
 //! Files and datagrams of an earlier release are read, and written byte for byte as it wrote them.
 
+mod common;
+
+use common::data_directory::DataDirectory;
 use pathbank_coordination::gossip::datagram::{Body, Datagram, FleetKey};
 use pathbank_coordination::gossip::{Incarnation, NodeId, NodeRecord, NodeState, NodeStatus};
 use pathbank_coordination::record::{DurableState, Record};
 use pathbank_coordination::store::{DAMAGED_FILE, LogFile, OpenedLog};
 use pathbank_coordination::types::{Entry, Member, Membership, Payload, Snapshot, StoreId};
 use std::fs;
-use std::path::{Path, PathBuf};
+use std::path::Path;
 use test_case::test_case;
 
 fn fixture(name: &str) -> Vec<u8> {
     fs::read(Path::new(env!("CARGO_MANIFEST_DIR")).join("tests/fixtures").join(name)).unwrap()
 }
 
-/// A data directory that is removed with the value.
-struct DataDirectory(PathBuf);
-
-impl DataDirectory {
-    fn new(name: &str) -> DataDirectory {
-        let path = std::env::temp_dir().join(format!("pathbank-stored-{}-{name}", std::process::id()));
-        let _ = fs::remove_dir_all(&path);
-        fs::create_dir_all(&path).unwrap();
-        DataDirectory(path)
-    }
-
-    fn with_log(name: &str) -> DataDirectory {
-        let directory = DataDirectory::new(name);
-        fs::write(directory.log(), fixture(name)).unwrap();
-        directory
-    }
-
-    fn log(&self) -> PathBuf {
-        self.0.join("replica.log")
-    }
-}
-
-impl Drop for DataDirectory {
-    fn drop(&mut self) {
-        let _ = fs::remove_dir_all(&self.0);
-    }
+fn directory_with_log(name: &str) -> DataDirectory {
+    let directory = DataDirectory::new(name);
+    fs::create_dir_all(&directory.path).unwrap();
+    fs::write(directory.log(), fixture(name)).unwrap();
+    directory
 }
 
 fn member(id: u64) -> Member {
@@ -101,18 +83,18 @@
 
 #[test]
 fn a_log_of_an_earlier_release_is_read() {
-    let directory = DataDirectory::with_log("replica.log");
-    let (mut log, opened) = LogFile::open(&directory.0).unwrap();
+    let directory = directory_with_log("replica.log");
+    let (mut log, opened) = LogFile::open(&directory.path).unwrap();
     assert_eq!(opened, OpenedLog { durable: state_after(4), previous_store_lost: false });
     assert_eq!(opened.durable.last_index(), 9);
     log.append(&[command(10, 4)]).unwrap();
-    assert_eq!(LogFile::open(&directory.0).unwrap().1.durable.last_index(), 10);
+    assert_eq!(LogFile::open(&directory.path).unwrap().1.durable.last_index(), 10);
 }
 
 #[test]
 fn a_log_is_written_as_the_earlier_release_wrote_it() {
     let directory = DataDirectory::new("written");
-    let (mut log, _) = LogFile::open(&directory.0).unwrap();
+    let (mut log, _) = LogFile::open(&directory.path).unwrap();
     log.rewrite(&compacted()).unwrap();
     batches().iter().for_each(|batch| log.append(batch).unwrap());
     assert_eq!(fs::read(directory.log()).unwrap(), fixture("replica.log"));
@@ -121,8 +103,8 @@
 #[test_case("torn-tail.log"; "its last bytes are missing")]
 #[test_case("damaged-tail.log"; "a bit of its last batch is flipped")]
 fn a_log_that_is_damaged_at_its_tail_ends_before_the_last_batch(name: &str) {
-    let directory = DataDirectory::with_log(name);
-    let (log, opened) = LogFile::open(&directory.0).unwrap();
+    let directory = directory_with_log(name);
+    let (log, opened) = LogFile::open(&directory.path).unwrap();
     assert_eq!(opened, OpenedLog { durable: state_after(3), previous_store_lost: false });
     let intact = log.length() as usize;
     assert_eq!(fs::read(directory.log()).unwrap(), fixture("replica.log")[..intact]);
@@ -130,10 +112,10 @@
 
 #[test]
 fn a_log_that_is_damaged_before_its_tail_is_a_lost_store() {
-    let directory = DataDirectory::with_log("damaged.log");
-    let (_, opened) = LogFile::open(&directory.0).unwrap();
+    let directory = directory_with_log("damaged.log");
+    let (_, opened) = LogFile::open(&directory.path).unwrap();
     assert_eq!(opened, OpenedLog { durable: DurableState::default(), previous_store_lost: true });
-    assert_eq!(fs::read(directory.0.join(DAMAGED_FILE)).unwrap(), fixture("damaged.log"));
+    assert_eq!(fs::read(directory.path.join(DAMAGED_FILE)).unwrap(), fixture("damaged.log"));
 }
 
 /// One datagram of each kind.
--- a/crates/coordination/tests/votes.rs
+++ b/crates/coordination/tests/votes.rs
@@ -1,4 +1,4 @@
-//! Single replicas and what they promise: votes, saves, leases.
+//! A single replica: votes, persistence, leases.
 
 mod common;
 
@@ -19,7 +19,7 @@
     Replica::new(member(0, 1), Timing::default(), durable, now, 3)
 }
 
-fn ask(replica: &mut Replica, now: u64, from: usize, term: u64) -> Effects {
+fn request_vote(replica: &mut Replica, now: u64, from: usize, term: u64) -> Effects {
     let request =
         Message::VoteRequest { term, pre: false, leadership_transfer: false, last_index: 0, last_term: 0 };
     replica.step(now, voters()[from].clone(), request)
@@ -30,9 +30,9 @@
 }
 
 #[test]
-fn a_vote_leaves_only_once_it_is_saved() {
+fn a_vote_is_sent_after_it_is_persisted() {
     let mut replica = replica(durable(), 0);
-    let effects = ask(&mut replica, 10, 1, 5);
+    let effects = request_vote(&mut replica, 10, 1, 5);
     assert!(granted(&effects));
     assert!(effects.messages.iter().all(|sent| sent.after_save));
     let vote = Record::Vote { term: 5, voted_for: Some(StoreId(2)) };
@@ -40,27 +40,27 @@
 }
 
 #[test]
-fn a_term_has_one_vote_also_after_a_restart() {
+fn a_voter_votes_once_per_term_across_restarts() {
     let mut first = replica(durable(), 0);
-    assert!(granted(&ask(&mut first, 10, 1, 5)));
-    assert!(!granted(&ask(&mut first, 11, 2, 5)));
-    assert!(granted(&ask(&mut first, 12, 1, 5)), "the same candidate may ask again");
+    assert!(granted(&request_vote(&mut first, 10, 1, 5)));
+    assert!(!granted(&request_vote(&mut first, 11, 2, 5)));
+    assert!(granted(&request_vote(&mut first, 12, 1, 5)), "the same candidate may ask again");
     let mut second = replica(first.durable().clone(), 2_000);
-    assert!(!granted(&ask(&mut second, 2_000 + 5_000, 2, 5)));
-    assert!(granted(&ask(&mut second, 2_000 + 5_000, 2, 6)), "a later term has another");
+    assert!(!granted(&request_vote(&mut second, 2_000 + 5_000, 2, 5)));
+    assert!(granted(&request_vote(&mut second, 2_000 + 5_000, 2, 6)), "a later term has another vote");
 }
 
 #[test]
-fn after_a_restart_no_vote_is_given_for_as_long_as_a_leader_may_hold_its_lease() {
+fn after_a_restart_no_vote_is_granted_within_a_possible_lease() {
     let mut voter = replica(DurableState { term: 4, ..durable() }, 1_000);
     let timing = Timing::default();
     assert!(timing.lease_ms < timing.election_timeout_ms);
-    assert!(!granted(&ask(&mut voter, 1_000 + timing.election_timeout_ms - 1, 1, 5)));
-    assert!(granted(&ask(&mut voter, 1_000 + timing.election_timeout_ms, 1, 5)));
+    assert!(!granted(&request_vote(&mut voter, 1_000 + timing.election_timeout_ms - 1, 1, 5)));
+    assert!(granted(&request_vote(&mut voter, 1_000 + timing.election_timeout_ms, 1, 5)));
 }
 
 #[test]
-fn while_its_leader_lives_a_follower_gives_no_vote() {
+fn a_follower_with_a_live_leader_grants_no_vote() {
     let mut voter = replica(durable(), 0);
     let append = Message::Append {
         term: 3,
@@ -71,19 +71,19 @@
         sent_at: 500,
     };
     voter.step(500, voters()[1].clone(), append);
-    assert!(!granted(&ask(&mut voter, 500 + Timing::default().election_timeout_ms - 1, 2, 9)));
+    assert!(!granted(&request_vote(&mut voter, 500 + Timing::default().election_timeout_ms - 1, 2, 9)));
     assert_eq!(voter.term(), 3, "and its term stays");
 }
 
 #[test]
-fn a_replica_outside_the_group_never_stands_for_election() {
+fn a_learner_never_becomes_a_candidate() {
     let mut joiner = replica(DurableState { id: Some(StoreId(9)), ..DurableState::default() }, 0);
     (0..5_000).step_by(20).for_each(|now| assert!(joiner.tick(now).messages.is_empty()));
     assert_eq!(joiner.role(), Role::Follower);
 }
 
 #[test]
-fn a_replica_whose_disk_takes_nothing_leads_nobody() {
+fn a_leader_with_a_failing_disk_steps_down() {
     let mut alone = DurableState { id: Some(StoreId(1)), ..DurableState::default() };
     alone.initial = Membership::of(vec![member(0, 1)]);
     let mut replica = replica(alone, 0);
@@ -98,7 +98,7 @@
 }
 
 #[test]
-fn a_group_that_changes_needs_a_majority_of_both() {
+fn a_joint_membership_needs_a_majority_of_both_groups() {
     let mut after = voters();
     after[2] = member(2, 9);
     let joint = Membership { voters: after, outgoing: voters() };
@@ -109,7 +109,7 @@
     assert_eq!(joint.members().count(), 4);
 }
 
-fn heartbeat(replica: &mut Replica, now: u64, term: u64, commit: u64) {
+fn send_heartbeat(replica: &mut Replica, now: u64, term: u64, commit: u64) {
     let message = Message::Append {
         term,
         previous_index: 2,
@@ -129,40 +129,40 @@
     replica(log, 0)
 }
 
-/// After a loss of power everywhere a new leader does not know yet how far the log was committed: a follower
-/// that has applied all that such a leader tells may still be behind what was acknowledged.
+/// After a power loss of all a new leader does not know yet how far the log is committed: a follower that has applied all
+/// that the leader has committed may still lack acknowledged entries.
 #[test]
-fn a_follower_of_a_leader_that_has_only_begun_is_not_current() {
-    let silence = 1_500;
+fn a_follower_is_not_current_before_its_leader_commits_in_its_term() {
+    let leader_timeout = 1_500;
     let mut follower = restarted_with_two_entries();
-    heartbeat(&mut follower, 1_000, 5, 1);
-    assert!(!follower.is_current(1_010, silence), "entry 1 is of an earlier term");
-    heartbeat(&mut follower, 1_050, 5, 2);
-    assert!(!follower.is_current(1_060, silence));
-    let begun = Entry { index: 3, term: 5, payload: Payload::LeaderStart("core-1".into()) };
+    send_heartbeat(&mut follower, 1_000, 5, 1);
+    assert!(!follower.is_current(1_010, leader_timeout), "entry 1 is of an earlier term");
+    send_heartbeat(&mut follower, 1_050, 5, 2);
+    assert!(!follower.is_current(1_060, leader_timeout));
+    let leader_start = Entry { index: 3, term: 5, payload: Payload::LeaderStart("core-1".into()) };
     let message = Message::Append {
         term: 5,
         previous_index: 2,
         previous_term: 4,
-        entries: vec![begun],
+        entries: vec![leader_start],
         commit: 3,
         sent_at: 1_100,
     };
     follower.step(1_100, voters()[1].clone(), message);
-    assert!(follower.is_current(1_110, silence));
-    assert!(!follower.is_current(1_100 + silence, silence), "nor is one that hears nobody any more");
+    assert!(follower.is_current(1_110, leader_timeout));
+    assert!(!follower.is_current(1_100 + leader_timeout, leader_timeout), "nor is one that hears no leader");
 }
 
 #[test]
-fn a_leader_that_fell_silent_is_no_longer_named() {
+fn a_silent_leader_is_not_reported() {
     let mut follower = restarted_with_two_entries();
-    heartbeat(&mut follower, 1_000, 5, 1);
+    send_heartbeat(&mut follower, 1_000, 5, 1);
     assert_eq!(follower.leader_within(2_499, 1_500).map(|leader| leader.id), Some(StoreId(2)));
     assert_eq!(follower.leader_within(2_500, 1_500), None);
 }
 
 #[test]
-fn a_leader_without_contact_to_a_majority_is_not_current_beyond_its_lease() {
+fn a_leader_without_a_quorum_is_not_current_after_its_lease() {
     let mut leader = replica(durable(), 0);
     leader.tick(2_000);
     let grant = |term, pre| Message::VoteReply { term, pre, granted: true };
