--- a/crates/coordination/tests/common/mod.rs
+++ b/crates/coordination/tests/common/mod.rs
@@ -260,10 +260,10 @@
     pub fn charge(&mut self, machine: usize, microseconds: u64) {
         let state = &mut self.machines[machine];
         state.unaccounted_us += microseconds;
-        let whole = state.unaccounted_us / 1_000;
+        let milliseconds = state.unaccounted_us / 1_000;
         state.unaccounted_us %= 1_000;
-        if whole > 0 {
-            state.busy_until = state.busy_until.max(self.now) + whole;
+        if milliseconds > 0 {
+            state.busy_until = state.busy_until.max(self.now) + milliseconds;
         }
     }
 
--- a/crates/coordination/tests/store.rs
+++ b/crates/coordination/tests/store.rs
@@ -64,10 +64,10 @@
 #[test]
 fn a_flipped_bit_before_the_last_batch_is_a_lost_store_and_never_a_shorter_log() {
     let directory = DataDirectory::new("flipped");
-    let whole = log_of_ten_batches(&directory);
-    let last = whole.len() - encode(10, &[entry(9, 1)]).len();
+    let intact = log_of_ten_batches(&directory);
+    let last = intact.len() - encode(10, &[entry(9, 1)]).len();
     for at in 0..last {
-        let mut bytes = whole.clone();
+        let mut bytes = intact.clone();
         bytes[at] ^= 1 << (at % 8);
         fs::write(directory.log(), &bytes).unwrap();
         let _ = fs::remove_file(directory.path.join(DAMAGED_FILE));
