--- a/crates/control/src/admission.rs
+++ b/crates/control/src/admission.rs
@@ -9,8 +9,8 @@
 //! without free slots costs more, in any zone, so that demand spreads over zones by their free capacity. The last slots
 //! are reserved for urgent requests ([`crate::urgency`]).
 
-use crate::directory::Millis;
 use crate::urgency::{Urgency, open_slots};
+use pathbank_coordination::types::Millis;
 use pathbank_protocol::message::{AdmissionGrant, AdmissionOption, AdmissionRequest, ModelServer};
 use std::collections::{BTreeMap, HashMap, VecDeque};
 
--- a/crates/control/src/autoscaling.rs
+++ b/crates/control/src/autoscaling.rs
@@ -5,7 +5,7 @@
 
 use crate::configuration::{Autoscaling, Backend};
 use crate::demand::DemandTable;
-use crate::directory::Millis;
+use pathbank_coordination::types::Millis;
 use pathbank_protocol::message::ModelServer;
 use std::collections::{BTreeMap, BTreeSet};
 
--- a/crates/control/src/configuration.rs
+++ b/crates/control/src/configuration.rs
@@ -68,7 +68,7 @@
     /// The longest pause between events of a stream that is on time, milliseconds.
     #[facet(default, rename = "gap_aim_ms")]
     pub target_gap_ms: Option<f64>,
-    /// Which version of a model in training answers; left out: whichever the model server holds.
+    /// Which version of a model in training answers; left out: whichever the model server has loaded.
     #[facet(default)]
     pub model_version: Option<RouteVersion>,
 }
--- a/crates/control/src/decay.rs
+++ b/crates/control/src/decay.rs
@@ -1,6 +1,6 @@
 //! Exponential decay: how much an observation still counts after some time.
 
-use crate::directory::Millis;
+use pathbank_coordination::types::Millis;
 
 /// The factor by which a value of time `from` has decayed at time `to`. After `time_constant_ms` it is 1/e. A time before
 /// `from` counts as `from`.
--- a/crates/control/src/demand.rs
+++ b/crates/control/src/demand.rs
@@ -1,8 +1,8 @@
 //! Demand of clients by model and adapter, and requests in flight by model server, from the edges' reports.
 
 use crate::decay::decay;
-use crate::directory::Millis;
 use crate::timestamped::Timestamped;
+use pathbank_coordination::types::Millis;
 use pathbank_protocol::message::{EdgeReport, ModelDemand, ModelServerLoad};
 use std::collections::BTreeMap;
 
--- a/crates/control/src/directory.rs
+++ b/crates/control/src/directory.rs
@@ -1,12 +1,10 @@
 //! The list of model servers as one core knows it: from heartbeats, reports and the leader's order status.
 
 use crate::address_index::AddressIndex;
+use pathbank_coordination::types::Millis;
 use pathbank_protocol::message::{LoadedModel, ModelServer, ModelServerState, OrderStatus, WithheldModel};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// Milliseconds of a steady clock that the caller supplies.
-pub type Millis = u64;
-
 /// Heartbeats that a model server may miss before it counts as removed, but never in less than
 /// `MIN_HEARTBEAT_TIMEOUT_MS`.
 const MAX_MISSED_HEARTBEATS: u64 = 5;
--- a/crates/control/src/document.rs
+++ b/crates/control/src/document.rs
@@ -1,7 +1,7 @@
 //! The operators' configuration as the document that they sent, and changes to it.
 //!
-//! A document of which only some items change shares the others with the one before: a log of thousands of changes is
-//! applied again after a start, and each of them must cost what it changes, not what stands beside it.
+//! A document shares unchanged items with the one before it. A log of thousands of changes is applied again after a start,
+//! so that each may cost what it changes, not the size of the document.
 
 use crate::configuration::Rejection;
 use crate::item_list::{ItemList, Position};
@@ -59,7 +59,7 @@
     }
 }
 
-/// The items that a change touched: those that came, went or were replaced.
+/// The items that a change added, removed or replaced, by section and position.
 pub type Touched = BTreeSet<(String, Position)>;
 
 /// A document.
--- a/crates/control/src/estimate.rs
+++ b/crates/control/src/estimate.rs
@@ -5,12 +5,10 @@
 //! it follows at once. Without samples it returns to the prior.
 
 use crate::decay::decay;
+use pathbank_coordination::types::Millis;
 use std::borrow::Borrow;
 use std::collections::BTreeMap;
 
-/// Milliseconds of a steady clock that the caller supplies.
-pub type Millis = u64;
-
 /// The greatest weight, in samples: a new sample moves the estimate by at least the inverse of this.
 const MAX_WEIGHT: f64 = 10.0;
 /// A sample further off than this factor moves a settled estimate no more than one at this factor.
--- a/crates/control/src/lib.rs
+++ b/crates/control/src/lib.rs
@@ -1,5 +1,8 @@
 //! What the control plane decides, without I/O, clock or randomness.
 //!
+//! `now` is the time of a steady clock in milliseconds, which the caller supplies. Errors of operators are
+//! [`configuration::Rejection`]s with a [`result_code::ResultCode`].
+//!
 //! Replicated state:
 //! * [`state`]: the state machine, its commands and snapshots; [`command_outcome`]: the results of commands.
 //! * [`change_log`]: accepted changes, which are recognised when they are sent again.
--- a/crates/control/src/order.rs
+++ b/crates/control/src/order.rs
@@ -1,7 +1,7 @@
 //! Orders to model servers: loads and unloads of models and adapters.
 
 use crate::configuration::Runtime;
-use crate::directory::Millis;
+use pathbank_coordination::types::Millis;
 use pathbank_protocol::message::LoadedModel;
 
 /// What an order does.
--- a/crates/control/src/order_durations.rs
+++ b/crates/control/src/order_durations.rs
@@ -1,8 +1,8 @@
 //! How long orders take, estimated from those that were seen to be done.
 
-use crate::directory::Millis;
 use crate::estimate::{Estimate, Prior};
 use crate::order::OrderKind;
+use pathbank_coordination::types::Millis;
 
 /// The duration of a load from the weight store, as a multiple of the configured one.
 const FETCH_FACTOR: Prior = Prior { initial: 1.0, min: 0.01, max: 4.0 };
--- a/crates/control/src/order_progress.rs
+++ b/crates/control/src/order_progress.rs
@@ -1,7 +1,7 @@
 //! The progress of an order by its model server's report.
 //!
 //! A report may be some hundred milliseconds old: one that shows no order in progress may be older than the order, which
-//! its `sequence` tells. An order that is given again is answered by the current state.
+//! its `sequence` shows. An order that is given again is answered by the current state.
 
 use crate::order::{Operation, Order};
 use pathbank_protocol::message::LoadedModel;
--- a/crates/control/src/outliers.rs
+++ b/crates/control/src/outliers.rs
@@ -6,7 +6,7 @@
 //! used again.
 
 use crate::decay::decay;
-use crate::directory::Millis;
+use pathbank_coordination::types::Millis;
 use pathbank_protocol::message::{ModelServer, ModelServerLoad};
 use std::collections::BTreeMap;
 
--- a/crates/control/src/pending_changes.rs
+++ b/crates/control/src/pending_changes.rs
@@ -1,6 +1,6 @@
 //! Changes of model servers that are collected before they are published, and when that is.
 
-use crate::directory::Millis;
+use pathbank_coordination::types::Millis;
 use std::collections::BTreeSet;
 
 /// The least time between two publications of model servers that became unavailable: where many do, they are
--- a/crates/control/src/placement.rs
+++ b/crates/control/src/placement.rs
@@ -18,10 +18,11 @@
 
 use crate::configuration::Backend;
 use crate::demand::DemandTable;
-use crate::directory::{CachedWeights, Millis};
+use crate::directory::CachedWeights;
 use crate::order::Order;
 use crate::order_durations::OrderDurations;
 use load_rate_limit::LoadRateLimit;
+use pathbank_coordination::types::Millis;
 use pathbank_protocol::message::{ExpectedModel, ModelServer};
 use pending_orders::PendingOrders;
 use plan::{Inputs, Plan};
--- a/crates/control/src/placement/demand_rates.rs
+++ b/crates/control/src/placement/demand_rates.rs
@@ -1,7 +1,7 @@
 //! The demand for one service's models, summed for one pass of placement.
 
 use crate::demand::{DemandTable, ModelKey};
-use crate::directory::Millis;
+use pathbank_coordination::types::Millis;
 use std::collections::BTreeMap;
 
 /// What each waiting request counts for, requests a second.
--- a/crates/control/src/placement/load_rate_limit.rs
+++ b/crates/control/src/placement/load_rate_limit.rs
@@ -1,6 +1,6 @@
 //! The rate limit of a service's weight store, as a token bucket.
 
-use crate::directory::Millis;
+use pathbank_coordination::types::Millis;
 
 /// The fraction of the permitted loads that is used.
 const USED_FRACTION: f64 = 0.95;
--- a/crates/control/src/placement/pending_orders.rs
+++ b/crates/control/src/placement/pending_orders.rs
@@ -1,8 +1,8 @@
 //! Orders that were given and have not ended, and the loads that follow an unload.
 
-use crate::directory::Millis;
 use crate::order::{Operation, Order, OrderKind};
 use crate::order_durations::OrderDurations;
+use pathbank_coordination::types::Millis;
 use pathbank_protocol::message::ExpectedModel;
 use std::collections::BTreeMap;
 
--- a/crates/control/src/placement/plan.rs
+++ b/crates/control/src/placement/plan.rs
@@ -6,8 +6,9 @@
 use super::training_reservations::TrainingReservations;
 use crate::configuration::{Backend, Model, Runtime};
 use crate::demand::{DemandTable, ModelKey};
-use crate::directory::{CachedWeights, Millis};
+use crate::directory::CachedWeights;
 use crate::order::{Operation, Order, OrderKind};
+use pathbank_coordination::types::Millis;
 use pathbank_protocol::message::{LoadedModel, ModelServer};
 use std::collections::{BTreeMap, BTreeSet};
 
--- a/crates/control/src/placement/value.rs
+++ b/crates/control/src/placement/value.rs
@@ -1,7 +1,7 @@
 //! The value of model replicas, in requests a second that would be lost or late without them.
 
 use super::plan::Plan;
-use crate::directory::Millis;
+use pathbank_coordination::types::Millis;
 
 /// The odds that a request is late at a model server that is in prefill all the time. They fall with the third power of
 /// the utilization.
--- a/crates/control/src/timestamped.rs
+++ b/crates/control/src/timestamped.rs
@@ -1,6 +1,6 @@
 //! Values that count for a limited time after they were reported.
 
-use crate::directory::Millis;
+use pathbank_coordination::types::Millis;
 
 /// A value and the time at which it was reported.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
