--- a/src/net/agree/database.rs
+++ b/src/net/agree/database.rs
@@ -10,7 +10,11 @@
 use crate::agree::voter::{Incarnation, PersistentChange, PersistentState, next_incarnation};
 use crate::agree::{Entry, Index, Term, VoterId};
 use bounded::BoundedBackend;
-use redb::{Database, ReadableDatabase, ReadableTable, StorageBackend, TableDefinition, WriteTransaction};
+use pathbank_coordination::consensus::log_tail::LogTail;
+use redb::{
+    Database, ReadTransaction, ReadableDatabase, ReadableTable, StorageBackend, TableDefinition,
+    WriteTransaction,
+};
 use serde::de::DeserializeOwned;
 use serde::{Deserialize, Serialize};
 use std::fmt;
@@ -198,16 +202,30 @@
         self.id
     }
 
+    /// Reads all of it, and counts this run before anything is sent in it.
     fn load(&mut self) -> Result<PersistentState, DatabaseError> {
         let read = self.database.begin_read()?;
+        let mut saved = self.load_state(&read)?;
+        self.base = LogPosition { index: saved.log.base().index, digest: *saved.state.digest() };
+        self.last = self.base;
+        self.load_log(&read, &mut saved.log)?;
+        drop(read);
+        let write = self.database.begin_write()?;
+        put(&mut write.open_table(META)?, "starts", &saved.incarnation)?;
+        write.commit()?;
+        Ok(saved)
+    }
+
+    /// All but the entries of the log.
+    fn load_state(&mut self, read: &ReadTransaction) -> Result<PersistentState, DatabaseError> {
         let meta = read.open_table(META).map_err(|_| foreign("it is no voter's"))?;
         let schema: u64 = get(&meta, "schema")?.ok_or_else(|| foreign("it has no form"))?;
         if schema != SCHEMA {
             return Err(DatabaseError::Schema(schema));
         }
         self.id = get(&meta, "id")?.ok_or_else(|| foreign("it has no number"))?;
-        let incarnation =
-            next_incarnation(get::<Incarnation>(&meta, "starts")?.unwrap_or(0), fastrand::u64(..));
+        let last_incarnation = get::<Incarnation>(&meta, "starts")?.unwrap_or(0);
+        let incarnation = next_incarnation(last_incarnation, fastrand::u64(..));
         let mut saved = PersistentState { incarnation, ..PersistentState::default() };
         if let Some(Vote { term, voted }) = get(&meta, "vote")? {
             (saved.term, saved.voted) = (term, voted);
@@ -218,32 +236,27 @@
             saved.state_term = term;
             saved.state = state;
         }
-        for entry in read.open_table(PEER_INCARNATIONS)?.iter()? {
-            let (id, incarnation) = entry?;
+        for row in read.open_table(PEER_INCARNATIONS)?.iter()? {
+            let (id, incarnation) = row?;
             saved.peer_incarnations.insert(id.value(), incarnation.value());
         }
-        self.base = LogPosition { index: saved.log.base().index, digest: *saved.state.digest() };
-        self.last = self.base;
+        Ok(saved)
+    }
+
+    /// The entries behind the saved state, each of which has to follow on the one before it.
+    fn load_log(&mut self, read: &ReadTransaction, tail: &mut LogTail<Entry>) -> Result<(), DatabaseError> {
         let log = read.open_table(LOG)?;
         for row in log.range(self.base.index + 1..)? {
             let (index, value) = row?;
-            let (digest, entry) = decode_entry(index.value(), value.value())?;
-            if index.value() != self.last.index + 1 || digest != next_digest(&self.last.digest, &entry) {
-                return Err(foreign(format!(
-                    "entry {} does not follow on {}",
-                    index.value(),
-                    self.last.index
-                )));
+            let index = index.value();
+            let (digest, entry) = decode_entry(index, value.value())?;
+            if index != self.last.index + 1 || digest != next_digest(&self.last.digest, &entry) {
+                return Err(foreign(format!("entry {index} does not follow on {}", self.last.index)));
             }
-            self.last = LogPosition { index: index.value(), digest };
-            saved.log.insert(index.value(), entry);
+            self.last = LogPosition { index, digest };
+            tail.insert(index, entry);
         }
-        drop(read);
-        // Before anything is said in this start: it is one more.
-        let write = self.database.begin_write()?;
-        put(&mut write.open_table(META)?, "starts", &saved.incarnation)?;
-        write.commit()?;
-        Ok(saved)
+        Ok(())
     }
 
     /// Saves all of it in one transaction, synced when this returns.
@@ -251,21 +264,21 @@
     /// # Errors
     ///
     /// Nothing is known of what was saved: the database has to be opened anew.
-    pub fn save(&mut self, saves: &[PersistentChange]) -> Result<(), DatabaseError> {
-        if saves.is_empty() {
+    pub fn save(&mut self, changes: &[PersistentChange]) -> Result<(), DatabaseError> {
+        if changes.is_empty() {
             return Ok(());
         }
         let write = self.database.begin_write()?;
-        for save in saves {
-            self.put(&write, save)?;
+        for change in changes {
+            self.put(&write, change)?;
         }
         write.commit()?;
         Ok(())
     }
 
-    fn put(&mut self, write: &WriteTransaction, save: &PersistentChange) -> Result<(), DatabaseError> {
+    fn put(&mut self, write: &WriteTransaction, change: &PersistentChange) -> Result<(), DatabaseError> {
         let mut meta = write.open_table(META)?;
-        match save {
+        match change {
             PersistentChange::Vote { term, voted } => {
                 put(&mut meta, "vote", &Vote { term: *term, voted: *voted })?
             }
