--- a/crates/system/tests/configuration_updates.rs
+++ b/crates/system/tests/configuration_updates.rs
@@ -1,5 +1,5 @@
-//! What edges are sent of the configuration leads each of them to the newest, whatever it has; the whole is
-//! made ready once.
+//! Updates of the configuration lead every edge to the newest one, whatever it has; a full one is
+//! encoded once.
 
 use pathbank_control::document::Document;
 use pathbank_control::edge_update::EdgeUpdate;
@@ -34,8 +34,8 @@
     }
 }
 
-/// What an edge makes of a message; one that does not lead on changes nothing.
-fn taken_over(table: &RouteTable, message: &SharedMessage) -> RouteTable {
+/// The table of an edge after a message; one that does not apply to it changes nothing.
+fn apply_message(table: &RouteTable, message: &SharedMessage) -> RouteTable {
     let mut bytes = message.to(&hello()).to_vec();
     let frame = codec::decode(&take_body(&mut bytes).unwrap().unwrap()).unwrap();
     let Frame::Configuration(update) = frame else { panic!("{frame:?}") };
@@ -45,46 +45,49 @@
     table.with_update(update.index, EdgeUpdate::read(&update.document, update.base_index == 0).unwrap())
 }
 
-/// A head that has told edges of so many versions, and what edges got that had nothing at each of them.
-fn told(versions: u64, apart_ms: u64) -> (ConfigurationUpdates, Vec<Vec<SharedMessage>>) {
+/// Publishes so many versions. Returns the updates, and what edges without a configuration got after each
+/// version.
+fn publish_versions(versions: u64, apart_ms: u64) -> (ConfigurationUpdates, Vec<Vec<SharedMessage>>) {
     let mut updates = ConfigurationUpdates::default();
-    let mut wholes = Vec::new();
+    let mut full_updates = Vec::new();
     for version in 1..=versions {
         let document = document(version);
         updates.record(version, &document, 200);
         updates.publish(version, &document);
         let update = updates.update_from(1_000 + version * apart_ms, 0);
         assert!(update.is_full);
-        wholes.push(update.messages);
+        full_updates.push(update.messages);
     }
-    (updates, wholes)
+    (updates, full_updates)
 }
 
 #[test]
-fn an_edge_comes_to_the_newest_from_whatever_it_has() {
-    let (mut updates, wholes) = told(40, 100);
-    for (version, messages) in (1..).zip(&wholes) {
-        let table = messages.iter().fold(RouteTable::default(), |table, message| taken_over(&table, message));
+fn any_configuration_is_updated_to_the_newest() {
+    let (mut updates, full_updates) = publish_versions(40, 100);
+    for (version, messages) in (1..).zip(&full_updates) {
+        let table =
+            messages.iter().fold(RouteTable::default(), |table, message| apply_message(&table, message));
         assert_eq!((table.index, table.version), (version, version));
         assert!(table.route("shop.example", &format!("/{}/x", ROUTES + version - 1)).is_some());
         let update = updates.update_from(9_000, version);
         assert!(!update.is_full, "from version {version}");
-        let table = update.messages.iter().fold(table, |table, message| taken_over(&table, message));
+        let table = update.messages.iter().fold(table, |table, message| apply_message(&table, message));
         assert_eq!((table.index, table.version), (40, 40), "from version {version}");
     }
     assert!(updates.update_from(9_000, 41).messages.is_empty(), "nothing leads back");
 }
 
 #[test]
-fn a_whole_configuration_is_made_ready_once_in_two_seconds() {
-    let (_, wholes) = told(40, 100);
-    let mut made: Vec<*const u8> = wholes.iter().map(|messages| messages[0].to(&hello()).as_ptr()).collect();
-    made.dedup();
-    assert_eq!(made.len(), 2, "40 versions in four seconds");
+fn a_full_configuration_is_encoded_once_in_two_seconds() {
+    let (_, full_updates) = publish_versions(40, 100);
+    let mut encoded: Vec<*const u8> =
+        full_updates.iter().map(|messages| messages[0].to(&hello()).as_ptr()).collect();
+    encoded.dedup();
+    assert_eq!(encoded.len(), 2, "40 versions in four seconds");
 }
 
 #[test]
-fn one_that_was_made_ready_long_ago_is_made_anew() {
-    let (_, wholes) = told(5, 3_000);
-    assert!(wholes.iter().all(|messages| messages.len() == 1), "each is the newest alone");
+fn an_expired_full_configuration_is_encoded_again() {
+    let (_, full_updates) = publish_versions(5, 3_000);
+    assert!(full_updates.iter().all(|messages| messages.len() == 1), "each is the newest alone");
 }
--- a/crates/system/tests/control_safety.rs
+++ b/crates/system/tests/control_safety.rs
@@ -10,10 +10,10 @@
 use std::time::{Duration, Instant};
 
 const LOG_FILE: &str = "replica.log";
-/// An operator moves on after a second of silence; a cut off head has to say no before.
-const SAYS_NO_WITHIN: Duration = Duration::from_millis(2_000);
-/// A head that cannot take part ends within this, also on a busy machine.
-const ENDS_WITHIN: Duration = Duration::from_secs(20);
+/// An operator tries another core after a second without an answer; a partitioned core has to reject before.
+const MAX_REJECTION_TIME: Duration = Duration::from_millis(2_000);
+/// A core that cannot participate exits within this, also on a busy machine.
+const EXIT_TIMEOUT: Duration = Duration::from_secs(20);
 
 fn given_a_configured_group(cores: u8) -> (System, usize) {
     let mut system = System::with(cores, 1);
@@ -35,7 +35,7 @@
 }
 
 #[test]
-fn a_leader_that_stood_still_hands_out_nothing_old_when_it_runs_again() {
+fn a_resumed_leader_serves_no_stale_configuration() {
     let (system, leader) = given_a_configured_group(3);
     for (base, version) in [(3, 4), (4, 6), (6, 7)] {
         let frozen = system.leader().unwrap_or(leader);
@@ -70,7 +70,7 @@
 }
 
 #[test]
-fn a_head_out_of_contact_says_so_at_once_and_confirms_refuses_and_hands_out_nothing() {
+fn a_partitioned_leader_rejects_every_call_at_once() {
     let (system, leader) = given_a_configured_group(3);
     let others: Vec<usize> = (0..3).filter(|core| *core != leader).collect();
     others.iter().for_each(|core| system.local.cores[*core].freeze());
@@ -85,12 +85,12 @@
         let answer = call(system.control[leader], "POST", "/api/config/replace", &base, &document(version));
         assert_eq!(answer.expect("an answer").status, 503);
     }
-    assert!(asked.elapsed() < SAYS_NO_WITHIN, "{:?}", asked.elapsed());
+    assert!(asked.elapsed() < MAX_REJECTION_TIME, "{:?}", asked.elapsed());
     others.iter().for_each(|core| system.local.cores[*core].thaw());
     system.configure(3, &document(4));
 }
 
-/// The machine that follows the log without a vote, once it has all of it.
+/// The learner, once it has the whole log.
 fn spare(system: &System, leader: usize, version: u64) -> usize {
     let mut found = None;
     until("a fourth machine follows three voters", || {
@@ -105,12 +105,12 @@
 /// Four machines, three of them voters: whoever ends in order is replaced before it is gone, and one more may
 /// be lost.
 #[test]
-fn members_that_end_in_order_are_replaced_and_another_disk_may_be_lost_at_once() {
+fn withdrawn_voters_are_replaced_and_another_disk_may_be_lost() {
     /// On a machine that stands still for long the leader may not have heard of the spare lately: it is asked
     /// again.
-    const DEPARTURES: usize = 5;
+    const MAX_WITHDRAWALS: usize = 5;
     let (mut system, mut leader) = given_a_configured_group(4);
-    let replaced = (0..DEPARTURES).find_map(|_| {
+    let replaced = (0..MAX_WITHDRAWALS).find_map(|_| {
         let spare = spare(&system, leader, 3);
         system.local.cores[leader].ask_to_stop();
         until("it has ended", || system.local.cores[leader].has_ended());
@@ -137,7 +137,7 @@
 }
 
 #[test]
-fn a_member_whose_log_is_damaged_comes_back_as_another_store_also_at_a_first_start() {
+fn a_voter_with_a_damaged_log_returns_as_a_new_store() {
     let (mut system, leader) = given_a_configured_group(3);
     let member = (leader + 1) % 3;
     (4..9).for_each(|version| system.configure(version - 1, &document(version)));
@@ -158,7 +158,7 @@
     assert_eq!(opened.durable.id.unwrap().0 % 2, 1, "a number of its own, not the founder's");
 }
 
-/// Ends within the patience of the test, and tells why on standard error.
+/// Asserts that the core exits, and says why on standard error.
 fn then_it_refuses_to_start(system: &mut System, core: usize, why: &str) {
     let settings = system.local.folder.join(format!("core-{core}.conf"));
     let mut process = std::process::Command::new(env!("CARGO_BIN_EXE_pathbank-system"))
@@ -170,7 +170,7 @@
         .unwrap();
     let asked = Instant::now();
     while process.try_wait().unwrap().is_none() {
-        if asked.elapsed() > ENDS_WITHIN {
+        if asked.elapsed() > EXIT_TIMEOUT {
             process.kill().unwrap();
             panic!("it takes part, where it should say: {why}");
         }
@@ -178,12 +178,12 @@
     }
     let output = process.wait_with_output().unwrap();
     assert!(!output.status.success());
-    let told = String::from_utf8_lossy(&output.stderr);
-    assert!(told.contains("cannot take part") && told.contains(why), "{told}");
+    let stderr = String::from_utf8_lossy(&output.stderr);
+    assert!(stderr.contains("cannot take part") && stderr.contains(why), "{stderr}");
 }
 
 #[test]
-fn a_head_whose_state_it_cannot_read_takes_no_part() {
+fn a_core_with_unreadable_state_does_not_participate() {
     let (mut system, leader) = given_a_configured_group(3);
     let member = (leader + 1) % 3;
     system.local.cores[member].kill();
@@ -217,22 +217,22 @@
 // was shortened by its bytes alone, at four times the snapshot, in which 8,192 remembered changes count:
 // 5,500 entries of 400 bytes lay behind it, and would have held up a recovery by two seconds.
 #[test]
-fn a_log_of_thousands_of_changes_is_shortened_before_its_replay_takes_long() {
+fn a_log_is_compacted_by_its_number_of_entries() {
     const CHANGES: u64 = 2_300;
-    const MOST_ENTRIES: u64 = 1_100;
+    const MAX_ENTRIES: u64 = 1_100;
     let (mut system, leader) = given_a_configured_group(3);
-    let mut heads: Vec<_> = system.control.iter().map(|head| common::KeptCall::open(*head)).collect();
-    let mut leads = leader;
+    let mut connections: Vec<_> = system.control.iter().map(|head| common::KeptCall::open(*head)).collect();
+    let mut leader_index = leader;
     for version in 4..4 + CHANGES {
         let base = (version - 1).to_string();
         let body =
             format!("{{\"version\":{version},\"upsert\":{{\"limits\":{{\"max_body_bytes\":{version}}}}}}}");
         let headers = [("X-Pathbank-Base-Version", base.as_str())];
         until("the change is taken", || {
-            let answer = heads[leads].call("POST", "/api/config/update", &headers, &body);
+            let answer = connections[leader_index].call("POST", "/api/config/update", &headers, &body);
             let is_taken = answer.is_some_and(|answer| answer.status == 200);
             // On a busy machine another head may lead by now.
-            leads = if is_taken { leads } else { (leads + 1) % heads.len() };
+            leader_index = if is_taken { leader_index } else { (leader_index + 1) % connections.len() };
             is_taken
         });
     }
@@ -241,7 +241,7 @@
         let (_, opened) = LogFile::open(&system.data(core)).unwrap();
         let durable = opened.durable;
         let behind = durable.last_index() - durable.snapshot.index;
-        assert!(behind <= MOST_ENTRIES, "head {core} would apply {behind} entries again");
+        assert!(behind <= MAX_ENTRIES, "head {core} would apply {behind} entries again");
     }
     system.local.cores.iter_mut().for_each(|core| core.start().unwrap());
     let newest = 3 + CHANGES;
--- a/crates/system/tests/whole_configurations.rs
+++ b/crates/system/tests/full_configurations.rs
@@ -1,4 +1,5 @@
-//! Whole configurations for edges that have none, or miss one: what they cost a core beside its other work.
+//! Full configurations for edges that have none, or lack the base of a difference: what they cost a core
+//! beside its other work.
 
 mod common;
 
@@ -23,9 +24,9 @@
     fields[11].parse::<u64>().unwrap() + fields[12].parse::<u64>().unwrap()
 }
 
-fn whole_configurations(frames: &[Frame]) -> usize {
-    let is_whole = |frame: &&Frame| matches!(frame, Frame::Configuration(update) if update.base_index == 0);
-    frames.iter().filter(is_whole).count()
+fn full_configurations(frames: &[Frame]) -> usize {
+    let is_full = |frame: &&Frame| matches!(frame, Frame::Configuration(update) if update.base_index == 0);
+    frames.iter().filter(is_full).count()
 }
 
 // While a group of five cores was cut in two, the edges that listened to the smaller half heard of new
@@ -36,7 +37,7 @@
 // s. After a loss of power of all machines 82 edges were sent 193 whole configurations, the last one
 // 3.6 s after a leader was there.
 #[test]
-fn a_configuration_that_is_on_its_way_is_not_sent_again() {
+fn a_configuration_in_flight_is_not_sent_again() {
     let system = System::started();
     system.configure(0, &document_with_routes(3, ROUTES, LONG_NOTE_BYTES));
     system.until_ready();
@@ -45,27 +46,27 @@
         std::thread::sleep(Duration::from_millis(200));
         edge.say(&Frame::FetchDifference(0));
     }
-    let heard = edge.read_until_silent_for(Duration::from_secs(2));
-    assert_eq!(whole_configurations(&heard), 1, "one is on its way, and asked for five times more");
+    let received = edge.read_until_silent_for(Duration::from_secs(2));
+    assert_eq!(full_configurations(&received), 1, "one is on its way, and asked for five times more");
 }
 
-// The same play: what is told to an edge that has nothing is the same for all of them, and was made anew for
-// each.
+// In the same run: the message for an edge without a configuration is the same for all of them, and was
+// encoded again for each.
 #[test]
-fn edges_that_have_nothing_cost_a_control_head_about_as_much_as_one_of_them() {
+fn edges_without_a_configuration_share_one_encoded_message() {
     const EDGES: usize = 40;
     let system = System::started();
     system.configure(0, &document_with_routes(3, ROUTES, 0));
     system.until_ready();
-    let head = system.local.cores[0].id().expect("it runs");
-    let has_one = |listener: &EdgeListener| whole_configurations(&listener.heard()) == 1;
+    let core = system.local.cores[0].id().expect("it runs");
+    let has_configuration = |listener: &EdgeListener| full_configurations(&listener.heard()) == 1;
     let cost_of = |count: usize| {
-        let before = processor_ticks(head);
+        let before = processor_ticks(core);
         for _ in 0..count {
             let listener = EdgeListener::of(system.local.internal[0]);
-            until("the configuration comes", || has_one(&listener));
+            until("the configuration comes", || has_configuration(&listener));
         }
-        processor_ticks(head) - before
+        processor_ticks(core) - before
     };
     let first = cost_of(1);
     let others = cost_of(EDGES);
--- a/crates/system/tests/links.rs
+++ b/crates/system/tests/links.rs
@@ -27,7 +27,7 @@
 }
 
 #[tokio::test]
-async fn what_waits_for_a_reader_that_does_not_read_is_bounded_and_the_link_closes() {
+async fn the_queue_of_a_stalled_reader_is_bounded_and_its_link_closes() {
     let (near, _far_that_never_reads) = connected().await;
     let (sender, outbox) = link::channel();
     let running = tokio::spawn(link::run(near, outbox, |_| true));
@@ -43,7 +43,7 @@
 }
 
 #[tokio::test]
-async fn one_message_longer_than_the_bound_still_goes() {
+async fn one_message_longer_than_the_bound_is_sent() {
     let (near, far) = connected().await;
     let (sender, outbox) = link::channel();
     let (far_sender, far_outbox) = link::channel();
@@ -66,7 +66,7 @@
 // start: 7 s and more after all machines were back, edge heads were without a configuration ("503 no
 // configuration").
 #[tokio::test]
-async fn a_link_stands_while_its_reader_reads_on_however_long_the_message_takes() {
+async fn a_slow_reader_keeps_its_link_while_it_makes_progress() {
     const MESSAGE_BYTES: usize = 1024 * 1024;
     const READ_AT_ONCE: usize = 32 * 1024;
     let (near, mut far) = connected().await;
@@ -93,7 +93,7 @@
 /// After a loss of power machines come back some hundredths of a second apart: the first one's attempts to
 /// reach the others hang, and what it says in their first election would be lost.
 #[test]
-fn a_link_that_hung_while_the_other_machine_was_down_is_tried_anew_before_an_election_is_due() {
+fn a_connection_attempt_times_out_before_an_election_timeout() {
     let election = Duration::from_millis(Timing::default().election_timeout_ms);
     assert!(mesh::CONNECT_TIMEOUT + mesh::RETRY_BACKOFF <= election);
 }
@@ -101,7 +101,7 @@
 // A core that leaves the group is hung up on by the edges, which then waited for its news for ever: nobody
 // told them that the link had ended, for they had ended it themselves.
 #[tokio::test]
-async fn a_link_that_is_wanted_no_more_is_told_to_have_ended() {
+async fn a_link_that_is_closed_by_its_owner_reports_its_end() {
     let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
     let address = listener.local_addr().unwrap();
     let hello = Hello {
--- a/crates/system/tests/order_status.rs
+++ b/crates/system/tests/model_server_updates.rs
@@ -1,4 +1,4 @@
-//! News of many model servers at once, as edges hear them.
+//! Updates of many model servers at once, as edges receive them.
 
 mod common;
 
@@ -26,8 +26,8 @@
     }
 }
 
-/// A system, and a link to its first core as an edge has it.
-fn listening() -> (System, EdgeListener) {
+/// A system, and a link to its first core like an edge's.
+fn connect_edge() -> (System, EdgeListener) {
     let system = System::started();
     system.configure(0, &document(3));
     system.until_ready();
@@ -40,8 +40,8 @@
 // 89,000 messages in 1.2 s. The same cause as that of the whole configurations, work by edges times what
 // there is to tell, found by looking for it elsewhere.
 #[test]
-fn news_of_many_servers_goes_to_an_edge_in_few_messages() {
-    let (_system, listener) = listening();
+fn updates_of_many_servers_are_sent_in_few_messages() {
+    let (_system, listener) = connect_edge();
     let updates = || {
         let heard = listener.heard().into_iter();
         let updates = heard.filter_map(|frame| match frame {
@@ -60,11 +60,11 @@
     assert!(messages <= 5, "{messages} messages for {SERVERS} model servers");
 }
 
-// What leaves is told at once, also while other news waits to go together.
+// A draining server is published at once, also while other updates wait to be sent together.
 #[test]
-fn a_server_that_leaves_is_told_with_its_last_word() {
-    let (_system, listener) = listening();
-    let told = |state: ModelServerState| {
+fn a_draining_server_is_published_at_once_and_never_ready_again() {
+    let (_system, listener) = connect_edge();
+    let published = |state: ModelServerState| {
         let is_told = |frame: &Frame| match frame {
             Frame::ModelServers(update) => update.servers.iter().any(|server| server.state == state),
             _ => false,
@@ -75,7 +75,7 @@
     let leaving = ModelServer { state: ModelServerState::Draining, sequence: 2, ..server(1) };
     let back = ModelServer { state: ModelServerState::Ready, sequence: 3, ..server(1) };
     assert!(listener.say(&Frame::Heartbeats(vec![server(1), leaving, back])));
-    until("that it leaves is told", || told(ModelServerState::Draining));
+    until("that it leaves is told", || published(ModelServerState::Draining));
     let last = || {
         let frames = listener.heard().into_iter().rev();
         let mut servers = frames.filter_map(|frame| match frame {
@@ -91,26 +91,26 @@
 /// alone to all edges: 36 MB in 1.8 s from one core that nobody listened to, on a link of 26 MB/s that its
 /// votes needed too.
 #[test]
-fn many_servers_that_leave_are_told_to_an_edge_in_few_messages() {
-    let (system, listener) = listening();
-    let elsewhere = EdgeListener::of(system.local.internal[0]);
+fn many_draining_servers_are_published_in_few_messages() {
+    let (system, listener) = connect_edge();
+    let unsubscribed = EdgeListener::of(system.local.internal[0]);
     let unsubscribe = Frame::Subscribe(Subscription { wanted: false, known_index: 0 });
-    until("it listens no more", || elsewhere.say(&unsubscribe));
+    until("it listens no more", || unsubscribed.say(&unsubscribe));
     let leaving = |listener: &EdgeListener| -> Vec<BTreeSet<String>> {
-        let told = listener.heard().into_iter().filter_map(|frame| match frame {
+        let published = listener.heard().into_iter().filter_map(|frame| match frame {
             Frame::ModelServers(update) if !update.complete => Some(update.servers),
             _ => None,
         });
-        told.map(|servers| servers.into_iter().map(|server| server.instance).collect()).collect()
+        published.map(|servers| servers.into_iter().map(|server| server.instance).collect()).collect()
     };
     until("it listens", || listener.heard().iter().any(|frame| matches!(frame, Frame::ModelServers(_))));
     let servers = (0..SERVERS)
         .map(|number| ModelServer { state: ModelServerState::Draining, ..server(number) })
         .collect();
     assert!(listener.say(&Frame::Heartbeats(servers)));
-    for listener in [&listener, &elsewhere] {
-        let told = || leaving(listener);
-        until("all are told", || told().into_iter().flatten().collect::<BTreeSet<_>>().len() == SERVERS);
-        assert!(told().len() <= 5, "{} messages for {SERVERS} model servers", told().len());
+    for listener in [&listener, &unsubscribed] {
+        let published = || leaving(listener);
+        until("all are told", || published().into_iter().flatten().collect::<BTreeSet<_>>().len() == SERVERS);
+        assert!(published().len() <= 5, "{} messages for {SERVERS} model servers", published().len());
     }
 }
--- a/crates/system/tests/training/main.rs
+++ b/crates/system/tests/training/main.rs
@@ -13,7 +13,7 @@
 use world::{LONG_STREAMS, World};
 
 #[test]
-fn step_after_step_is_drawn_from_the_version_that_was_published_before_it() {
+fn each_step_generates_from_the_version_published_before_it() {
     let mut world = World::given(3);
     let first = world.play("one", 20);
     assert_eq!((first.version, first.results.len()), (1, 20));
@@ -25,7 +25,7 @@
 
 #[test_case(EngineFault::Lies, "other_version"; "draws from another version than it says, which a late event tells")]
 #[test_case(EngineFault::TellsNoVersion, "no_version"; "tells no version")]
-fn a_worker_leaves_a_step_that(fault: EngineFault, reason: &str) {
+fn a_worker_is_removed_from_a_step_when_it(fault: EngineFault, reason: &str) {
     // Given a step that is open, when one of its three workers goes wrong,
     let mut world = World::given(3);
     world.store.publish().unwrap();
@@ -43,7 +43,7 @@
 }
 
 #[test]
-fn a_worker_that_changes_its_weights_by_itself_draws_nothing_from_them() {
+fn a_worker_that_changes_its_weights_by_itself_generates_nothing_from_them() {
     // Given an open step of version 1, when a worker takes newer weights that nobody ordered,
     let mut world = World::given(3);
     let step = world.trainer.open(&World::plan("one", 100)).unwrap();
@@ -61,7 +61,7 @@
 }
 
 #[test]
-fn a_worker_that_comes_back_in_mid_step_draws_nothing_more_for_it() {
+fn a_worker_that_returns_in_mid_step_generates_nothing_more_for_it() {
     // Given an open step of version 1, when the store publishes and a worker is restarted at its address,
     let mut world = World::given(3);
     let step = world.trainer.open(&World::plan("one", 100)).unwrap();
@@ -107,7 +107,7 @@
 }
 
 #[test]
-fn an_edge_head_that_stood_still_begins_nothing_late() {
+fn a_resumed_edge_starts_no_generation_late() {
     // Given two edges that draw for a step, when one stands still until the step after it draws,
     let mut world = World::with_edges(3, 2);
     world.play("one", 6);
@@ -125,7 +125,7 @@
 }
 
 #[test]
-fn below_its_floor_a_step_waits_and_says_so() {
+fn a_step_below_its_minimum_of_workers_waits_and_reports_so() {
     // Given a step that needs two of two workers, when one of them is killed,
     let mut world = World::given(2);
     let step = world.trainer.open(&World::plan("one", 200)).unwrap();
@@ -147,7 +147,7 @@
 }
 
 #[test]
-fn a_load_that_does_not_end_holds_up_no_step_for_good() {
+fn a_load_that_does_not_end_delays_no_step_for_ever() {
     // Given a worker whose next load does not end,
     let mut world = World::given(3);
     world.servers[0].state.engine().set_fault(EngineFault::LoadSticks);
@@ -160,7 +160,7 @@
 }
 
 #[test]
-fn merchants_are_served_while_workers_change_versions() {
+fn serving_traffic_is_answered_while_workers_change_versions() {
     let mut world = World::given(3);
     world.play("one", 6);
     world.store.publish().unwrap();
@@ -180,7 +180,7 @@
 }
 
 #[test]
-fn a_worker_that_changes_versions_gets_nothing_new_of_the_model() {
+fn a_worker_that_changes_versions_gets_no_new_requests_of_the_model() {
     // Given workers with streams under way, when one of them drains for a step,
     let world = World::new(3, 4, LONG_STREAMS);
     let _earlier: Vec<_> =
@@ -265,7 +265,7 @@
 }
 
 #[test]
-fn two_trainers_that_ask_for_the_same_step_get_the_same() {
+fn concurrent_calls_with_one_key_get_the_same_step() {
     let world = World::given(2);
     let body = r#"{"key":"k","model":"m1","floor":2}"#;
     let open = |core: usize| {
@@ -282,7 +282,7 @@
 }
 
 #[test]
-fn a_call_is_answered_when_the_step_has_changed() {
+fn a_watching_call_is_answered_when_its_step_changes() {
     let world = World::given(2);
     let step = world.trainer.open(&World::plan("one", 5)).unwrap();
     let seen = world.trainer.read(step).unwrap()["revision"].as_u64().unwrap();
@@ -303,7 +303,7 @@
 
 /// Nothing of this changes a step.
 #[test]
-fn bad_input_gets_a_clear_error() {
+fn invalid_input_is_rejected_with_a_reason() {
     let world = World::given(2);
     let step = world.trainer.open(&World::plan("one", 5)).unwrap();
     let before = world.trainer.read(step).unwrap()["submitted"].clone();
@@ -345,7 +345,7 @@
 // older ones. Only configurations waited until all was applied. It was found by reading, when the log's
 // replay was looked at.
 #[test]
-fn heads_that_apply_their_log_again_tell_no_older_versions() {
+fn cores_that_replay_their_log_publish_no_older_versions() {
     let mut world = World::given(3);
     for version in 1..=3 {
         let step = world.play(&format!("step {version}"), 6);
