--- a/crates/system/src/core/api.rs
+++ b/crates/system/src/core/api.rs
@@ -1,5 +1,4 @@
-//! The control plane's HTTP interface: model servers' heartbeats, operators' changes, trainers' steps,
-//! status.
+//! The HTTP interface of the control plane: heartbeats of model servers, operators' calls, trainers' calls.
 
 mod training;
 
@@ -19,9 +18,9 @@
 
 const BASE_VERSION: &str = "x-pathbank-base-version";
 const RESULT_CODE: &str = "x-pathbank-result-code";
-/// A call is answered within this, whatever happens.
+/// Every call is answered within this.
 const ANSWER_TIMEOUT: Duration = Duration::from_millis(3_000);
-/// Where no leader answered, one is elected by then; seconds.
+/// Seconds; by then a leader is elected.
 const RETRY_AFTER_S: &str = "0.5";
 const MAX_BODY_BYTES: usize = 16 * 1024 * 1024;
 
@@ -58,17 +57,17 @@
 
 fn router(events: Events) -> Router {
     let heartbeats = events.clone();
-    let farewells = events.clone();
+    let deregistrations = events.clone();
     let replaces = events.clone();
     let updates = events.clone();
     let reads = events.clone();
     let servers = events.clone();
     let placement = events.clone();
-    let duties = events.clone();
+    let roles = events.clone();
     let status = events.clone();
     training::routes(Router::new(), &events)
         .post("/api/instances/:id/heartbeat", move |request| heartbeat(heartbeats.clone(), request))
-        .post("/api/instances/:id/deregister", move |request| deregister(farewells.clone(), request))
+        .post("/api/instances/:id/deregister", move |request| deregister(deregistrations.clone(), request))
         .post("/api/config/replace", move |request| change(replaces.clone(), ChangeKind::Replace, request))
         .post("/api/config/update", move |request| change(updates.clone(), ChangeKind::Update, request))
         .get("/api/config/read", move |_: viz::Request| {
@@ -81,15 +80,16 @@
             ask(placement.clone(), "/api/placement", Event::ReadPlacement)
         })
         .get("/api/duties", move |_: viz::Request| {
-            ask(duties.clone(), "/api/duties", Event::ReadSingletonRoles)
+            ask(roles.clone(), "/api/duties", Event::ReadSingletonRoles)
         })
         .get("/api/status", move |_: viz::Request| ask(status.clone(), "/api/status", Event::ReadStatus))
         .any("/*", |_: viz::Request| async {
-            Ok::<_, viz::Error>(own(ResultCode::UnknownCall, "no such call"))
+            Ok::<_, viz::Error>(result_answer(ResultCode::UnknownCall, "no such call"))
         })
 }
 
-fn own(code: ResultCode, message: &str) -> Response {
+/// The answer of a call with a numbered result.
+fn result_answer(code: ResultCode, message: &str) -> Response {
     let body = serde_json::json!({ "result_code": code.number(), "result": format!("{code:?}"), "message": message });
     let status = StatusCode::from_u16(code.status()).unwrap_or(StatusCode::INTERNAL_SERVER_ERROR);
     let mut response = Response::new(Body::Full(Full::new(body.to_string().into())));
@@ -115,10 +115,12 @@
     match tokio::time::timeout(ANSWER_TIMEOUT, Limited::new(body, MAX_BODY_BYTES).collect()).await {
         Ok(Ok(collected)) => Ok(collected.to_bytes().to_vec()),
         Ok(Err(error)) if error.is::<http_body_util::LengthLimitError>() => {
-            Err(own(ResultCode::BodyTooLarge, "the body is too large"))
+            Err(result_answer(ResultCode::BodyTooLarge, "the body is too large"))
+        }
+        // A call that was late is not invalid: its caller may retry.
+        Ok(Err(_)) | Err(_) => {
+            Err(result_answer(ResultCode::BodyLate, "the body did not come whole in time"))
         }
-        // A call whose caller or link was held up is not wrong: its caller tries again.
-        Ok(Err(_)) | Err(_) => Err(own(ResultCode::BodyLate, "the body did not come whole in time")),
     }
 }
 
@@ -133,7 +135,7 @@
             let _ = events.send(Event::Heartbeat(heartbeat.into_server(instance)));
             Ok(json(b"{}".to_vec()))
         }
-        Err(error) => Ok(own(ResultCode::UnreadableDocument, &error.to_string())),
+        Err(error) => Ok(result_answer(ResultCode::UnreadableDocument, &error.to_string())),
     }
 }
 
@@ -146,21 +148,21 @@
 async fn change(events: Events, kind: ChangeKind, mut request: viz::Request) -> viz::Result<Response> {
     let base = request.headers().get(BASE_VERSION).and_then(|value| value.to_str().ok());
     let Some(base) = base.and_then(|base| base.trim().parse().ok()) else {
-        return Ok(own(ResultCode::MissingBase, "X-Pathbank-Base-Version is missing or no number"));
+        return Ok(result_answer(ResultCode::MissingBase, "X-Pathbank-Base-Version is missing or no number"));
     };
     let body = match body_of(&mut request).await {
         Ok(body) => body,
         Err(answer) => return Ok(answer),
     };
     let Ok(body) = String::from_utf8(body) else {
-        return Ok(own(ResultCode::UnreadableDocument, "the body is not UTF-8"));
+        return Ok(result_answer(ResultCode::UnreadableDocument, "the body is not UTF-8"));
     };
     let path = if kind == ChangeKind::Replace { "/api/config/replace" } else { "/api/config/update" };
     let change = Change { kind, base, body };
     ask(events, path, |reply| Event::Change(change, reply)).await
 }
 
-/// Asks the node, and turns its reply into an answer.
+/// Sends an event to the node, and turns its reply into an answer.
 async fn ask(
     events: Events,
     path: &str,
@@ -171,7 +173,7 @@
     let reply = tokio::time::timeout(ANSWER_TIMEOUT, receiver).await;
     Ok(match reply {
         Ok(Ok(Reply::Json(body))) => json(body),
-        Ok(Ok(Reply::Result(code, message))) => own(code, &message),
+        Ok(Ok(Reply::Result(code, message))) => result_answer(code, &message),
         Ok(Ok(Reply::LeaderAt(control_address))) => {
             let mut response = StatusCode::TEMPORARY_REDIRECT.into_response();
             let location = format!("http://{control_address}{path}");
@@ -180,6 +182,6 @@
             }
             response
         }
-        Ok(Err(_)) | Err(_) => own(ResultCode::Unclear, "no clear result in time"),
+        Ok(Err(_)) | Err(_) => result_answer(ResultCode::Unclear, "no clear result in time"),
     })
 }
--- a/crates/system/src/core/api/training.rs
+++ b/crates/system/src/core/api/training.rs
@@ -1,6 +1,6 @@
-//! The trainers' part of the control plane, `/api/v1/steps`: JSON bodies, and answers with numbered results.
+//! The trainers' calls, `/api/v1/steps`: JSON bodies, and answers with numbered results.
 
-use super::{Events, ask, body_of, own};
+use super::{Events, ask, body_of, result_answer};
 use crate::core::event::Event;
 use crate::core::training::call::{self, MAX_RESULTS, OpenBody, SealBody, TrainingCall};
 use pathbank_control::configuration::Rejection;
@@ -46,7 +46,7 @@
     let path = request.uri().path_and_query().map_or(STEPS, |path| path.as_str()).to_owned();
     match read_call(&request, kind, &body) {
         Ok(call) => ask(events, &path, |reply| Event::Training(call, reply)).await,
-        Err(rejection) => Ok(own(rejection.code, &rejection.message)),
+        Err(rejection) => Ok(result_answer(rejection.code, &rejection.message)),
     }
 }
 
--- a/crates/system/src/core/disk.rs
+++ b/crates/system/src/core/disk.rs
@@ -1,13 +1,12 @@
-//! The replica's disk, on a thread of its own: the node never waits for a sync.
+//! The replica's disk, on a thread of its own: the event loop never waits for a sync.
 
 use super::event::{DiskEvent, Event};
-use crate::clock;
+use super::store_identity::first_identity;
 use crate::settings::Settings;
 use anyhow::{Context, Result};
-use pathbank_coordination::digest::digest;
 use pathbank_coordination::record::{DurableState, Record};
 use pathbank_coordination::store::{LogFile, OpenedLog};
-use pathbank_coordination::types::{Index, Member, Membership, StoreId};
+use pathbank_coordination::types::{Index, Member, StoreId};
 use std::net::SocketAddr;
 use std::sync::mpsc;
 use std::time::Duration;
@@ -21,19 +20,33 @@
     Rewrite { durable: Box<DurableState>, ticket: u64 },
 }
 
-/// The replica's disk.
+/// Hands writes to the disk thread. Each has a ticket; [`DiskEvent::Saved`] reports the tickets that are synced.
 pub struct Disk {
     writes: mpsc::Sender<Write>,
-    next_ticket: u64,
-    /// What the disk held at the start.
+    last_ticket: u64,
+}
+
+/// A disk with what it held at the start.
+pub struct OpenedDisk {
+    /// The disk.
+    pub disk: Disk,
+    /// The durable state.
     pub durable: DurableState,
     /// This replica.
     pub me: Member,
 }
 
 impl Disk {
-    /// Opens the log of the data directory, or begins one.
-    pub fn open(settings: &Settings, control: SocketAddr, events: UnboundedSender<Event>) -> Result<Disk> {
+    /// Opens the log of the data directory, or begins one, and starts the disk thread.
+    ///
+    /// # Errors
+    ///
+    /// The settings name no data directory, or it cannot be read or written.
+    pub fn open(
+        settings: &Settings,
+        control: SocketAddr,
+        events: UnboundedSender<Event>,
+    ) -> Result<OpenedDisk> {
         let folder = settings.data_dir.clone().context("data_dir is missing")?;
         let (mut log, opened) = LogFile::open(&folder).with_context(|| folder.display().to_string())?;
         let OpenedLog { mut durable, previous_store_lost } = opened;
@@ -49,56 +62,32 @@
             control_address: control.to_string(),
         };
         let (writes, queue) = mpsc::channel();
-        std::thread::Builder::new().name("disk".into()).spawn(move || work(log, &queue, &events))?;
-        Ok(Disk { writes, next_ticket: 1, durable, me })
+        std::thread::Builder::new().name("disk".into()).spawn(move || run(log, &queue, &events))?;
+        Ok(OpenedDisk { disk: Disk { writes, last_ticket: 0 }, durable, me })
     }
 
-    /// Saves records behind all that was handed over before. Returns the ticket under which they will be
-    /// reported.
+    /// Appends records behind all earlier writes. Returns the ticket.
     pub fn append(&mut self, records: Vec<Record>, last_index: Index) -> u64 {
-        let ticket = self.take_ticket();
+        let ticket = self.next_ticket();
         let _ = self.writes.send(Write::Append { records, ticket, last_index });
         ticket
     }
 
-    /// Replaces the file by the whole state, which holds all that was handed over before.
+    /// Replaces the file by a complete state, which includes all earlier writes. Returns the ticket.
     pub fn rewrite(&mut self, durable: DurableState) -> u64 {
-        let ticket = self.take_ticket();
+        let ticket = self.next_ticket();
         let _ = self.writes.send(Write::Rewrite { durable: Box::new(durable), ticket });
         ticket
     }
 
-    fn take_ticket(&mut self) -> u64 {
-        self.next_ticket += 1;
-        self.next_ticket
+    fn next_ticket(&mut self) -> u64 {
+        self.last_ticket += 1;
+        self.last_ticket
     }
 }
 
-/// Whose store an empty disk becomes. At the very first start of the system the seeds are its voters, and
-/// each knows its number among them; any other store gets a number of its own, and joins. So does one that
-/// begins where another was lost (`previous_store_lost`): under the founder's number it could vote a second time,
-/// with nothing of what it had acknowledged.
-fn first_identity(settings: &Settings, control: SocketAddr, previous_store_lost: bool) -> Record {
-    let is_founder = settings.bootstrap && settings.seeds.contains(&control) && !previous_store_lost;
-    if !is_founder {
-        return Record::Identity { id: StoreId(clock::entropy() | 1), initial: Membership::default() };
-    }
-    let founder = |seed: &SocketAddr| Member {
-        id: founder_id(seed),
-        name: seed.to_string(),
-        address: settings.internal_address(*seed).to_string(),
-        control_address: seed.to_string(),
-    };
-    let voters = settings.seeds.iter().map(founder).collect();
-    Record::Identity { id: founder_id(&control), initial: Membership::of(voters) }
-}
-
-/// The same number at every founder: even, where later stores have odd ones.
-fn founder_id(seed: &SocketAddr) -> StoreId {
-    StoreId(digest(&[seed.to_string().as_bytes()]) as u64 & !1)
-}
-
-fn work(mut log: LogFile, queue: &mpsc::Receiver<Write>, events: &UnboundedSender<Event>) {
+/// The disk thread: all writes that are queued go together.
+fn run(mut log: LogFile, queue: &mpsc::Receiver<Write>, events: &UnboundedSender<Event>) {
     while let Ok(first) = queue.recv() {
         let mut writes = vec![first];
         writes.extend(queue.try_iter());
@@ -117,34 +106,35 @@
                 saved = Some(DiskEvent::Saved { ticket, last_index: Some(last_index) });
             }
             Write::Rewrite { durable, ticket } => {
-                // The whole state holds the batch as well.
+                // The complete state includes the batch.
                 batch.clear();
-                until_done(events, || log.rewrite(&durable));
+                retry(events, || log.rewrite(&durable));
                 let last_index = Some(durable.last_index());
                 saved = Some(DiskEvent::Saved { ticket, last_index });
             }
         }
     }
     if !batch.is_empty() {
-        until_done(events, || log.append(&batch));
+        retry(events, || log.append(&batch));
     }
     if let Some(saved) = saved {
         let _ = events.send(Event::Disk(saved));
     }
 }
 
-fn until_done(events: &UnboundedSender<Event>, mut write: impl FnMut() -> std::io::Result<()>) {
+/// Repeats a write until it succeeds, and reports when the disk becomes impaired and when it works again.
+fn retry(events: &UnboundedSender<Event>, mut write: impl FnMut() -> std::io::Result<()>) {
     let mut failed = false;
     while let Err(error) = write() {
         if !failed {
-            tracing::error!(%error, "the disk refuses writes");
+            tracing::error!(%error, "disk write failed");
             let _ = events.send(Event::Disk(DiskEvent::Impaired(true)));
         }
         failed = true;
         std::thread::sleep(WRITE_RETRY_BACKOFF);
     }
     if failed {
-        tracing::info!("the disk takes writes again");
+        tracing::info!("disk writes succeed again");
         let _ = events.send(Event::Disk(DiskEvent::Impaired(false)));
     }
 }
--- a/crates/system/src/core/leader_lease.rs
+++ b/crates/system/src/core/leader_lease.rs
@@ -12,7 +12,7 @@
 
 /// The lease of this core's present or last leadership.
 pub struct LeaderLease {
-    fence: FencingGuard,
+    fencing: FencingGuard,
     term: Term,
     /// Shared with all guards of this leadership; set once it is over.
     revoked: Arc<AtomicBool>,
@@ -23,24 +23,24 @@
 impl LeaderLease {
     /// No lease yet. `leaders`: those of the snapshot, in order.
     pub fn new(leaders: Vec<String>) -> LeaderLease {
-        let mut fence = FencingGuard::default();
-        fence.restore(leaders);
-        LeaderLease { fence, term: 0, revoked: Arc::default(), expiry: Arc::default() }
+        let mut fencing = FencingGuard::default();
+        fencing.restore(leaders);
+        LeaderLease { fencing, term: 0, revoked: Arc::default(), expiry: Arc::default() }
     }
 
     /// Goes on from another snapshot's leaders.
     pub fn restore(&mut self, leaders: Vec<String>) {
-        self.fence.restore(leaders);
+        self.fencing.restore(leaders);
     }
 
     /// The leaders so far, for a snapshot.
     pub fn leaders(&self) -> Vec<String> {
-        self.fence.leaders()
+        self.fencing.leaders()
     }
 
     /// A committed entry says that a node began to lead.
     pub fn record_leader(&mut self, name: &str) {
-        self.fence.record_leader(name);
+        self.fencing.record_leader(name);
     }
 
     /// The permit to act in `term` with a lease until `lease_until`, if there is one. `turn_wait`: the
@@ -53,7 +53,7 @@
         turn_wait: u64,
         now: u64,
     ) -> Option<Permit> {
-        self.fence.permit(name, term, lease_until.saturating_sub(LEASE_MARGIN_MS), turn_wait, now)
+        self.fencing.permit(name, term, lease_until.saturating_sub(LEASE_MARGIN_MS), turn_wait, now)
     }
 
     /// Revokes the lease of an earlier term. Returns whether `term` is a new one.
--- a/crates/system/src/core/mod.rs
+++ b/crates/system/src/core/mod.rs
@@ -1,5 +1,8 @@
-//! A core: a replica of the configuration, the list of model servers, and, while it leads, placement and
-//! duties.
+//! A core, one replica of the control plane: the replicated configuration and state of training steps, the registry of
+//! model servers, and, while it leads, placement, training steps and the singleton roles.
+//!
+//! [`node::Node`] is the event loop; every other module is a part of its state, or runs beside it and reports by an
+//! [`event::Event`].
 
 mod api;
 mod autoscaling;
@@ -22,6 +25,7 @@
 mod singleton_roles;
 mod state_machine;
 mod status;
+mod store_identity;
 mod training;
 mod usage;
 
@@ -35,18 +39,27 @@
 use event::Event;
 use node::Node;
 use std::time::Duration;
+use tokio::net::TcpListener;
 use tokio::sync::{mpsc, watch};
+use tokio::task::JoinHandle;
 
-/// How often the node looks at time.
+/// Between ticks of the event loop.
 const TICK_INTERVAL: Duration = Duration::from_millis(25);
 const MAX_HEAD_BYTES: usize = 64 * 1024;
-/// A replica that knows less than the others of what the log means neither votes nor serves.
+/// A replica that cannot read its state, or a command of the log, neither votes nor serves.
 const CANNOT_PARTICIPATE: &str = "this core cannot take part; start the program that wrote its state";
+/// A caller sends the head of a request within this.
 const HEAD_TIMEOUT: Duration = Duration::from_secs(30);
-/// Part of the descriptors that calls to the control plane may take.
+/// The last messages leave within this.
+const LAST_MESSAGES_DELAY: Duration = Duration::from_millis(150);
+/// The part of the file descriptors that connections to the control plane may take.
 const CALLER_DESCRIPTOR_FRACTION: f64 = 0.6;
 
-/// Runs a core until it is told to stop.
+/// Runs a core until SIGTERM, and until another store has taken its place or the grace period ends.
+///
+/// # Errors
+///
+/// An address or the data directory of the settings cannot be used, or the state is of a newer program.
 pub async fn run(settings: Settings) -> Result<()> {
     let startup = Startup::default();
     let mut signals = Signals::new()?;
@@ -55,26 +68,48 @@
     let listener = socket::listen(control).with_context(|| format!("control plane {control}"))?;
     let internal_listener = socket::listen(internal).with_context(|| format!("internal {internal}"))?;
     let (events, mut inbox) = mpsc::unbounded_channel();
-    let disk = disk::Disk::open(&settings, control, events.clone())?;
+    let opened = disk::Disk::open(&settings, control, events.clone())?;
     startup.reach(Milestone::DiskRead);
-    let mut node = Node::new(settings.clone(), disk, events.clone(), startup).context(CANNOT_PARTICIPATE)?;
+    let mut node =
+        Node::new(settings.clone(), opened, events.clone(), startup).context(CANNOT_PARTICIPATE)?;
     let (close, closing) = watch::channel(false);
+    let serving = spawn_api(listener, &settings, events.clone(), closing);
+    tokio::spawn(peer_listener::accept(internal_listener, events.clone()));
+    tracing::info!(node = settings.node_name, %control, "core started");
+    node.listens();
+    run_loop(&mut node, &mut inbox, &mut signals).await?;
+    node.end(clock::now());
+    let _ = close.send(true);
+    // The last messages are written before the process ends.
+    tokio::time::sleep(LAST_MESSAGES_DELAY).await;
+    serving.abort();
+    Ok(())
+}
+
+/// Serves the HTTP interface until `closing`.
+fn spawn_api(
+    listener: TcpListener,
+    settings: &Settings,
+    events: mpsc::UnboundedSender<Event>,
+    closing: watch::Receiver<bool>,
+) -> JoinHandle<()> {
     let limits = Limits {
         head_bytes: MAX_HEAD_BYTES,
         head_timeout: HEAD_TIMEOUT,
         connections: (settings.max_descriptors as f64 * CALLER_DESCRIPTOR_FRACTION) as usize,
     };
-    let service = api::service(events.clone());
-    let serving = tokio::spawn(server::serve(
-        listener,
-        move |_| service.clone(),
-        limits,
-        closing,
-        ConnectionCount::default(),
-    ));
-    tokio::spawn(peer_listener::accept(internal_listener, events.clone()));
-    tracing::info!(node = settings.node_name, %control, "core started");
-    node.listens();
+    let service = api::service(events);
+    let serving =
+        server::serve(listener, move |_| service.clone(), limits, closing, ConnectionCount::default());
+    tokio::spawn(serving)
+}
+
+/// Hands events, ticks and signals to the node until it may end.
+async fn run_loop(
+    node: &mut Node,
+    inbox: &mut mpsc::UnboundedReceiver<Event>,
+    signals: &mut Signals,
+) -> Result<()> {
     let mut next_tick = tokio::time::Instant::now();
     loop {
         tokio::select! {
@@ -84,20 +119,14 @@
                 node.on_event(clock::now(), Event::Tick);
             }
             signal = signals.next() => node.on_signal(clock::now(), signal),
-            // Links and callers get their turn first.
+            // Links and callers come first.
             () = tokio::task::yield_now(), if node.has_more_to_apply() => node.apply_more(clock::now()),
         }
         if let Some(error) = node.take_failure() {
             return Err(error).context(CANNOT_PARTICIPATE);
         }
         if node.may_end(clock::now()) {
-            break;
+            return Ok(());
         }
     }
-    node.end(clock::now());
-    let _ = close.send(true);
-    // What the node said last leaves before the process does.
-    tokio::time::sleep(Duration::from_millis(150)).await;
-    serving.abort();
-    Ok(())
 }
--- a/crates/system/src/core/model_server_json.rs
+++ b/crates/system/src/core/model_server_json.rs
@@ -1,10 +1,10 @@
-//! What model servers say of themselves, as JSON: heartbeats and reports.
+//! JSON of model servers: the bodies of heartbeats and reports, and the overview for operators.
 
 use pathbank_control::order_progress::ModelServerContents;
 use pathbank_protocol::message::{LoadedModel, ModelServer, ModelServerState};
 use serde::{Deserialize, Serialize};
 
-/// A model as model servers name it.
+/// A resident model.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct ModelJson {
     name: String,
@@ -15,8 +15,8 @@
 }
 
 impl From<LoadedModel> for ModelJson {
-    fn from(held: LoadedModel) -> ModelJson {
-        ModelJson { name: held.name, version: held.version, adapters: held.adapters }
+    fn from(loaded: LoadedModel) -> ModelJson {
+        ModelJson { name: loaded.name, version: loaded.version, adapters: loaded.adapters }
     }
 }
 
@@ -73,34 +73,34 @@
 pub struct ReportJson {
     #[serde(default)]
     models: Vec<ModelJson>,
-    /// An order is in progress.
+    /// Whether an order is in progress.
     #[serde(default)]
     pub busy: bool,
-    /// Orders taken since the model server's start.
+    /// Orders accepted since the model server's start.
     #[serde(default)]
     pub sequence: u64,
-    /// Requests that it runs.
+    /// Requests in progress.
     #[serde(default)]
     pub active: u32,
-    /// Requests that wait there.
+    /// Requests in its queue.
     #[serde(default)]
     pub queued: u32,
 }
 
 impl ReportJson {
-    /// What a model server with such contents would report.
+    /// The report of a model server with these contents.
     pub fn of(contents: ModelServerContents) -> ReportJson {
         let models = contents.models.into_iter().map(ModelJson::from).collect();
         let ModelServerContents { busy, sequence, .. } = contents;
         ReportJson { models, busy, sequence, active: 0, queued: 0 }
     }
 
-    /// What it says that the model server holds.
+    /// The contents of the model server.
     pub fn contents(&self) -> ModelServerContents {
         ModelServerContents { models: self.models().collect(), sequence: self.sequence, busy: self.busy }
     }
 
-    /// What the model server holds.
+    /// The resident models.
     pub fn models(&self) -> impl Iterator<Item = LoadedModel> {
         self.models.iter().cloned().map(LoadedModel::from)
     }
--- a/crates/system/src/core/node.rs
+++ b/crates/system/src/core/node.rs
@@ -4,7 +4,7 @@
 mod training;
 
 use super::autoscaling::AutoscalingScheduler;
-use super::disk::Disk;
+use super::disk::OpenedDisk;
 use super::edge_reports::EdgeReports;
 use super::event::{DiskEvent, Event, LinkId};
 use super::leader_lease::LeaderLease;
@@ -118,11 +118,11 @@
     /// The disk's state is of a newer program.
     pub fn new(
         settings: Settings,
-        disk: Disk,
+        opened: OpenedDisk,
         events: UnboundedSender<Event>,
         startup: Startup,
     ) -> Result<Node, RestoreError> {
-        let incarnation = clock::entropy();
+        let (now, incarnation) = (clock::now(), clock::entropy());
         let hello = Hello {
             role: ProcessRole::Core,
             name: settings.node_name.clone(),
@@ -130,10 +130,11 @@
             incarnation,
             accepts_compression: true,
         };
-        let machine = StateMachine::restore(&disk.durable)?;
-        let snapshot = disk.durable.snapshot.clone();
-        let replica =
-            Replica::new(disk.me.clone(), Timing::default(), disk.durable.clone(), clock::now(), incarnation);
+        let OpenedDisk { disk, durable, me } = opened;
+        let machine = StateMachine::restore(&durable)?;
+        let leaders = durable.snapshot.leaders.clone();
+        let snapshot_bytes = durable.snapshot.data.len();
+        let replica = Replica::new(me, Timing::default(), durable, now, incarnation);
         let mut node = Node {
             links: PeerLinks::new(hello, events.clone()),
             replication: Replication::new(replica, disk),
@@ -143,7 +144,7 @@
             wall_clock: WallClock::default(),
             servers: ServerRegistry::new(settings.heartbeat_ms),
             reports: EdgeReports::default(),
-            lease: LeaderLease::new(snapshot.leaders),
+            lease: LeaderLease::new(leaders),
             placement: PlacementScheduler::new(),
             usage: UsageReporter::default(),
             autoscaling: AutoscalingScheduler::new(),
@@ -157,7 +158,7 @@
             startup,
             events,
         };
-        node.record_document(snapshot.data.len());
+        node.record_document(snapshot_bytes);
         node.connect_to_cores();
         Ok(node)
     }
@@ -741,7 +742,7 @@
     fn run_leader_work(&mut self, now: u64) {
         if self.placement.is_due(now) {
             let started_at = clock::now();
-            self.place(now);
+            self.run_placement_pass(now);
             self.placement.schedule_next(now, clock::now().saturating_sub(started_at));
         }
         if self.usage.take_due(now) {
@@ -754,7 +755,7 @@
 
     // ---- placement ----
 
-    fn place(&mut self, now: u64) {
+    fn run_placement_pass(&mut self, now: u64) {
         let Some(permit) = self.permit(now) else { return };
         let Some(backends) = self.machine.state().backends() else { return };
         let plan = self.placement.plan(now, backends, self.servers.directory(), &self.reports);
--- a/crates/system/src/core/node/training.rs
+++ b/crates/system/src/core/node/training.rs
@@ -136,10 +136,11 @@
         let has_dropped = report
             .as_ref()
             .is_some_and(|report| !report.busy && !report.models().any(|loaded| loaded.name == order.model));
-        if order.operation == Operation::Unload && has_dropped {
-            if let Some((load, guard)) = self.next_load(now, order) {
-                return self.send_version_order(load, guard);
-            }
+        if order.operation == Operation::Unload
+            && has_dropped
+            && let Some((load, guard)) = self.next_load(now, order)
+        {
+            return self.send_version_order(load, guard);
         }
         let server = self.servers.directory().server(&order.instance);
         self.training.on_order_finished(now, server.as_ref(), outcome);
--- a/crates/system/src/core/overview.rs
+++ b/crates/system/src/core/overview.rs
@@ -47,13 +47,13 @@
     let voters = replica.membership().members().map(|member: &Member| {
         json!({ "store": format!("{:016x}", member.id.0), "control": member.control_address })
     });
-    let holder = |(edge, holder): (&str, &EdgeConfiguration)| {
+    let entry = |(edge, configuration): (&str, &EdgeConfiguration)| {
         json!({
             "edge": edge,
-            "version": holder.version,
-            "index": holder.index,
-            "for_ms": now.saturating_sub(holder.in_force_since),
-            "told_ms_ago": now.saturating_sub(holder.reported_at),
+            "version": configuration.version,
+            "index": configuration.index,
+            "for_ms": now.saturating_sub(configuration.in_force_since),
+            "told_ms_ago": now.saturating_sub(configuration.reported_at),
         })
     };
     json!({
@@ -68,7 +68,7 @@
         "current": replication.is_current(now),
         "configuration_version": machine.state().version(),
         "published_index": sources.published_index,
-        "holders": sources.reports.configurations().iter().map(holder).collect::<Vec<_>>(),
+        "holders": sources.reports.configurations().iter().map(entry).collect::<Vec<_>>(),
         "voters": voters.collect::<Vec<_>>(),
         "edges": sources.links.edges().map(|(_, name)| name).collect::<Vec<_>>(),
         "bricks": sources.ready_servers,
--- a/crates/system/src/core/peer_listener.rs
+++ b/crates/system/src/core/peer_listener.rs
@@ -1,6 +1,6 @@
-//! Links that other processes open to this core.
+//! Accepts the links that other processes open to this core.
 
-use super::event::Event;
+use super::event::{Event, LinkId};
 use crate::net::link;
 use crate::net::socket;
 use pathbank_protocol::message::{Frame, Hello};
@@ -10,9 +10,10 @@
 use tokio::sync::mpsc::UnboundedSender;
 
 static NEXT_LINK: AtomicU64 = AtomicU64::new(1);
+/// After an error of the listener, such as no free descriptor.
 const ACCEPT_BACKOFF: Duration = Duration::from_millis(20);
 
-/// Accepts links and reports what comes on them.
+/// Accepts links and reports what comes on them, without end.
 pub async fn accept(listener: TcpListener, events: UnboundedSender<Event>) {
     loop {
         let Ok((stream, _)) = listener.accept().await else {
@@ -26,15 +27,15 @@
 }
 
 async fn serve(stream: tokio::net::TcpStream, events: UnboundedSender<Event>) {
-    let id = NEXT_LINK.fetch_add(1, Ordering::Relaxed);
+    let id: LinkId = NEXT_LINK.fetch_add(1, Ordering::Relaxed);
     let (link, outbox) = link::channel();
-    let mut hello: Option<Hello> = None;
-    let on_frame = |frame| match (frame, &hello) {
-        (Frame::Hello(said), None) => {
-            hello = Some(said.clone());
-            events.send(Event::LinkOpened(id, said, link.clone())).is_ok()
+    let mut introduced: Option<Hello> = None;
+    let on_frame = |frame| match (frame, &introduced) {
+        (Frame::Hello(hello), None) => {
+            introduced = Some(hello.clone());
+            events.send(Event::LinkOpened(id, hello, link.clone())).is_ok()
         }
-        // Nothing else counts before a process said who it is.
+        // A process introduces itself first.
         (_, None) => false,
         (frame, Some(_)) => events.send(Event::FrameReceived(id, frame)).is_ok(),
     };
--- a/crates/system/src/core/training/call.rs
+++ b/crates/system/src/core/training/call.rs
@@ -1,5 +1,4 @@
-//! What trainers ask of the control plane, as typed calls. Whatever makes no sense is refused with a reason
-//! and changes nothing.
+//! Trainers' calls with their JSON bodies. Invalid input is rejected with a reason and changes nothing.
 
 use pathbank_control::configuration::{Backend, Rejection};
 use pathbank_control::result_code::ResultCode;
@@ -16,19 +15,19 @@
 const MAX_NAME_BYTES: usize = 256;
 const MAX_PATH_BYTES: usize = 2_048;
 const MAX_PREFIX_BYTES: usize = 8 * 1024;
-/// Results that one call brings at most.
+/// Results in one answer.
 pub const MAX_RESULTS: usize = 256;
 
 /// A trainer's call.
 #[derive(Clone, Debug)]
 pub enum TrainingCall {
-    /// Asks for a step, or for the step that the key names already.
+    /// Opens a step, or finds the one that has the same key.
     Open(OpenBody),
     /// Adds prompts to a step.
     Submit(StepNumber, BTreeMap<PromptId, Prompt>),
-    /// Ends the drawing of a step.
+    /// Seals a step: no more prompts.
     Seal(StepNumber, SealBody),
-    /// Gives a step up.
+    /// Aborts a step.
     Abort(StepNumber),
     /// All steps.
     List,
@@ -45,10 +44,10 @@
         step: StepNumber,
         /// The last prompt that the caller has; `None`: from the first.
         after: Option<PromptId>,
-        /// No more than so many.
+        /// The maximum of results.
         most: usize,
     },
-    /// Why a step waits, by worker.
+    /// Why a step does not advance, with its workers.
     Explain(StepNumber),
 }
 
@@ -84,23 +83,23 @@
     }
 }
 
-/// The version that a step is to draw from.
+/// The version that a step generates from.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(untagged)]
 enum VersionJson {
     Number(Version),
-    Word(String),
+    Keyword(String),
 }
 
-/// Workers that are to take part.
+/// How many workers take part.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(untagged)]
 enum WorkersJson {
     Count(u32),
-    Word(String),
+    Keyword(String),
 }
 
-/// The body of a call for a step.
+/// The body of a call that opens a step.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct OpenBody {
@@ -120,7 +119,7 @@
 #[derive(Clone, Copy, Debug, Default, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct SealBody {
-    /// The step is taken with what is missing.
+    /// Seals the step although results are missing.
     #[serde(default)]
     pub allow_missing: bool,
 }
@@ -241,7 +240,7 @@
 fn wanted_version(version: Option<VersionJson>) -> Result<RequestedVersion, Rejection> {
     match version {
         None => Ok(RequestedVersion::Newest),
-        Some(VersionJson::Word(word)) if word == "newest" => Ok(RequestedVersion::Newest),
+        Some(VersionJson::Keyword(word)) if word == "newest" => Ok(RequestedVersion::Newest),
         Some(VersionJson::Number(version)) if version > 0 => Ok(RequestedVersion::Exactly(version)),
         Some(_) => Err(bad("version: \"newest\" or a number above 0")),
     }
@@ -250,7 +249,7 @@
 fn wanted_workers(workers: Option<WorkersJson>, share: Option<f64>) -> Result<RequestedWorkers, Rejection> {
     match (workers, share) {
         (None, None) => Ok(RequestedWorkers::All),
-        (Some(WorkersJson::Word(word)), None) if word == "all" => Ok(RequestedWorkers::All),
+        (Some(WorkersJson::Keyword(word)), None) if word == "all" => Ok(RequestedWorkers::All),
         (Some(WorkersJson::Count(count)), None) if count > 0 => Ok(RequestedWorkers::Count(count)),
         (None, Some(share)) if share > 0.0 && share <= 1.0 => {
             Ok(RequestedWorkers::Permille((share * 1_000.0).ceil() as u16))
--- a/crates/system/src/core/training/view.rs
+++ b/crates/system/src/core/training/view.rs
@@ -44,7 +44,7 @@
     }
 }
 
-/// One step. `waits`: why it does not go on, where that is known.
+/// A step. `waits`: why it does not advance; `None`: unknown, or it does.
 pub fn step(state: &TrainingState, step: &Step, waits: Option<WaitReason>) -> Value {
     let left = step.members.iter().filter_map(|(worker, left)| Some((worker, (*left)?)));
     let left: Vec<Value> =
--- a/crates/system/src/core/training/workers.rs
+++ b/crates/system/src/core/training/workers.rs
@@ -23,7 +23,7 @@
 /// A step with some verified workers waits for the others for so long.
 const STRAGGLER_TIMEOUT_MS: Millis = 5_000;
 /// A worker without a report for so long is removed from its step.
-const WORKER_SILENCE_TIMEOUT_MS: Millis = 4_000;
+const WORKER_TIMEOUT_MS: Millis = 4_000;
 /// One of so many slots of a worker is reserved for serving.
 const SERVING_SLOTS_ONE_IN: u32 = 4;
 /// The part of the weight store's load rate that steps may use.
@@ -98,7 +98,7 @@
         lease_ms: MAX_LEASE_DRIFT_MS,
         reserved_slots,
         straggler_timeout_ms: STRAGGLER_TIMEOUT_MS,
-        silence_timeout_ms: WORKER_SILENCE_TIMEOUT_MS,
+        silence_timeout_ms: WORKER_TIMEOUT_MS,
     }
 }
 
