--- a/crates/fair-queue/src/flow.rs
+++ b/crates/fair-queue/src/flow.rs
@@ -1,103 +1,103 @@
-//! One flow's virtual time and activity, and the choice among flows: what every scheduler after MQFQ-Sticky has in common,
-//! whatever its requests are and wherever they wait.
+//! A flow's virtual time and activity, and the choice among flows: what all schedulers after MQFQ-Sticky share, whatever
+//! their requests are and wherever they are queued.
 
-/// Time of a steady clock that the caller supplies, in any unit, the same in all calls.
+/// Time of a monotonic clock that the caller reads, in any unit, the same in all calls.
 pub type Time = u64;
 
-/// Weight of one arrival gap in a flow's running mean.
+/// Weight of the newest inter-arrival time in a flow's moving average.
 const GAP_WEIGHT: f64 = 0.125;
 
-/// For how long an emptied flow stays active.
+/// For how long a flow without queued requests stays active.
 #[derive(Clone, Copy, Debug)]
 pub struct Anticipation {
-    /// alpha: so many of its mean arrival gaps.
+    /// alpha: in multiples of its mean inter-arrival time.
     pub gaps: f64,
-    /// So long before a second arrival has told a gap.
+    /// Until its second arrival, when there is no inter-arrival time yet.
     pub first: Time,
 }
 
-/// One flow: its virtual time, what is queued and out, and when requests come.
+/// The state of one flow.
 #[derive(Clone, Debug, Default)]
 pub struct FlowState {
-    /// Rises by the size of each request that is sent, over the flow's weight.
+    /// Rises by the size of each dispatched request, over the flow's weight.
     pub virtual_time: f64,
-    /// Requests that wait, at all servers.
+    /// Queued requests, at all servers.
     pub queued: usize,
-    /// Requests that are out.
+    /// Requests in flight.
     pub in_flight: usize,
-    /// When the last one that waited went.
-    emptied: Time,
-    arrived: Option<Time>,
+    /// When its queues last became empty.
+    emptied_at: Time,
+    last_arrival: Option<Time>,
     mean_gap: Option<f64>,
 }
 
 impl FlowState {
     /// A flow whose first request comes now.
     pub fn first_arrival(now: Time, virtual_time: f64) -> FlowState {
-        FlowState { virtual_time, emptied: now, arrived: Some(now), ..FlowState::default() }
+        FlowState { virtual_time, emptied_at: now, last_arrival: Some(now), ..FlowState::default() }
     }
 
-    /// When the latest request came, if ever.
-    pub fn arrived(&self) -> Option<Time> {
-        self.arrived
+    /// When the latest request arrived, if ever.
+    pub fn last_arrival(&self) -> Option<Time> {
+        self.last_arrival
     }
 
     /// Whether it has work, or is expected to have some soon.
     pub fn is_active(&self, now: Time, anticipation: Anticipation) -> bool {
         let idle = self.mean_gap.map_or(anticipation.first, |gap| (anticipation.gaps * gap) as Time);
-        self.queued > 0 || self.arrived.is_some() && now < self.emptied + idle
+        self.queued > 0 || self.last_arrival.is_some() && now < self.emptied_at + idle
     }
 
-    /// A further request comes. A flow that was not active takes the larger of its own and the global virtual time.
+    /// A further request arrives. A flow that was not active takes the larger of its own and the global virtual time.
     pub fn arrive(&mut self, now: Time, global_virtual_time: f64, anticipation: Anticipation) {
         if !self.is_active(now, anticipation) {
             self.virtual_time = self.virtual_time.max(global_virtual_time);
         }
-        if let Some(arrived) = self.arrived {
+        if let Some(arrived) = self.last_arrival {
             let gap = now.saturating_sub(arrived) as f64;
             let mean = self.mean_gap.unwrap_or(gap);
             self.mean_gap = Some(mean + GAP_WEIGHT * (gap - mean));
         }
-        self.arrived = Some(now);
+        self.last_arrival = Some(now);
     }
 
-    /// A request waits.
+    /// A request was queued.
     pub fn enqueued(&mut self) {
         self.queued += 1;
     }
 
-    /// A request waits no longer: it goes to a server, or is given up.
+    /// A request left its queue: it was dispatched or removed.
     pub fn dequeued(&mut self, now: Time) {
         self.queued = self.queued.saturating_sub(1);
         if self.queued == 0 {
-            self.emptied = now;
+            self.emptied_at = now;
         }
     }
 
-    /// A request goes to a server; `cost`: its size over the flow's weight.
-    pub fn sent(&mut self, cost: f64) {
+    /// A request was dispatched. `cost`: its size over the flow's weight.
+    pub fn dispatched(&mut self, cost: f64) {
         self.virtual_time += cost;
         self.in_flight += 1;
     }
 
-    /// A request is no longer out.
-    pub fn done(&mut self) {
+    /// A request is no longer in flight.
+    pub fn completed(&mut self) {
         self.in_flight = self.in_flight.saturating_sub(1);
     }
 }
 
-/// What one flow has waiting for a server that has a free slot.
+/// One flow's queue at a server with a free slot.
 #[derive(Clone, Copy, Debug)]
 pub struct Candidate<K> {
-    /// Names the flow.
+    /// The flow.
     pub flow: K,
     /// Its virtual time.
     pub virtual_time: f64,
-    /// Requests that wait for this server.
+    /// The length of the queue.
     pub length: usize,
-    /// Requests of the flow that are out, anywhere.
+    /// The flow's requests in flight, at all servers.
     pub in_flight: usize,
-    /// The place of its oldest request in the order of all arrivals.
+    /// The arrival number of its oldest request.
     pub oldest: u64,
 }
 
--- a/crates/fair-queue/src/lib.rs
+++ b/crates/fair-queue/src/lib.rs
@@ -2,7 +2,7 @@
 //!
 //! Each flow has one virtual time and one queue per server. A server with a free slot takes the longest queue among the
 //! active flows that are not throttled, with ties to fewest in flight, and of that queue the oldest request. The
-//! request's told size is added to its flow's virtual time. A flow more than the overrun ahead of the global virtual
+//! request's estimated size is added to its flow's virtual time. A flow more than the overrun ahead of the global virtual
 //! time (the lowest among active flows) is throttled; a server that finds only throttled work serves the flow with the
 //! lowest virtual time. A flow that comes back from being idle takes the larger of its own and the global virtual time.
 //!
@@ -23,15 +23,15 @@
 use std::collections::BTreeMap;
 use std::collections::btree_map::Entry;
 
-/// Milliseconds of a steady clock that the caller supplies.
+/// Milliseconds of a monotonic clock that the caller reads.
 pub type Millis = Time;
 
-/// The figures that the design leaves open, and those that it gives.
+/// The parameters of MQFQ-Sticky.
 #[derive(Clone, Copy, Debug)]
 pub struct Settings {
-    /// T: how far a flow may run ahead of the global virtual time, in the largest sizes seen.
+    /// T: how far a flow may be ahead of the global virtual time, in multiples of the largest size seen.
     pub overrun_sizes: f64,
-    /// For how long an emptied flow stays active, milliseconds.
+    /// For how long a flow without queued requests stays active, milliseconds.
     pub anticipation: Anticipation,
 }
 
@@ -41,11 +41,11 @@
     }
 }
 
-/// A flow without any request for so long is forgotten once its virtual time is behind, milliseconds.
-const FORGET_AFTER: Millis = 120_000;
+/// An idle flow is kept for this long, and until the global virtual time has reached its own.
+const IDLE_FLOW_RETENTION_MS: Millis = 120_000;
 
 #[derive(Clone, Debug)]
-struct Waiting<S> {
+struct QueuedRequest<S> {
     server: S,
     size: f64,
 }
@@ -53,39 +53,39 @@
 #[derive(Clone, Debug)]
 struct Flow<S, R> {
     state: FlowState,
-    /// Waiting requests by their order of arrival.
-    waiting: BTreeMap<(u64, R), Waiting<S>>,
-    /// How many of them wait for each server.
-    queued: BTreeMap<S, usize>,
+    /// Queued requests by their order of arrival.
+    requests: BTreeMap<(u64, R), QueuedRequest<S>>,
+    /// How many of them each server has.
+    queue_lengths: BTreeMap<S, usize>,
 }
 
 impl<S: Ord, R: Ord> Flow<S, R> {
     fn new(state: FlowState) -> Flow<S, R> {
-        Flow { state, waiting: BTreeMap::new(), queued: BTreeMap::new() }
+        Flow { state, requests: BTreeMap::new(), queue_lengths: BTreeMap::new() }
     }
 
-    /// The oldest of the eligible requests that wait for a server.
+    /// The oldest of the eligible requests in a server's queue.
     fn oldest_at(&self, server: &S, eligible: &impl Fn(R) -> bool) -> Option<&(u64, R)>
     where
         R: Copy,
     {
-        let waits = |((_, request), waiting): &(&(u64, R), &Waiting<S>)| {
-            waiting.server == *server && eligible(*request)
+        let is_eligible = |((_, request), queued): &(&(u64, R), &QueuedRequest<S>)| {
+            queued.server == *server && eligible(*request)
         };
-        self.waiting.iter().find(waits).map(|(place, _)| place)
+        self.requests.iter().find(is_eligible).map(|(key, _)| key)
     }
 }
 
-/// The flows and what waits in them. `F` names a flow, `S` a server, `R` a request.
+/// The flows and their queued requests. `F` identifies a flow, `S` a server, `R` a request.
 #[derive(Clone, Debug)]
 pub struct FairQueue<F, S, R> {
     settings: Settings,
     flows: BTreeMap<F, Flow<S, R>>,
-    /// Where each waiting request stands.
-    places: BTreeMap<R, (F, u64)>,
+    /// The flow and the arrival number of each queued request.
+    positions: BTreeMap<R, (F, u64)>,
     global_virtual_time: f64,
     largest_size: f64,
-    serial: u64,
+    last_arrival_number: u64,
 }
 
 impl<F: Ord + Clone, S: Ord + Clone, R: Ord + Copy> FairQueue<F, S, R> {
@@ -94,21 +94,21 @@
         FairQueue {
             settings,
             flows: BTreeMap::new(),
-            places: BTreeMap::new(),
+            positions: BTreeMap::new(),
             global_virtual_time: 0.0,
             largest_size: 0.0,
-            serial: 0,
+            last_arrival_number: 0,
         }
     }
 
-    /// A request of a flow waits for a server from now on.
+    /// Queues a request of a flow for a server. `size`: its estimated cost.
     pub fn push(&mut self, now: Millis, flow: F, server: S, request: R, size: f64) {
         self.advance(now);
         self.largest_size = self.largest_size.max(size);
-        self.serial += 1;
+        self.last_arrival_number += 1;
         let global = self.global_virtual_time;
         let anticipation = self.settings.anticipation;
-        let state = match self.flows.entry(flow.clone()) {
+        let queued_flow = match self.flows.entry(flow.clone()) {
             Entry::Vacant(vacant) => vacant.insert(Flow::new(FlowState::first_arrival(now, global))),
             Entry::Occupied(known) => {
                 let known = known.into_mut();
@@ -116,38 +116,38 @@
                 known
             }
         };
-        state.state.enqueued();
-        *state.queued.entry(server.clone()).or_default() += 1;
-        state.waiting.insert((self.serial, request), Waiting { server, size });
-        self.places.insert(request, (flow, self.serial));
+        queued_flow.state.enqueued();
+        *queued_flow.queue_lengths.entry(server.clone()).or_default() += 1;
+        queued_flow.requests.insert((self.last_arrival_number, request), QueuedRequest { server, size });
+        self.positions.insert(request, (flow, self.last_arrival_number));
     }
 
-    /// A waiting request waits for another server from now on, and keeps its age.
-    pub fn move_to(&mut self, request: R, server: S) {
-        let Some((flow, serial)) = self.places.get(&request) else { return };
-        let Some(state) = self.flows.get_mut(flow) else { return };
-        let Some(waiting) = state.waiting.get_mut(&(*serial, request)) else { return };
-        let before = std::mem::replace(&mut waiting.server, server.clone());
-        *state.queued.entry(server).or_default() += 1;
-        Self::lower(&mut state.queued, &before);
+    /// Moves a queued request to another server's queue. It keeps its order of arrival.
+    pub fn reassign(&mut self, request: R, server: S) {
+        let Some((flow, arrival_number)) = self.positions.get(&request) else { return };
+        let Some(flow) = self.flows.get_mut(flow) else { return };
+        let Some(queued) = flow.requests.get_mut(&(*arrival_number, request)) else { return };
+        let previous = std::mem::replace(&mut queued.server, server.clone());
+        *flow.queue_lengths.entry(server).or_default() += 1;
+        Self::decrement(&mut flow.queue_lengths, &previous);
     }
 
-    /// A waiting request is given up. Returns whether it waited.
+    /// Removes a queued request. Returns whether it was queued.
     pub fn remove(&mut self, now: Millis, request: R) -> bool {
-        let Some((flow, serial)) = self.places.remove(&request) else { return false };
-        let Some(state) = self.flows.get_mut(&flow) else { return false };
-        let Some(waiting) = state.waiting.remove(&(serial, request)) else { return false };
-        Self::lower(&mut state.queued, &waiting.server);
-        state.state.dequeued(now);
+        let Some((flow, arrival_number)) = self.positions.remove(&request) else { return false };
+        let Some(flow) = self.flows.get_mut(&flow) else { return false };
+        let Some(queued) = flow.requests.remove(&(arrival_number, request)) else { return false };
+        Self::decrement(&mut flow.queue_lengths, &queued.server);
+        flow.state.dequeued(now);
         true
     }
 
-    /// A server has a free slot: the request that goes to it next, which counts as in flight from now on.
+    /// Takes the next request for a free slot of a server. It counts as in flight until [`FairQueue::complete`].
     pub fn take(&mut self, now: Millis, server: &S) -> Option<R> {
         self.take_where(now, server, |_| true)
     }
 
-    /// The same among eligible requests: some may have to leave the server's last slots to others.
+    /// [`FairQueue::take`] among eligible requests: some may not use a server's last slots.
     pub fn take_where(&mut self, now: Millis, server: &S, eligible: impl Fn(R) -> bool) -> Option<R> {
         self.advance(now);
         let horizon = self.global_virtual_time + self.settings.overrun_sizes * self.largest_size;
@@ -155,55 +155,55 @@
         let candidates: Vec<Candidate<&F>> = self.flows.iter().filter_map(candidate).collect();
         let name = choose(&candidates, horizon)?.clone();
         let flow = self.flows.get_mut(&name)?;
-        let &(serial, request) = flow.oldest_at(server, &eligible)?;
-        let waiting = flow.waiting.remove(&(serial, request))?;
-        Self::lower(&mut flow.queued, server);
+        let &(arrival_number, request) = flow.oldest_at(server, &eligible)?;
+        let queued = flow.requests.remove(&(arrival_number, request))?;
+        Self::decrement(&mut flow.queue_lengths, server);
         flow.state.dequeued(now);
-        flow.state.sent(waiting.size);
-        self.places.remove(&request);
+        flow.state.dispatched(queued.size);
+        self.positions.remove(&request);
         Some(request)
     }
 
-    /// What a flow has waiting for a server, if any of it is eligible.
+    /// A flow's queue at a server, if it has an eligible request.
     fn candidate<'a>(
         name: &'a F,
         flow: &Flow<S, R>,
         server: &S,
         eligible: &impl Fn(R) -> bool,
     ) -> Option<Candidate<&'a F>> {
-        let length = flow.queued.get(server).copied()?;
+        let length = flow.queue_lengths.get(server).copied()?;
         let (oldest, _) = *flow.oldest_at(server, eligible)?;
         let FlowState { virtual_time, in_flight, .. } = flow.state;
         Some(Candidate { flow: name, virtual_time, length, in_flight, oldest })
     }
 
     /// A request of a flow is no longer in flight.
-    pub fn done(&mut self, flow: &F) {
-        if let Some(state) = self.flows.get_mut(flow) {
-            state.state.done();
+    pub fn complete(&mut self, flow: &F) {
+        if let Some(flow) = self.flows.get_mut(flow) {
+            flow.state.completed();
         }
     }
 
-    /// Requests that wait for a server.
+    /// The length of a server's queue.
     pub fn queued_at(&self, server: &S) -> usize {
-        self.flows.values().filter_map(|flow| flow.queued.get(server)).sum()
+        self.flows.values().filter_map(|flow| flow.queue_lengths.get(server)).sum()
     }
 
-    /// Every waiting request, and the server for which it waits.
+    /// Every queued request and its server.
     pub fn waiting(&self) -> impl Iterator<Item = (R, &S)> {
         self.flows
             .values()
-            .flat_map(|flow| flow.waiting.iter().map(|((_, request), place)| (*request, &place.server)))
+            .flat_map(|flow| flow.requests.iter().map(|((_, request), queued)| (*request, &queued.server)))
     }
 
-    /// Requests that wait.
+    /// The number of queued requests.
     pub fn len(&self) -> usize {
-        self.places.len()
+        self.positions.len()
     }
 
-    /// Whether none waits.
+    /// Whether no request is queued.
     pub fn is_empty(&self) -> bool {
-        self.places.is_empty()
+        self.positions.is_empty()
     }
 
     /// The global virtual time.
@@ -216,18 +216,18 @@
         self.flows.get(flow).map(|flow| flow.state.virtual_time)
     }
 
-    /// Forgets flows that have been idle for long.
-    pub fn tidy(&mut self, now: Millis) {
+    /// Removes flows that have been idle for long.
+    pub fn remove_idle_flows(&mut self, now: Millis) {
         let global = self.global_virtual_time;
         self.flows.retain(|_, flow| {
             let state = &flow.state;
-            let silent = state.arrived().is_none_or(|arrived| now > arrived + FORGET_AFTER);
-            let idle = flow.waiting.is_empty() && state.in_flight == 0 && silent;
+            let silent = state.last_arrival().is_none_or(|arrived| now > arrived + IDLE_FLOW_RETENTION_MS);
+            let idle = flow.requests.is_empty() && state.in_flight == 0 && silent;
             !idle || state.virtual_time > global
         });
     }
 
-    /// The global virtual time is the lowest among active flows, and never goes back.
+    /// The global virtual time is the lowest among active flows, and never decreases.
     fn advance(&mut self, now: Millis) {
         let anticipation = self.settings.anticipation;
         let states = self.flows.values().map(|flow| &flow.state);
@@ -236,11 +236,11 @@
         self.global_virtual_time = self.global_virtual_time.max(lowest.unwrap_or(self.global_virtual_time));
     }
 
-    fn lower(queued: &mut BTreeMap<S, usize>, server: &S) {
-        if let Some(count) = queued.get_mut(server) {
+    fn decrement(queue_lengths: &mut BTreeMap<S, usize>, server: &S) {
+        if let Some(count) = queue_lengths.get_mut(server) {
             *count -= 1;
             if *count == 0 {
-                queued.remove(server);
+                queue_lengths.remove(server);
             }
         }
     }
--- a/crates/fair-queue/tests/design.rs
+++ b/crates/fair-queue/tests/design.rs
@@ -1,4 +1,4 @@
-//! The design's rules, one story each.
+//! The rules of MQFQ-Sticky, one by one.
 
 use pathbank_fair_queue::{Anticipation, Candidate, FairQueue, FlowState, Settings, choose};
 
@@ -31,12 +31,12 @@
     push(&mut queue, 0, "b", SERVER, &[3], 1.0);
     assert_eq!(queue.take(0, &SERVER), Some(1));
     assert_eq!(queue.take(0, &SERVER), Some(3), "both wait with one; a has one in flight");
-    queue.done(&"a");
+    queue.complete(&"a");
     assert_eq!(queue.take(0, &SERVER), Some(2));
 }
 
 #[test]
-fn the_told_size_is_charged_and_a_flow_too_far_ahead_is_throttled() {
+fn the_estimated_size_is_charged_and_a_flow_too_far_ahead_is_throttled() {
     let mut queue = queue();
     push(&mut queue, 0, "greedy", SERVER, &[1, 2, 3, 4, 5, 6], 1.0);
     push(&mut queue, 0, "modest", SERVER, &[10], 1.0);
@@ -60,7 +60,7 @@
 }
 
 #[test]
-fn a_flow_back_from_idle_takes_the_global_virtual_time() {
+fn a_reactivated_flow_takes_the_global_virtual_time() {
     let mut queue = queue();
     push(&mut queue, 0, "idle", SERVER, &[1], 1.0);
     assert_eq!(queue.take(0, &SERVER), Some(1));
@@ -72,7 +72,7 @@
 }
 
 #[test]
-fn an_emptied_flow_stays_active_and_holds_the_global_time_back() {
+fn a_recently_emptied_flow_limits_the_global_virtual_time() {
     let mut queue = queue();
     push(&mut queue, 0, "emptied", SERVER, &[1], 1.0);
     assert_eq!(queue.take(0, &SERVER), Some(1));
@@ -86,13 +86,13 @@
 }
 
 #[test]
-fn what_is_given_up_is_never_taken_and_what_moves_keeps_its_age() {
+fn removed_requests_are_not_taken_and_reassigned_ones_keep_their_order() {
     let mut queue = queue();
     push(&mut queue, 0, "a", SERVER, &[1, 2], 1.0);
     push(&mut queue, 0, "a", OTHER, &[3], 1.0);
     assert!(queue.remove(0, 1));
     assert!(!queue.remove(0, 1));
-    queue.move_to(2, OTHER);
+    queue.reassign(2, OTHER);
     assert_eq!(queue.take(0, &SERVER), None);
     assert_eq!(queue.take(0, &OTHER), Some(2), "older than 3");
     assert_eq!(queue.queued_at(&OTHER), 1);
@@ -117,7 +117,7 @@
 }
 
 #[test]
-fn a_throttled_flow_is_passed_over_unless_all_are() {
+fn a_throttled_flow_is_skipped_unless_all_are() {
     let one = [candidate(1, 6.0, 9, 0, 1), candidate(2, 5.0, 1, 0, 2)];
     assert_eq!(choose(&one, 5.0), Some(2));
     let all = [candidate(1, 8.0, 9, 0, 1), candidate(2, 6.0, 1, 0, 2)];
@@ -125,7 +125,7 @@
 }
 
 #[test]
-fn an_emptied_flow_stays_active_for_some_of_its_gaps() {
+fn an_emptied_flow_stays_active_for_multiples_of_its_interarrival_time() {
     let anticipation = Anticipation { gaps: 2.0, first: 1_000 };
     assert!(!FlowState::default().is_active(1, anticipation), "nothing ever came");
     let mut flow = FlowState::first_arrival(100, 7.0);
@@ -135,18 +135,18 @@
     flow.arrive(300, 50.0, anticipation);
     assert_eq!(flow.virtual_time, 7.0, "it was active still");
     flow.enqueued();
-    flow.sent(3.0);
+    flow.dispatched(3.0);
     flow.dequeued(300);
     assert_eq!((flow.virtual_time, flow.in_flight), (10.0, 1));
     assert!(flow.is_active(699, anticipation) && !flow.is_active(700, anticipation), "two gaps of 200");
-    flow.done();
+    flow.completed();
     assert_eq!(flow.in_flight, 0);
     flow.arrive(900, 50.0, anticipation);
     assert_eq!(flow.virtual_time, 50.0, "it comes back at the global virtual time");
 }
 
 #[test]
-fn a_request_that_is_not_eligible_keeps_its_place_and_lets_others_pass() {
+fn an_ineligible_request_keeps_its_order_and_is_skipped() {
     let mut queue: FairQueue<&str, u32, u64> = FairQueue::new(Settings::default());
     [(1, "a"), (2, "a"), (3, "a"), (4, "b")]
         .into_iter()
--- a/crates/router/src/dispatcher.rs
+++ b/crates/router/src/dispatcher.rs
@@ -180,7 +180,7 @@
         let mut actions = self.dispatch(now);
         self.reject_hopeless(now, &mut actions);
         self.evacuate_due(now, &mut actions);
-        self.queue.tidy(now);
+        self.queue.remove_idle_flows(now);
         self.servers.tidy(now);
         self.prefix_cache.tidy(now);
         self.model_eta.tidy(now);
@@ -204,7 +204,7 @@
         let (flow, size, tokens) =
             (flow_of(&pending.offer), pending.offer.size as f64, pending.offer.input_tokens);
         match (&before, &stage) {
-            (Stage::Queued(_), Stage::Queued(to)) => self.queue.move_to(id, to.clone()),
+            (Stage::Queued(_), Stage::Queued(to)) => self.queue.reassign(id, to.clone()),
             (Stage::Queued(_), Stage::Unassigned) => drop(self.queue.remove(now, id)),
             (Stage::Unassigned, Stage::Queued(at)) => self.queue.push(now, flow, at.clone(), id, size),
             (Stage::Queued(_), Stage::Sent(at)) => self.servers.request_sent(at, id, tokens),
@@ -221,7 +221,7 @@
             Stage::Unassigned => {}
             Stage::Queued(_) => drop(self.queue.remove(now, offer.id)),
             Stage::Sent(instance) => {
-                self.queue.done(&flow_of(offer));
+                self.queue.complete(&flow_of(offer));
                 self.servers.response_started(instance, offer.id);
                 self.servers.request_ended(now, instance, &offer.name, outcome);
             }
--- a/src/policy/dispatch.rs
+++ b/src/policy/dispatch.rs
@@ -128,7 +128,7 @@
         let found = (self.requests.get_mut(&id), self.nodes.get_mut(&node_id));
         let (Some(pending), Some(node)) = found else { return };
         let flow = &mut self.flows[pending.flow];
-        flow.fair.sent(pending.units / if flow.plan.weight > 0.0 { flow.plan.weight } else { 1.0 });
+        flow.fair.dispatched(pending.units / if flow.plan.weight > 0.0 { flow.plan.weight } else { 1.0 });
         if !pending.drawn && flow.plan.limit > 0.0 {
             flow.limit.level -= pending.units;
         }
--- a/src/policy/mod.rs
+++ b/src/policy/mod.rs
@@ -133,7 +133,7 @@
             let flow = &mut flows[*ix];
             let fair = &flow.fair;
             let idle = fair.queued == 0 && fair.in_flight == 0;
-            let silent = idle && now > fair.arrived().unwrap_or(0) + IDLE_RETENTION;
+            let silent = idle && now > fair.last_arrival().unwrap_or(0) + IDLE_RETENTION;
             let stays = !silent
                 || fair.virtual_time > global_virtual_time
                 || flow.limit_available(now, share) < flow.plan.limit_burst / flow.hosts;
--- a/src/policy/requests.rs
+++ b/src/policy/requests.rs
@@ -84,7 +84,7 @@
         // What was not written took nothing of its limit yet: sent later, it draws then.
         pending.drawn &= !matches!(outcome.result, AttemptResult::ConnectFailed | AttemptResult::NotSent);
         let flow = &mut self.flows[pending.flow];
-        flow.fair.done();
+        flow.fair.completed();
         if outcome.result == AttemptResult::Served {
             flow.observe_use(now, units, outcome.used, self.settings.use_period as f64);
         }
