--- a/crates/control/src/checked_document.rs
+++ b/crates/control/src/checked_document.rs
@@ -3,9 +3,9 @@
 
 use crate::configuration::{Backend, Limits, Rejection, Route, Tenant};
 use crate::document::{Document, Field, Touched};
+use crate::document_index::DocumentIndex;
 use crate::result_code::ResultCode;
 use facet::Facet;
-use rpds::{RedBlackTreeMapSync, RedBlackTreeSetSync};
 use serde::{Deserialize, Serialize};
 use serde_json::{Map, Value};
 use std::sync::Arc;
@@ -201,76 +201,3 @@
         false => reject(ResultCode::UnreadableDocument, "path_prefix does not begin and end with a slash"),
     }
 }
-
-/// An index of what items are checked against.
-#[derive(Clone, Debug, Default)]
-struct DocumentIndex {
-    /// Host, in lower case, and prefix of each route.
-    route_keys: RedBlackTreeSetSync<(String, String)>,
-    /// How often routes name each service.
-    named_backends: RedBlackTreeMapSync<String, usize>,
-    /// Each key with its tenant, and how often it is listed there.
-    keys: RedBlackTreeMapSync<(String, String), usize>,
-}
-
-/// By what a route is unique: its host, in lower case, and its prefix.
-fn route_key(route: &Route) -> (String, String) {
-    (route.hostname.to_ascii_lowercase(), route.path_prefix.clone())
-}
-
-fn increment<K: Ord + Clone>(counts: &mut RedBlackTreeMapSync<K, usize>, key: K) {
-    let times = counts.get(&key).copied().unwrap_or(0);
-    counts.insert_mut(key, times + 1);
-}
-
-fn decrement<K: Ord + Clone>(counts: &mut RedBlackTreeMapSync<K, usize>, key: K) {
-    match counts.get(&key).copied() {
-        Some(times) if times > 1 => counts.insert_mut(key, times - 1),
-        _ => drop(counts.remove_mut(&key)),
-    }
-}
-
-impl DocumentIndex {
-    fn add_route(&mut self, route: &Route) -> Result<(), Rejection> {
-        let key = route_key(route);
-        if self.route_keys.contains(&key) {
-            let message = format!("route {}: host and prefix are another route's as well", route.name);
-            return Err(Rejection::new(ResultCode::DuplicateRoute, message));
-        }
-        self.route_keys.insert_mut(key);
-        for backend in route.named_backends() {
-            increment(&mut self.named_backends, backend.to_owned());
-        }
-        Ok(())
-    }
-
-    fn remove_route(&mut self, route: &Route) {
-        self.route_keys.remove_mut(&route_key(route));
-        for backend in route.named_backends() {
-            decrement(&mut self.named_backends, backend.to_owned());
-        }
-    }
-
-    fn is_named_by_a_route(&self, backend: &str) -> bool {
-        self.named_backends.contains_key(backend)
-    }
-
-    fn add_tenant(&mut self, tenant: &Tenant) -> Result<(), Rejection> {
-        for key in &tenant.api_keys {
-            let first = (key.clone(), String::new());
-            let mut owners = self.keys.range(first..).take_while(|((owned, _), _)| owned == key);
-            if owners.any(|((_, owner), _)| *owner != tenant.name) {
-                let message = format!("tenant {}: a key is another tenant's as well", tenant.name);
-                return Err(Rejection::new(ResultCode::SharedKey, message));
-            }
-            increment(&mut self.keys, (key.clone(), tenant.name.clone()));
-        }
-        Ok(())
-    }
-
-    fn remove_tenant(&mut self, tenant: &Tenant) {
-        for key in &tenant.api_keys {
-            decrement(&mut self.keys, (key.clone(), tenant.name.clone()));
-        }
-    }
-}
--- a/crates/control/src/demand.rs
+++ b/crates/control/src/demand.rs
@@ -34,7 +34,6 @@
 /// Sums of one key's demand, which decay from `updated_at` on.
 #[derive(Clone, Debug, Default)]
 struct Demand {
-    tokens: f64,
     requests: f64,
     /// The same, with the short time constant.
     recent_requests: f64,
@@ -52,7 +51,7 @@
 impl Demand {
     fn decay(&mut self, now: Millis) {
         let factor = decay(self.updated_at, now, TIME_CONSTANT_MS);
-        for mean in [&mut self.tokens, &mut self.requests, &mut self.prefill_ms, &mut self.slot_time_ms] {
+        for mean in [&mut self.requests, &mut self.prefill_ms, &mut self.slot_time_ms] {
             *mean *= factor;
         }
         self.recent_requests *= decay(self.updated_at, now, SHORT_TIME_CONSTANT_MS);
@@ -99,7 +98,6 @@
         };
         let known = self.by_key.entry(key).or_default();
         known.decay(now);
-        known.tokens += demand.tokens as f64;
         known.requests += demand.arrived as f64;
         known.recent_requests += demand.arrived as f64;
         if demand.arrived > 0 {
@@ -126,11 +124,6 @@
         1.0 - self.unknown_fraction(now) * not_covered
     }
 
-    /// Tokens a second requested of a key.
-    pub fn tokens_per_s(&self, now: Millis, key: &ModelKey) -> f64 {
-        self.mean(now, key, |demand| demand.tokens)
-    }
-
     /// Requests a second for a key. A rise that chance does not explain counts before the mean has followed it.
     pub fn requests_per_s(&self, now: Millis, key: &ModelKey) -> f64 {
         let mean = self.mean_requests_per_s(now, key);
--- a/crates/control/src/item_list.rs
+++ b/crates/control/src/item_list.rs
@@ -59,11 +59,6 @@
         found.map(|(_, position)| *position).collect::<Vec<_>>().into_iter()
     }
 
-    /// The first item with a name.
-    pub fn first_named(&self, name: &str) -> Option<&Arc<Value>> {
-        self.get(self.named(name).next()?)
-    }
-
     /// Adds an item at the end. Returns its position.
     pub fn push(&mut self, item: Value) -> Position {
         let position = self.next;
--- a/crates/control/src/lib.rs
+++ b/crates/control/src/lib.rs
@@ -46,6 +46,7 @@
 pub mod directory;
 pub mod document;
 pub mod document_history;
+mod document_index;
 pub mod edge_configurations;
 pub mod edge_document;
 pub mod edge_update;
