--- a/crates/router/src/dispatcher.rs
+++ b/crates/router/src/dispatcher.rs
@@ -19,6 +19,7 @@
 mod prefix_cache;
 
 use crate::Millis;
+pub use crate::RequestId;
 use crate::engine_estimates::{EngineEstimates, PrefillSample};
 use crate::model_servers::{AttemptOutcome, Instance, ModelServerTable};
 use crate::prompt::ModelName;
@@ -30,9 +31,6 @@
 use prefix_cache::PrefixCache;
 use std::collections::{BTreeMap, BTreeSet};
 
-/// Names one client request at this edge.
-pub type RequestId = u64;
-
 /// A request that waits is assigned anew at this interval.
 const REQUEUE_INTERVAL_MS: Millis = 40;
 
--- a/crates/router/src/dispatcher/offer.rs
+++ b/crates/router/src/dispatcher/offer.rs
@@ -1,9 +1,8 @@
 //! What the dispatcher needs to know of a request, and what it decides.
 
-use super::RequestId;
-use crate::Millis;
 use crate::model_servers::Instance;
 use crate::prompt::{ModelName, PromptPart};
+use crate::{Millis, RequestId};
 use pathbank_control::result_code::ResultCode;
 use pathbank_control::urgency::Urgency;
 use std::collections::BTreeSet;
--- a/crates/router/src/evacuation.rs
+++ b/crates/router/src/evacuation.rs
@@ -6,8 +6,7 @@
 //! stay and share the free slots. Without `remaining_ms` nothing moves: the model server completes what it
 //! has.
 
-use crate::Millis;
-use crate::dispatcher::RequestId;
+use crate::{Millis, RequestId};
 use std::collections::BTreeMap;
 
 /// The last stream moves this long before the model server ends: its report may have been delayed.
--- a/crates/router/src/lib.rs
+++ b/crates/router/src/lib.rs
@@ -27,3 +27,5 @@
 
 /// Milliseconds of a steady clock that the caller supplies.
 pub type Millis = u64;
+/// Names one client request at this edge.
+pub type RequestId = u64;
--- a/crates/router/src/model_servers.rs
+++ b/crates/router/src/model_servers.rs
@@ -3,11 +3,14 @@
 mod circuit_breaker;
 mod error_rate;
 mod known;
+mod outcome;
 
 use crate::Millis;
 use crate::draw::unit_draw;
 use crate::prompt::ModelName;
 pub use known::KnownModelServer;
+pub use outcome::AttemptOutcome;
+use outcome::Outcomes;
 use pathbank_control::address_index::AddressIndex;
 use pathbank_protocol::message::{ModelServer, ModelServerLoad, ModelServerState, ModelServerUpdate};
 use std::collections::{BTreeMap, BTreeSet};
@@ -20,30 +23,6 @@
 /// Names a model server by its incarnation.
 pub type Instance = String;
 
-/// How a request to a model server ended, as far as the model server is concerned.
-#[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum AttemptOutcome {
-    /// It answered.
-    Answered,
-    /// It rejected the request because it is full, or because the request timed out in its queue.
-    Full,
-    /// It answered with an error of its own.
-    ServerError,
-    /// It does not hold what was asked for, or is another incarnation.
-    Misdirected,
-    /// No connection, a reset, or no answer.
-    Failed,
-    /// The client disconnected, or the edge cancelled the request.
-    Abandoned,
-}
-
-/// Counts of ended requests.
-#[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-struct Outcomes {
-    failed: u32,
-    answered: u32,
-}
-
 /// A removed model server.
 #[derive(Clone, Copy, Debug)]
 struct RemovedServer {
--- a/crates/router/src/model_servers/known.rs
+++ b/crates/router/src/model_servers/known.rs
@@ -2,7 +2,7 @@
 
 use super::circuit_breaker::CircuitBreaker;
 use super::error_rate::ErrorRate;
-use super::{AttemptOutcome, Outcomes};
+use super::outcome::{AttemptOutcome, Outcomes};
 use crate::Millis;
 use crate::prompt::ModelName;
 use pathbank_control::urgency::{Urgency, open_slots};
