--- a/crates/system/src/core/api.rs
+++ b/crates/system/src/core/api.rs
@@ -1,30 +1,19 @@
 //! The HTTP interface of the control plane: heartbeats of model servers, operators' calls, trainers' calls.
 
+mod answer;
 mod training;
 
 use super::event::Event;
 use super::model_server_json::HeartbeatJson;
-use http_body_util::Full;
+use answer::{Events, ask, body_of, json, result_answer};
 use hyper::Request;
 use hyper::body::Incoming;
-use pathbank_control::operator_calls::Reply;
 use pathbank_control::result_code::ResultCode;
 use pathbank_control::state::{Change, ChangeKind};
 use std::sync::Arc;
-use std::time::Duration;
-use tokio::sync::mpsc::UnboundedSender;
-use tokio::sync::oneshot;
-use viz::{Body, IntoResponse, RequestExt, Response, Router, StatusCode};
+use viz::{RequestExt, Response, Router};
 
 const BASE_VERSION: &str = "x-pathbank-base-version";
-const RESULT_CODE: &str = "x-pathbank-result-code";
-/// Every call is answered within this.
-const ANSWER_TIMEOUT: Duration = Duration::from_millis(3_000);
-/// Seconds; by then a leader is elected.
-const RETRY_AFTER_S: &str = "0.5";
-const MAX_BODY_BYTES: usize = 16 * 1024 * 1024;
-
-type Events = UnboundedSender<Event>;
 
 /// The service of one connection to the control plane.
 pub fn service(
@@ -88,42 +77,6 @@
         })
 }
 
-/// The answer of a call with a numbered result.
-fn result_answer(code: ResultCode, message: &str) -> Response {
-    let body = serde_json::json!({ "result_code": code.number(), "result": format!("{code:?}"), "message": message });
-    let status = StatusCode::from_u16(code.status()).unwrap_or(StatusCode::INTERNAL_SERVER_ERROR);
-    let mut response = Response::new(Body::Full(Full::new(body.to_string().into())));
-    *response.status_mut() = status;
-    let headers = response.headers_mut();
-    headers.insert("content-type", viz::header::HeaderValue::from_static("application/json"));
-    headers.insert(RESULT_CODE, viz::header::HeaderValue::from(code.number()));
-    if status.is_server_error() {
-        headers.insert("retry-after", viz::header::HeaderValue::from_static(RETRY_AFTER_S));
-    }
-    response
-}
-
-fn json(body: Vec<u8>) -> Response {
-    let mut response = Response::new(Body::Full(Full::new(body.into())));
-    response.headers_mut().insert("content-type", viz::header::HeaderValue::from_static("application/json"));
-    response
-}
-
-async fn body_of(request: &mut viz::Request) -> Result<Vec<u8>, Response> {
-    use http_body_util::{BodyExt, Limited};
-    let body = std::mem::replace(request.body_mut(), Body::Empty);
-    match tokio::time::timeout(ANSWER_TIMEOUT, Limited::new(body, MAX_BODY_BYTES).collect()).await {
-        Ok(Ok(collected)) => Ok(collected.to_bytes().to_vec()),
-        Ok(Err(error)) if error.is::<http_body_util::LengthLimitError>() => {
-            Err(result_answer(ResultCode::BodyTooLarge, "the body is too large"))
-        }
-        // A call that was late is not invalid: its caller may retry.
-        Ok(Err(_)) | Err(_) => {
-            Err(result_answer(ResultCode::BodyLate, "the body did not come whole in time"))
-        }
-    }
-}
-
 async fn heartbeat(events: Events, mut request: viz::Request) -> viz::Result<Response> {
     let instance: String = request.param("id").unwrap_or_default();
     let body = match body_of(&mut request).await {
@@ -161,27 +114,3 @@
     let change = Change { kind, base, body };
     ask(events, path, |reply| Event::Change(change, reply)).await
 }
-
-/// Sends an event to the node, and turns its reply into an answer.
-async fn ask(
-    events: Events,
-    path: &str,
-    event: impl FnOnce(oneshot::Sender<Reply>) -> Event,
-) -> viz::Result<Response> {
-    let (sender, receiver) = oneshot::channel();
-    let _ = events.send(event(sender));
-    let reply = tokio::time::timeout(ANSWER_TIMEOUT, receiver).await;
-    Ok(match reply {
-        Ok(Ok(Reply::Json(body))) => json(body),
-        Ok(Ok(Reply::Result(code, message))) => result_answer(code, &message),
-        Ok(Ok(Reply::LeaderAt(control_address))) => {
-            let mut response = StatusCode::TEMPORARY_REDIRECT.into_response();
-            let location = format!("http://{control_address}{path}");
-            if let Ok(location) = location.parse() {
-                response.headers_mut().insert("location", location);
-            }
-            response
-        }
-        Ok(Err(_)) | Err(_) => result_answer(ResultCode::Unclear, "no clear result in time"),
-    })
-}
--- a/crates/system/src/core/api/training.rs
+++ b/crates/system/src/core/api/training.rs
@@ -1,6 +1,6 @@
 //! The trainers' calls, `/api/v1/steps`: JSON bodies, and answers with numbered results.
 
-use super::{Events, ask, body_of, result_answer};
+use super::answer::{Events, ask, body_of, result_answer};
 use crate::core::event::Event;
 use crate::core::training::call::{self, MAX_RESULTS, OpenBody, SealBody, TrainingCall};
 use pathbank_control::configuration::Rejection;
--- a/crates/system/src/core/orders/mod.rs
+++ b/crates/system/src/core/orders/mod.rs
@@ -1,56 +1,17 @@
 //! Orders to model servers: load or unload a model or an adapter, tracked from the call to the known end.
 
 mod call;
+mod task;
 mod tracker;
 
 use crate::clock;
-use crate::core::lease::LeaseGuard;
-use crate::core::model_server_json::ReportJson;
 use crate::net::client::ConnectionPool;
 pub use call::fetch_report;
-use pathbank_control::configuration::Runtime;
-use pathbank_control::order::{Operation, Order};
-use pathbank_control::order_progress::ModelServerContents;
+use pathbank_control::order::Operation;
 use std::net::SocketAddr;
-use std::sync::Arc;
+pub use task::{OrderOutcome, OrderTask};
 use tracker::OrderTracker;
 
-/// An order with what is needed to execute it.
-#[derive(Clone, Debug)]
-pub struct OrderTask {
-    /// The order.
-    pub order: Order,
-    /// The capacity of the model server.
-    pub runtime: Arc<Runtime>,
-    /// In whose name the order is sent.
-    pub guard: LeaseGuard,
-    /// The contents of the model server after this leader's last order there; `None`: its report is fetched.
-    pub known: Option<ModelServerContents>,
-    /// The version of the weights that a load brings in, as far as is known.
-    pub version: u64,
-}
-
-/// How an order ended.
-#[derive(Debug)]
-pub struct OrderOutcome {
-    /// The order.
-    pub order: Order,
-    /// The contents of the model server now; `None`: unknown.
-    pub report: Option<ReportJson>,
-    /// The duration of the order, milliseconds; `None`: its completion was not observed.
-    pub took_ms: Option<u64>,
-}
-
-impl OrderOutcome {
-    fn unknown(order: Order) -> OrderOutcome {
-        OrderOutcome { order, report: None, took_ms: None }
-    }
-
-    fn reported(order: Order, report: ReportJson) -> OrderOutcome {
-        OrderOutcome { order, report: Some(report), took_ms: None }
-    }
-}
-
 /// Sends an order and tracks it to its end.
 ///
 /// A load is sent only on contents that the model server itself reported, and applies only if it accepted no
--- a/crates/system/src/core/orders/tracker.rs
+++ b/crates/system/src/core/orders/tracker.rs
@@ -1,7 +1,7 @@
 //! Tracks one order from its sending to its known end.
 
-use super::OrderOutcome;
 use super::call::{self, OrderReply};
+use super::task::OrderOutcome;
 use crate::clock;
 use crate::core::lease::LeaseGuard;
 use crate::core::model_server_json::ReportJson;
--- a/crates/system/src/core/replication.rs
+++ b/crates/system/src/core/replication.rs
@@ -54,7 +54,7 @@
     /// When the oldest write that has not ended began.
     writing_since: Option<u64>,
     writes_fail: bool,
-    /// What the replica was last told of the disk.
+    /// What the replica last knew of the disk.
     is_impaired: bool,
     pending_proposals: BTreeMap<Index, Vec<PendingProposal>>,
     /// Addresses of replicas that sent a message lately.
--- a/crates/system/tests/control_safety.rs
+++ b/crates/system/tests/control_safety.rs
@@ -102,7 +102,7 @@
     found.expect("a spare machine")
 }
 
-/// Four machines, three of them voters: whoever ends in order is replaced before it is gone, and one more may
+/// Four cores, three of them voters: one that withdraws is replaced before it shuts down, and one more may
 /// be lost.
 #[test]
 fn withdrawn_voters_are_replaced_and_another_disk_may_be_lost() {
@@ -213,7 +213,7 @@
     system.configure(3, &document(4));
 }
 
-// A head applies all entries behind its snapshot again after a start, 0.4 ms each on a small processor. A log
+// A core applies all entries behind its snapshot again after a start, 0.4 ms each on a small processor. A log
 // was shortened by its bytes alone, at four times the snapshot, in which 8,192 remembered changes count:
 // 5,500 entries of 400 bytes lay behind it, and would have held up a recovery by two seconds.
 #[test]
@@ -231,7 +231,7 @@
         until("the change is taken", || {
             let answer = connections[leader_index].call("POST", "/api/config/update", &headers, &body);
             let is_taken = answer.is_some_and(|answer| answer.status == 200);
-            // On a busy machine another head may lead by now.
+            // On a busy machine another core may lead by now.
             leader_index = if is_taken { leader_index } else { (leader_index + 1) % connections.len() };
             is_taken
         });
@@ -241,7 +241,7 @@
         let (_, opened) = LogFile::open(&system.data(core)).unwrap();
         let durable = opened.durable;
         let behind = durable.last_index() - durable.snapshot.index;
-        assert!(behind <= MAX_ENTRIES, "head {core} would apply {behind} entries again");
+        assert!(behind <= MAX_ENTRIES, "core {core} would apply {behind} entries again");
     }
     system.local.cores.iter_mut().for_each(|core| core.start().unwrap());
     let newest = 3 + CHANGES;
--- a/crates/system/tests/full_configurations.rs
+++ b/crates/system/tests/full_configurations.rs
@@ -30,11 +30,11 @@
 }
 
 // While a group of five cores was cut in two, the edges that listened to the smaller half heard of new
-// configurations from the larger one, and asked it for the whole of the newest, each of them again every 0.2
+// configurations from the larger one, and asked it for the newest in full, each of them again every 0.2
 // s although the last answer was still on its way. The leader made each answer anew on the thread that also
 // carries its heartbeats. It said nothing from 58.94 s to 60.29 s ("contact with a majority current=false"),
 // its followers fell silent after it, and edges refused with 404 at 61.43 s what had been confirmed at 58.47
-// s. After a loss of power of all machines 82 edges were sent 193 whole configurations, the last one
+// s. After a loss of power of all machines 82 edges were sent 193 full configurations, the last one
 // 3.6 s after a leader was there.
 #[test]
 fn a_configuration_in_flight_is_not_sent_again() {
--- a/crates/system/tests/links.rs
+++ b/crates/system/tests/links.rs
@@ -61,9 +61,9 @@
 }
 
 // Eighty edges that come back at once share their cores' links, each with a tenth of what one alone would
-// get: a whole configuration of a megabyte takes longer than the 2.5 s after which a write that had not ended
+// get: a full configuration of a megabyte takes longer than the 2.5 s after which a write that had not ended
 // closed its link, however much had gone already. The edge connected again and was sent the same from the
-// start: 7 s and more after all machines were back, edge heads were without a configuration ("503 no
+// start: 7 s and more after all machines were back, edges were without a configuration ("503 no
 // configuration").
 #[tokio::test]
 async fn a_slow_reader_keeps_its_link_while_it_makes_progress() {
@@ -98,8 +98,8 @@
     assert!(mesh::CONNECT_TIMEOUT + mesh::RETRY_BACKOFF <= election);
 }
 
-// A core that leaves the group is hung up on by the edges, which then waited for its news for ever: nobody
-// told them that the link had ended, for they had ended it themselves.
+// Edges close their links to a core that left the membership; then they waited for its updates for ever: nobody
+// notified them that the link had ended, for they had ended it themselves.
 #[tokio::test]
 async fn a_link_that_is_closed_by_its_owner_reports_its_end() {
     let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
--- a/crates/system/tests/model_server_updates.rs
+++ b/crates/system/tests/model_server_updates.rs
@@ -36,9 +36,9 @@
 }
 
 // After a loss of power cores know no model server, and all model servers report to them again within one
-// heartbeat. Each was told alone to each edge that listens: with 1,200 model servers and 74 edges a core,
-// 89,000 messages in 1.2 s. The same cause as that of the whole configurations, work by edges times what
-// there is to tell, found by looking for it elsewhere.
+// heartbeat. Each was sent alone to each edge that listens: with 1,200 model servers and 74 edges a core,
+// 89,000 messages in 1.2 s. The same cause as that of the full configurations, work by edges times what
+// there is to publish, found by looking for it elsewhere.
 #[test]
 fn updates_of_many_servers_are_sent_in_few_messages() {
     let (_system, listener) = connect_edge();
@@ -87,7 +87,7 @@
     assert_eq!(last(), Some(ModelServerState::Draining), "one that leaves is never told to be ready again");
 }
 
-/// Cores that had been killed heard of model servers that drain for the first time, and told each of them
+/// Cores that had been killed heard of model servers that drain for the first time, and published each of them
 /// alone to all edges: 36 MB in 1.8 s from one core that nobody listened to, on a link of 26 MB/s that its
 /// votes needed too.
 #[test]
