--- a/crates/system/src/core/mod.rs
+++ b/crates/system/src/core/mod.rs
@@ -1,8 +1,8 @@
 //! A core, one replica of the control plane: the replicated configuration and state of training steps, the registry of
 //! model servers, and, while it leads, placement, training steps and the singleton roles.
 //!
-//! [`node::Node`] is the event loop; every other module is a part of its state, or runs beside it and reports by an
-//! [`event::Event`].
+//! `node::Node` is the event loop; every other module is a part of its state, or runs beside it and reports by an
+//! `event::Event`.
 
 mod api;
 mod autoscaling;
