--- a/crates/control/src/edge_document.rs
+++ b/crates/control/src/edge_document.rs
@@ -25,8 +25,8 @@
     Value::Object(fields)
 }
 
-/// The update that turns `before` into `after` at an edge. `None`: an item has no name, by which an update could name
-/// it.
+/// The update that turns `before` into `after` at an edge. `None`: an item has no name, by which an update
+/// could name it.
 pub fn difference(before: &Document, after: &Document) -> Option<Value> {
     let (mut upsert, mut delete) = (Map::new(), Map::new());
     let empty = ItemList::default();
@@ -51,8 +51,8 @@
     Some(json!({ "version": version, "upsert": upsert, "delete": delete }))
 }
 
-/// The items that changed, and the names that were removed. All items of a name go together: a change by that name may
-/// have touched any of them.
+/// The items that changed, and the names that were removed. All items of a name go together: a change by that
+/// name may have touched any of them.
 fn changed_items(section: &str, [before, after]: [&ItemList; 2]) -> (Vec<Value>, Vec<Value>) {
     let (mut changed, mut removed) = (Vec::new(), Vec::new());
     for name in touched_names(before, after) {
@@ -88,10 +88,10 @@
     if section != BACKENDS {
         return item.clone();
     }
-    let copy = |value: &Value, key: &str| value.get(key).cloned().unwrap_or(Value::Null);
-    let name = copy(item, "name");
+    let field = |value: &Value, key: &str| value.get(key).cloned().unwrap_or(Value::Null);
+    let name = field(item, "name");
     let models = item.pointer("/runtime/models").and_then(Value::as_array);
-    let reduced = |model: &Value| json!({ "name": copy(model, "name"), "weights_mb": 0, "load_s": copy(model, "load_s") });
+    let reduced = |model: &Value| json!({ "name": field(model, "name"), "weights_mb": 0, "load_s": field(model, "load_s") });
     match models {
         Some(models) => {
             let models: Vec<Value> = models.iter().map(reduced).collect();
--- a/crates/control/tests/admission.rs
+++ b/crates/control/tests/admission.rs
@@ -1,4 +1,4 @@
-//! Prompts of many heads, lined up before model servers.
+//! Prompts of many edges, queued for model servers.
 
 mod common;
 
@@ -20,7 +20,7 @@
         Scenario { controller: AdmissionController::default(), now: 1_000, request: 0, urgency: 0 }
     }
 
-    /// Model servers with so many slots, and the requests there by what edges told.
+    /// Model servers with their slots, and the requests in flight there by the edges' reports.
     fn report_slots(&mut self, slots: &[(&str, u32, u32)]) {
         let ready: Vec<ModelServer> =
             slots.iter().map(|(name, capacity, _)| server(name, *capacity)).collect();
@@ -65,14 +65,14 @@
 
 #[test]
 fn a_grant_occupies_a_slot_before_any_edge_reports_it() {
-    // Given a model server with two free slots, and many heads that do not know of each other.
+    // Given a model server with two free slots, and many edges that do not know of each other.
     let mut scenario = Scenario::new();
     scenario.report_slots(&[("near", 12, 10), ("far", 12, 0)]);
     let near = (0..6).filter(|_| {
         scenario.now += 60;
         scenario.request_grant(&[("near", 1, 0), ("far", 1, 90)]).0 == "near"
     });
-    // Then it is not granted beyond its slots, although no edge has told anything since.
+    // Then it is not granted beyond its slots, although no edge has reported since.
     assert_eq!(near.count(), 2);
 }
 
--- a/crates/control/tests/autoscaling.rs
+++ b/crates/control/tests/autoscaling.rs
@@ -1,4 +1,4 @@
-//! How many model servers run: stories of demand that comes, goes and finds a zone that gives nothing.
+//! Autoscaling under demand that rises, falls, and meets zones without capacity.
 
 mod common;
 
--- a/crates/control/tests/configuration.rs
+++ b/crates/control/tests/configuration.rs
@@ -122,12 +122,12 @@
 #[test_case("/tenants", json!([{ "name": "t1", "api_keys": ["k"] }, { "name": "t2", "api_keys": ["k"] }]), ResultCode::SharedKey; "shared key")]
 #[test_case("/routes/0/type", json!("strange"), ResultCode::UnreadableDocument; "unknown type")]
 #[test_case("/routes", json!("none"), ResultCode::UnreadableDocument; "routes are no list")]
-fn an_invalid_configuration_is_rejected(place: &str, value: Value, code: ResultCode) {
+fn an_invalid_configuration_is_rejected(pointer: &str, value: Value, code: ResultCode) {
     let mut scenario = Scenario::at_version_5();
     let mut body = document(6);
-    match body.pointer_mut(place) {
+    match body.pointer_mut(pointer) {
         Some(found) => *found = value,
-        None => body["routes"][0][place.rsplit('/').next().unwrap()] = value,
+        None => body["routes"][0][pointer.rsplit('/').next().unwrap()] = value,
     }
     scenario.assert_rejected(replace(5, &body), code);
 }
@@ -207,10 +207,10 @@
 #[test_case("/tenants", json!([]); "no tenants")]
 #[test_case("/limits", json!({ "max_body_bytes": 7 }); "other limits")]
 #[test_case("/backends", json!([{ "name": "two" }, { "name": "one", "runtime": { "models": [] } }]); "other services")]
-fn a_difference_turns_the_earlier_configuration_into_the_later(place: &str, value: Value) {
+fn a_difference_turns_the_earlier_configuration_into_the_later(pointer: &str, value: Value) {
     let before = document(5);
     let mut after = document(6);
-    *after.pointer_mut(place).unwrap() = value;
+    *after.pointer_mut(pointer).unwrap() = value;
     let update = difference(&before, &after);
     let made = updated(&before, &update);
     let sorted = |document: &Value| {
@@ -238,7 +238,7 @@
     assert_eq!(runtime.models[0].load_s, 4.5);
 }
 
-// ---- what edges are told ----
+// ---- what is sent to edges ----
 
 fn many_routes(first: usize, count: usize) -> Vec<Value> {
     (first..first + count)
--- a/crates/control/tests/directory.rs
+++ b/crates/control/tests/directory.rs
@@ -1,4 +1,4 @@
-//! The list of model servers, and what is told of it.
+//! The list of model servers, and what is published of it.
 
 mod common;
 
@@ -195,7 +195,7 @@
 }
 
 /// A heartbeat that a model server had written before an order was done brought back what it had dropped: for
-/// a second heads sent it requests that it turned away.
+/// a second edges sent it requests that it rejected.
 #[test]
 fn a_stale_heartbeat_does_not_undo_a_completed_order() {
     let mut directory = Directory::new(HEARTBEAT_MS);
--- a/crates/control/tests/full_document.rs
+++ b/crates/control/tests/full_document.rs
@@ -55,10 +55,10 @@
         let list = document.entry(section.clone()).or_insert_with(|| json!([]));
         let Some(items) = list.as_array_mut() else { continue };
         for item in changed {
-            let place = name_of_item(item)
+            let position = name_of_item(item)
                 .and_then(|name| items.iter().position(|known| name_of_item(known) == Some(name)));
-            match place {
-                Some(place) => items[place] = item.clone(),
+            match position {
+                Some(position) => items[position] = item.clone(),
                 None => items.push(item.clone()),
             }
         }
@@ -197,24 +197,26 @@
 fn assert_edge_has_the_same(table: &RouteTable, before: &Document, state: &ControlState) -> RouteTable {
     let (after, index) = state.document().expect("a document");
     let read =
-        |told: Value, is_whole| EdgeUpdate::read(told.to_string().as_bytes(), is_whole).expect("readable");
-    let whole = RouteTable::default().with_update(index, read(edge_document::full(after), true));
+        |sent: Value, is_full| EdgeUpdate::read(sent.to_string().as_bytes(), is_full).expect("readable");
+    let full = RouteTable::default().with_update(index, read(edge_document::full(after), true));
     let changed = match edge_document::difference(before, after) {
         Some(difference) => table.with_update(index, read(difference, false)),
-        None => whole.clone(),
+        None => full.clone(),
     };
-    for (host, place) in ["host", "other"].into_iter().flat_map(|host| (0..6).map(move |place| (host, place)))
+    for (host, position) in
+        ["host", "other"].into_iter().flat_map(|host| (0..6).map(move |position| (host, position)))
     {
-        let name =
-            |table: &RouteTable| table.route(host, &format!("/p{place}/x")).map(|route| route.name.clone());
-        assert_eq!(name(&changed), name(&whole), "{host}, place {place}: {}", after.to_value());
+        let name = |table: &RouteTable| {
+            table.route(host, &format!("/p{position}/x")).map(|route| route.name.clone())
+        };
+        assert_eq!(name(&changed), name(&full), "{host}, place {position}: {}", after.to_value());
     }
     for key in 0..6 {
-        let holder = |table: &RouteTable| table.tenant(&format!("k{key}")).map(|tenant| tenant.name.clone());
-        assert_eq!(holder(&changed), holder(&whole), "key {key}: {}", after.to_value());
+        let owner = |table: &RouteTable| table.tenant(&format!("k{key}")).map(|tenant| tenant.name.clone());
+        assert_eq!(owner(&changed), owner(&full), "key {key}: {}", after.to_value());
     }
-    assert_eq!(changed.has_tenants(), whole.has_tenants());
-    assert_eq!(changed.limits.max_body_bytes, whole.limits.max_body_bytes);
+    assert_eq!(changed.has_tenants(), full.has_tenants());
+    assert_eq!(changed.limits.max_body_bytes, full.limits.max_body_bytes);
     changed
 }
 
@@ -243,16 +245,16 @@
                 }
                 false => (ChangeKind::Update, draw.update(version)),
             };
-            let whole = match kind {
+            let full = match kind {
                 ChangeKind::Replace => Some(body.clone()),
                 ChangeKind::Update => apply_to_full_document(&before, &body),
             };
             let change = Change { kind, base, body: body.to_string() };
             let result = state.apply(number, &Command::Change(change));
-            match whole.filter(|whole| is_valid(whole, base)) {
-                Some(whole) => {
+            match full.filter(|full| is_valid(full, base)) {
+                Some(full) => {
                     assert!(result.is_ok(), "seed {seed}, change {number}: {result:?}, {body}\non {before}");
-                    assert_eq!(read_back(&state), whole, "seed {seed}, change {number}: {body}\non {before}");
+                    assert_eq!(read_back(&state), full, "seed {seed}, change {number}: {body}\non {before}");
                     table = assert_edge_has_the_same(&table, &known, &state);
                     accepted += 1;
                 }
--- a/crates/control/tests/order_progress.rs
+++ b/crates/control/tests/order_progress.rs
@@ -25,17 +25,17 @@
 }
 
 fn contents(sequence: u64, models: &[(&str, &[&str])], busy: bool) -> ModelServerContents {
-    let held = |(name, adapters): &(&str, &[&str])| LoadedModel {
+    let loaded = |(name, adapters): &(&str, &[&str])| LoadedModel {
         name: (*name).into(),
         version: 1,
         adapters: adapters.iter().map(|adapter| (*adapter).into()).collect(),
     };
-    ModelServerContents { models: models.iter().map(held).collect(), sequence, busy }
+    ModelServerContents { models: models.iter().map(loaded).collect(), sequence, busy }
 }
 
-/// Heads offered a model at model servers that had dropped it: a model server's report, a fifth of a second
-/// old, showed no order under way and the model still there, for it was made before the order came. It was
-/// taken for the order's end, and the model was told to all heads again.
+/// Edges sent requests for a model to model servers that had unloaded it: a model server's report, a fifth of
+/// a second old, showed no order under way and the model still there, for it was made before the order came.
+/// It was taken for the order's end, and the model was published to all edges again.
 #[test]
 fn a_report_older_than_the_order_is_stale() {
     let unload = order(Operation::Unload, "a", "");
--- a/crates/control/tests/outliers.rs
+++ b/crates/control/tests/outliers.rs
@@ -1,4 +1,4 @@
-//! Model servers that fail, by what all heads together saw.
+//! Outliers by the outcomes that all edges saw.
 
 mod common;
 
--- a/crates/control/tests/placement.rs
+++ b/crates/control/tests/placement.rs
@@ -1,4 +1,4 @@
-//! Stories of placement: which model server is ordered to load or unload what.
+//! Placement: which model server is ordered to load or unload what.
 
 mod common;
 
@@ -259,7 +259,7 @@
     );
     scenario.run_demand(10_000, &[("hot", 3)]);
     scenario.run_demand(6_000, &[("rising", 3)]);
-    assert!(scenario.replicas("rising") >= 5, "{} copies", scenario.replicas("rising"));
+    assert!(scenario.replicas("rising") >= 5, "{} replicas", scenario.replicas("rising"));
 }
 
 #[test]
@@ -271,8 +271,8 @@
     ["a", "b", "c"].iter().for_each(|model| assert!(scenario.replicas(model) >= 1, "{model}"));
 }
 
-/// Models whose only copy was on a model server that failed every request were lost with it: the leader told
-/// heads to avoid the model server, and counted its copy as one that serves.
+/// Models whose only replica was on a model server that failed every request were lost with it: the leader told
+/// edges to avoid the model server, and counted its replica as one that serves.
 #[test]
 fn a_model_whose_only_replica_is_on_a_failing_server_is_loaded_elsewhere() {
     let failing = [("i-0".to_owned(), 0.9)].into();
@@ -353,10 +353,7 @@
     };
     assert!(order.fits(runtime(&backends), &model_server(1, &["a", "b"]).models));
     assert!(!order.fits(runtime(&backends), &model_server(1, &["a", "b", "c"]).models));
-    assert!(
-        !order.fits(runtime(&backends), &model_server(1, &["unknown"]).models),
-        "its size cannot be told"
-    );
+    assert!(!order.fits(runtime(&backends), &model_server(1, &["unknown"]).models), "its size is unknown");
 }
 
 #[test]
--- a/crates/control/tests/safety/operators.rs
+++ b/crates/control/tests/safety/operators.rs
@@ -1,4 +1,4 @@
-//! Operators that change and read the configuration at any head, lose answers, and send the same again.
+//! Operators that change and read the configuration at any core, lose answers, and send the same again.
 
 use crate::history::{Call, Operation, Outcome};
 use pathbank_control::operator_calls::Reply;
--- a/crates/control/tests/safety/world.rs
+++ b/crates/control/tests/safety/world.rs
@@ -1,4 +1,4 @@
-//! The control path in virtual time: replicas with the state machine, operators, and what every head would
+//! The control path in virtual time: replicas with the state machine, operators, and what every core would
 //! hand out.
 
 use crate::common::{Cluster, member};
@@ -32,7 +32,7 @@
     results: BTreeMap<u64, (Vec<u8>, Reply)>,
 }
 
-/// A change that waits at the head where it was proposed.
+/// A change that waits at the core where it was proposed.
 struct Waiting {
     operator: usize,
     machine: usize,
@@ -134,7 +134,7 @@
         Ok(())
     }
 
-    // ---- heads ----
+    // ---- cores ----
 
     fn apply(&mut self) {
         for (machine, applied) in self.applied.iter_mut().enumerate() {
@@ -157,7 +157,7 @@
         }
     }
 
-    /// Changes that are committed or whose head leads no more.
+    /// Changes that are committed or whose core leads no more.
     fn answer_waiting(&mut self) {
         for waiting in std::mem::take(&mut self.waiting) {
             let machine = &self.fleet.machines[waiting.machine];
@@ -181,7 +181,7 @@
         }
     }
 
-    /// What a head does with a call that reaches it.
+    /// How a core answers a call that reaches it.
     fn receive(&mut self, operator: usize, machine: usize, change: Option<Change>) {
         let now = self.fleet.now;
         let Some(replica) =
@@ -207,7 +207,7 @@
         }
     }
 
-    /// A head in contact hands out nothing older than what contact allows, and a leader within its lease
+    /// A core in contact publishes nothing older than what contact allows, and a leader within its lease
     /// nothing old at all.
     fn check_cores(&self) -> Result<(), String> {
         let now = self.fleet.now;
@@ -223,7 +223,7 @@
             let newest = due.map(|(version, _)| *version).max().unwrap_or(0);
             if applied.state.version() < newest {
                 return Err(format!(
-                    "{now}: head {machine} is current with {} of {newest}",
+                    "{now}: core {machine} is current with {} of {newest}",
                     applied.state.version()
                 ));
             }
@@ -327,7 +327,7 @@
                 self.next_change += 1;
             }
             let machine = next.machine.unwrap_or_else(|| self.any_machine());
-            // The same call may reach two heads: an earlier copy was held up in the network.
+            // The same call may reach two cores: an earlier copy was delayed in the network.
             if self.random.u64(0..100) < 3 {
                 self.receive_stray(next.change.clone());
             }
--- a/crates/control/tests/usage.rs
+++ b/crates/control/tests/usage.rs
@@ -1,4 +1,4 @@
-//! Stories of usage: when a window is sealed, and with which counts.
+//! Usage: when a window is sealed, and with which counts.
 
 use pathbank_control::usage::{MIN_SEAL_DELAY_MS, SealRule, UsageTable};
 use pathbank_protocol::message::UsageWindow;
