--- a/crates/coordination/src/batch.rs
+++ b/crates/coordination/src/batch.rs
@@ -1,9 +1,9 @@
 //! Batches of records on disk. One sync covers one batch: the next one is written only after it is saved.
 //!
-//! A batch has a header with a checksum of its own (magic bytes, the format, the batch's number, the body's length and
-//! checksum) and a body. That tells two kinds of corruption apart. The last batch may be torn by a loss of power: it was
-//! never reported as saved, and is cut off. A broken batch with a later one after it had been saved: the file is damaged,
-//! and what it held was acknowledged to others.
+//! A batch has a header with a checksum of its own (magic bytes, the format, the batch's number, the body's
+//! length and checksum) and a body. That tells two kinds of corruption apart. The last batch may be torn by a
+//! loss of power: it was never reported as saved, and is cut off. A broken batch with a later one after it
+//! had been saved: the file is damaged, and what it held was acknowledged to others.
 
 use crate::record::Record;
 
@@ -101,7 +101,7 @@
     bytes
 }
 
-/// Reads the bytes of a file. Damage is no error: it is told by the [`TailState`].
+/// Reads the bytes of a file. Damage is not an error but a [`TailState`].
 ///
 /// ```
 /// use pathbank_coordination::batch::{TailState, decode, encode};
@@ -166,8 +166,8 @@
     Ok(Some(DecodedBatch { records, length }))
 }
 
-/// The tail that begins with a broken batch `number` at the start of `bytes`. The first batch of a file is always saved
-/// before the file gets its name.
+/// The tail that begins with a broken batch `number` at the start of `bytes`. The first batch of a file is
+/// always saved before the file gets its name.
 fn classify_tail(bytes: &[u8], number: u64) -> TailState {
     let magic_positions =
         bytes.windows(MAGIC.len()).enumerate().skip(1).filter(|(_, window)| *window == MAGIC);
@@ -176,8 +176,8 @@
     if was_saved { TailState::Damaged } else { TailState::Torn }
 }
 
-/// Reads a file of the legacy format: a length, a checksum and a body for each record. It cannot tell a torn tail from
-/// damage.
+/// Reads a file of the legacy format: a length, a checksum and a body for each record. It cannot tell a torn
+/// tail from damage.
 fn decode_legacy_format(bytes: &[u8]) -> DecodedLog {
     let mut records = Vec::new();
     let mut intact_bytes = 0;
--- a/crates/coordination/src/compaction.rs
+++ b/crates/coordination/src/compaction.rs
@@ -6,8 +6,8 @@
 const MAX_LOG_PER_SNAPSHOT: usize = 4;
 /// All entries are applied again after a start, which must not hold up a recovery.
 const MAX_LOG_ENTRIES: u64 = 1_000;
-/// While a snapshot is in transfer, the log may grow to this many times its limits: the receiver needs the entries after
-/// that snapshot, or it has to begin again.
+/// While a snapshot is in transfer, the log may grow to this many times its limits: the receiver needs the
+/// entries after that snapshot, or it has to begin again.
 const TRANSFER_ALLOWANCE: usize = 4;
 
 /// The size of a log after its snapshot.
--- a/crates/coordination/src/consensus/election.rs
+++ b/crates/coordination/src/consensus/election.rs
@@ -16,8 +16,8 @@
     Leader,
 }
 
-/// The last entry of a log. Of two logs the one whose last entry has the later term is more up to date, then the
-/// longer one (section 3.6.1); the order of the fields gives that order.
+/// The last entry of a log. Of two logs the one whose last entry has the later term is more up to date, then
+/// the longer one (section 3.6.1); the order of the fields gives that order.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord)]
 pub struct LogPosition {
     /// The last entry's term.
@@ -55,17 +55,17 @@
 }
 
 impl<Id: PartialEq> VoterState<Id> {
-    /// Whether the voter grants the request. A request that is not a pre-vote is judged after the voter has entered
-    /// its term.
+    /// Whether the voter grants the request. A request that is not a pre-vote is judged after the voter has
+    /// entered its term.
     ///
     /// ```
     /// use pathbank_coordination::consensus::election::{LogPosition, Role, VoterState, VoteRequest};
     ///
     /// let log = LogPosition { term: 2, index: 9 };
-    /// let voter = VoterState { term: 3, voted_for: Some(1), role: Role::Follower, has_live_leader: false, log };
-    /// let request = VoteRequest { candidate: 2, term: 3, pre: false, log };
-    /// assert!(!voter.grants(&request), "one vote a term");
-    /// assert!(voter.grants(&VoteRequest { candidate: 1, ..request }), "the same vote again");
+    /// let voter = VoterState { term: 3, voted_for: Some(1), role: Role::Follower, has_live_leader: false,
+    /// log }; let request = VoteRequest { candidate: 2, term: 3, pre: false, log };
+    /// assert!(!voter.grants(&request), "one vote a term"); assert!(voter.grants(&VoteRequest { candidate: 1,
+    /// ..request }), "the same vote again");
     /// ```
     pub fn grants(&self, request: &VoteRequest<Id>) -> bool {
         let is_up_to_date = request.log >= self.log;
@@ -96,8 +96,8 @@
         VoteTally { granted: BTreeSet::from([candidate]) }
     }
 
-    /// Records a granted vote. Returns whether it counts: it is the voter's first, and the replica still has the role
-    /// that requested it, which `pre` tells.
+    /// Records a granted vote. Returns whether it counts: it is the voter's first, and the replica still has
+    /// the role that requested it, which `pre` tells.
     pub fn record(&mut self, voter: Id, pre: bool, role: Role) -> bool {
         let requested_by = if pre { Role::PreCandidate } else { Role::Candidate };
         role == requested_by && self.granted.insert(voter)
--- a/crates/coordination/src/consensus/log_tail.rs
+++ b/crates/coordination/src/consensus/log_tail.rs
@@ -90,8 +90,8 @@
         self.entries.truncate(last.saturating_sub(self.base.index) as usize);
     }
 
-    /// Puts an entry at its index, in place of that one and all after it (section 3.5). One that would leave a gap is
-    /// ignored.
+    /// Puts an entry at its index, in place of that one and all after it (section 3.5). One that would leave
+    /// a gap is ignored.
     pub fn insert(&mut self, index: Index, entry: Entry) {
         self.truncate(index.saturating_sub(1));
         if index == self.last_index() + 1 {
@@ -121,15 +121,16 @@
         self.entry(index).map(Entry::term)
     }
 
-    /// Removes all entries up to `index`, which becomes the base. An index that is not in the log changes nothing.
+    /// Removes all entries up to `index`, which becomes the base. An index that is not in the log changes
+    /// nothing.
     pub fn compact_to(&mut self, index: Index) {
         let Some(term) = self.term_at(index) else { return };
         self.entries.drain(..(index - self.base.index) as usize);
         self.base = LogPosition { term, index };
     }
 
-    /// How many of a leader's entries, which follow `previous`, this log has already. Committed entries are never
-    /// replaced, so they count as present; a late message thus removes nothing (section 3.5).
+    /// How many of a leader's entries, which follow `previous`, this log has already. Committed entries are
+    /// never replaced, so they count as present; a late message thus removes nothing (section 3.5).
     pub fn matching_prefix(&self, committed: Index, previous: Index, entries: &[Entry]) -> usize {
         let is_present = |(entry, index): &(&Entry, Index)| {
             *index <= committed || self.term_at(*index) == Some(entry.term())
--- a/crates/coordination/src/consensus/mod.rs
+++ b/crates/coordination/src/consensus/mod.rs
@@ -1,5 +1,5 @@
-//! The rules of Raft, each stated once and used by every replicated log of this project. Sections are those of
-//! Ongaro's thesis, *Consensus: Bridging Theory and Practice* (2014).
+//! The rules of Raft, each stated once and used by every replicated log of this project. Sections are those
+//! of Ongaro's thesis, *Consensus: Bridging Theory and Practice* (2014).
 //!
 //! * [`quorum`]: majorities, and how far a majority has a log.
 //! * [`election`]: roles, and who gets a vote.
--- a/crates/coordination/src/consensus/quorum.rs
+++ b/crates/coordination/src/consensus/quorum.rs
@@ -31,9 +31,9 @@
     descending.get(majority(descending.len()) - 1).copied().unwrap_or(0)
 }
 
-/// Whether a leader of `term` may commit all up to `candidate`, which a majority has. Entries of earlier terms are
-/// committed only by one of its own after them (section 3.6.2): a majority that has them may still be overridden by a
-/// log with a later term.
+/// Whether a leader of `term` may commit all up to `candidate`, which a majority has. Entries of earlier
+/// terms are committed only by one of its own after them (section 3.6.2): a majority that has them may still
+/// be overridden by a log with a later term.
 pub fn may_commit(candidate: Index, committed: Index, term_of_candidate: Option<Term>, term: Term) -> bool {
     candidate > committed && term_of_candidate == Some(term)
 }
--- a/crates/coordination/src/consensus/replication_progress.rs
+++ b/crates/coordination/src/consensus/replication_progress.rs
@@ -30,8 +30,8 @@
         self.next_index = self.match_index + 1;
     }
 
-    /// The logs do not match before `next_index`. `next_attempt`: where the replica proposes to go on; never at or
-    /// before what matched, which a late rejection does not undo.
+    /// The logs do not match before `next_index`. `next_attempt`: where the replica proposes to go on; never
+    /// at or before what matched, which a late rejection does not undo.
     pub fn on_rejected(&mut self, next_attempt: Index) {
         self.next_index = next_attempt.min(self.next_index).max(self.match_index + 1);
     }
--- a/crates/coordination/src/digest.rs
+++ b/crates/coordination/src/digest.rs
@@ -2,8 +2,8 @@
 
 use ring::digest::{Context, SHA256};
 
-/// The first 128 bits of the SHA-256 of all parts, each prefixed with its length, so that different lists of parts have
-/// different digests.
+/// The first 128 bits of the SHA-256 of all parts, each prefixed with its length, so that different lists of
+/// parts have different digests.
 ///
 /// ```
 /// use pathbank_coordination::digest::digest;
--- a/crates/coordination/src/fencing.rs
+++ b/crates/coordination/src/fencing.rs
@@ -1,8 +1,8 @@
 //! When a leader may act outside the group, and with which fencing token.
 //!
-//! The token is the leader's term: each term has at most one leader, and a later leader has a later term. A leader acts
-//! only within its lease. A leader that led before and lost the leadership to another one waits first, so that two
-//! leaders do not act by turns.
+//! The token is the leader's term: each term has at most one leader, and a later leader has a later term. A
+//! leader acts only within its lease. A leader that led before and lost the leadership to another one waits
+//! first, so that two leaders do not act by turns.
 
 use crate::types::{Millis, Term};
 
@@ -63,7 +63,8 @@
         earlier.iter().any(|leader| leader == name)
     }
 
-    /// The permit of the leader `name` of `term`, whose lease ends at `lease_until`; `None`: it may not act now.
+    /// The permit of the leader `name` of `term`, whose lease ends at `lease_until`; `None`: it may not act
+    /// now.
     ///
     /// `returning_leader_wait`: for how long a leader that led before does not act, milliseconds.
     pub fn permit(
--- a/crates/coordination/src/gossip/datagram.rs
+++ b/crates/coordination/src/gossip/datagram.rs
@@ -1,6 +1,6 @@
 //! The messages between nodes and their bytes, big-endian: the format's byte, a checksum of all that follows,
-//! the header's fields, then records or digests. Each datagram is decoded once; one that is truncated, of another
-//! fleet, corrupted or of a later format is an error.
+//! the header's fields, then records or digests. Each datagram is decoded once; one that is truncated, of
+//! another fleet, corrupted or of a later format is an error.
 
 use super::types::{Incarnation, NodeId, NodeRecord, NodeState, NodeStatus};
 use super::view::MAX_BLOCKS;
@@ -8,7 +8,7 @@
 
 /// No datagram is longer.
 pub const MAX_DATAGRAM_BYTES: usize = 256;
-/// The first byte of each datagram of this format; it tells them from other datagrams on the same socket.
+/// The first byte of each datagram of this format; other datagrams on the same socket begin differently.
 pub const FORMAT: u8 = 0xf1;
 const HEADER_BYTES: usize = 40;
 const RECORD_BYTES: usize = 9;
@@ -20,8 +20,8 @@
 /// In the place of a subject, where a message has none.
 const NO_SUBJECT: NodeId = NodeId::MAX;
 
-/// The key of a fleet's checksums: nodes of different fleets do not take each other's datagrams. It guards against
-/// accidents, not against an attacker.
+/// The key of a fleet's checksums: nodes of different fleets do not take each other's datagrams. It guards
+/// against accidents, not against an attacker.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct FleetKey([u8; 16]);
 
@@ -81,7 +81,7 @@
     pub joined: bool,
     /// The number of a probe, and of its acknowledgement; 0 where none is expected.
     pub sequence: u32,
-    /// The digest of the sender's whole view.
+    /// The digest of the sender's view.
     pub digest: u64,
     /// What the sender reports of itself.
     pub status: NodeStatus,
@@ -203,7 +203,8 @@
     out.extend(&bytes[bytes.len() - INCARNATION_BYTES..]);
 }
 
-/// Fields that are read one after another. Their length is checked by the caller; behind their end there are zeros.
+/// Fields that are read one after another. Their length is checked by the caller; after their end there are
+/// zeros.
 struct Fields<'a>(&'a [u8]);
 
 impl Fields<'_> {
--- a/crates/coordination/src/gossip/dissemination.rs
+++ b/crates/coordination/src/gossip/dissemination.rs
@@ -20,8 +20,8 @@
         self.transmissions.insert(node, 0);
     }
 
-    /// The records for a datagram to a node: its own one first if it has a reason to refute it, then those that
-    /// were sent least.
+    /// The records for a datagram to a node: its own one first if it has a reason to refute it, then those
+    /// that were sent least.
     pub(super) fn piggyback(&mut self, to: NodeId, view: &View) -> Vec<(NodeId, NodeRecord)> {
         let mut records = Vec::with_capacity(MAX_RECORDS);
         let receivers_own = view.record(to).filter(|known| !known.incarnation.is_unknown());
--- a/crates/coordination/src/gossip/mod.rs
+++ b/crates/coordination/src/gossip/mod.rs
@@ -1,7 +1,7 @@
 //! A view of which nodes run, kept by the nodes themselves by gossip, after SWIM (Das, Gupta and Motivala,
-//! 2002), with the local health multiplier of Lifeguard (Dadgar and others, 2017). No I/O and no clock: datagrams,
-//! times and a seed are passed in, datagrams and changes come out. `docs/design/fleet.md` states the bound on
-//! convergence and why it holds.
+//! 2002), with the local health multiplier of Lifeguard (Dadgar and others, 2017). No I/O and no clock:
+//! datagrams, times and a seed are passed in, datagrams and changes come out. `docs/design/fleet.md` states
+//! the bound on convergence and why it holds.
 //!
 //! A view is an opinion: no rule of a protocol may rest on it.
 //!
--- a/crates/coordination/src/gossip/node.rs
+++ b/crates/coordination/src/gossip/node.rs
@@ -1,5 +1,6 @@
 //! One node's part in the view. It probes one other node in each interval, suspects those that do not answer,
-//! declares dead those that do not refute the suspicion, passes on what it learns, and repairs differing views.
+//! declares dead those that do not refute the suspicion, passes on what it learns, and repairs differing
+//! views.
 
 use super::datagram::{Body, Datagram};
 use super::dissemination::Dissemination;
@@ -12,8 +13,9 @@
 use super::view::View;
 use std::collections::BTreeMap;
 
-/// While probes are at their last attempt, more than one node is probed in an interval: so many at most beside
-/// the first. Where most of a fleet ends at once, the others have to find each dead node within a few intervals.
+/// While probes are at their last attempt, more than one node is probed in an interval: so many at most
+/// beside the first. Where most of a fleet ends at once, the others have to find each dead node within a few
+/// intervals.
 const MAX_EXTRA_PROBES: usize = 3;
 
 /// What a call asks its caller to do.
@@ -63,7 +65,8 @@
 }
 
 impl GossipNode {
-    /// The node `id` of so many. `seconds`: the wall clock, by which its incarnation is greater than earlier ones.
+    /// The node `id` of so many. `seconds`: the wall clock, by which its incarnation is greater than earlier
+    /// ones.
     pub fn new(
         id: NodeId,
         node_count: usize,
@@ -159,7 +162,7 @@
         // A suspicion of this incarnation overrides it: the node has to refute that in a later one.
         let state = if joined { NodeState::Alive } else { NodeState::Joining };
         self.merge(now, from, NodeRecord { incarnation, state }, Cause::DirectContact, &mut out);
-        // A late datagram of a former incarnation tells nothing of this one.
+        // A late datagram of a former incarnation does not describe this one.
         if incarnation >= known.incarnation {
             self.last_contacts.insert(from, LastContact { at: now, status, digest });
         }
@@ -204,7 +207,8 @@
 
     // ---- probing (SWIM, section 4.1) ----
 
-    /// A node that was not scheduled for long has missed acknowledgements, and refutations that went to others.
+    /// A node that was not scheduled for long has missed acknowledgements, and refutations that went to
+    /// others.
     fn recover_from_stall(&mut self, now: Micros) {
         let stalled = now.saturating_sub(self.last_tick_at);
         self.last_tick_at = now;
@@ -237,7 +241,8 @@
         self.timing.probe_interval_us * (ACK_TIMEOUT_INTERVALS + self.local_health.extra_intervals())
     }
 
-    /// Further attempts for probes without an acknowledgement: indirect probes, with the last one a direct one too.
+    /// Further attempts for probes without an acknowledgement: indirect probes, with the last one a direct
+    /// one too.
     fn retry_probes(&mut self, now: Micros, out: &mut Output) {
         let ack_timeout = self.ack_timeout();
         for at in 0..self.probes.pending.len() {
--- a/crates/coordination/src/gossip/probing.rs
+++ b/crates/coordination/src/gossip/probing.rs
@@ -54,7 +54,7 @@
     pub(super) pending: Vec<PendingProbe>,
     relayed: VecDeque<RelayedProbe>,
     last_sequence: u32,
-    /// Running nodes in a random order, each probed once before it is drawn anew (SWIM, section 4.3).
+    /// Running nodes in a random order, each probed once before the order is drawn again (SWIM, section 4.3).
     round: VecDeque<NodeId>,
     /// The same of nodes that are not thought to run.
     rejoin_round: VecDeque<NodeId>,
@@ -90,8 +90,8 @@
         None
     }
 
-    /// The next node that is not thought to run: it may have started, or come back, or be on the other side of
-    /// a partition that has healed.
+    /// The next node that is not thought to run: it may have started, or come back, or be on the other side
+    /// of a partition that has healed.
     pub(super) fn next_not_running(
         &mut self,
         own: NodeId,
--- a/crates/coordination/src/gossip/repair.rs
+++ b/crates/coordination/src/gossip/repair.rs
@@ -34,8 +34,8 @@
     }
 }
 
-/// The records of blocks whose digests differ from a peer's. Of a large difference only some datagrams are sent,
-/// drawn at random, so that the rest comes with later repairs.
+/// The records of blocks whose digests differ from a peer's. Of a large difference only some datagrams are
+/// sent, drawn at random, so that the rest comes with later repairs.
 pub(super) fn repair_datagrams(view: &View, digests: &[u32], rng: &mut fastrand::Rng) -> Vec<Body> {
     let differing = view.differing(digests);
     let mut chunks: Vec<Vec<(NodeId, NodeRecord)>> =
--- a/crates/coordination/src/gossip/timing.rs
+++ b/crates/coordination/src/gossip/timing.rs
@@ -29,9 +29,9 @@
 }
 
 impl GossipTiming {
-    /// How long after the last fault all views of so many nodes are the same and true, with one datagram in ten
-    /// lost, microseconds. A dead node is probed within 7 intervals, suspected after `ACK_TIMEOUT_INTERVALS`
-    /// and declared dead after the suspicion's timeout; all learn of it in one and a half intervals for each
+    /// How long after the last fault all views of so many nodes are the same and true, with one datagram in
+    /// ten lost, microseconds. A dead node is probed within 7 intervals, suspected after two more and
+    /// declared dead after the suspicion's timeout; all learn of it in one and a half intervals for each
     /// doubling of the fleet.
     pub fn convergence_bound(&self, node_count: usize) -> Micros {
         let doublings = f64::from(usize::BITS - node_count.leading_zeros());
--- a/crates/coordination/src/gossip/types.rs
+++ b/crates/coordination/src/gossip/types.rs
@@ -5,9 +5,9 @@
 /// A node's index in the list of nodes that every node is configured with.
 pub type NodeId = u16;
 
-/// One incarnation of a node (SWIM, section 4.2): the time of its start, in seconds of its wall clock, and how
-/// often it has refuted a suspicion or a death since. The greater one of two is the later one, whatever the
-/// clock showed: a node that learns of a greater incarnation of its own takes the next one.
+/// One incarnation of a node (SWIM, section 4.2): the time of its start, in seconds of its wall clock, and
+/// how often it has refuted a suspicion or a death since. The greater one of two is the later one, whatever
+/// the clock showed: a node that learns of a greater incarnation of its own takes the next one.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord)]
 pub struct Incarnation(u64);
 
@@ -48,7 +48,8 @@
     }
 }
 
-/// The state of one incarnation of a node, in the order of precedence: the later one overrides the earlier one.
+/// The state of one incarnation of a node, in the order of precedence: the later one overrides the earlier
+/// one.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord)]
 pub enum NodeState {
     /// It runs, and its view is not complete yet.
--- a/crates/coordination/src/gossip/view.rs
+++ b/crates/coordination/src/gossip/view.rs
@@ -1,5 +1,5 @@
-//! What is known of all nodes, and its digests. A digest covers who runs, and since which start: suspicions and
-//! refutations come and go without a node being in or out, and are no part of it.
+//! What is known of all nodes, and its digests. A digest covers who runs, and since which start: suspicions
+//! and refutations come and go without a node being in or out, and are no part of it.
 
 use super::types::{Cause, Change, Micros, NodeId, NodeRecord};
 
@@ -78,7 +78,7 @@
         self.running_count
     }
 
-    /// The digest of the whole view.
+    /// The digest of the view.
     pub fn digest(&self) -> u64 {
         self.digest
     }
--- a/crates/coordination/src/membership_changes.rs
+++ b/crates/coordination/src/membership_changes.rs
@@ -1,9 +1,9 @@
-//! Which store joins the voters, replaces one or leaves them. The leader decides it, one joint change at a time
-//! (section 4.3 of Ongaro's thesis).
+//! Which store joins the voters, replaces one or leaves them. The leader decides it, one joint change at a
+//! time (section 4.3 of Ongaro's thesis).
 //!
-//! The voters keep an odd number. An even number needs one voter more for a majority and tolerates no more failures, so
-//! that a voter that leaves while another one is lost would cost the quorum. Further stores are learners: they follow
-//! the log without a vote, and take a voter's place in one joint change.
+//! The voters keep an odd number. An even number needs one voter more for a majority and tolerates no more
+//! failures, so that a voter that leaves while another one is lost would cost the quorum. Further stores are
+//! learners: they follow the log without a vote, and take a voter's place in one joint change.
 
 use crate::consensus::quorum;
 use crate::replica::{Effects, PeerStatus, Replica};
@@ -14,7 +14,8 @@
 /// A learner has caught up when it lacks no more entries than this.
 const MAX_LEARNER_LAG: Index = 2;
 
-/// The voters that should follow the present ones; `None`: there is nothing to change, or it cannot be changed now.
+/// The voters that should follow the present ones; `None`: there is nothing to change, or it cannot be
+/// changed now.
 pub fn next_voters(replica: &Replica, now: Millis) -> Option<Vec<Member>> {
     if !replica.is_established_leader() || replica.membership().is_joint() {
         return None;
--- a/crates/coordination/src/record.rs
+++ b/crates/coordination/src/record.rs
@@ -51,7 +51,8 @@
 }
 
 impl DurableState {
-    /// Applies a record. Nothing else changes durable state, and the disk holds the same records in the same order.
+    /// Applies a record. Nothing else changes durable state, and the disk holds the same records in the same
+    /// order.
     pub fn apply(&mut self, record: Record) {
         match record {
             Record::Identity { id, initial } => (self.id, self.initial) = (Some(id), initial),
--- a/crates/coordination/src/replica/election.rs
+++ b/crates/coordination/src/replica/election.rs
@@ -1,4 +1,5 @@
-//! Elections: who requests votes, who grants them, and how a term begins and ends (sections 3.4, 3.10 and 9.6).
+//! Elections: who requests votes, who grants them, and how a term begins and ends (sections 3.4, 3.10 and
+//! 9.6).
 
 use super::{Effects, Outgoing, Replica, Role};
 use crate::consensus::election::{LogPosition, VoteRequest, VoteTally, VoterState};
@@ -55,7 +56,8 @@
         self.reset_election_timer(now);
     }
 
-    /// Steps down, and asks the voter with the most up-to-date log to start an election at once (section 3.10).
+    /// Steps down, and asks the voter with the most up-to-date log to start an election at once (section
+    /// 3.10).
     pub(super) fn transfer_to_best_voter(&mut self, now: Millis, effects: &mut Effects) {
         let voters = self.peers.values().filter(|peer| self.membership.contains(peer.member.id));
         let answers = |last_heard_at: Millis| now < last_heard_at + self.timing.election_timeout_ms;
--- a/crates/coordination/src/replica/follower.rs
+++ b/crates/coordination/src/replica/follower.rs
@@ -17,7 +17,8 @@
 }
 
 impl Replica {
-    /// Whether the sender is a leader to be followed: its term is not over. If so, it is the leader from now on.
+    /// Whether the sender is a leader to be followed: its term is not over. If so, it is the leader from now
+    /// on.
     pub(super) fn follow(
         &mut self,
         now: Millis,
--- a/crates/coordination/src/replica/leader.rs
+++ b/crates/coordination/src/replica/leader.rs
@@ -1,5 +1,5 @@
-//! The leader's side of replication (section 3.5): entries to the peers, what they have saved, what is committed
-//! by that.
+//! The leader's side of replication (section 3.5): entries to the peers, what they have saved, what is
+//! committed by that.
 
 use super::peer::Peer;
 use super::{Effects, Outgoing, Replica, Role};
@@ -57,7 +57,8 @@
         ids.into_iter().for_each(|id| self.send_append(now, id, heartbeat, effects));
     }
 
-    /// Sends the entries that a peer lacks; with `heartbeat` a message without entries where there is nothing to send.
+    /// Sends the entries that a peer lacks; with `heartbeat` a message without entries where there is nothing
+    /// to send.
     pub(super) fn send_append(&mut self, now: Millis, id: StoreId, heartbeat: bool, effects: &mut Effects) {
         let timeout = RESEND_HEARTBEATS * self.timing.heartbeat_interval_ms;
         let Some(peer) = self.peers.get_mut(&id) else { return };
@@ -149,7 +150,7 @@
         self.send_append(now, id, true, effects);
     }
 
-    /// Commits what a quorum has saved, and tells the peers at once.
+    /// Commits what a quorum has saved, and notifies the peers at once.
     pub(super) fn advance_commit(&mut self, now: Millis, effects: &mut Effects) {
         let match_index = |id: StoreId| match id == self.me.id {
             true => self.persisted_index,
@@ -165,8 +166,8 @@
         self.send_to_all(now, true, effects);
     }
 
-    /// A committed joint membership is followed by the new one alone (section 4.3). A leader that is not in the new
-    /// one steps down once that is committed.
+    /// A committed joint membership is followed by the new one alone (section 4.3). A leader that is not in
+    /// the new one steps down once that is committed.
     fn finish_membership_change(&mut self, now: Millis, effects: &mut Effects) {
         if self.commit_index < self.membership_index {
             return;
--- a/crates/coordination/src/replica/log.rs
+++ b/crates/coordination/src/replica/log.rs
@@ -50,8 +50,8 @@
         self.membership = self.membership_at(Index::MAX);
     }
 
-    /// Hands out what is committed and was not handed out yet, in portions: a leader that applied all of a long log
-    /// at once would send no heartbeats meanwhile, and be deposed.
+    /// Hands out what is committed and was not handed out yet, in portions: a leader that applied all of a
+    /// long log at once would send no heartbeats meanwhile, and be deposed.
     pub(super) fn hand_out_committed(&mut self, effects: &mut Effects) {
         let mut bytes = 0;
         while self.has_more_to_apply()
--- a/crates/coordination/src/replica/mod.rs
+++ b/crates/coordination/src/replica/mod.rs
@@ -1,11 +1,11 @@
 //! A replica of the log: Raft's core without I/O, with leases (section 6.4.1) and joint membership changes
 //! (section 4.3). Sections are those of Ongaro's thesis, *Consensus: Bridging Theory and Practice* (2014).
 //!
-//! The caller saves [`Effects::records`] in order. A message with `after_save` leaves once they are on disk; the others
-//! may leave at once. [`Replica::on_persisted`] tells the replica how far the disk is.
+//! The caller saves [`Effects::records`] in order. A message with `after_save` leaves once they are on disk;
+//! the others may leave at once. [`Replica::on_persisted`] tells the replica how far the disk is.
 //!
-//! Invariants: `applied_index <= commit_index`; what is committed is never replaced; no vote and no acknowledgement
-//! leaves before its record is on disk.
+//! Invariants: `applied_index <= commit_index`; what is committed is never replaced; no vote and no
+//! acknowledgement leaves before its record is on disk.
 
 mod election;
 mod follower;
@@ -34,8 +34,8 @@
 pub struct Timing {
     /// Between a leader's heartbeats.
     pub heartbeat_interval_ms: Millis,
-    /// A follower that hears no leader for this time, and up to twice that, starts an election; before that it grants
-    /// no vote.
+    /// A follower that hears no leader for this time, and up to twice that, starts an election; before that
+    /// it grants no vote.
     pub election_timeout_ms: Millis,
     /// For how long a leader may act after it sent what a quorum answered. Shorter than the election timeout.
     pub lease_ms: Millis,
@@ -203,8 +203,8 @@
     pub fn is_established_leader(&self) -> bool {
         self.role == Role::Leader && self.applied_index >= self.term_start_index
     }
-    /// Until when no other replica can lead (section 6.4.1): what this one reads or does before is up to date. 0: it has
-    /// no lease.
+    /// Until when no other replica can lead (section 6.4.1): what this one reads or does before is up to
+    /// date. 0: it has no lease.
     pub fn lease_until(&self) -> Millis {
         if !self.is_established_leader() {
             return 0;
@@ -230,14 +230,15 @@
             last_heard_at: peer.last_heard_at,
         })
     }
-    /// Whether this replica has applied all that it could know to be committed: it leads within its lease, or has heard
-    /// a leader within `timeout` milliseconds and lacks nothing of what that leader has committed.
+    /// Whether this replica has applied all that it could know to be committed: it leads within its lease, or
+    /// has heard a leader within `timeout` milliseconds and lacks nothing of what that leader has committed.
     pub fn is_current(&self, now: Millis, timeout: Millis) -> bool {
         if self.role == Role::Leader {
             return self.lease_until() > now;
         }
         let has_live_leader = self.leader_heard_at.is_some_and(|heard_at| now < heard_at + timeout);
-        // A new leader does not know how far the log is committed until it has committed an entry of its term.
+        // A new leader does not know how far the log is committed until it has committed an entry of its
+        // term.
         let is_commit_known = self.durable.term_at(self.leader_commit_index) == Some(self.durable.term);
         has_live_leader && is_commit_known && self.applied_index >= self.leader_commit_index
     }
@@ -262,7 +263,8 @@
         effects
     }
 
-    /// Whether this replica should ask others to let it take part: no leader was heard within the election timeout.
+    /// Whether this replica should ask others to let it take part: no leader was heard within the election
+    /// timeout.
     pub fn wants_to_join(&self, now: Millis) -> bool {
         let silent_for = self.leader_heard_at.map_or(Millis::MAX, |heard_at| now.saturating_sub(heard_at));
         self.role != Role::Leader && silent_for > self.timing.election_timeout_ms
@@ -290,7 +292,8 @@
         effects
     }
 
-    /// Proposes an entry. Returns its index. It may still be lost: another leader's entry may be committed at its index.
+    /// Proposes an entry. Returns its index. It may still be lost: another leader's entry may be committed at
+    /// its index.
     ///
     /// # Errors
     ///
@@ -325,7 +328,8 @@
         Ok(effects)
     }
 
-    /// Replaces all entries up to `index`, which has to be applied, by a snapshot with the state machine's `data`.
+    /// Replaces all entries up to `index`, which has to be applied, by a snapshot with the state machine's
+    /// `data`.
     pub fn compact(&mut self, index: Index, leaders: Vec<String>, data: Vec<u8>) -> Effects {
         let mut effects = Effects::default();
         let Some(term) = self.durable.term_at(index).filter(|_| index <= self.applied_index) else {
@@ -337,7 +341,8 @@
         effects
     }
 
-    /// The leader asks the voter with the most up-to-date log to start an election, and steps down (section 3.10).
+    /// The leader asks the voter with the most up-to-date log to start an election, and steps down (section
+    /// 3.10).
     pub fn transfer_leadership(&mut self, now: Millis) -> Effects {
         let mut effects = Effects::default();
         if self.role == Role::Leader {
--- a/crates/coordination/src/replica/snapshot_transfer.rs
+++ b/crates/coordination/src/replica/snapshot_transfer.rs
@@ -1,12 +1,13 @@
-//! Snapshots on their way to a follower (section 5.3): encoded once, sent in chunks one after another, resumed
-//! where they broke off.
+//! Snapshots on their way to a follower (section 5.3): encoded once, sent in chunks one after another,
+//! resumed where they broke off.
 
 use super::{Effects, Outgoing, Replica, Role};
 use crate::record::Record;
 use crate::types::{Member, Message, Millis, Snapshot, SnapshotChunk, SnapshotId, StoreId, Term};
 use std::sync::Arc;
 
-/// Bytes of one chunk: on a link of 10 Mbit/s a heartbeat behind it waits for 0.1 s, well within the election timeout.
+/// Bytes of one chunk: on a link of 10 Mbit/s a heartbeat behind it waits for 0.1 s, well within the election
+/// timeout.
 pub const SNAPSHOT_CHUNK_BYTES: usize = 128 * 1024;
 
 /// An encoded snapshot that a leader sends.
@@ -89,7 +90,8 @@
 // ---- the leader's side ----
 
 impl Replica {
-    /// Whether a store that still answers is being sent a snapshot. A newer snapshot would make it begin again.
+    /// Whether a store that still answers is being sent a snapshot. A newer snapshot would make it begin
+    /// again.
     pub fn is_sending_snapshot(&self, now: Millis) -> bool {
         let timeout = 2 * self.timing.election_timeout_ms;
         self.peers.values().any(|peer| peer.transfer.is_some() && now < peer.last_heard_at + timeout)
@@ -201,8 +203,8 @@
         effects.messages.push(Outgoing { to: from, message, after_save: true });
     }
 
-    /// Puts a snapshot in the place of the entries that it covers. Entries after it that follow on it stay: this
-    /// replica may have acknowledged them.
+    /// Puts a snapshot in the place of the entries that it covers. Entries after it that follow on it stay:
+    /// this replica may have acknowledged them.
     fn install(&mut self, from: Member, snapshot: Snapshot, sent_at: Millis, effects: &mut Effects) {
         let index = snapshot.index;
         let keep_tail = self.durable.term_at(index) == Some(snapshot.term);
--- a/crates/coordination/src/replica/withdrawal.rs
+++ b/crates/coordination/src/replica/withdrawal.rs
@@ -21,7 +21,8 @@
 }
 
 impl Replica {
-    /// This replica's process is about to end. Called repeatedly, until [`Replica::departure`] permits the end.
+    /// This replica's process is about to end. Called repeatedly, until [`Replica::departure`] permits the
+    /// end.
     pub fn leave(&mut self, now: Millis) -> Effects {
         let mut effects = Effects::default();
         if !self.membership.contains(self.me.id) {
--- a/crates/coordination/src/store.rs
+++ b/crates/coordination/src/store.rs
@@ -1,11 +1,12 @@
 //! The append-only file of a replica's records, in batches of one sync each ([`crate::batch`]).
 //!
-//! A file that has grown long is replaced: a new one is written beside it, synced, and renamed over it; then the directory
-//! is synced. The first batch is written the same way, so a file with its name has a complete first batch. What a failed
-//! write left is cut off before the next one.
+//! A file that has grown long is replaced: a new one is written beside it, synced, and renamed over it; then
+//! the directory is synced. The first batch is written the same way, so a file with its name has a complete
+//! first batch. What a failed write left is cut off before the next one.
 //!
-//! A file in which a saved batch cannot be read is a lost store: it is set aside as [`DAMAGED_FILE`], and the directory
-//! becomes a new store. It must not go on under the old identity with less than that has acknowledged.
+//! A file in which a saved batch cannot be read is a lost store: it is set aside as [`DAMAGED_FILE`], and the
+//! directory becomes a new store. It must not go on under the old identity with less than that has
+//! acknowledged.
 
 use crate::batch::{self, DecodedLog, TailState, UnreadableLog};
 use crate::record::{DurableState, Record};
@@ -180,8 +181,8 @@
         self.sync_directory()
     }
 
-    /// Until the directory of a renamed file is synced, a loss of power may bring the old file back, and nothing that is
-    /// appended counts.
+    /// Until the directory of a renamed file is synced, a loss of power may bring the old file back, and
+    /// nothing that is appended counts.
     fn sync_directory(&mut self) -> io::Result<()> {
         if self.directory_unsynced {
             File::open(&self.directory)?.sync_all()?;
--- a/crates/coordination/src/types.rs
+++ b/crates/coordination/src/types.rs
@@ -8,8 +8,8 @@
 pub type Millis = u64;
 pub use crate::consensus::{Index, Term};
 
-/// The identity of a store, which is the data directory of one replica. A directory that was lost and created again is
-/// another store.
+/// The identity of a store, which is the data directory of one replica. A directory that was lost and created
+/// again is another store.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct StoreId(pub u64);
 
@@ -26,8 +26,8 @@
     pub control_address: String,
 }
 
-/// The voters. During a change both the new and the old ones have to agree (joint consensus, section 4.3 of Ongaro's
-/// thesis).
+/// The voters. During a change both the new and the old ones have to agree (joint consensus, section 4.3 of
+/// Ongaro's thesis).
 ///
 /// ```
 /// use pathbank_coordination::types::{Member, Membership, StoreId};
@@ -199,8 +199,8 @@
         /// `sent_at` of the message that this answers.
         sent_at: Millis,
     },
-    /// A chunk of a snapshot, in place of entries that the leader no longer has. Without bytes it is a heartbeat that
-    /// asks how much has been received.
+    /// A chunk of a snapshot, in place of entries that the leader no longer has. Without bytes it is a
+    /// heartbeat that asks how much has been received.
     SnapshotChunk(SnapshotChunk),
     /// The answer to [`Message::SnapshotChunk`].
     SnapshotReply {
--- a/crates/coordination/tests/common/mod.rs
+++ b/crates/coordination/tests/common/mod.rs
@@ -1,5 +1,5 @@
-//! A cluster of replicas in one process: virtual time, links that delay, lose and partition, disks that sync late and lose
-//! what was not synced.
+//! A cluster of replicas in one process: virtual time, links that delay, lose and partition, disks that sync
+//! late and lose what was not synced.
 
 #![allow(dead_code)]
 
@@ -323,8 +323,8 @@
             .extend(queued.into_iter().map(|((_, sequence), message)| ((self.now + 1, sequence), message)));
     }
 
-    /// Whether all voters run with the leader's full log and no membership change is in progress, so that another disk
-    /// may be lost.
+    /// Whether all voters run with the leader's full log and no membership change is in progress, so that
+    /// another disk may be lost.
     pub fn is_healthy(&self) -> bool {
         let Some(leader) = self.leader() else { return false };
         let Some(replica) = self.machines[leader].replica.as_ref() else { return false };
--- a/crates/coordination/tests/event_orders.rs
+++ b/crates/coordination/tests/event_orders.rs
@@ -1,6 +1,6 @@
-//! All permutations of a few events on a small cluster: a store joins, a voter leaves, a disk is lost, a process crashes,
-//! logs are compacted. In each of them no term has two leaders, no acknowledged entry is lost, and there is a leader at the
-//! end.
+//! All permutations of a few events on a small cluster: a store joins, a voter leaves, a disk is lost, a
+//! process crashes, logs are compacted. In each of them no term has two leaders, no acknowledged entry is
+//! lost, and there is a leader at the end.
 
 mod common;
 
--- a/crates/coordination/tests/membership_changes.rs
+++ b/crates/coordination/tests/membership_changes.rs
@@ -1,5 +1,5 @@
-//! Stores that join, leave and replace voters, with a further failure at any time of it: while a quorum remains, there is
-//! a leader again and no acknowledged entry is lost.
+//! Stores that join, leave and replace voters, with a further failure at any time of it: while a quorum
+//! remains, there is a leader again and no acknowledged entry is lost.
 
 mod common;
 
--- a/crates/coordination/tests/recovery.rs
+++ b/crates/coordination/tests/recovery.rs
@@ -42,8 +42,8 @@
     }
 }
 
-// A leader that applied its whole log at once sent no heartbeats meanwhile and was deposed by the next one, which did the
-// same; the cluster was current only after several elections.
+// A leader that applied its whole log at once sent no heartbeats meanwhile and was deposed by the next one,
+// which did the same; the cluster was current only after several elections.
 #[test]
 fn a_leader_keeps_leading_while_it_applies_a_long_log() {
     for seed in 0..20 {
@@ -79,8 +79,8 @@
     Killed,
 }
 
-/// A core that restarts on a small processor replays its log while the others keep their leader and accept commands, and
-/// is current within the time of its replay.
+/// A core that restarts on a small processor replays its log while the others keep their leader and accept
+/// commands, and is current within the time of its replay.
 #[test_case(false, Fault::Nothing; "a follower starts again")]
 #[test_case(false, Fault::SlowDisks; "a follower, with slow disks")]
 #[test_case(false, Fault::Loss; "a follower, with messages that get lost")]
--- a/crates/fair-queue/src/flow.rs
+++ b/crates/fair-queue/src/flow.rs
@@ -1,5 +1,5 @@
-//! A flow's virtual time and activity, and the choice among flows: what all schedulers after MQFQ-Sticky share, whatever
-//! their requests are and wherever they are queued.
+//! A flow's virtual time and activity, and the choice among flows: what all schedulers after MQFQ-Sticky
+//! share, whatever their requests are and wherever they are queued.
 
 /// Time of a monotonic clock that the caller reads, in any unit, the same in all calls.
 pub type Time = u64;
@@ -48,7 +48,8 @@
         self.queued > 0 || self.last_arrival.is_some() && now < self.emptied_at + idle
     }
 
-    /// A further request arrives. A flow that was not active takes the larger of its own and the global virtual time.
+    /// A further request arrives. A flow that was not active takes the larger of its own and the global
+    /// virtual time.
     pub fn arrive(&mut self, now: Time, global_virtual_time: f64, anticipation: Anticipation) {
         if !self.is_active(now, anticipation) {
             self.virtual_time = self.virtual_time.max(global_virtual_time);
@@ -101,9 +102,9 @@
     pub oldest: u64,
 }
 
-/// The flow that a free slot serves: the longest queue among those whose virtual time is at most `horizon` (the global
-/// virtual time and T), ties to fewest in flight, then to the oldest request; with only throttled work, the flow of lowest
-/// virtual time.
+/// The flow that a free slot serves: the longest queue among those whose virtual time is at most `horizon`
+/// (the global virtual time and T), ties to fewest in flight, then to the oldest request; with only throttled
+/// work, the flow of lowest virtual time.
 pub fn choose<K: Copy>(candidates: &[Candidate<K>], horizon: f64) -> Option<K> {
     let eligible = candidates.iter().filter(|candidate| candidate.virtual_time <= horizon);
     let longest = eligible.max_by_key(|candidate| {
--- a/crates/fair-queue/src/lib.rs
+++ b/crates/fair-queue/src/lib.rs
@@ -1,10 +1,11 @@
 //! Fair queueing over flows that share servers, after MQFQ-Sticky.
 //!
-//! Each flow has one virtual time and one queue per server. A server with a free slot takes the longest queue among the
-//! active flows that are not throttled, with ties to fewest in flight, and of that queue the oldest request. The
-//! request's estimated size is added to its flow's virtual time. A flow more than the overrun ahead of the global virtual
-//! time (the lowest among active flows) is throttled; a server that finds only throttled work serves the flow with the
-//! lowest virtual time. A flow that comes back from being idle takes the larger of its own and the global virtual time.
+//! Each flow has one virtual time and one queue per server. A server with a free slot takes the longest queue
+//! among the active flows that are not throttled, with ties to fewest in flight, and of that queue the oldest
+//! request. The request's estimated size is added to its flow's virtual time. A flow more than the overrun
+//! ahead of the global virtual time (the lowest among active flows) is throttled; a server that finds only
+//! throttled work serves the flow with the lowest virtual time. A flow that comes back from being idle takes
+//! the larger of its own and the global virtual time.
 //!
 //! ```
 //! use pathbank_fair_queue::{FairQueue, Settings};
@@ -142,7 +143,8 @@
         true
     }
 
-    /// Takes the next request for a free slot of a server. It counts as in flight until [`FairQueue::complete`].
+    /// Takes the next request for a free slot of a server. It counts as in flight until
+    /// [`FairQueue::complete`].
     pub fn take(&mut self, now: Millis, server: &S) -> Option<R> {
         self.take_where(now, server, |_| true)
     }
