--- a/src/attempt_end.rs
+++ b/src/attempt_end.rs
@@ -2,6 +2,7 @@
 
 use crate::interface::AttemptResult;
 
+/// How an attempt ended, as the connection saw it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum AttemptEnd {
     /// A whole good answer.
--- a/src/classes.rs
+++ b/src/classes.rs
@@ -22,6 +22,7 @@
         self.classes.iter().find(|(known, ..)| known == name).map(|(_, number, wait)| (*number, *wait))
     }
 
+    /// A plan's number by its name.
     pub fn plan(&self, name: &str) -> Option<usize> {
         self.plans.iter().find(|(known, _)| known == name).map(|(_, number)| *number)
     }
--- a/src/clock.rs
+++ b/src/clock.rs
@@ -5,6 +5,7 @@
 use std::time::{SystemTime, UNIX_EPOCH};
 use tokio::time::{Duration, Instant};
 
+/// The policy's clock: microseconds since 1970 at the start, monotonic from then on.
 #[derive(Clone, Copy, Debug)]
 pub struct Clock {
     unix: Micros,
@@ -12,15 +13,18 @@
 }
 
 impl Clock {
+    /// A clock that starts now.
     pub fn start() -> Clock {
         let unix = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
         Clock { unix: micros(unix), start: Instant::now() }
     }
 
+    /// The time.
     pub fn now(&self) -> Micros {
         self.unix + micros(self.start.elapsed())
     }
 
+    /// A time of this clock as tokio's `Instant`.
     pub fn instant(&self, at: Micros) -> Instant {
         self.start + Duration::from_micros(at.saturating_sub(self.unix))
     }
@@ -35,10 +39,12 @@
 }
 
 impl Pace {
+    /// A clock that is `ahead` microseconds ahead and runs faster by `ppm` millionths.
     pub fn new(ahead: Micros, ppm: i64) -> Pace {
         Pace { start: Instant::now(), ahead, ppm }
     }
 
+    /// The time.
     pub fn now(&self) -> Micros {
         let passed = i128::from(micros(self.start.elapsed()));
         let set = passed + passed * i128::from(self.ppm) / 1_000_000;
@@ -47,6 +53,7 @@
     }
 }
 
+/// A duration in microseconds.
 pub fn micros(time: Duration) -> Micros {
     u64::try_from(time.as_micros()).unwrap_or(u64::MAX)
 }
--- a/src/config/mod.rs
+++ b/src/config/mod.rs
@@ -51,15 +51,21 @@
 const CLIENT_IDLE: Duration = Duration::from_secs(10);
 const CLIENT_IDLE_IF_MANY: Duration = Duration::from_millis(2_050);
 
+/// Why the configuration cannot be used.
 #[derive(Debug)]
 pub enum ConfigError {
+    /// A variable or key is missing.
     Missing(&'static str),
     /// A key that the running configuration has.
     Gone(String),
+    /// A value cannot be read.
     Unreadable {
+        /// The key or file.
         what: String,
+        /// What is wrong with it.
         why: String,
     },
+    /// A setting cannot be read.
     Settings(SettingsError),
 }
 
@@ -101,11 +107,15 @@
 /// All that a head is told.
 #[derive(Debug)]
 pub struct Config {
+    /// The host's name.
     pub name: String,
+    /// Where it listens.
     pub listen: SocketAddr,
+    /// Where the node list is served.
     pub discovery: SocketAddr,
     /// Where operators call, and how many may at once. `None`: off.
     pub ops: Option<SocketAddr>,
+    /// Connections of operators at most.
     pub ops_callers: usize,
     /// Where datagrams of other heads come, and who they are. `None`: off, or not allowed.
     pub talk: Option<Talking>,
@@ -113,8 +123,11 @@
     pub passed_socket: Option<i32>,
     /// Every key that its file has; in a list those that all entries have.
     keys: BTreeSet<String>,
+    /// Differs from host to host.
     pub seed: u64,
+    /// Limits of clients' connections.
     pub clients: ClientLimits,
+    /// Limits of connections to nodes.
     pub node_connections: NodeLimits,
     /// All that the program may use, in bytes.
     pub memory: usize,
@@ -122,27 +135,37 @@
     pub most_held: usize,
     /// Ids of requests that are remembered at once.
     pub most_ids: usize,
+    /// The node list of the file, for a start without discovery.
     pub known: NodeList,
+    /// The settings of the policy.
     pub settings: Settings,
+    /// Names of classes and plans.
     pub names: Names,
     /// Requests that may be open at once.
     pub max_open: usize,
+    /// Time kept back from a client's time for the ways in and out.
     pub answer_margin: Duration,
+    /// The lowest level that is logged.
     pub log_level: log::LevelFilter,
+    /// One more collector of the log.
     pub syslog: Option<SocketAddr>,
 }
 
 /// How heads reach each other.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Talking {
+    /// Where it listens.
     pub listen: SocketAddr,
+    /// The other hosts, by number.
     pub peers: Vec<SocketAddr>,
+    /// An address that reaches all of them.
     pub all: Option<SocketAddr>,
 }
 
 /// What bounds a front's connections.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct ClientLimits {
+    /// Connections at most.
     pub most: usize,
     /// Beyond `most`, while those that were told to go do so.
     pub spare: usize,
@@ -152,6 +175,7 @@
     pub request: Duration,
     /// Between requests; and the same where more than half of the places are taken.
     pub idle: Duration,
+    /// How long a connection may be idle when more than half of the slots are taken.
     pub idle_if_many: Duration,
 }
 
@@ -160,6 +184,7 @@
 pub struct NodeLimits {
     /// In use and idle together.
     pub most: usize,
+    /// How long a connection may be idle.
     pub idle: Duration,
     /// For a connection to come up.
     pub connect: Duration,
@@ -168,7 +193,9 @@
 /// What the settings call the things that the module knows by number.
 #[derive(Clone, Debug, Default)]
 pub struct Names {
+    /// Classes, by number.
     pub classes: Vec<String>,
+    /// Plans, by number.
     pub plans: Vec<String>,
     /// How long the clients of each class wait at most.
     pub deadlines: Vec<Duration>,
@@ -177,31 +204,45 @@
 /// The list of nodes in discovery's form.
 #[derive(Clone, Debug, Default, PartialEq, Deserialize)]
 pub struct NodeList {
+    /// Rises with every change.
     #[serde(default)]
     pub version: u64,
+    /// It is the complete list.
     #[serde(default)]
     pub full: bool,
+    /// The nodes.
     #[serde(default)]
     pub servers: Vec<ListedNode>,
 }
 
+/// A node as discovery lists it.
 #[derive(Clone, Debug, PartialEq, Deserialize)]
 pub struct ListedNode {
+    /// The node's name.
     pub id: String,
+    /// `host:port`.
     pub addr: String,
+    /// Its zone.
     #[serde(default)]
     pub zone: String,
+    /// The shard that it serves.
     pub cell: u16,
+    /// Whether it takes requests.
     pub state: ListedState,
+    /// Its last start, milliseconds since 1970; 0: long ago.
     #[serde(default)]
     pub started_ms: u64,
 }
 
+/// Whether a node takes requests.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum ListedState {
+    /// It does.
     InService,
+    /// It drains.
     Terminating,
+    /// It was removed.
     Terminated,
 }
 
@@ -239,6 +280,7 @@
 }
 
 impl Config {
+    /// Reads the file that `GW_CONFIG` names, and the other variables.
     pub fn from_environment() -> Result<Config, ConfigError> {
         let env = |key: &str| std::env::var(key).ok().filter(|value| !value.is_empty());
         let path = env("GW_CONFIG").ok_or(ConfigError::Missing("GW_CONFIG"))?;
--- a/src/core/agreement.rs
+++ b/src/core/agreement.rs
@@ -13,9 +13,11 @@
 /// By which the core acts on what the heads agree on.
 #[derive(Debug)]
 pub struct Agreed {
+    /// The rules that follow from the agreed documents.
     pub rules: Rules,
     /// What this head knows, as it is at this moment.
     pub view: Arc<Mutex<LeaseView>>,
+    /// The clock by which leases are measured.
     pub pace: Pace,
 }
 
--- a/src/figures.rs
+++ b/src/figures.rs
@@ -8,8 +8,11 @@
 /// What is counted for each class.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Count {
+    /// Answered by a node.
     Passed,
+    /// Refused.
     Dropped,
+    /// Failed.
     BadGateway,
     /// Attempts written whole to nodes.
     Tries,
@@ -83,6 +86,7 @@
         InProgress(self.clone())
     }
 
+    /// Open requests.
     pub fn in_progress(&self) -> usize {
         self.0.in_progress.load(Ordering::Relaxed)
     }
@@ -93,6 +97,7 @@
         self.0.skipped.store(skipped, Ordering::Relaxed);
     }
 
+    /// Nodes on the list.
     pub fn known_nodes(&self) -> usize {
         self.0.known.load(Ordering::Relaxed)
     }
@@ -119,6 +124,7 @@
         *self.0.beat.lock().unwrap_or_else(PoisonError::into_inner) = Some(now);
     }
 
+    /// How long the core's event loop has not reported.
     pub fn silent_for(&self, now: Instant) -> Duration {
         let beat = *self.0.beat.lock().unwrap_or_else(PoisonError::into_inner);
         beat.map_or(Duration::MAX, |beat| now.saturating_duration_since(beat))
@@ -156,6 +162,7 @@
     }
 }
 
+/// Counts one open request until it is dropped.
 #[derive(Debug)]
 pub struct InProgress(Figures);
 
--- a/src/grpc/status.rs
+++ b/src/grpc/status.rs
@@ -4,15 +4,25 @@
 use crate::attempt_end::AttemptEnd;
 use std::time::Duration;
 
+/// Success.
 pub const OK: u32 = 0;
+/// The caller cancelled the call.
 pub const CANCELLED: u32 = 1;
+/// No more is known.
 pub const UNKNOWN: u32 = 2;
+/// The request is malformed.
 pub const INVALID_ARGUMENT: u32 = 3;
+/// The deadline passed; the call may have run.
 pub const DEADLINE_EXCEEDED: u32 = 4;
+/// A limit is exceeded.
 pub const RESOURCE_EXHAUSTED: u32 = 8;
+/// There is no such method.
 pub const UNIMPLEMENTED: u32 = 12;
+/// A broken invariant.
 pub const INTERNAL: u32 = 13;
+/// The call did not run; a retry is harmless.
 pub const UNAVAILABLE: u32 = 14;
+/// The answer broke off.
 pub const DATA_LOSS: u32 = 15;
 const LAST: u32 = 16;
 
@@ -45,15 +55,19 @@
     NoRoom(Duration),
     /// It may have been done; with the node's own status, where one came.
     Failed(Option<u32>),
+    /// The deadline passed.
     OutOfTime,
     /// Its route wants the request whole, and it did not come so in time.
     Slow,
     /// It says more before its end than may be held, and could not be sent again.
     TooLong,
+    /// No route matches the path.
     NoRoute,
+    /// The call is malformed.
     Malformed(&'static str),
 }
 
+/// What the client's retry policy is told (`grpc-retry-pushback-ms`).
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Pushback {
     /// `grpc-retry-pushback-ms`, and the same as RetryInfo in the status's details.
@@ -62,10 +76,14 @@
     Never,
 }
 
+/// A status of a call.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Status {
+    /// The status's code.
     pub code: u32,
+    /// The message.
     pub message: &'static str,
+    /// Whether and when to retry.
     pub pushback: Pushback,
 }
 
@@ -107,26 +125,35 @@
 
     const RETRY_INFO: &str = "type.googleapis.com/google.rpc.RetryInfo";
 
+    /// A status of a call.
     #[derive(Clone, PartialEq, Message)]
     pub struct Status {
+        /// The status's code.
         #[prost(int32, tag = "1")]
         pub code: i32,
+        /// The message.
         #[prost(string, tag = "2")]
         pub message: String,
+        /// Further messages.
         #[prost(message, repeated, tag = "3")]
         pub details: Vec<Any>,
     }
 
+    /// `google.protobuf.Any`.
     #[derive(Clone, PartialEq, Message)]
     pub struct Any {
+        /// The message's type.
         #[prost(string, tag = "1")]
         pub type_url: String,
+        /// The message's bytes.
         #[prost(bytes = "vec", tag = "2")]
         pub value: Vec<u8>,
     }
 
+    /// `google.rpc.RetryInfo`.
     #[derive(Clone, PartialEq, Message)]
     pub struct RetryInfo {
+        /// When to retry.
         #[prost(message, optional, tag = "1")]
         pub retry_delay: Option<Span>,
     }
@@ -134,12 +161,15 @@
     /// google.protobuf.Duration.
     #[derive(Clone, PartialEq, Message)]
     pub struct Span {
+        /// Whole seconds.
         #[prost(int64, tag = "1")]
         pub seconds: i64,
+        /// Nanoseconds beyond them.
         #[prost(int32, tag = "2")]
         pub nanos: i32,
     }
 
+    /// The bytes of `grpc-status-details-bin` with a time to retry.
     pub fn encode(code: u32, message: &str, after: Duration) -> Vec<u8> {
         let span = Span {
             seconds: i64::try_from(after.as_secs()).unwrap_or(i64::MAX),
--- a/src/handover.rs
+++ b/src/handover.rs
@@ -20,6 +20,7 @@
 /// What is seen of the other process.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Seen {
+    /// It runs.
     pub lives: bool,
     /// It says that it keeps to its half.
     pub halved: bool,
@@ -36,11 +37,13 @@
 /// What this process does from here on.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Stand {
+    /// This process may accept connections.
     pub accept: bool,
     /// It keeps to half, and says so.
     pub halved: bool,
 }
 
+/// Two processes of one host during an upgrade, as one of them sees the other.
 #[derive(Debug)]
 pub struct Pair {
     state: State,
@@ -49,10 +52,12 @@
 }
 
 impl Pair {
+    /// A process that has just started.
     pub fn new(now: Instant) -> Pair {
         Pair { state: State::Arriving, since: now, missed: 0 }
     }
 
+    /// What follows from how the other process is seen now.
     pub fn look(&mut self, now: Instant, other: Seen) -> Stand {
         self.missed = if other.lives { 0 } else { self.missed + 1 };
         self.state = match self.state {
@@ -70,10 +75,12 @@
 pub struct Part(Arc<AtomicBool>);
 
 impl Part {
+    /// Sets whether this process may use half of the limits or all.
     pub fn halve(&self, halved: bool) {
         self.0.store(halved, Ordering::Relaxed);
     }
 
+    /// This process's share of a limit.
     pub fn of(&self, bound: usize) -> usize {
         if self.0.load(Ordering::Relaxed) { (bound / 2).max(1) } else { bound }
     }
--- a/src/idlog.rs
+++ b/src/idlog.rs
@@ -10,7 +10,9 @@
 use std::collections::{BTreeMap, HashMap};
 
 const MAGIC: [u8; 8] = *b"pb-ids-1";
+/// Bytes of the file's header.
 pub const HEADER: usize = 40;
+/// Bytes of a record.
 pub const RECORD: usize = 32;
 /// A file says by itself how long its ring is; no head remembers more.
 const MOST_RECORDS: u64 = 1 << 20;
@@ -19,11 +21,14 @@
 /// private folder knows.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Header {
+    /// Records that the file has room for.
     pub records: u64,
+    /// The key of the hash.
     pub key: [u8; 16],
 }
 
 impl Header {
+    /// The header's bytes.
     pub fn encode(&self) -> [u8; HEADER] {
         let mut bytes = [0; HEADER];
         bytes[..8].copy_from_slice(&MAGIC);
@@ -42,6 +47,7 @@
         sound.then_some(Header { records, key: head[16..32].try_into().ok()? })
     }
 
+    /// An id's hash.
     pub fn hash(&self, id: &[u8]) -> u64 {
         number(&hmac::sign(&hmac::Key::new(hmac::HMAC_SHA256, &self.key), id).as_ref()[..8])
     }
@@ -55,12 +61,16 @@
 /// One id taken: its number in the file, its hash, and when that was, in Unix milliseconds.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Record {
+    /// The record's number, from 0.
     pub number: u64,
+    /// The id's hash.
     pub hash: u64,
+    /// When the id was taken, milliseconds since 1970.
     pub at_ms: u64,
 }
 
 impl Record {
+    /// The record's bytes.
     pub fn encode(&self) -> [u8; RECORD] {
         let mut bytes = [0; RECORD];
         for (place, value) in [self.number, self.hash, self.at_ms].into_iter().enumerate() {
@@ -89,6 +99,7 @@
 
 /// Bytes at a place of a file; as many as there are.
 pub trait Bytes {
+    /// Reads bytes from an offset; returns how many there were.
     fn at(&self, place: u64, buffer: &mut [u8]) -> usize;
 }
 
@@ -154,6 +165,7 @@
         }
     }
 
+    /// The header, once it was read.
     pub fn header(&self) -> Option<Header> {
         self.header
     }
--- a/src/index/wheel.rs
+++ b/src/index/wheel.rs
@@ -37,6 +37,7 @@
     entry: Option<Entry<T>>,
 }
 
+/// A hierarchical timing wheel.
 #[derive(Debug)]
 pub struct Wheel<T> {
     cells: Vec<Cell<T>>,
@@ -67,14 +68,17 @@
         }
     }
 
+    /// The number of timers.
     pub fn len(&self) -> usize {
         self.len
     }
 
+    /// Whether there is no timer.
     pub fn is_empty(&self) -> bool {
         self.len == 0
     }
 
+    /// Adds a timer that expires at `at`.
     pub fn insert(&mut self, at: Micros, value: T) -> Key {
         self.serial += 1;
         let index = self.free.pop().unwrap_or_else(|| {
--- a/src/life.rs
+++ b/src/life.rs
@@ -36,6 +36,7 @@
     pub handed_over: bool,
 }
 
+/// The phase of a process that serves normally.
 pub const SERVING: Phase =
     Phase { up: true, accept: true, last: false, close: false, ends: false, handed_over: false };
 
@@ -56,6 +57,7 @@
     }
 }
 
+/// A process's lifecycle: serving, draining, ending.
 #[derive(Debug)]
 pub struct Life {
     doing: Doing,
@@ -68,6 +70,7 @@
         Life { doing: Doing::Serving, longest }
     }
 
+    /// The longest deadline of a request, which bounds how long draining takes.
     pub fn set_longest(&mut self, longest: Duration) {
         self.longest = longest;
     }
@@ -99,6 +102,7 @@
         }
     }
 
+    /// What is allowed now.
     pub fn phase(&self, now: Instant) -> Phase {
         match self.doing {
             Doing::Serving => SERVING,
--- a/src/net/body.rs
+++ b/src/net/body.rs
@@ -13,12 +13,14 @@
 const FIRST_MOMENTS: Duration = Duration::from_millis(2_500);
 const LEAST_RATE: f64 = 21_000.0;
 
+/// Why a body cannot be read.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Fault {
     /// It stopped, or comes too slowly.
     Slow,
     /// It broke off, or its framing cannot be read.
     Broken,
+    /// It is longer than the limit.
     TooLong,
 }
 
@@ -36,6 +38,7 @@
     }
 }
 
+/// A body while it arrives.
 pub struct Reading {
     body: Body,
     pace: Pace,
@@ -43,6 +46,7 @@
 }
 
 impl Reading {
+    /// A body of at most so many bytes.
     pub fn new(body: Body, most: u64) -> Reading {
         Reading { body, pace: Pace::default(), most }
     }
--- a/src/net/discovery.rs
+++ b/src/net/discovery.rs
@@ -63,10 +63,13 @@
     }
 }
 
+/// Watches the node list and passes it to the core.
 pub struct Discovery {
     /// Where discovery is; a new configuration may tell another place.
     pub address: watch::Receiver<SocketAddr>,
+    /// The list of the configuration file.
     pub known: NodeList,
+    /// The core.
     pub handle: Handle,
     /// The module asks for the watch; otherwise it is kept up unasked.
     pub on_demand: bool,
@@ -77,6 +80,7 @@
 type Opening = Pin<Box<dyn Future<Output = Result<(Watch, NodeList), Broken>> + Send>>;
 
 impl Discovery {
+    /// Runs until the core ends.
     pub async fn run(self, mut wanted: mpsc::UnboundedReceiver<()>) {
         let Discovery { address: mut place, known, handle, on_demand, stop_within } = self;
         let mut held = Held { version: known.version, ..Held::default() };
--- a/src/net/front.rs
+++ b/src/net/front.rs
@@ -59,21 +59,28 @@
 /// When a client that found no room is asked to come again.
 const NO_ROOM: Duration = Duration::from_secs(1);
 
+/// The HTTP front.
 #[derive(Clone)]
 pub struct Front {
+    /// The core.
     pub handle: Handle,
+    /// Connections to nodes.
     pub back: Back,
     /// The names that are in force; a reload changes them.
     pub names: watch::Receiver<Arc<Directory>>,
+    /// Time kept back from a client's time.
     pub answer_margin: Duration,
+    /// The process's phase.
     pub phase: watch::Receiver<Phase>,
     /// The memory for bodies, in bytes.
     pub bodies: Arc<Semaphore>,
     /// The memory for those beyond 64 KiB and those of no told length.
     pub uploads: Arc<Semaphore>,
+    /// Ids of recent requests.
     pub ids: Ids,
 }
 
+/// Accepts connections until the phase ends it.
 pub async fn serve(listener: TcpListener, front: Front, slots: Slots) {
     let phase = front.phase.clone();
     let router = Router::new().route("/up", get(up)).fallback(take).with_state(front);
--- a/src/net/ids.rs
+++ b/src/net/ids.rs
@@ -14,6 +14,7 @@
 use std::time::{SystemTime, UNIX_EPOCH};
 use tokio::time::{Duration, Instant};
 
+/// The ids of recent requests, shared with another process of this host.
 #[derive(Clone)]
 pub struct Ids(Arc<Mutex<Known>>);
 
--- a/src/net/inbound.rs
+++ b/src/net/inbound.rs
@@ -121,6 +121,7 @@
 }
 
 impl Inbound {
+    /// A client's connection, and whether its client is still there.
     pub fn new(stream: TcpStream) -> (Inbound, Presence) {
         // A small answer that the system still holds back would go with a reset; a socket that cannot be set is broken, and
         // tells so when it is read.
--- a/src/net/lifecycle.rs
+++ b/src/net/lifecycle.rs
@@ -17,6 +17,7 @@
 }
 
 impl Lifecycle {
+    /// A process that serves, and its phases. `longest`: the longest deadline of a request.
     pub fn new(longest: Duration) -> (Lifecycle, watch::Receiver<Phase>) {
         let life = Life::new(longest);
         let (phase, watched) = watch::channel(life.phase(now()));
@@ -36,22 +37,27 @@
         done
     }
 
+    /// Begins to drain.
     pub fn drain(&self) -> Result<(), Ends> {
         self.call(|life| life.drain(now())).inspect(|()| event!(DRAIN, on = "yes"))
     }
 
+    /// Serves again.
     pub fn undrain(&self) -> Result<(), Ends> {
         self.call(Life::undrain).inspect(|()| event!(DRAIN, on = "no"))
     }
 
+    /// Begins to end. `shared`: another process serves from the same socket.
     pub fn end(&self, shared: bool) {
         self.call(|life| life.end(now(), shared));
     }
 
+    /// Sets the longest deadline of a request.
     pub fn set_longest(&self, longest: Duration) {
         self.call(|life| life.set_longest(longest));
     }
 
+    /// The phase now.
     pub fn phase(&self) -> Phase {
         self.life().phase(now())
     }
--- a/src/net/ops.rs
+++ b/src/net/ops.rs
@@ -25,11 +25,16 @@
 /// The core notes that it runs every 0.1 s; silent for so long, it decides nothing.
 const CORE_SILENT: Duration = Duration::from_secs(1);
 
+/// A command of operators.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Command {
+    /// Whether the proxy serves.
     Ready,
+    /// The metrics.
     Stats,
+    /// Begin to drain.
     Drain,
+    /// Serve again.
     Undrain,
     /// The view of the fleet, or what is known of one head.
     Fleet(Option<u16>),
@@ -38,10 +43,15 @@
 /// Why a line is no command.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum BadLine {
+    /// The line is empty.
     Empty,
+    /// The line is too long.
     TooLong,
+    /// The line has no end.
     NoEnd,
+    /// The line is no text.
     NoText,
+    /// There is no such command.
     Unknown,
 }
 
@@ -87,7 +97,9 @@
 /// What the line reads and what it may do.
 #[derive(Clone)]
 pub struct Desk {
+    /// The metrics.
     pub figures: Figures,
+    /// The lifecycle.
     pub lifecycle: Lifecycle,
     /// `None`: this head keeps no view, and the line knows no such command.
     pub fleet: Option<Fleet>,
--- a/src/net/passed.rs
+++ b/src/net/passed.rs
@@ -14,10 +14,16 @@
 /// What is wrong with the descriptor.
 #[derive(Debug)]
 pub enum Unusable {
+    /// There is no such descriptor.
     NotOpen(String),
+    /// It is no TCP socket.
     NoSocket(io::Error),
+    /// The socket does not listen.
     NotListening,
-    Elsewhere { at: SocketAddr, wanted: SocketAddr },
+    Elsewhere {
+        at: SocketAddr,
+        wanted: SocketAddr,
+    },
 }
 
 impl fmt::Display for Unusable {
@@ -33,6 +39,7 @@
 
 impl std::error::Error for Unusable {}
 
+/// Takes over a listening socket.
 pub fn take(descriptor: i32, wanted: SocketAddr) -> Result<TcpListener, Unusable> {
     let not_open = |error: filedescriptor::Error| Unusable::NotOpen(error.to_string());
     let file = FileDescriptor::dup(&descriptor).and_then(|ours| ours.as_file()).map_err(not_open)?;
--- a/src/net/peers.rs
+++ b/src/net/peers.rs
@@ -17,6 +17,7 @@
 /// A system that gives nothing but errors is not asked without end.
 const AGAIN: Duration = Duration::from_millis(100);
 
+/// The socket for messages between hosts.
 pub struct Talk {
     socket: UdpSocket,
     peers: Peers,
@@ -28,12 +29,14 @@
 const NEVER: Duration = Duration::from_secs(86_400);
 
 impl Talk {
+    /// Binds the socket.
     pub async fn open(listen: SocketAddr, peers: Peers) -> io::Result<(Talk, PeerSender)> {
         let socket = UdpSocket::bind(listen).await?;
         let (peer_sender, messages) = PeerSender::new();
         Ok((Talk { socket, peers, messages, fleet: None }, peer_sender))
     }
 
+    /// Where it is bound.
     pub fn address(&self) -> io::Result<SocketAddr> {
         self.socket.local_addr()
     }
--- a/src/net/pool.rs
+++ b/src/net/pool.rs
@@ -18,6 +18,7 @@
 
 /// A connection that can say whether nothing has come on it.
 pub trait Quiet {
+    /// Whether the connection stands and nothing has arrived on it.
     fn quiet(&self) -> bool;
 
     /// Whether it has said something that nobody asked for.
@@ -59,8 +60,10 @@
     }
 }
 
+/// Idle connections to nodes.
 pub struct Pool<C> {
     idle: Arc<Mutex<Idle<C>>>,
+    /// The limits of all connections to nodes.
     pub limits: NodeLimits,
     part: Part,
     /// How long a connection rests before it is given out again, once anybody has said more than was asked.
@@ -81,6 +84,7 @@
 }
 
 impl<C: Quiet> Pool<C> {
+    /// An empty pool.
     pub fn new(limits: NodeLimits) -> Pool<C> {
         Pool::shared(limits, Part::default())
     }
@@ -160,6 +164,7 @@
         idle.count -= idle.kept.remove(&address).map_or(0, |kept| kept.len());
     }
 
+    /// Idle connections in the pool.
     pub fn held(&self) -> usize {
         self.idle().count
     }
--- a/src/net/slots.rs
+++ b/src/net/slots.rs
@@ -55,11 +55,15 @@
 /// Connections so far: taken, told to go over a limit, and told to go because another wanted the place.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Counts {
+    /// Connections that got a slot.
     pub taken: u64,
+    /// Connections that were closed because all slots were taken.
     pub over_limit: u64,
+    /// Connections that were closed to free a slot.
     pub for_others: u64,
 }
 
+/// The slots for clients' connections of one front.
 #[derive(Clone)]
 pub struct Slots {
     limits: ClientLimits,
@@ -69,6 +73,7 @@
 }
 
 impl Slots {
+    /// Free slots.
     pub fn new(limits: ClientLimits) -> Slots {
         Slots { limits, taken: Arc::default(), freed: Arc::default(), part: Part::default() }
     }
@@ -83,14 +88,17 @@
         self.taken.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
+    /// Slots that are taken.
     pub fn held(&self) -> usize {
         self.taken().slots.len()
     }
 
+    /// What was counted so far.
     pub fn counts(&self) -> Counts {
         self.taken().counts
     }
 
+    /// Idle connections.
     pub fn idle(&self) -> usize {
         self.taken().slots.values().filter(|state| state.doing == Doing::Idle).count()
     }
@@ -284,6 +292,7 @@
         self.with(|slot| slot.told.is_some()).unwrap_or(true)
     }
 
+    /// Whether a request is open on the connection.
     pub fn is_asking(&self) -> bool {
         matches!(self.with(|state| state.doing), Some(Doing::Asking | Doing::Reading))
     }
--- a/src/net/source.rs
+++ b/src/net/source.rs
@@ -6,6 +6,7 @@
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
 use tokio::sync::{Notify, OwnedSemaphorePermit, Semaphore};
 
+/// A body that is forwarded while it arrives.
 #[derive(Debug)]
 pub struct Source {
     state: Mutex<State>,
@@ -63,6 +64,7 @@
         whole
     }
 
+    /// The body has ended.
     pub fn end(&self, over: Over) {
         self.state().buffer.end(over);
         self.more.notify_waiters();
@@ -83,10 +85,12 @@
         self.state().buffer.over().is_some()
     }
 
+    /// Bytes that are kept.
     pub fn bytes(&self) -> usize {
         self.state().buffer.bytes()
     }
 
+    /// Whether only one attempt can still send the body.
     pub fn is_bound(&self) -> bool {
         self.state().buffer.is_bound()
     }
@@ -120,6 +124,7 @@
         self.room.notify_one();
     }
 
+    /// An attempt has sent so many bytes.
     pub fn sent(&self, attempt: u32, sent: usize) {
         if self.state().buffer.sent(attempt, sent) > 0 {
             self.room.notify_one();
--- a/src/peers.rs
+++ b/src/peers.rs
@@ -14,12 +14,16 @@
 const A_SECOND: f64 = 100.0;
 const AT_ONCE: f64 = 50.0;
 
+/// Why a datagram was dropped.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Turned {
     /// From nobody that this head is told of, or from itself.
     Stranger,
+    /// It has no bytes.
     Empty,
+    /// It is longer than a message may be.
     TooLong,
+    /// Its sender has sent too many lately.
     TooMany,
     /// There is no such head.
     Nobody,
@@ -46,13 +50,19 @@
 /// What was passed on and what was turned away, both ways.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Counts {
+    /// Datagrams sent.
     pub sent: u64,
+    /// Datagrams accepted.
     pub heard: u64,
+    /// Datagrams of unknown senders.
     pub strangers: u64,
+    /// Datagrams that could not be read.
     pub malformed: u64,
+    /// Datagrams beyond the rate limit of their sender.
     pub too_many: u64,
 }
 
+/// The other hosts, and how much each may send.
 #[derive(Debug)]
 pub struct Peers {
     own: u32,
@@ -62,6 +72,7 @@
     numbers: BTreeMap<SocketAddr, u32>,
     from: Vec<Allowance>,
     to: Allowance,
+    /// What was sent and received.
     pub counts: Counts,
 }
 
--- a/src/replay_buffer.rs
+++ b/src/replay_buffer.rs
@@ -11,23 +11,28 @@
 /// How a request's stream ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Over {
+    /// All of it has arrived.
     Whole,
     /// The client reset it or went: there is nothing more to do for it.
     Cut,
 }
 
+/// What an attempt sends next.
 #[derive(Debug, PartialEq, Eq)]
 pub enum Next {
+    /// These bytes.
     Piece(Bytes),
     /// More will come.
     Wait,
     /// Nothing more can be taken from the client before the call is bound to this attempt.
     Bind,
+    /// Nothing more: the body has ended this way.
     End(Over),
     /// The call is bound to another attempt, or what this one would begin with is no longer held.
     Lost,
 }
 
+/// The part of a request's body that is kept so that another attempt can send it again.
 #[derive(Debug)]
 pub struct ReplayBuffer {
     pieces: VecDeque<Bytes>,
@@ -42,6 +47,7 @@
 }
 
 impl ReplayBuffer {
+    /// An empty buffer of at most so many bytes.
     pub fn new(most: usize) -> ReplayBuffer {
         ReplayBuffer {
             pieces: VecDeque::new(),
@@ -76,18 +82,22 @@
         self.pinched = true;
     }
 
+    /// The body has ended.
     pub fn end(&mut self, over: Over) {
         self.over.get_or_insert(over);
     }
 
+    /// How the body ended, if it has.
     pub fn over(&self) -> Option<Over> {
         self.over
     }
 
+    /// Whether only one attempt can still send the body.
     pub fn is_bound(&self) -> bool {
         self.bound.is_some()
     }
 
+    /// Bytes that are kept.
     pub fn bytes(&self) -> usize {
         self.bytes
     }
--- a/src/staleness.rs
+++ b/src/staleness.rs
@@ -37,6 +37,7 @@
     Ended,
 }
 
+/// Until when the node list may be used.
 #[derive(Clone, Debug, Default)]
 pub struct Staleness {
     stand: Stand,
@@ -52,6 +53,7 @@
 }
 
 impl Staleness {
+    /// Something came of the node list.
     pub fn note(&mut self, now: Micros, news: ListUpdate, settings: &Settings) {
         match news {
             ListUpdate::Heartbeat if self.stand == Stand::Silent => {}
--- a/src/wire.rs
+++ b/src/wire.rs
@@ -8,7 +8,9 @@
 /// What is wrong with a frame, and at which byte of it.
 #[derive(Debug, PartialEq, Eq)]
 pub struct FrameError {
+    /// The byte in the frame.
     pub at: usize,
+    /// What is wrong.
     pub what: String,
 }
 
@@ -280,6 +282,7 @@
         self.text(instance, 25, text);
     }
 
+    /// Appends an action of an instance.
     pub fn action(&mut self, instance: u16, action: &Action) {
         match action {
             Action::Send { request, node, time_out, .. } => {
@@ -316,6 +319,7 @@
         }
     }
 
+    /// The reply's bytes.
     pub fn finish(mut self) -> Vec<u8> {
         let length = self.bytes.len() as u32;
         self.bytes[..4].copy_from_slice(&length.to_be_bytes());
