--- a/crates/rollout/examples/training_steps.rs
+++ b/crates/rollout/examples/training_steps.rs
@@ -56,7 +56,7 @@
     metrics.iter().map(of).sum::<f64>() / metrics.len().max(1) as f64
 }
 
-fn tell(name: &str, world: &World, without: f64) {
+fn print_row(name: &str, world: &World, without: f64) {
     let audit = world.audit();
     let metrics = world.metrics();
     let lost = audit.problems.len();
@@ -111,9 +111,9 @@
         "| way | sealed | mixed | epochs at once | problems | merchants beside none | change-over, ms | of its bound | open to sealed, ms |"
     );
     println!("| --- | ---: | ---: | ---: | ---: | ---: | ---: | ---: | ---: |");
-    tell("steps", &steps, without);
-    tell("stop everything", &of(Mode::StopAll), without);
-    tell("rolling without epochs", &of(Mode::Rolling), without);
+    print_row("steps", &steps, without);
+    print_row("stop everything", &of(Mode::StopAll), without);
+    print_row("rolling without epochs", &of(Mode::Rolling), without);
     if let Some(folder) = &arguments.plots {
         std::fs::create_dir_all(folder)?;
         plot(&folder.join("training-steps-change-over.svg"), steps.metrics())?;
--- a/crates/rollout/tests/controller.rs
+++ b/crates/rollout/tests/controller.rs
@@ -52,8 +52,8 @@
     actions.iter().filter_map(draw).collect()
 }
 
-fn trail(head: Option<u64>, events: &[u64]) -> VersionTrail {
-    let mut trail = VersionTrail::begin(head);
+fn trail(header_version: Option<u64>, events: &[u64]) -> VersionTrail {
+    let mut trail = VersionTrail::begin(header_version);
     events.iter().for_each(|version| trail.record_event(*version));
     trail.finish();
     trail
@@ -63,15 +63,15 @@
 #[test_case(trail(Some(8), &[]), Some(RemovalReason::VersionMismatch); "another version")]
 #[test_case(trail(Some(7), &[8]), Some(RemovalReason::UnknownVersion); "two versions")]
 #[test_case(trail(None, &[7]), Some(RemovalReason::UnknownVersion); "no version in its headers")]
-fn an_answer_decides_whether_its_worker_is_removed(versions: VersionTrail, leaves: Option<RemovalReason>) {
+fn an_answer_decides_whether_its_worker_is_removed(versions: VersionTrail, removal: Option<RemovalReason>) {
     let (table, mut controller) = open();
     let draw = draws(&controller.tick(5_000, &table)).remove(0);
     let worker = draw.worker.clone();
     let end = DrawEnd { draw, outcome: DrawOutcome::Complete(versions), tokens: 10 };
     let actions = controller.draw_ended(end, &table);
     assert!(matches!(&actions[0], Action::Propose(Command::Record(_))), "the step table judges it");
-    let leave = leaves.map(|reason| Action::Propose(Command::RemoveWorker { step: 1, worker, reason }));
-    assert_eq!(actions.get(1).cloned(), leave);
+    let remove = removal.map(|reason| Action::Propose(Command::RemoveWorker { step: 1, worker, reason }));
+    assert_eq!(actions.get(1).cloned(), remove);
 }
 
 #[test]
@@ -111,12 +111,12 @@
 fn removes_a_worker_that_is_lost_or_unresponsive() {
     let (table, mut controller) = open();
     controller.remove_worker("a");
-    let leave = |worker: &str, reason| {
+    let remove = |worker: &str, reason| {
         Action::Propose(Command::RemoveWorker { step: 1, worker: worker.into(), reason })
     };
-    assert!(controller.tick(5_000, &table).contains(&leave("a", RemovalReason::Lost)));
+    assert!(controller.tick(5_000, &table).contains(&remove("a", RemovalReason::Lost)));
     let late = controller.tick(5_000 + SETTINGS.silence_timeout_ms, &table);
-    assert!(late.contains(&leave("b", RemovalReason::Unresponsive)), "{late:?}");
+    assert!(late.contains(&remove("b", RemovalReason::Unresponsive)), "{late:?}");
 }
 
 #[test]
--- a/crates/rollout/tests/search.rs
+++ b/crates/rollout/tests/search.rs
@@ -1,6 +1,6 @@
-//! Exhaustive search of the step protocol over small bounds: two workers, two steps of one prompt each, one crash, one
-//! change of leaders, one publication and one step closed early, in every order of a number of events. The code under
-//! test is the real one; only the order of events is chosen here.
+//! Exhaustive search of the step protocol over small bounds: two workers, two steps of one prompt each, one
+//! crash, one change of leaders, one publication and one step closed early, in every order of a number of
+//! events. The code under test is the real one; only the order of events is chosen here.
 //!
 //! `SEARCH_DEEPER=N` goes N events deeper.
 
@@ -159,8 +159,8 @@
             events.extend(worker.running.is_some().then_some(Event::End(at)));
             events.extend(worker.loading.then_some(Event::Loaded(at)));
             let known = self.controller.workers().get(&worker.id());
-            let is_news = known.is_none_or(|known| known.report != worker.report());
-            events.extend(is_news.then_some(Event::Report(at)));
+            let is_changed = known.is_none_or(|known| known.report != worker.report());
+            events.extend(is_changed.then_some(Event::Report(at)));
             events.extend((self.crashes > 0).then_some(Event::Crash(at)));
         }
         events.extend((self.leaders > 0).then_some(Event::NewLeader));
--- a/crates/rollout/tests/step_table.rs
+++ b/crates/rollout/tests/step_table.rs
@@ -146,9 +146,9 @@
 fn results_of_a_removed_worker_count_up_to_its_removal() {
     let mut table = open();
     table.apply(101, &Command::Record(generation(1))).unwrap();
-    let leave = Command::RemoveWorker { step: 1, worker: "a".into(), reason: RemovalReason::Lost };
-    assert_eq!(table.apply(102, &leave), Ok(Applied::Done));
-    assert_eq!(table.apply(103, &leave), Ok(Applied::AlreadyApplied));
+    let remove = Command::RemoveWorker { step: 1, worker: "a".into(), reason: RemovalReason::Lost };
+    assert_eq!(table.apply(102, &remove), Ok(Applied::Done));
+    assert_eq!(table.apply(103, &remove), Ok(Applied::AlreadyApplied));
     assert_eq!(
         table.apply(104, &Command::Record(generation(2))),
         Ok(Applied::Discarded(DiscardReason::NotAWorker))
@@ -183,8 +183,8 @@
     let wrong = Err(StepError::WrongState { step: 1, state: StepState::Sealed });
     assert_eq!(table.apply(202, &Command::Abort { step: 1 }), wrong);
     assert_eq!(table.apply(203, &Command::Submit { step: 1, prompts: [3].into() }), wrong);
-    let leave = Command::RemoveWorker { step: 1, worker: "a".into(), reason: RemovalReason::Lost };
-    assert_eq!(table.apply(204, &leave), wrong);
+    let remove = Command::RemoveWorker { step: 1, worker: "a".into(), reason: RemovalReason::Lost };
+    assert_eq!(table.apply(204, &remove), wrong);
     assert_eq!(*table.step(1).unwrap(), before);
 }
 
--- a/crates/rollout/tests/steps/world.rs
+++ b/crates/rollout/tests/steps/world.rs
@@ -361,13 +361,13 @@
             self.index += 1;
             let applied = self.table.apply(self.index, &command);
             if applied == Ok(Applied::Done) {
-                self.note(now, &command);
+                self.record_transition(now, &command);
             }
         }
     }
 
     /// When steps open, close and are sealed.
-    fn note(&mut self, now: u64, command: &Command) {
+    fn record_transition(&mut self, now: u64, command: &Command) {
         match command {
             Command::Open { step, members } => {
                 let (began, due) = self.preparing.remove(step).unwrap_or((now, 0));
--- a/crates/rollout/tests/stored_steps.rs
+++ b/crates/rollout/tests/stored_steps.rs
@@ -11,8 +11,8 @@
 /// The state that they come to, as JSON.
 const STEPS: &str = include_str!("fixtures/steps.json");
 
-fn trail(head: Option<u64>, events: &[u64], complete: bool) -> VersionTrail {
-    let mut trail = VersionTrail::begin(head);
+fn trail(header_version: Option<u64>, events: &[u64], complete: bool) -> VersionTrail {
+    let mut trail = VersionTrail::begin(header_version);
     events.iter().for_each(|version| trail.record_event(*version));
     if complete {
         trail.finish();
@@ -46,7 +46,7 @@
         ..StepRequest::new("three", "m", 1)
     };
     let close = |step, allow_missing| Command::Close { step, allow_missing };
-    let leave = |worker: &str, reason| Command::RemoveWorker { step: 1, worker: worker.into(), reason };
+    let remove = |worker: &str, reason| Command::RemoveWorker { step: 1, worker: worker.into(), reason };
     vec![
         Command::Announce(StepRequest::new("one", "m", 1)),
         Command::Announce(full),
@@ -57,10 +57,10 @@
         Command::Record(generation(1, "a", trail(Some(7), &[7], true))),
         Command::Record(generation(2, "b", trail(Some(7), &[8, 9], true))),
         Command::Record(generation(3, "c", trail(None, &[], false))),
-        leave("b", RemovalReason::VersionMismatch),
-        leave("c", RemovalReason::UnknownVersion),
-        leave("d", RemovalReason::Unresponsive),
-        leave("e", RemovalReason::Lost),
+        remove("b", RemovalReason::VersionMismatch),
+        remove("c", RemovalReason::UnknownVersion),
+        remove("d", RemovalReason::Unresponsive),
+        remove("e", RemovalReason::Lost),
         close(1, true),
         Command::Seal { step: 1 },
         Command::FixVersion { step: 2, version: 9 },
--- a/crates/router/tests/dispatch.rs
+++ b/crates/router/tests/dispatch.rs
@@ -150,11 +150,11 @@
     let mut story = Story::given(vec![server("i-1", &["a"]), server("i-2", &["a"])]);
     let mut shared = offer(1, "a", story.now);
     shared.parts = vec![PromptPart { id: 7, tokens: 900 }];
-    let place = sent(&story.dispatcher.offer(story.now, shared.clone(), true))[0].1.clone();
+    let assigned = sent(&story.dispatcher.offer(story.now, shared.clone(), true))[0].1.clone();
     story.ended(1, AttemptOutcome::Answered);
     for id in 2..12 {
         shared.id = id;
-        assert_eq!(sent(&story.dispatcher.offer(story.now, shared.clone(), true))[0].1, place);
+        assert_eq!(sent(&story.dispatcher.offer(story.now, shared.clone(), true))[0].1, assigned);
         story.ended(id, AttemptOutcome::Answered);
     }
 }
--- a/crates/router/tests/model_servers.rs
+++ b/crates/router/tests/model_servers.rs
@@ -24,16 +24,16 @@
     }
 }
 
-struct Head {
+struct Edge {
     table: ModelServerTable,
     next: u64,
 }
 
-impl Head {
-    fn given(seed: u64) -> Head {
+impl Edge {
+    fn given(seed: u64) -> Edge {
         let mut table = ModelServerTable::new(seed);
         table.update(0, ModelServerUpdate { complete: true, servers: vec![server()] });
-        Head { table, next: 0 }
+        Edge { table, next: 0 }
     }
 
     fn sends(&mut self) {
@@ -62,17 +62,17 @@
 
 #[test]
 fn ejections_grow_with_failures_in_a_row() {
-    let mut head = Head::given(1);
-    head.sends_and_ends(1_000, AttemptOutcome::Failed);
-    assert!(head.has_slot(1_000), "one failure says little");
-    head.sends_and_ends(1_000, AttemptOutcome::Failed);
+    let mut edge = Edge::given(1);
+    edge.sends_and_ends(1_000, AttemptOutcome::Failed);
+    assert!(edge.has_slot(1_000), "one failure says little");
+    edge.sends_and_ends(1_000, AttemptOutcome::Failed);
     let mut now = 1_000;
     let mut rests = Vec::new();
     for _ in 0..7 {
-        let again = head.tried_again(now);
+        let again = edge.tried_again(now);
         rests.push(again - now);
         now = again;
-        head.sends_and_ends(now, AttemptOutcome::Failed);
+        edge.sends_and_ends(now, AttemptOutcome::Failed);
     }
     assert!(rests[0] >= 150 && rests[2] > 2 * rests[0], "{rests:?}");
     assert!(rests.iter().all(|duration| *duration <= 6_500), "{rests:?}");
@@ -80,16 +80,16 @@
 
 #[test]
 fn a_half_open_circuit_passes_one_request_at_a_time() {
-    let mut head = Head::given(1);
-    (0..2).for_each(|_| head.sends_and_ends(1_000, AttemptOutcome::Failed));
-    let now = head.tried_again(1_000);
-    head.sends();
-    assert!(!head.has_slot(now), "one is out");
-    head.ends(now, AttemptOutcome::Abandoned);
-    assert!(head.has_slot(now), "its client left: that said nothing");
-    head.sends_and_ends(now, AttemptOutcome::Answered);
-    (0..11).for_each(|_| head.sends());
-    assert!(head.has_slot(now), "it is sound again");
+    let mut edge = Edge::given(1);
+    (0..2).for_each(|_| edge.sends_and_ends(1_000, AttemptOutcome::Failed));
+    let now = edge.tried_again(1_000);
+    edge.sends();
+    assert!(!edge.has_slot(now), "one is out");
+    edge.ends(now, AttemptOutcome::Abandoned);
+    assert!(edge.has_slot(now), "its client left: that said nothing");
+    edge.sends_and_ends(now, AttemptOutcome::Answered);
+    (0..11).for_each(|_| edge.sends());
+    assert!(edge.has_slot(now), "it is sound again");
 }
 
 #[test]
@@ -97,9 +97,9 @@
     // Given a hundred edges whose requests failed at once.
     let mut times: Vec<u64> = (0..100)
         .map(|seed| {
-            let mut head = Head::given(seed);
-            (0..5).for_each(|_| head.sends_and_ends(1_000, AttemptOutcome::Failed));
-            head.tried_again(1_000)
+            let mut edge = Edge::given(seed);
+            (0..5).for_each(|_| edge.sends_and_ends(1_000, AttemptOutcome::Failed));
+            edge.tried_again(1_000)
         })
         .collect();
     times.sort_unstable();
@@ -116,12 +116,13 @@
 #[test]
 fn cost_of_an_update_does_not_grow_with_the_table() {
     const SERVERS: usize = 100_000;
-    const TOLD_TOGETHER: usize = 1_000;
+    const SERVERS_PER_UPDATE: usize = 1_000;
     const FAR_MORE_THAN_NEEDED: Duration = Duration::from_secs(20);
     let mut table = ModelServerTable::new(1);
     let begun = Instant::now();
-    for first in (0..SERVERS).step_by(TOLD_TOGETHER) {
-        let servers = (first..first + TOLD_TOGETHER).map(|number| server_at(&format!("i-{number}"), number));
+    for first in (0..SERVERS).step_by(SERVERS_PER_UPDATE) {
+        let servers =
+            (first..first + SERVERS_PER_UPDATE).map(|number| server_at(&format!("i-{number}"), number));
         table.update(0, ModelServerUpdate { complete: false, servers: servers.collect() });
         assert!(
             begun.elapsed() < FAR_MORE_THAN_NEEDED,
@@ -134,14 +135,14 @@
 #[test]
 fn an_instance_is_displaced_at_its_current_address() {
     let mut table = ModelServerTable::new(1);
-    let mut tell =
+    let mut print_row =
         |server: ModelServer| table.update(0, ModelServerUpdate { complete: false, servers: vec![server] });
-    tell(server_at("moves", 1));
-    tell(server_at("moves", 2));
-    assert!(tell(server_at("at the old address", 1)).is_empty());
-    assert!(tell(server_at("at the new address", 2)).contains("moves"));
+    print_row(server_at("moves", 1));
+    print_row(server_at("moves", 2));
+    assert!(print_row(server_at("at the old address", 1)).is_empty());
+    assert!(print_row(server_at("at the new address", 2)).contains("moves"));
 }
 
-fn server_at(instance: &str, place: usize) -> ModelServer {
-    ModelServer { instance: instance.into(), address: format!("10.0.0.{place}:80"), ..server() }
+fn server_at(instance: &str, assigned: usize) -> ModelServer {
+    ModelServer { instance: instance.into(), address: format!("10.0.0.{assigned}:80"), ..server() }
 }
