--- a/src/agree/lease_holder.rs
+++ b/src/agree/lease_holder.rs
@@ -117,7 +117,7 @@
         self.state.effective_value(document, field).map(|value| value.at_level(self.level(now)))
     }
 
-    /// Units a second that all heads together may spend.
+    /// Units a second that all processes together may spend.
     pub fn limit(&self, now: Micros, document: &str, field: &str) -> Option<f64> {
         match self.value(now, document, field) {
             Some(Value::Limit { rate, .. }) => Some(rate),
--- a/src/agree/rules.rs
+++ b/src/agree/rules.rs
@@ -104,7 +104,7 @@
         rules
     }
 
-    /// The head's own settings are others now.
+    /// Replaces the process's own settings and names.
     pub fn rebase(&mut self, base: Settings, names: Names) {
         (self.base, self.names) = (base, names);
         self.effective = self.compile();
@@ -189,7 +189,7 @@
         EffectiveRules { attempts, repeats, limits, plans, nodes, volumes, ignored }
     }
 
-    /// The head's settings, as far as this reading lets them be.
+    /// The process's own settings, restricted and overridden by the effective rules.
     pub fn settings(&self) -> Settings {
         let mut settings = self.base.clone();
         for (number, class) in settings.classes.iter_mut().enumerate() {
--- a/src/net/agree/backup.rs
+++ b/src/net/agree/backup.rs
@@ -62,7 +62,7 @@
     term: Term,
 }
 
-/// Writes a backup to a new file. `records` end with the last entry that the ledger has read.
+/// Writes a backup to a new file. `records` end with the last entry that the state has applied.
 pub fn write(to: &Path, cluster: &str, state: DocumentState, records: &[Record]) -> Result<(), BackupError> {
     let file = File::create_new(to)?;
     let term = records.last().map_or(0, |record| record.entry.term);
--- a/src/net/agree/database.rs
+++ b/src/net/agree/database.rs
@@ -357,7 +357,7 @@
     }
 
     /// Copies old entries to the archive, a segment at a time, and drops them here once they are there.
-    /// `keep`: so many of those that the ledger stands for stay; `None`: all.
+    /// `keep`: as many of the entries that the saved state stands for stay; `None`: all.
     pub fn archive(
         &mut self,
         archive: &Archive,
