--- a/crates/control/src/result_code.rs
+++ b/crates/control/src/result_code.rs
@@ -115,6 +115,47 @@
         }
     }
 
+    /// The name that callers see beside the number. Names are part of the interface: they stay when a variant is renamed.
+    pub fn name(self) -> &'static str {
+        match self {
+            ResultCode::Done => "Done",
+            ResultCode::UnreadableDocument => "UnreadableDocument",
+            ResultCode::UnknownBackend => "UnknownBackend",
+            ResultCode::DuplicateRoute => "DuplicateRoute",
+            ResultCode::NoWeight => "NoWeight",
+            ResultCode::NoTimeout => "NoTimeout",
+            ResultCode::VersionNotAbove => "VersionNotAbove",
+            ResultCode::SharedKey => "SharedKey",
+            ResultCode::BaseMismatch => "BaseMismatch",
+            ResultCode::MissingBase => "MissingBase",
+            ResultCode::BodyTooLarge => "BodyTooLarge",
+            ResultCode::BodyLate => "BodyLate",
+            ResultCode::NoLeader => "NoLeader",
+            ResultCode::Unclear => "Unclear",
+            ResultCode::UnknownCall => "UnknownCall",
+            ResultCode::NoRoute => "NoRoute",
+            ResultCode::UnknownKey => "UnknownKey",
+            ResultCode::BadRequest => "BadRequest",
+            ResultCode::NoModelServer => "NoBrick",
+            ResultCode::Overloaded => "Overloaded",
+            ResultCode::BrokenOff => "BrokenOff",
+            ResultCode::TimedOut => "TimedOut",
+            ResultCode::Stopping => "Stopping",
+            ResultCode::NoConfiguration => "NoConfiguration",
+            ResultCode::UnknownStep => "UnknownStep",
+            ResultCode::WrongStepState => "WrongStepState",
+            ResultCode::EarlierStep => "EarlierStep",
+            ResultCode::StepKeyTaken => "StepKeyTaken",
+            ResultCode::WrongVersion => "WrongVersion",
+            ResultCode::BelowFloor => "BelowFloor",
+            ResultCode::MissingGenerations => "MissingGenerations",
+            ResultCode::StepTooLarge => "StepTooLarge",
+            ResultCode::PromptTaken => "PromptTaken",
+            ResultCode::TooManySteps => "TooManySteps",
+            ResultCode::BadStep => "BadStep",
+        }
+    }
+
     /// The number that callers see.
     pub fn number(self) -> u16 {
         self as u16
--- a/crates/system/src/core/api/answer.rs
+++ b/crates/system/src/core/api/answer.rs
@@ -21,7 +21,7 @@
 
 /// The answer of a call with a numbered result.
 pub fn result_answer(code: ResultCode, message: &str) -> Response {
-    let body = serde_json::json!({ "result_code": code.number(), "result": format!("{code:?}"), "message": message });
+    let body = serde_json::json!({ "result_code": code.number(), "result": code.name(), "message": message });
     let status = StatusCode::from_u16(code.status()).unwrap_or(StatusCode::INTERNAL_SERVER_ERROR);
     let mut response = Response::new(Body::Full(Full::new(body.to_string().into())));
     *response.status_mut() = status;
--- a/crates/system/src/edge/answer.rs
+++ b/crates/system/src/edge/answer.rs
@@ -27,7 +27,7 @@
 
 /// An answer of the edge itself with a numbered result.
 pub fn error(code: ResultCode) -> Answer {
-    let text = format!("{{\"result_code\":{},\"result\":\"{code:?}\"}}\n", code.number());
+    let text = format!("{{\"result_code\":{},\"result\":\"{}\"}}\n", code.number(), code.name());
     let mut response = Response::new(full_body(Bytes::from(text)));
     *response.status_mut() = StatusCode::from_u16(code.status()).unwrap_or(StatusCode::INTERNAL_SERVER_ERROR);
     response.headers_mut().insert(CONTENT_TYPE, HeaderValue::from_static("application/json"));
--- a/crates/system/src/edge/status.rs
+++ b/crates/system/src/edge/status.rs
@@ -69,9 +69,7 @@
         Step::Accepted { route, backend, model } => {
             ("accepted", json!({ "route": route, "backend": backend, "model": model }))
         }
-        Step::Refused { code } => {
-            ("refused", json!({ "result_code": code.number(), "result": format!("{code:?}") }))
-        }
+        Step::Refused { code } => ("refused", json!({ "result_code": code.number(), "result": code.name() })),
         Step::Sent { instance } => ("sent", json!({ "instance": instance })),
         Step::NotRun => ("not_run", json!({})),
         Step::Broken => ("broken", json!({})),
