--- a/src/grpc/channels.rs
+++ b/src/grpc/channels.rs
@@ -1,60 +1,71 @@
-//! Connections to nodes, each with many streams: when another one opens, which one takes a stream, and when one goes.
-//! No I/O: told what happens and when, it says what is to be done. One for all nodes, so that its bounds hold over
-//! all of them.
+//! The state of the channels to all nodes: when a channel opens, which one takes a stream, and when one
+//! closes. There is no I/O here: the caller reports events with their times and carries out the actions
+//! returned. One instance serves all nodes, so that its limits apply to all channels together.
 
 use crate::interface::Micros;
 use std::collections::BTreeMap;
 
+/// Identifies a channel; never reused.
 pub type ChannelId = u64;
 
+/// Limits on channels and streams.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Limits {
-    /// Channels to all nodes together, connecting ones included.
+    /// The most channels to all nodes together, including those that are connecting.
     pub most: usize,
+    /// The most channels to one node.
     pub per_node: usize,
-    /// Streams on one channel, where its peer allows as many.
+    /// The most streams on one channel; the node's SETTINGS may allow fewer.
     pub streams: usize,
-    /// A channel without streams goes after this.
+    /// A channel without streams closes after this time.
     pub idle: Micros,
-    /// A channel on which nothing came for that long, with streams open, is asked for a sign of life, and given up
-    /// when none comes within `patience`.
+    /// A channel with streams is pinged when nothing was received on it for this time.
     pub keepalive: Micros,
+    /// A pinged channel on which nothing is received for this time is broken. A channel whose streams are
+    /// blocked for this time is reported as stalled.
     pub patience: Micros,
-    /// After a failed connection none is tried at that node for this long, doubled up to `most_backoff`.
+    /// How long no connection to a node is tried after a first failure; doubled with each further one.
     pub backoff: Micros,
+    /// The longest backoff.
     pub most_backoff: Micros,
 }
 
-/// What a call that wants a stream is told.
+/// The answer to a call that requests a stream.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Grant {
-    /// One stream on this channel is its own until `released`.
+    /// The call has one stream on this channel until it calls [`Channels::release_stream`].
     Use(ChannelId),
-    /// It has to open this one, and to say how that went; then it asks again. `close`: an idle channel goes for it.
-    Open { id: ChannelId, close: Option<ChannelId> },
-    /// To ask again when something has changed at its node.
+    /// The caller must open a channel and report the result; then the call requests a stream again.
+    Open {
+        /// The new channel.
+        id: ChannelId,
+        /// An idle channel that the caller must close, since the new one takes its place.
+        close: Option<ChannelId>,
+    },
+    /// The call must wait for a change and then request a stream again.
     Wait,
-    /// Nothing can be had there now.
+    /// The node has no channel, and none can be opened now.
     Refuse,
 }
 
+/// An action that the caller must take on a channel.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Duty {
-    /// Without streams: close it.
+pub enum ChannelAction {
+    /// Close the channel: it has been idle for too long.
     Close(ChannelId),
-    /// Ask it for a sign of life.
+    /// Send a PING: nothing was received on the channel for a while.
     Ping(ChannelId),
-    /// It said nothing for too long: all streams on it are broken.
+    /// Break the channel and all its streams: the node has not answered a PING.
     Break(ChannelId),
-    /// Tell operators: its node has read nothing for a while of what some of its streams have to send.
+    /// Report that for a while, some stream on the channel has waited for the node to read.
     Stalled(ChannelId),
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum State {
     Connecting,
-    Up,
-    /// Its peer takes no new streams; those that there are finish.
+    Established,
+    /// The node accepts no new streams; open ones may finish.
     Draining,
 }
 
@@ -63,71 +74,83 @@
     node: N,
     state: State,
     streams: usize,
-    /// What its peer allows at the moment.
-    allowed: usize,
+    /// The most streams that the node allows at the moment.
+    max_streams: usize,
     idle_since: Micros,
-    heard: Micros,
-    pinged: Option<Micros>,
-    /// Streams that wait for the peer to read, since when one of them at least has, and whether that was told.
+    /// When bytes were last received.
+    last_received: Micros,
+    /// When a PING was sent that is unanswered.
+    pinged_at: Option<Micros>,
+    /// Streams that wait for the node to read.
     blocked: usize,
+    /// Since when at least one stream has been blocked.
     blocked_since: Micros,
-    told: bool,
+    /// Whether this was reported as a stall.
+    stall_reported: bool,
 }
 
+/// The pause after failed connections to a node.
 #[derive(Debug, Default)]
 struct Backoff {
     failures: u32,
     until: Micros,
 }
 
+/// The channels to all nodes.
 #[derive(Debug)]
 pub struct Channels<N> {
     limits: Limits,
     channels: BTreeMap<ChannelId, Channel<N>>,
     backoffs: BTreeMap<N, Backoff>,
-    last: ChannelId,
+    last_id: ChannelId,
 }
 
 impl<N: Ord + Clone> Channels<N> {
+    /// Creates a state without channels.
     pub fn new(limits: Limits) -> Channels<N> {
-        Channels { limits, channels: BTreeMap::new(), backoffs: BTreeMap::new(), last: 0 }
+        Channels { limits, channels: BTreeMap::new(), backoffs: BTreeMap::new(), last_id: 0 }
     }
 
+    /// Returns the limits.
     pub fn limits(&self) -> Limits {
         self.limits
     }
 
+    /// Returns the number of channels, including those that are connecting.
     pub fn len(&self) -> usize {
         self.channels.len()
     }
 
+    /// Returns whether there is no channel.
     pub fn is_empty(&self) -> bool {
         self.channels.is_empty()
     }
 
+    /// Returns the number of streams on all channels.
     pub fn streams(&self) -> usize {
         self.channels.values().map(|channel| channel.streams).sum()
     }
 
-    /// A call wants a stream to this node. The channel with the fewest takes it: a stalled stream then holds up the
-    /// fewest others. Another channel opens only when all are full, or when on each some stream waits for its peer to
-    /// read: what such a one has sent may fill the window of the whole channel.
-    pub fn want(&mut self, now: Micros, node: &N) -> Grant {
-        let (mut here, mut connecting, mut best) = (0, false, None);
+    /// Requests a stream to a node. The channel with the fewest streams takes it, so that a stalled stream
+    /// holds up the fewest others. Another channel opens only if all are full or have a blocked stream: the
+    /// bytes that a blocked stream has sent may fill the window of the whole channel.
+    pub fn request_stream(&mut self, now: Micros, node: &N) -> Grant {
+        let (mut node_channels, mut connecting, mut best) = (0, false, None);
         for (id, channel) in self.channels.iter().filter(|(_, channel)| channel.node == *node) {
-            here += 1;
+            node_channels += 1;
             connecting |= channel.state == State::Connecting;
-            let takes =
-                channel.state == State::Up && channel.streams < channel.allowed.min(self.limits.streams);
+            let has_room = channel.state == State::Established
+                && channel.streams < channel.max_streams.min(self.limits.streams);
             let cost = (channel.blocked > 0, channel.streams, *id);
-            if takes && best.is_none_or(|known| cost < known) {
+            if has_room && best.is_none_or(|known| cost < known) {
                 best = Some(cost);
             }
         }
-        let rests = self.backoffs.get(node).is_some_and(|backoff| now < backoff.until);
+        let backs_off = self.backoffs.get(node).is_some_and(|backoff| now < backoff.until);
         if let Some((blocked, _, id)) = best {
-            let another = here < self.limits.per_node && !rests && self.channels.len() < self.limits.most;
-            if !blocked || !(connecting || another) {
+            let may_open =
+                node_channels < self.limits.per_node && !backs_off && self.channels.len() < self.limits.most;
+            if !blocked || !(connecting || may_open) {
                 if let Some(channel) = self.channels.get_mut(&id) {
                     channel.streams += 1;
                 }
@@ -137,34 +160,37 @@
         if connecting {
             return Grant::Wait;
         }
-        if rests {
-            // What there is may still get free; without any, waiting would only hide that the node is not there.
-            return if here > 0 { Grant::Wait } else { Grant::Refuse };
+        if backs_off {
+            // A channel to the node may get room. Without a channel, waiting would only hide that the node is
+            // unreachable.
+            return if node_channels > 0 { Grant::Wait } else { Grant::Refuse };
         }
-        if here >= self.limits.per_node {
+        if node_channels >= self.limits.per_node {
             return Grant::Wait;
         }
         let mut close = None;
         if self.channels.len() >= self.limits.most {
             close = self.longest_idle();
-            let Some(id) = close else { return if here > 0 { Grant::Wait } else { Grant::Refuse } };
+            let Some(id) = close else {
+                return if node_channels > 0 { Grant::Wait } else { Grant::Refuse };
+            };
             self.channels.remove(&id);
         }
-        self.last += 1;
+        self.last_id += 1;
         let channel = Channel {
             node: node.clone(),
             state: State::Connecting,
             streams: 0,
-            allowed: 0,
+            max_streams: 0,
             idle_since: now,
-            heard: now,
-            pinged: None,
+            last_received: now,
+            pinged_at: None,
             blocked: 0,
             blocked_since: now,
-            told: false,
+            stall_reported: false,
         };
-        self.channels.insert(self.last, channel);
-        Grant::Open { id: self.last, close }
+        self.channels.insert(self.last_id, channel);
+        Grant::Open { id: self.last_id, close }
     }
 
     fn longest_idle(&self) -> Option<ChannelId> {
@@ -172,33 +198,34 @@
         idle.min_by_key(|(id, channel)| (channel.idle_since, **id)).map(|(id, _)| *id)
     }
 
-    /// The connection stands; its peer allows so many streams.
-    pub fn connected(&mut self, now: Micros, id: ChannelId, allowed: usize) {
+    /// Reports that a channel is established and that its node allows `max_streams`.
+    pub fn connected(&mut self, now: Micros, id: ChannelId, max_streams: usize) {
         if let Some(channel) = self.channels.get_mut(&id) {
-            (channel.state, channel.allowed) = (State::Up, allowed);
-            (channel.heard, channel.idle_since) = (now, now);
+            (channel.state, channel.max_streams) = (State::Established, max_streams);
+            (channel.last_received, channel.idle_since) = (now, now);
             self.backoffs.remove(&channel.node);
         }
     }
 
-    /// It did not come up.
-    pub fn failed(&mut self, now: Micros, id: ChannelId) {
+    /// Reports that a channel could not be established. Its node is not tried again before a backoff has
+    /// passed.
+    pub fn connect_failed(&mut self, now: Micros, id: ChannelId) {
         let Some(channel) = self.channels.remove(&id) else { return };
         let Limits { backoff, most_backoff, .. } = self.limits;
-        let known = self.backoffs.entry(channel.node).or_default();
-        known.until = now + (backoff << known.failures.min(16)).min(most_backoff);
-        known.failures += 1;
+        let node_backoff = self.backoffs.entry(channel.node).or_default();
+        node_backoff.until = now + (backoff << node_backoff.failures.min(16)).min(most_backoff);
+        node_backoff.failures += 1;
     }
 
-    /// The peer allows another number of streams; those beyond it that run go on.
-    pub fn allowed(&mut self, id: ChannelId, allowed: usize) {
+    /// Reports how many streams the node allows from now on. Open streams beyond that number go on.
+    pub fn set_max_streams(&mut self, id: ChannelId, max_streams: usize) {
         if let Some(channel) = self.channels.get_mut(&id) {
-            channel.allowed = allowed;
+            channel.max_streams = max_streams;
         }
     }
 
-    /// The peer has said GOAWAY. True where the channel can be closed at once.
-    pub fn goaway(&mut self, id: ChannelId) -> bool {
+    /// Reports a GOAWAY frame. Returns whether the caller must close the channel at once.
+    pub fn goaway_received(&mut self, id: ChannelId) -> bool {
         match self.channels.get_mut(&id) {
             Some(channel) => {
                 channel.state = State::Draining;
@@ -212,79 +239,80 @@
         }
     }
 
-    /// A stream that was granted is over. True where the channel is to be closed with it.
-    pub fn released(&mut self, now: Micros, id: ChannelId) -> bool {
+    /// Returns a granted stream. Returns whether the caller must close the channel.
+    pub fn release_stream(&mut self, now: Micros, id: ChannelId) -> bool {
         let Some(channel) = self.channels.get_mut(&id) else { return false };
         channel.streams = channel.streams.saturating_sub(1);
         channel.idle_since = now;
-        let over = channel.streams == 0 && channel.state == State::Draining;
-        if over {
+        let closes = channel.streams == 0 && channel.state == State::Draining;
+        if closes {
             self.channels.remove(&id);
         }
-        over
+        closes
     }
 
-    /// The connection is gone.
-    pub fn broke(&mut self, id: ChannelId) {
+    /// Reports that an established channel has closed.
+    pub fn connection_lost(&mut self, id: ChannelId) {
         self.channels.remove(&id);
     }
 
-    /// A stream on it has to wait until its peer has read.
-    pub fn blocked(&mut self, now: Micros, id: ChannelId) {
+    /// Reports a stream that waits for the node to read.
+    pub fn stream_blocked(&mut self, now: Micros, id: ChannelId) {
         if let Some(channel) = self.channels.get_mut(&id) {
             if channel.blocked == 0 {
-                (channel.blocked_since, channel.told) = (now, false);
+                (channel.blocked_since, channel.stall_reported) = (now, false);
             }
             channel.blocked += 1;
         }
     }
 
-    /// Such a stream may send again, or is over.
-    pub fn unblocked(&mut self, id: ChannelId) {
+    /// Reports that a blocked stream may send again, or has ended.
+    pub fn stream_unblocked(&mut self, id: ChannelId) {
         if let Some(channel) = self.channels.get_mut(&id) {
             channel.blocked = channel.blocked.saturating_sub(1);
         }
     }
 
-    /// Bytes came on it.
-    pub fn heard(&mut self, now: Micros, id: ChannelId) {
+    /// Reports that bytes were received on a channel.
+    pub fn bytes_received(&mut self, now: Micros, id: ChannelId) {
         if let Some(channel) = self.channels.get_mut(&id) {
-            (channel.heard, channel.pinged) = (now, None);
+            (channel.last_received, channel.pinged_at) = (now, None);
         }
     }
 
-    /// All that time alone brings about.
-    pub fn tick(&mut self, now: Micros) -> Vec<Duty> {
+    /// Returns the actions that are due at `now`, and removes the channels that close or break.
+    pub fn tick(&mut self, now: Micros) -> Vec<ChannelAction> {
         let Limits { idle, keepalive, patience, most_backoff, .. } = self.limits;
-        let mut duties = Vec::new();
+        let mut actions = Vec::new();
         for (id, channel) in &mut self.channels {
-            if channel.blocked > 0 && !channel.told && now.saturating_sub(channel.blocked_since) >= patience {
-                channel.told = true;
-                duties.push(Duty::Stalled(*id));
+            let blocked_for = now.saturating_sub(channel.blocked_since);
+            if channel.blocked > 0 && !channel.stall_reported && blocked_for >= patience {
+                channel.stall_reported = true;
+                actions.push(ChannelAction::Stalled(*id));
             }
-            let quiet = now.saturating_sub(channel.heard);
+            let silent_for = now.saturating_sub(channel.last_received);
             if channel.state == State::Connecting {
                 continue;
             }
             if channel.streams == 0 {
                 if now.saturating_sub(channel.idle_since) >= idle {
-                    duties.push(Duty::Close(*id));
+                    actions.push(ChannelAction::Close(*id));
                 }
-            } else if channel.pinged.is_some_and(|at| now.saturating_sub(at) >= patience) {
-                duties.push(Duty::Break(*id));
-            } else if quiet >= keepalive && channel.pinged.is_none() {
-                channel.pinged = Some(now);
-                duties.push(Duty::Ping(*id));
+            } else if channel.pinged_at.is_some_and(|at| now.saturating_sub(at) >= patience) {
+                actions.push(ChannelAction::Break(*id));
+            } else if silent_for >= keepalive && channel.pinged_at.is_none() {
+                channel.pinged_at = Some(now);
+                actions.push(ChannelAction::Ping(*id));
             }
         }
-        for duty in &duties {
-            if let Duty::Close(id) | Duty::Break(id) = duty {
+        for action in &actions {
+            if let ChannelAction::Close(id) | ChannelAction::Break(id) = action {
                 self.channels.remove(id);
             }
         }
-        // A node that nobody has asked for in so long is as good as a new one.
+        // Forgets the failures of a node that was not tried again for long after its backoff.
         self.backoffs.retain(|_, backoff| now < backoff.until + most_backoff);
-        duties
+        actions
     }
 }
 
--- a/src/grpc/frames.rs
+++ b/src/grpc/frames.rs
@@ -1,136 +1,172 @@
-//! Reads along a connection's HTTP/2 frames as their bytes pass, whatever pieces they pass in: which streams have
-//! begun, whose last frame has been written, and what the peer says for the whole connection. Payloads are not kept,
-//! but for the few bytes that tell a GOAWAY's last stream.
+//! Finds the HTTP/2 frames in the bytes of a connection, however the bytes are split. The frames show which
+//! streams have begun, which are complete, and what the peer announces for the connection. Of a payload, only
+//! the first bytes are kept, which hold the last stream of a GOAWAY frame.
 
-/// The client's connection preface, which stands before its first frame.
-pub const PREFACE: usize = 24;
-const HEAD: usize = 9;
-/// Of a payload, as much as a GOAWAY needs: its last stream and its code.
-const KEPT: usize = 8;
+/// The length in bytes of the connection preface, which a client sends before its first frame (RFC 9113,
+/// section 3.4).
+pub const PREFACE_BYTES: usize = 24;
+/// The length of a frame header, in bytes.
+const HEADER_BYTES: usize = 9;
+/// How many bytes of a payload are kept: the last stream and the error code of a GOAWAY frame.
+const PAYLOAD_START_BYTES: usize = 8;
 
+/// The type of a frame.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Kind {
+pub enum FrameKind {
+    /// DATA.
     Data,
+    /// HEADERS.
     Headers,
+    /// PRIORITY.
     Priority,
+    /// RST_STREAM.
     Reset,
+    /// SETTINGS.
     Settings,
+    /// PUSH_PROMISE.
     PushPromise,
+    /// PING.
     Ping,
+    /// GOAWAY.
     GoAway,
+    /// WINDOW_UPDATE.
     WindowUpdate,
+    /// CONTINUATION.
     Continuation,
+    /// A type that this module does not know.
     Other,
 }
 
-impl Kind {
-    fn of(code: u8) -> Kind {
+impl FrameKind {
+    fn from_code(code: u8) -> FrameKind {
         match code {
-            0 => Kind::Data,
-            1 => Kind::Headers,
-            2 => Kind::Priority,
-            3 => Kind::Reset,
-            4 => Kind::Settings,
-            5 => Kind::PushPromise,
-            6 => Kind::Ping,
-            7 => Kind::GoAway,
-            8 => Kind::WindowUpdate,
-            9 => Kind::Continuation,
-            _ => Kind::Other,
+            0 => FrameKind::Data,
+            1 => FrameKind::Headers,
+            2 => FrameKind::Priority,
+            3 => FrameKind::Reset,
+            4 => FrameKind::Settings,
+            5 => FrameKind::PushPromise,
+            6 => FrameKind::Ping,
+            7 => FrameKind::GoAway,
+            8 => FrameKind::WindowUpdate,
+            9 => FrameKind::Continuation,
+            _ => FrameKind::Other,
         }
     }
 }
 
+/// A frame's header and the first bytes of its payload.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Frame {
-    pub kind: Kind,
+    /// The frame's type.
+    pub kind: FrameKind,
+    /// The frame's flags, as sent.
     pub flags: u8,
+    /// The stream's identifier; 0 is the connection.
     pub stream: u32,
+    /// The payload's length, in bytes.
     pub length: usize,
-    /// The payload's first bytes; zero where it has fewer.
-    pub start: [u8; KEPT],
+    /// The first bytes of the payload, padded with zeros. All are zero before the payload has been read.
+    pub payload_start: [u8; PAYLOAD_START_BYTES],
 }
 
 impl Frame {
-    /// On DATA and HEADERS: the sender's last frame of that stream, but for CONTINUATIONs.
+    /// Returns whether this is a DATA or HEADERS frame with END_STREAM; only CONTINUATION frames may follow
+    /// it.
     pub fn ends_stream(&self) -> bool {
-        matches!(self.kind, Kind::Data | Kind::Headers) && self.flags & 0x1 != 0
+        matches!(self.kind, FrameKind::Data | FrameKind::Headers) && self.flags & 0x1 != 0
     }
 
+    /// Returns whether this is a HEADERS or CONTINUATION frame with END_HEADERS.
     pub fn ends_headers(&self) -> bool {
-        matches!(self.kind, Kind::Headers | Kind::Continuation) && self.flags & 0x4 != 0
+        matches!(self.kind, FrameKind::Headers | FrameKind::Continuation) && self.flags & 0x4 != 0
     }
 
-    /// On SETTINGS and PING: an answer to one.
+    /// Returns whether this is a SETTINGS or PING frame with ACK.
     pub fn is_ack(&self) -> bool {
-        matches!(self.kind, Kind::Settings | Kind::Ping) && self.flags & 0x1 != 0
+        matches!(self.kind, FrameKind::Settings | FrameKind::Ping) && self.flags & 0x1 != 0
     }
 
-    /// On GOAWAY: the last stream that the peer may have acted on.
+    /// Returns the last stream that the peer may have processed, if this is a GOAWAY frame.
     pub fn last_stream(&self) -> Option<u32> {
-        let [a, b, c, d, ..] = self.start;
-        (self.kind == Kind::GoAway).then_some(u32::from_be_bytes([a, b, c, d]) & 0x7fff_ffff)
+        let [a, b, c, d, ..] = self.payload_start;
+        (self.kind == FrameKind::GoAway).then_some(u32::from_be_bytes([a, b, c, d]) & 0x7fff_ffff)
     }
 }
 
-/// Told of each frame twice: when its first byte passes that tells what it is, and when its last byte has passed.
+/// A frame in the scanned bytes. Each frame causes two events.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Seen {
-    Begins(Frame),
-    Whole(Frame),
+pub enum FrameEvent {
+    /// The frame's header is complete.
+    Started(Frame),
+    /// The frame's last byte has been read.
+    Complete(Frame),
 }
 
+/// Scans one direction of a connection for frames.
 #[derive(Debug, Default)]
 pub struct Scanner {
+    /// Bytes still to be skipped before the first frame.
     skip: usize,
-    head: [u8; HEAD],
-    got: usize,
+    /// The header of the next frame, of which `header_read` bytes have been read.
+    header: [u8; HEADER_BYTES],
+    header_read: usize,
+    /// The frame whose payload is being read.
     frame: Option<Frame>,
-    kept: usize,
-    left: usize,
+    /// Bytes of its payload that were kept, and bytes still to be read.
+    payload_kept: usize,
+    payload_remaining: usize,
 }
 
 impl Scanner {
-    /// `preface`: bytes before the first frame.
+    /// Creates a scanner that skips `preface` bytes before the first frame.
     pub fn new(preface: usize) -> Scanner {
         Scanner { skip: preface, ..Scanner::default() }
     }
 
-    pub fn pass(&mut self, mut bytes: &[u8], mut seen: impl FnMut(Seen)) {
+    /// Scans the next bytes and calls `on_event` for each event in them.
+    pub fn scan(&mut self, mut bytes: &[u8], mut on_event: impl FnMut(FrameEvent)) {
         let skipped = self.skip.min(bytes.len());
         self.skip -= skipped;
         bytes = &bytes[skipped..];
         while !bytes.is_empty() {
             match &mut self.frame {
                 None => {
-                    let taken = (HEAD - self.got).min(bytes.len());
-                    self.head[self.got..self.got + taken].copy_from_slice(&bytes[..taken]);
-                    self.got += taken;
+                    let taken = (HEADER_BYTES - self.header_read).min(bytes.len());
+                    self.header[self.header_read..self.header_read + taken].copy_from_slice(&bytes[..taken]);
+                    self.header_read += taken;
                     bytes = &bytes[taken..];
-                    if self.got < HEAD {
+                    if self.header_read < HEADER_BYTES {
                         return;
                     }
-                    let [a, b, c, kind, flags, d, e, f, g] = self.head;
+                    let [a, b, c, kind, flags, d, e, f, g] = self.header;
                     let length = u32::from_be_bytes([0, a, b, c]) as usize;
                     let stream = u32::from_be_bytes([d, e, f, g]) & 0x7fff_ffff;
-                    let frame = Frame { kind: Kind::of(kind), flags, stream, length, start: [0; KEPT] };
-                    (self.got, self.kept, self.left) = (0, 0, length);
-                    seen(Seen::Begins(frame));
+                    let frame = Frame {
+                        kind: FrameKind::from_code(kind),
+                        flags,
+                        stream,
+                        length,
+                        payload_start: [0; PAYLOAD_START_BYTES],
+                    };
+                    (self.header_read, self.payload_kept, self.payload_remaining) = (0, 0, length);
+                    on_event(FrameEvent::Started(frame));
                     if length == 0 {
-                        seen(Seen::Whole(frame));
+                        on_event(FrameEvent::Complete(frame));
                     } else {
                         self.frame = Some(frame);
                     }
                 }
                 Some(frame) => {
-                    let taken = self.left.min(bytes.len());
-                    let kept = taken.min(KEPT - self.kept);
-                    frame.start[self.kept..self.kept + kept].copy_from_slice(&bytes[..kept]);
-                    self.kept += kept;
-                    self.left -= taken;
+                    let taken = self.payload_remaining.min(bytes.len());
+                    let kept = taken.min(PAYLOAD_START_BYTES - self.payload_kept);
+                    frame.payload_start[self.payload_kept..self.payload_kept + kept]
+                        .copy_from_slice(&bytes[..kept]);
+                    self.payload_kept += kept;
+                    self.payload_remaining -= taken;
                     bytes = &bytes[taken..];
-                    if self.left == 0 {
-                        seen(Seen::Whole(*frame));
+                    if self.payload_remaining == 0 {
+                        on_event(FrameEvent::Complete(*frame));
                         self.frame = None;
                     }
                 }
--- a/src/grpc/guard.rs
+++ b/src/grpc/guard.rs
@@ -1,41 +1,55 @@
-//! What a client's connection may cost. Each limit is a store of frames that fills with time; who overdraws one has
-//! its connection closed, and nobody else notices. Legitimate clients stay far below all of them.
+//! Limits on what a client's connection may cost. Each limit is a token bucket from which a frame takes a
+//! token. The front closes the connection of a client that exceeds a limit; no other client is affected.
+//! Legitimate clients stay far below all limits.
 
-use super::frames::{Frame, Kind, Seen};
+use super::frames::{Frame, FrameEvent, FrameKind};
 use crate::interface::Micros;
 
-/// RST_STREAM with CANCEL: what `rapid reset` sends by the thousand.
+/// RST_STREAM frames; a rapid reset attack sends thousands, with CANCEL. Limits are a burst and a rate per
+/// second.
 const RESETS: (f64, f64) = (200.0, 50.0);
+/// SETTINGS frames.
 const SETTINGS: (f64, f64) = (20.0, 1.0);
+/// PING frames without ACK.
 const PINGS: (f64, f64) = (50.0, 5.0);
-/// DATA without a byte or an end, PRIORITY, and frames of kinds that nobody knows: each costs a turn, none does
-/// anything.
+/// DATA frames without a payload or END_STREAM, PRIORITY frames, PING frames with ACK and frames of unknown
+/// types: each costs processing time and has no effect.
 const EMPTY: (f64, f64) = (50.0, 50.0);
-/// A window's updates go with bytes that were read; these are for more than 60,000 of them a second.
+/// WINDOW_UPDATE frames. A client sends them for bytes that it has read, so the rate is high: 60,000 per
+/// second.
 const UPDATES: (f64, f64) = (20_000.0, 60_000.0);
-/// Requests that did not come whole in time.
-const SLOW: (f64, f64) = (8.0, 1.0);
-/// Frames of one header block. h2 gives up with its sixth CONTINUATION, and would not say why.
-const BLOCK_FRAMES: usize = 5;
+/// Requests that were not complete in time.
+const SLOW_REQUESTS: (f64, f64) = (8.0, 1.0);
+/// The most frames of one header block. h2 fails at the sixth CONTINUATION frame, without a reason for the
+/// event log.
+const MAX_BLOCK_FRAMES: usize = 5;
 
+/// Why the front closes a client's connection, or refuses its streams.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum Offence {
+    /// Too many RST_STREAM frames.
     RapidReset,
+    /// Too many SETTINGS frames.
     SettingsFlood,
+    /// Too many PING frames.
     PingFlood,
+    /// Too many frames without effect.
     EmptyFlood,
+    /// Too many WINDOW_UPDATE frames.
     UpdateFlood,
+    /// Too many CONTINUATION frames in one header block.
     Continuations,
+    /// Too many bytes in one header block.
     HeaderBytes,
-    /// A request did not come whole in time.
-    Slow,
-    /// It takes nothing of what is sent to it.
+    /// Too many requests that were not complete in time.
+    SlowRequest,
+    /// The client's socket accepts no bytes.
     Stalled,
-    /// More streams at once than it may have.
+    /// More concurrent streams than allowed; these are refused one by one.
     Streams,
-    /// Too much of something that h2 counts by itself.
+    /// A limit that h2 enforces by itself.
     Other,
-    /// No preface, or frames that break the protocol.
+    /// No connection preface, or frames that violate the protocol.
     Protocol,
 }
 
@@ -48,14 +62,14 @@
         Offence::UpdateFlood,
         Offence::Continuations,
         Offence::HeaderBytes,
-        Offence::Slow,
+        Offence::SlowRequest,
         Offence::Stalled,
         Offence::Streams,
         Offence::Other,
         Offence::Protocol,
     ];
 
-    /// Its name in the log.
+    /// Returns the offence's name in events.
     pub fn name(self) -> &'static str {
         match self {
             Offence::RapidReset => "rapid_reset",
@@ -65,7 +79,7 @@
             Offence::UpdateFlood => "update_flood",
             Offence::Continuations => "continuations",
             Offence::HeaderBytes => "header_bytes",
-            Offence::Slow => "slow_request",
+            Offence::SlowRequest => "slow_request",
             Offence::Stalled => "stalled",
             Offence::Streams => "streams",
             Offence::Other => "other_flood",
@@ -74,97 +88,103 @@
     }
 }
 
+/// A token bucket.
 #[derive(Debug)]
-struct Store {
-    level: f64,
-    at: Micros,
-    cap: f64,
+struct TokenBucket {
+    tokens: f64,
+    refilled_at: Micros,
+    burst: f64,
+    /// Tokens per second.
     rate: f64,
 }
 
-impl Store {
-    fn new((cap, rate): (f64, f64)) -> Store {
-        Store { level: cap, at: 0, cap, rate }
+impl TokenBucket {
+    fn new((burst, rate): (f64, f64)) -> TokenBucket {
+        TokenBucket { tokens: burst, refilled_at: 0, burst, rate }
     }
 
-    fn draw(&mut self, now: Micros) -> bool {
-        let filled = self.rate * now.saturating_sub(self.at) as f64 / 1e6;
-        (self.level, self.at) = ((self.level + filled).min(self.cap), now);
-        let drawn = self.level >= 1.0;
-        if drawn {
-            self.level -= 1.0;
+    /// Takes a token. Returns false if the bucket has none.
+    fn take(&mut self, now: Micros) -> bool {
+        let refill = self.rate * now.saturating_sub(self.refilled_at) as f64 / 1e6;
+        (self.tokens, self.refilled_at) = ((self.tokens + refill).min(self.burst), now);
+        let taken = self.tokens >= 1.0;
+        if taken {
+            self.tokens -= 1.0;
         }
-        drawn
+        taken
     }
 }
 
-/// One client's connection, as its frames come in.
+/// Checks the frames of one client's connection against the limits.
 #[derive(Debug)]
 pub struct Guard {
-    resets: Store,
-    settings: Store,
-    pings: Store,
-    empty: Store,
-    updates: Store,
-    slow: Store,
-    most_block: usize,
+    resets: TokenBucket,
+    settings: TokenBucket,
+    pings: TokenBucket,
+    empty: TokenBucket,
+    updates: TokenBucket,
+    slow_requests: TokenBucket,
+    max_block_bytes: usize,
     block_frames: usize,
     block_bytes: usize,
 }
 
 impl Guard {
-    /// `most_block`: the bytes of one header block, as sent.
-    pub fn new(most_block: usize) -> Guard {
+    /// Creates a guard that allows header blocks of up to `max_block_bytes`, as sent.
+    pub fn new(max_block_bytes: usize) -> Guard {
         Guard {
-            resets: Store::new(RESETS),
-            settings: Store::new(SETTINGS),
-            pings: Store::new(PINGS),
-            empty: Store::new(EMPTY),
-            updates: Store::new(UPDATES),
-            slow: Store::new(SLOW),
-            most_block,
+            resets: TokenBucket::new(RESETS),
+            settings: TokenBucket::new(SETTINGS),
+            pings: TokenBucket::new(PINGS),
+            empty: TokenBucket::new(EMPTY),
+            updates: TokenBucket::new(UPDATES),
+            slow_requests: TokenBucket::new(SLOW_REQUESTS),
+            max_block_bytes,
             block_frames: 0,
             block_bytes: 0,
         }
     }
 
-    /// Frames are judged as they begin: what they announce need not be waited for.
-    pub fn frame(&mut self, now: Micros, seen: Seen) -> Option<Offence> {
-        let Seen::Begins(frame) = seen else { return None };
+    /// Checks a frame and returns the offence, if any. A frame is checked once its header is complete, before
+    /// its payload arrives.
+    pub fn frame(&mut self, now: Micros, event: FrameEvent) -> Option<Offence> {
+        let FrameEvent::Started(frame) = event else { return None };
         match frame.kind {
-            Kind::Reset => Self::over(&mut self.resets, now, Offence::RapidReset),
-            Kind::Settings => Self::over(&mut self.settings, now, Offence::SettingsFlood),
-            Kind::Ping if !frame.is_ack() => Self::over(&mut self.pings, now, Offence::PingFlood),
-            Kind::Ping => Self::over(&mut self.empty, now, Offence::PingFlood),
-            Kind::Data if frame.length > 0 || frame.ends_stream() => None,
-            Kind::Data | Kind::Priority | Kind::Other => {
-                Self::over(&mut self.empty, now, Offence::EmptyFlood)
+            FrameKind::Reset => Self::check(&mut self.resets, now, Offence::RapidReset),
+            FrameKind::Settings => Self::check(&mut self.settings, now, Offence::SettingsFlood),
+            FrameKind::Ping if !frame.is_ack() => Self::check(&mut self.pings, now, Offence::PingFlood),
+            FrameKind::Ping => Self::check(&mut self.empty, now, Offence::PingFlood),
+            FrameKind::Data if frame.length > 0 || frame.ends_stream() => None,
+            FrameKind::Data | FrameKind::Priority | FrameKind::Other => {
+                Self::check(&mut self.empty, now, Offence::EmptyFlood)
             }
-            Kind::WindowUpdate => Self::over(&mut self.updates, now, Offence::UpdateFlood),
-            Kind::Headers | Kind::Continuation => self.block(&frame),
-            Kind::PushPromise | Kind::GoAway => None,
+            FrameKind::WindowUpdate => Self::check(&mut self.updates, now, Offence::UpdateFlood),
+            FrameKind::Headers | FrameKind::Continuation => self.check_header_block(&frame),
+            FrameKind::PushPromise | FrameKind::GoAway => None,
         }
     }
 
-    /// A request that its route wants whole did not come so in time.
-    pub fn slow(&mut self, now: Micros) -> Option<Offence> {
-        Self::over(&mut self.slow, now, Offence::Slow)
+    /// Counts a request that was not complete in time, and returns the offence if there were too many.
+    pub fn slow_request(&mut self, now: Micros) -> Option<Offence> {
+        Self::check(&mut self.slow_requests, now, Offence::SlowRequest)
     }
 
-    fn over(store: &mut Store, now: Micros, offence: Offence) -> Option<Offence> {
-        if store.draw(now) { None } else { Some(offence) }
+    /// Returns `offence` if the bucket has no token left.
+    fn check(bucket: &mut TokenBucket, now: Micros, offence: Offence) -> Option<Offence> {
+        if bucket.take(now) { None } else { Some(offence) }
     }
 
-    fn block(&mut self, frame: &Frame) -> Option<Offence> {
-        if frame.kind == Kind::Headers {
+    /// Checks a frame of a header block.
+    fn check_header_block(&mut self, frame: &Frame) -> Option<Offence> {
+        if frame.kind == FrameKind::Headers {
             (self.block_frames, self.block_bytes) = (0, 0);
         }
         self.block_frames += 1;
         self.block_bytes += frame.length;
-        if self.block_bytes > self.most_block {
+        if self.block_bytes > self.max_block_bytes {
             return Some(Offence::HeaderBytes);
         }
-        (self.block_frames > BLOCK_FRAMES).then_some(Offence::Continuations)
+        (self.block_frames > MAX_BLOCK_FRAMES).then_some(Offence::Continuations)
     }
 }
 
--- a/src/grpc/mod.rs
+++ b/src/grpc/mod.rs
@@ -1,6 +1,6 @@
-//! What the gRPC front decides, without I/O: which call is what, how calls end, which
-//! connection to a node takes a stream, and when a client's connection costs too much. Bytes, sockets and time come
-//! from `net::grpc`; every type here is told the time.
+//! The decisions of the gRPC front, without I/O: the route of a call, its final status, the connection to a
+//! node that takes a stream, and when a client's connection costs too much. `net::grpc` supplies bytes,
+//! sockets and the time.
 
 pub mod channels;
 pub mod frames;
--- a/src/grpc/routes.rs
+++ b/src/grpc/routes.rs
@@ -1,32 +1,34 @@
-//! The routing table: patterns of paths to whatever they lead to. A pattern is a whole path, or a beginning of paths
-//! with `*` behind it; the longest that fits wins, and a whole path wins over all beginnings.
+//! The routing table, which maps patterns of paths to values. A pattern is a whole path, or a prefix followed
+//! by `*`. The longest pattern that matches wins, and a whole path wins over all prefixes.
 //!
-//! A radix trie: each node holds the bytes that all below it share, so that a look-up reads the path once, whatever
-//! the number of routes. O(length of the path) for a look-up, and as much for an insertion.
+//! The table is a radix trie: a node's label holds the bytes that all paths below the node share. A look-up
+//! reads the path once, whatever the number of routes: look-ups and insertions take O(length of the path).
 
 use std::fmt;
 
+/// Why a pattern is invalid.
 #[derive(Debug, PartialEq, Eq)]
 pub enum BadPattern {
-    /// It does not begin with `/`.
+    /// The pattern does not begin with `/`.
     NoSlash,
-    /// `*` elsewhere than at the end.
-    StarInside,
-    /// A byte that no path has, or none at all between `/` and `*` and elsewhere.
-    Unsound,
-    /// Another route has the same.
-    Twice,
+    /// The pattern has a `*` that is not its last character.
+    MisplacedStar,
+    /// The pattern is not of the form `/package.Service/Method` or a prefix of it, or has a byte that no path
+    /// has.
+    Malformed,
+    /// Another route has the same pattern.
+    Duplicate,
 }
 
 impl fmt::Display for BadPattern {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         f.write_str(match self {
             BadPattern::NoSlash => "it must begin with /",
-            BadPattern::StarInside => "* may only be its last character",
-            BadPattern::Unsound => {
+            BadPattern::MisplacedStar => "* may only be its last character",
+            BadPattern::Malformed => {
                 "it must be /package.Service/Method, or a beginning of that with * behind it"
             }
-            BadPattern::Twice => "another route has the same path",
+            BadPattern::Duplicate => "another route has the same path",
         })
     }
 }
@@ -36,13 +38,15 @@
 #[derive(Debug, Default)]
 struct Node {
     label: Box<[u8]>,
-    /// By their labels' first byte, in order.
+    /// The children's indices, sorted by the first byte of their labels.
     children: Vec<(u8, u32)>,
-    /// What the path that ends here leads to, and what all that go on from here do.
+    /// The index of the value for the path that ends at this node.
     exact: Option<u32>,
+    /// The index of the value for all paths that begin with the path of this node.
     prefix: Option<u32>,
 }
 
+/// A routing table.
 #[derive(Debug)]
 pub struct Routes<T> {
     nodes: Vec<Node>,
@@ -56,22 +60,27 @@
 }
 
 impl<T> Routes<T> {
+    /// Adds a route.
+    ///
+    /// # Errors
+    ///
+    /// Fails if the pattern is invalid or already in the table.
     pub fn insert(&mut self, pattern: &str, value: T) -> Result<(), BadPattern> {
-        let (path, is_prefix) = check(pattern)?;
-        let at = self.place(path.as_bytes());
-        let number = self.values.len() as u32;
-        let node = &mut self.nodes[at];
+        let (path, is_prefix) = parse_pattern(pattern)?;
+        let index = self.find_or_insert_node(path.as_bytes());
+        let value_index = self.values.len() as u32;
+        let node = &mut self.nodes[index];
         let slot = if is_prefix { &mut node.prefix } else { &mut node.exact };
         if slot.is_some() {
-            return Err(BadPattern::Twice);
+            return Err(BadPattern::Duplicate);
         }
-        *slot = Some(number);
+        *slot = Some(value_index);
         self.values.push(value);
         Ok(())
     }
 
-    /// The node at which this path ends, made where there is none.
-    fn place(&mut self, mut rest: &[u8]) -> usize {
+    /// Returns the index of the node at which this path ends, and creates the node if it is missing.
+    fn find_or_insert_node(&mut self, mut rest: &[u8]) -> usize {
         let mut at = 0;
         loop {
             let Some(&first) = rest.first() else { return at };
@@ -87,7 +96,8 @@
             let label = &self.nodes[child as usize].label;
             let shared = label.iter().zip(rest).take_while(|(a, b)| a == b).count();
             if shared < label.len() {
-                // The child's label parts here: a new node takes what is shared, the child keeps the rest.
+                // The path diverges within the child's label. A new parent takes the shared bytes, and the child
+                // keeps the rest.
                 let (head, tail) = label.split_at(shared);
                 let (head, tail): (Box<[u8]>, Box<[u8]>) = (head.into(), tail.into());
                 let middle = Node { label: head, children: vec![(tail[0], child)], ..Node::default() };
@@ -107,13 +117,14 @@
         (self.nodes.len() - 1) as u32
     }
 
+    /// Returns the value of the longest pattern that matches the path.
     pub fn find(&self, path: &str) -> Option<&T> {
         let (mut rest, mut at, mut best) = (path.as_bytes(), 0usize, None);
         loop {
             let node = &self.nodes[at];
             best = node.prefix.or(best);
             let Some(first) = rest.first() else {
-                return node.exact.or(best).map(|number| &self.values[number as usize]);
+                return node.exact.or(best).map(|index| &self.values[index as usize]);
             };
             let child = match node.children.binary_search_by_key(first, |child| child.0) {
                 Ok(slot) => node.children[slot].1 as usize,
@@ -124,24 +135,27 @@
                 None => break,
             }
         }
-        best.map(|number| &self.values[number as usize])
+        best.map(|index| &self.values[index as usize])
     }
 
+    /// Returns the number of routes.
     pub fn len(&self) -> usize {
         self.values.len()
     }
 
+    /// Returns whether there is no route.
     pub fn is_empty(&self) -> bool {
         self.values.is_empty()
     }
 
+    /// Iterates over the values, in the order of insertion.
     pub fn values(&self) -> impl Iterator<Item = &T> {
         self.values.iter()
     }
 }
 
-/// The path without its star, and whether it had one.
-fn check(pattern: &str) -> Result<(&str, bool), BadPattern> {
+/// Checks a pattern. Returns its path without `*`, and whether it is a prefix.
+fn parse_pattern(pattern: &str) -> Result<(&str, bool), BadPattern> {
     let (path, is_prefix) = match pattern.strip_suffix('*') {
         Some(path) => (path, true),
         None => (pattern, false),
@@ -150,18 +164,18 @@
         return Err(BadPattern::NoSlash);
     }
     if path.contains('*') {
-        return Err(BadPattern::StarInside);
+        return Err(BadPattern::MisplacedStar);
     }
     let mut parts = path[1..].split('/');
-    let (service, method, more) = (parts.next().unwrap_or(""), parts.next(), parts.next());
-    let whole = method.is_some_and(|method| !method.is_empty()) && !service.is_empty();
-    let sound = more.is_none()
-        && (whole || is_prefix && !(service.is_empty() && method.is_some()))
+    let (service, method, extra) = (parts.next().unwrap_or(""), parts.next(), parts.next());
+    let complete = method.is_some_and(|method| !method.is_empty()) && !service.is_empty();
+    let well_formed = extra.is_none()
+        && (complete || is_prefix && !(service.is_empty() && method.is_some()))
         && path.bytes().all(|byte| byte.is_ascii_graphic());
-    if sound { Ok((path, is_prefix)) } else { Err(BadPattern::Unsound) }
+    if well_formed { Ok((path, is_prefix)) } else { Err(BadPattern::Malformed) }
 }
 
-/// The plain twin: looks at every route. For tests and the measurement.
+/// A routing table that compares the path with every route. Tests and benchmarks compare [`Routes`] with it.
 #[derive(Debug)]
 pub struct Scan<T>(Vec<(String, bool, T)>);
 
@@ -172,20 +186,27 @@
 }
 
 impl<T> Scan<T> {
+    /// Adds a route.
+    ///
+    /// # Errors
+    ///
+    /// Fails if the pattern is invalid or already in the table.
     pub fn insert(&mut self, pattern: &str, value: T) -> Result<(), BadPattern> {
-        let (path, is_prefix) = check(pattern)?;
-        if self.0.iter().any(|(known, star, _)| known == path && *star == is_prefix) {
-            return Err(BadPattern::Twice);
+        let (path, is_prefix) = parse_pattern(pattern)?;
+        if self.0.iter().any(|(known, known_prefix, _)| known == path && *known_prefix == is_prefix) {
+            return Err(BadPattern::Duplicate);
         }
         self.0.push((path.to_string(), is_prefix, value));
         Ok(())
     }
 
+    /// Returns the value of the longest pattern that matches the path.
     pub fn find(&self, path: &str) -> Option<&T> {
-        let fits = |(known, star, _): &&(String, bool, T)| {
-            if *star { path.starts_with(known.as_str()) } else { path == known }
+        let matches = |(known, is_prefix, _): &&(String, bool, T)| {
+            if *is_prefix { path.starts_with(known.as_str()) } else { path == known }
         };
-        let best = self.0.iter().filter(fits).max_by_key(|(known, star, _)| (!star, known.len()));
+        let best =
+            self.0.iter().filter(matches).max_by_key(|(known, is_prefix, _)| (!is_prefix, known.len()));
         best.map(|(.., value)| value)
     }
 }
--- a/src/grpc/routes/tests.rs
+++ b/src/grpc/routes/tests.rs
@@ -1,7 +1,7 @@
 use super::*;
 
 #[test]
-fn the_longest_pattern_wins_and_a_whole_path_over_all() {
+fn the_longest_pattern_wins_and_a_whole_path_wins_over_prefixes() {
     let mut routes = Routes::default();
     for (i, pattern) in
         ["/*", "/a.*", "/a.B/*", "/a.B/Get", "/a.B/Get*", "/a.B/GetAll", "/a.Bc/Put"].iter().enumerate()
@@ -25,33 +25,33 @@
     }
     assert_eq!(routes.find(""), None);
     assert_eq!(routes.find("x"), None);
-    assert_eq!(routes.insert("/a.B/*", 9), Err(BadPattern::Twice));
+    assert_eq!(routes.insert("/a.B/*", 9), Err(BadPattern::Duplicate));
     assert_eq!(routes.len(), 7);
 }
 
 #[test]
-fn patterns_that_no_call_could_have_are_refused() {
-    for (pattern, wrong) in [
+fn patterns_that_no_path_can_match_are_rejected() {
+    for (pattern, error) in [
         ("", BadPattern::NoSlash),
         ("*", BadPattern::NoSlash),
         ("a.B/Get", BadPattern::NoSlash),
-        ("/a.*/Get", BadPattern::StarInside),
-        ("/a.B/G**", BadPattern::StarInside),
-        ("/", BadPattern::Unsound),
-        ("/a.B", BadPattern::Unsound),
-        ("/a.B/", BadPattern::Unsound),
-        ("//Get", BadPattern::Unsound),
-        ("//*", BadPattern::Unsound),
-        ("/a.B/Get/x", BadPattern::Unsound),
-        ("/a.B/G t", BadPattern::Unsound),
-        ("/a.B/G\u{e9}", BadPattern::Unsound),
+        ("/a.*/Get", BadPattern::MisplacedStar),
+        ("/a.B/G**", BadPattern::MisplacedStar),
+        ("/", BadPattern::Malformed),
+        ("/a.B", BadPattern::Malformed),
+        ("/a.B/", BadPattern::Malformed),
+        ("//Get", BadPattern::Malformed),
+        ("//*", BadPattern::Malformed),
+        ("/a.B/Get/x", BadPattern::Malformed),
+        ("/a.B/G t", BadPattern::Malformed),
+        ("/a.B/G\u{e9}", BadPattern::Malformed),
     ] {
-        assert_eq!(Routes::default().insert(pattern, ()), Err(wrong), "{pattern:?}");
+        assert_eq!(Routes::default().insert(pattern, ()), Err(error), "{pattern:?}");
     }
 }
 
 #[test]
-fn the_trie_finds_what_the_plain_scan_finds() {
+fn the_trie_finds_the_same_routes_as_a_linear_scan() {
     let mut random = fastrand::Rng::with_seed(7);
     let mut word =
         |most: usize| -> String { (0..random.usize(1..=most)).map(|_| random.char('a'..='c')).collect() };
--- a/src/grpc/status.rs
+++ b/src/grpc/status.rs
@@ -1,5 +1,5 @@
-//! The one table between gRPC's statuses and the ends of attempts and calls, both ways. `ending` then says what an
-//! end means to the module; `docs/operators/grpc.md` tells operators the same.
+//! The mapping from gRPC status codes to ends of attempts, and from ends of calls to status codes. `ending`
+//! says what an end means to the module; `docs/operators/grpc.md` describes the mapping for operators.
 
 use crate::attempt_end::AttemptEnd;
 use std::time::Duration;
@@ -8,7 +8,7 @@
 pub const OK: u32 = 0;
 /// The caller cancelled the call.
 pub const CANCELLED: u32 = 1;
-/// No more is known.
+/// An error of unknown kind.
 pub const UNKNOWN: u32 = 2;
 /// The request is malformed.
 pub const INVALID_ARGUMENT: u32 = 3;
@@ -18,15 +18,16 @@
 pub const RESOURCE_EXHAUSTED: u32 = 8;
 /// There is no such method.
 pub const UNIMPLEMENTED: u32 = 12;
-/// A broken invariant.
+/// An invariant was violated.
 pub const INTERNAL: u32 = 13;
 /// The call did not run; a retry is harmless.
 pub const UNAVAILABLE: u32 = 14;
-/// The answer broke off.
+/// The response is incomplete.
 pub const DATA_LOSS: u32 = 15;
+/// The highest status code.
 const LAST: u32 = 16;
 
-/// What a node's trailers come to. `None`: it sent no status, or none that is a number of the table.
+/// Parses a node's `grpc-status`. `None`: the status is missing, or is not a known code.
 pub fn read(text: Option<&[u8]>) -> Option<u32> {
     let text = text?;
     let digits = (1..=2).contains(&text.len()) && text.iter().all(u8::is_ascii_digit);
@@ -34,8 +35,9 @@
     (code <= LAST).then_some(code)
 }
 
-/// How an attempt ended at which the node gave this status. The program's own answers, whatever they say, have been
-/// given by a node that ran the call: they are served. `not_processed` is the node's word that it never ran.
+/// Returns the end of an attempt whose node sent this status. Codes that only an application returns mean
+/// that the node ran the call, which is then answered, also with an error. `not_processed`: the node says
+/// that it never ran the call.
 pub fn attempt(code: Option<u32>, not_processed: bool) -> AttemptEnd {
     match code {
         None => AttemptEnd::BadAnswer,
@@ -46,20 +48,21 @@
     }
 }
 
-/// How a call ends for its client where the head itself words the status.
+/// The end of a call whose status the proxy itself creates.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Final {
-    /// Nothing was done, or repeating is harmless.
+    /// The call did not run, or repeating it is harmless. The client may retry after this time.
     Refused(Duration),
-    /// The head holds as many calls, or as much of them, as it may.
+    /// The proxy holds as many calls, or as many of their bytes, as it may. The client may retry after this
+    /// time.
     NoRoom(Duration),
-    /// It may have been done; with the node's own status, where one came.
+    /// The call may have run. Holds the node's status, if the node sent one.
     Failed(Option<u32>),
     /// The deadline passed.
     OutOfTime,
-    /// Its route wants the request whole, and it did not come so in time.
-    Slow,
-    /// It says more before its end than may be held, and could not be sent again.
+    /// The route needs the complete request, which did not arrive in time.
+    SlowRequest,
+    /// The request is larger than the proxy may hold, so that it could not be sent again.
     TooLong,
     /// No route matches the path.
     NoRoute,
@@ -67,31 +70,32 @@
     Malformed(&'static str),
 }
 
-/// What the client's retry policy is told (`grpc-retry-pushback-ms`).
+/// Whether and when the client may retry (`grpc-retry-pushback-ms`).
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Pushback {
-    /// `grpc-retry-pushback-ms`, and the same as RetryInfo in the status's details.
+    /// The client may retry after this time, which is sent as `grpc-retry-pushback-ms` and as RetryInfo.
     After(Duration),
-    /// -1: the client's own retries are to stop.
+    /// The client must not retry; sent as -1.
     Never,
 }
 
 /// A status of a call.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Status {
-    /// The status's code.
+    /// The status code.
     pub code: u32,
-    /// The message.
+    /// The text for the client.
     pub message: &'static str,
     /// Whether and when to retry.
     pub pushback: Pushback,
 }
 
 impl Final {
-    /// `begun`: some of the answer has reached the client, so that nothing may be tried again, whatever the class.
-    pub fn status(&self, begun: bool) -> Status {
+    /// Returns the status for the client. `started`: the client has a part of the response, so that it must
+    /// not retry, whatever the call's class allows.
+    pub fn status(&self, started: bool) -> Status {
         let (code, message, pushback) = match *self {
-            Final::Refused(_) | Final::Failed(_) if begun => {
+            Final::Refused(_) | Final::Failed(_) if started => {
                 (UNKNOWN, "the answer was cut off; it may have been done", Pushback::Never)
             }
             Final::Refused(after) => {
@@ -100,41 +104,42 @@
             Final::NoRoom(after) => {
                 (RESOURCE_EXHAUSTED, "no room; trying again is harmless", Pushback::After(after))
             }
-            // Clients may retry on UNAVAILABLE and RESOURCE_EXHAUSTED by themselves: those never pass on.
+            // UNAVAILABLE and RESOURCE_EXHAUSTED are not forwarded: clients may retry on them of their own
+            // accord.
             Final::Failed(Some(code @ (CANCELLED | DEADLINE_EXCEEDED | INTERNAL | DATA_LOSS))) => {
                 (code, "failed at the node; it may have been done", Pushback::Never)
             }
             Final::Failed(_) => (UNKNOWN, "failed; it may have been done", Pushback::Never),
             Final::OutOfTime => (DEADLINE_EXCEEDED, "out of time; it may have been done", Pushback::Never),
-            Final::Slow => {
+            Final::SlowRequest => {
                 let message = "the request did not come whole in time; nothing was done";
                 (DEADLINE_EXCEEDED, message, Pushback::Never)
             }
             Final::TooLong => (RESOURCE_EXHAUSTED, "the request is too long", Pushback::Never),
             Final::NoRoute => (UNIMPLEMENTED, "not served here", Pushback::Never),
-            Final::Malformed(what) => (INVALID_ARGUMENT, what, Pushback::Never),
+            Final::Malformed(problem) => (INVALID_ARGUMENT, problem, Pushback::Never),
         };
         Status { code, message, pushback }
     }
 }
 
-/// google.rpc.Status with one RetryInfo, as `grpc-status-details-bin` carries it.
+/// The value of `grpc-status-details-bin`: a `google.rpc.Status` with one `google.rpc.RetryInfo`.
 pub mod details {
     use prost::Message;
     use std::time::Duration;
 
     const RETRY_INFO: &str = "type.googleapis.com/google.rpc.RetryInfo";
 
-    /// A status of a call.
+    /// `google.rpc.Status`.
     #[derive(Clone, PartialEq, Message)]
     pub struct Status {
-        /// The status's code.
+        /// The status code.
         #[prost(int32, tag = "1")]
         pub code: i32,
-        /// The message.
+        /// The text for the client.
         #[prost(string, tag = "2")]
         pub message: String,
-        /// Further messages.
+        /// Further messages on the error.
         #[prost(message, repeated, tag = "3")]
         pub details: Vec<Any>,
     }
@@ -142,10 +147,10 @@
     /// `google.protobuf.Any`.
     #[derive(Clone, PartialEq, Message)]
     pub struct Any {
-        /// The message's type.
+        /// The URL of the message's type.
         #[prost(string, tag = "1")]
         pub type_url: String,
-        /// The message's bytes.
+        /// The encoded message.
         #[prost(bytes = "vec", tag = "2")]
         pub value: Vec<u8>,
     }
@@ -153,23 +158,23 @@
     /// `google.rpc.RetryInfo`.
     #[derive(Clone, PartialEq, Message)]
     pub struct RetryInfo {
-        /// When to retry.
+        /// How long the client should wait before it retries.
         #[prost(message, optional, tag = "1")]
         pub retry_delay: Option<Span>,
     }
 
-    /// google.protobuf.Duration.
+    /// `google.protobuf.Duration`.
     #[derive(Clone, PartialEq, Message)]
     pub struct Span {
         /// Whole seconds.
         #[prost(int64, tag = "1")]
         pub seconds: i64,
-        /// Nanoseconds beyond them.
+        /// Nanoseconds beyond the whole seconds.
         #[prost(int32, tag = "2")]
         pub nanos: i32,
     }
 
-    /// The bytes of `grpc-status-details-bin` with a time to retry.
+    /// Encodes a status that allows a retry after `after`.
     pub fn encode(code: u32, message: &str, after: Duration) -> Vec<u8> {
         let span = Span {
             seconds: i64::try_from(after.as_secs()).unwrap_or(i64::MAX),
@@ -180,7 +185,7 @@
         Status { code: code as i32, message: message.to_string(), details: vec![any] }.encode_to_vec()
     }
 
-    /// The delay that a client reads from it.
+    /// Decodes the retry delay from an encoded status, as a client does.
     pub fn retry_delay(bytes: &[u8]) -> Option<Duration> {
         let status = Status::decode(bytes).ok()?;
         let any = status.details.iter().find(|any| any.type_url == RETRY_INFO)?;
--- a/src/grpc/timeout.rs
+++ b/src/grpc/timeout.rs
@@ -1,15 +1,16 @@
-//! `grpc-timeout`: at most eight digits and a unit.
+//! The values of `grpc-timeout`: one to eight digits and a unit.
 
 use std::time::Duration;
 
 /// The most digits that the protocol allows.
-const DIGITS: usize = 8;
-const MOST: u64 = 99_999_999;
+const MAX_DIGITS: usize = 8;
+/// The largest number with that many digits.
+const MAX_VALUE: u64 = 99_999_999;
 
-/// `None`: not in the protocol's form. Zero is in it: such a call is over when it comes.
+/// Parses a value. `None`: the value is malformed. Zero is valid: the call's deadline has passed on arrival.
 pub fn parse(text: &str) -> Option<Duration> {
     let (digits, unit) = text.split_at_checked(text.len().checked_sub(1)?)?;
-    if !(1..=DIGITS).contains(&digits.len()) || !digits.bytes().all(|byte| byte.is_ascii_digit()) {
+    if !(1..=MAX_DIGITS).contains(&digits.len()) || !digits.bytes().all(|byte| byte.is_ascii_digit()) {
         return None;
     }
     let value: u64 = digits.parse().ok()?;
@@ -24,17 +25,17 @@
     })
 }
 
-/// The finest unit that holds it in eight digits, rounded down: a node must not think that it has longer. What is
-/// left is never told as nothing.
-pub fn format(left: Duration) -> String {
-    let nanos = left.as_nanos().max(1);
+/// Formats a value in the finest unit that fits into eight digits. The value is rounded down, so that a node
+/// never assumes a later deadline, but not below one nanosecond.
+pub fn format(timeout: Duration) -> String {
+    let nanos = timeout.as_nanos().max(1);
     for (unit, nanos_each) in [("n", 1), ("u", 1_000), ("m", 1_000_000), ("S", 1_000_000_000)] {
         let value = nanos / nanos_each;
-        if value <= u128::from(MOST) {
+        if value <= u128::from(MAX_VALUE) {
             return format!("{value}{unit}");
         }
     }
-    format!("{}H", (left.as_secs() / 3600).min(MOST))
+    format!("{}H", (timeout.as_secs() / 3600).min(MAX_VALUE))
 }
 
 #[cfg(test)]
--- a/src/grpc/timeout/tests.rs
+++ b/src/grpc/timeout/tests.rs
@@ -1,7 +1,7 @@
 use super::*;
 
 #[test]
-fn all_units_are_read_and_all_else_is_not() {
+fn all_units_are_parsed_and_malformed_values_are_rejected() {
     for (text, wanted) in [
         ("1H", Some(Duration::from_secs(3600))),
         ("2M", Some(Duration::from_secs(120))),
@@ -27,8 +27,8 @@
 }
 
 #[test]
-fn what_is_left_is_told_in_the_finest_unit_that_fits_and_never_as_more() {
-    for (left, wanted) in [
+fn a_timeout_is_formatted_in_the_finest_unit_that_fits_and_never_rounded_up() {
+    for (timeout, wanted) in [
         (Duration::ZERO, "1n"),
         (Duration::from_nanos(99_999_999), "99999999n"),
         (Duration::from_nanos(100_000_999), "100000u"),
@@ -37,8 +37,8 @@
         (Duration::from_secs(200_000), "200000S"),
         (Duration::from_secs(100_000_000), "27777H"),
     ] {
-        let text = format(left);
+        let text = format(timeout);
         assert_eq!(text, wanted);
-        assert!(parse(&text).unwrap() <= left.max(Duration::from_nanos(1)), "{left:?}");
+        assert!(parse(&text).unwrap() <= timeout.max(Duration::from_nanos(1)), "{timeout:?}");
     }
 }
--- a/src/net/grpc/back.rs
+++ b/src/net/grpc/back.rs
@@ -1,16 +1,17 @@
-//! Nodes behind the gRPC front: channels with many streams each, and attempts, each of which is one stream.
-//! What a channel writes is watched frame by frame, so that it is known of each stream whether its last frame
-//! went out. Dropping an attempt drops its stream, and h2 resets that at the node.
-
-use super::call::{Call, Down};
-use super::tap::{Tap, Tapped};
-use super::{FOR_THE_HEAD, PREVIOUS, PUSHBACK, STATUS, TIMEOUT, passed_on};
+//! Connections from the gRPC front to nodes. A channel is one HTTP/2 connection with many streams, and an
+//! attempt is one stream. An observer follows the frames that a channel writes, so that an attempt knows
+//! whether the last frame of its request was written. Dropping an attempt drops its stream, which makes h2
+//! reset the stream at the node.
+
+use super::call::{Call, ResponsePart};
+use super::observed_io::{IoObserver, ObservedIo};
+use super::{NODE_TO_PROXY, PREVIOUS_ATTEMPTS, PUSHBACK, STATUS, TIMEOUT, forwarded};
 use crate::attempt_end::AttemptEnd;
 use crate::config::grpc::GrpcFront;
 use crate::core::{AnswerBinder, Attempt, AttemptContext, AttemptSource, Report, WriteState};
 use crate::event;
-use crate::grpc::channels::{ChannelId, Channels, Duty, Grant};
-use crate::grpc::frames::{Kind, PREFACE, Scanner, Seen};
+use crate::grpc::channels::{ChannelAction, ChannelId, Channels, Grant};
+use crate::grpc::frames::{FrameEvent, FrameKind, PREFACE_BYTES, Scanner};
 use crate::grpc::{status, timeout};
 use crate::interface::{Load, Micros};
 use crate::net::back::{NOT_PROCESSED, load, used};
@@ -31,101 +32,108 @@
 use tokio::sync::{Notify, mpsc};
 use tokio::time::{Duration, Instant};
 
-/// How often channels are looked through.
-const LOOK: Duration = Duration::from_millis(100);
+/// How often idle, silent and stalled channels are looked for.
+const CHANNEL_CHECK_INTERVAL: Duration = Duration::from_millis(100);
 
+/// The channels to all nodes; clones share them.
 #[derive(Clone)]
 pub struct Nodes {
-    hub: Arc<Hub>,
+    pool: Arc<ChannelPool>,
 }
 
-struct Hub {
+struct ChannelPool {
     start: Instant,
     state: Mutex<State>,
-    /// Something has changed that a call may have waited for.
+    /// Wakes the calls that wait for a stream, since one may be available now.
     changed: Notify,
-    connect: Duration,
-    patience: Duration,
-    port: Option<u16>,
-    window: u32,
+    connect_timeout: Duration,
+    /// How long a node may take to send its first SETTINGS frame.
+    settings_timeout: Duration,
+    /// The port of all nodes; `None`: the port that discovery gives.
+    node_port: Option<u16>,
+    /// The receive window of one stream, in bytes.
+    stream_window: u32,
+    /// The most bytes of metadata in a response.
     header_bytes: u32,
+    /// Channels opened so far.
     opened: AtomicU64,
-    asked: AtomicU64,
+    /// Attempts begun so far.
+    attempts: AtomicU64,
 }
 
 struct State {
     channels: Channels<SocketAddr>,
-    lines: BTreeMap<ChannelId, Line>,
+    established: BTreeMap<ChannelId, EstablishedChannel>,
 }
 
-/// A channel that stands: how streams are opened on it, and how it is told to go.
-struct Line {
+/// An established channel: opens streams, and passes commands to the channel's task.
+struct EstablishedChannel {
     sender: SendRequest<Bytes>,
-    watch: Watch,
-    orders: mpsc::UnboundedSender<Order>,
+    progress: ChannelProgress,
+    commands: mpsc::UnboundedSender<ChannelCommand>,
 }
 
+/// A command to the task of a channel.
 #[derive(Clone, Copy, Debug, PartialEq)]
-enum Order {
+enum ChannelCommand {
     Ping,
     Close,
 }
 
-/// One stream on a channel, given back when it is dropped.
-struct Lease {
-    hub: Arc<Hub>,
+/// The right to open one stream on a channel; returned to the channel when dropped.
+struct StreamPermit {
+    pool: Arc<ChannelPool>,
     id: ChannelId,
     sender: SendRequest<Bytes>,
-    watch: Watch,
+    progress: ChannelProgress,
 }
 
-impl Drop for Lease {
+impl Drop for StreamPermit {
     fn drop(&mut self) {
-        let over = self.hub.with(|hub, state| state.channels.released(hub.now(), self.id));
-        if over {
-            self.hub.close(self.id);
+        let closes = self.pool.with(|pool, state| state.channels.release_stream(pool.now(), self.id));
+        if closes {
+            self.pool.close(self.id);
         }
-        self.hub.changed.notify_waiters();
+        self.pool.changed.notify_waiters();
     }
 }
 
 impl Nodes {
-    pub fn new(front: &GrpcFront, connect: Duration) -> Nodes {
+    /// Creates a pool without channels; `connect_timeout` limits each TCP connect.
+    pub fn new(front: &GrpcFront, connect_timeout: Duration) -> Nodes {
         let limits = front.channels;
         Nodes {
-            hub: Arc::new(Hub {
+            pool: Arc::new(ChannelPool {
                 start: Instant::now(),
-                state: Mutex::new(State { channels: Channels::new(limits), lines: BTreeMap::new() }),
+                state: Mutex::new(State { channels: Channels::new(limits), established: BTreeMap::new() }),
                 changed: Notify::new(),
-                connect,
-                patience: Duration::from_micros(limits.patience),
-                port: front.node_port,
-                window: front.node_window,
+                connect_timeout,
+                settings_timeout: Duration::from_micros(limits.patience),
+                node_port: front.node_port,
+                stream_window: front.node_window,
                 header_bytes: front.header_bytes as u32,
                 opened: AtomicU64::new(0),
-                asked: AtomicU64::new(0),
+                attempts: AtomicU64::new(0),
             }),
         }
     }
 
-    /// Channels opened to nodes and attempts begun, so far.
+    /// Returns the numbers of channels opened and of attempts begun so far.
     pub fn counts(&self) -> (u64, u64) {
-        (self.hub.opened.load(Ordering::Relaxed), self.hub.asked.load(Ordering::Relaxed))
+        (self.pool.opened.load(Ordering::Relaxed), self.pool.attempts.load(Ordering::Relaxed))
     }
 
-    /// Does what time alone brings about, for as long as the program runs.
+    /// Pings silent channels and closes idle or dead ones at a regular interval. Never returns.
     pub async fn watch(self) {
         loop {
-            tokio::time::sleep(LOOK).await;
-            for duty in self.hub.with(|hub, state| state.channels.tick(hub.now())) {
-                match duty {
-                    Duty::Ping(id) => self.hub.order(id, Order::Ping),
-                    Duty::Stalled(id) => {
-                        event!(CHANNEL_STALLED, channel = id)
-                    }
-                    Duty::Close(id) | Duty::Break(id) => {
-                        debug!(channel = id; "a channel goes: {duty:?}");
-                        self.hub.close(id);
+            tokio::time::sleep(CHANNEL_CHECK_INTERVAL).await;
+            for action in self.pool.with(|pool, state| state.channels.tick(pool.now())) {
+                match action {
+                    ChannelAction::Ping(id) => self.pool.command(id, ChannelCommand::Ping),
+                    ChannelAction::Stalled(id) => event!(CHANNEL_STALLED, channel = id),
+                    ChannelAction::Close(id) | ChannelAction::Break(id) => {
+                        debug!(channel = id; "closing a channel to a node: {action:?}");
+                        self.pool.close(id);
                     }
                 }
             }
@@ -133,39 +141,40 @@
     }
 
     async fn attempt(self, call: Arc<Call>, context: AttemptContext) -> Report {
-        self.hub.asked.fetch_add(1, Ordering::Relaxed);
+        self.pool.attempts.fetch_add(1, Ordering::Relaxed);
         let Ok(mut address) = context.address.parse::<SocketAddr>() else {
             return AttemptEnd::NotStarted.into();
         };
-        if let Some(port) = self.hub.port {
+        if let Some(port) = self.pool.node_port {
             address.set_port(port);
         }
-        let carried = async {
-            let lease = match self.hub.acquire(address).await {
-                Ok(lease) => lease,
+        let report = async {
+            let permit = match self.pool.acquire(address).await {
+                Ok(permit) => permit,
                 Err(end) => return end.into(),
             };
-            let first = exchange(lease, &call, &context).await;
+            let first = exchange(permit, &call, &context).await;
             if first.end != AttemptEnd::BrokeUnsent || context.write_state.has_started() {
                 return first;
             }
-            // A channel that turns out gone before a byte went out is replaced once: that is no attempt yet.
-            match self.hub.acquire(address).await {
-                Ok(lease) => exchange(lease, &call, &context).await,
+            // The channel broke before a byte of the request was written, which does not count as an attempt:
+            // the request goes to another channel, once.
+            match self.pool.acquire(address).await {
+                Ok(permit) => exchange(permit, &call, &context).await,
                 Err(end) => end.into(),
             }
         };
         tokio::select! {
             biased;
-            // The stream goes with its future, and its node hears of that in this turn.
-            () = call.left.cancelled() => AttemptEnd::CalledOff.into(),
-            report = carried => report,
+            // Dropping the future drops its stream, so that h2 resets the stream at the node at once.
+            () = call.cancelled.cancelled() => AttemptEnd::CalledOff.into(),
+            report = report => report,
         }
     }
 }
 
-impl Hub {
-    fn with<T>(&self, f: impl FnOnce(&Hub, &mut State) -> T) -> T {
+impl ChannelPool {
+    fn with<T>(&self, f: impl FnOnce(&ChannelPool, &mut State) -> T) -> T {
         f(self, &mut self.state.lock().unwrap_or_else(PoisonError::into_inner))
     }
 
@@ -173,35 +182,39 @@
         crate::clock::micros(self.start.elapsed())
     }
 
-    fn order(&self, id: ChannelId, order: Order) {
+    fn command(&self, id: ChannelId, command: ChannelCommand) {
         self.with(|_, state| {
-            if let Some(line) = state.lines.get(&id) {
-                let _ = line.orders.send(order); // its task may have ended by itself
+            if let Some(channel) = state.established.get(&id) {
+                let _ = channel.commands.send(command); // fails if the channel's task has already ended
             }
         });
     }
 
     fn close(&self, id: ChannelId) {
-        self.order(id, Order::Close);
-        self.with(|_, state| state.lines.remove(&id));
+        self.command(id, ChannelCommand::Close);
+        self.with(|_, state| state.established.remove(&id));
     }
 
-    async fn acquire(self: &Arc<Hub>, address: SocketAddr) -> Result<Lease, AttemptEnd> {
+    /// Waits for a stream to the node, and opens a channel where one is needed.
+    async fn acquire(self: &Arc<ChannelPool>, address: SocketAddr) -> Result<StreamPermit, AttemptEnd> {
         loop {
             let mut changed = std::pin::pin!(self.changed.notified());
             changed.as_mut().enable();
-            match self.with(|hub, state| state.channels.want(hub.now(), &address)) {
+            match self.with(|pool, state| state.channels.request_stream(pool.now(), &address)) {
                 Grant::Use(id) => {
-                    let line = self.with(|_, state| {
-                        state.lines.get(&id).map(|line| (line.sender.clone(), line.watch.clone()))
+                    let established = self.with(|_, state| {
+                        let channel = state.established.get(&id)?;
+                        Some((channel.sender.clone(), channel.progress.clone()))
                     });
-                    // One whose line is gone has broken in this very turn.
-                    let Some((sender, watch)) = line else { return Err(AttemptEnd::NoConnection) };
-                    return Ok(Lease { hub: self.clone(), id, sender, watch });
+                    // The channel has broken since it was granted.
+                    let Some((sender, progress)) = established else {
+                        return Err(AttemptEnd::NoConnection);
+                    };
+                    return Ok(StreamPermit { pool: self.clone(), id, sender, progress });
                 }
                 Grant::Open { id, close } => {
                     close.into_iter().for_each(|id| self.close(id));
-                    tokio::spawn(channel(self.clone(), id, address));
+                    tokio::spawn(run_channel(self.clone(), id, address));
                 }
                 Grant::Wait => changed.await,
                 Grant::Refuse => return Err(AttemptEnd::NoConnection),
@@ -210,246 +223,261 @@
     }
 }
 
-/// Ends a channel's bookkeeping however its task ends.
-struct Ends {
-    hub: Arc<Hub>,
+/// Removes a channel from the pool when its task ends, also by a panic.
+struct ChannelCleanup {
+    pool: Arc<ChannelPool>,
     id: ChannelId,
-    up: bool,
-    watch: Watch,
+    established: bool,
+    progress: ChannelProgress,
 }
 
-impl Drop for Ends {
+impl Drop for ChannelCleanup {
     fn drop(&mut self) {
-        // Who waits for room on it finds out now.
-        self.watch.unblock();
-        self.hub.with(|hub, state| {
-            if self.up {
-                state.channels.broke(self.id);
+        // Attempts that wait until the channel is writable stop waiting.
+        self.progress.mark_writable();
+        self.pool.with(|pool, state| {
+            if self.established {
+                state.channels.connection_lost(self.id);
             } else {
-                state.channels.failed(hub.now(), self.id);
+                state.channels.connect_failed(pool.now(), self.id);
             }
-            state.lines.remove(&self.id);
+            state.established.remove(&self.id);
         });
-        self.hub.changed.notify_waiters();
+        self.pool.changed.notify_waiters();
     }
 }
 
-/// Opens a channel and drives it to its end.
-async fn channel(hub: Arc<Hub>, id: ChannelId, address: SocketAddr) {
-    let watch = Watch::default();
-    let mut ends = Ends { hub: hub.clone(), id, up: false, watch: watch.clone() };
-    let Ok(Ok(stream)) = tokio::time::timeout(hub.connect, TcpStream::connect(address)).await else {
-        return debug!(address:%; "no channel came up");
+/// Opens a channel and runs it until it closes.
+async fn run_channel(pool: Arc<ChannelPool>, id: ChannelId, address: SocketAddr) {
+    let progress = ChannelProgress::default();
+    let mut cleanup =
+        ChannelCleanup { pool: pool.clone(), id, established: false, progress: progress.clone() };
+    let Ok(Ok(stream)) = tokio::time::timeout(pool.connect_timeout, TcpStream::connect(address)).await else {
+        return debug!(address:%; "connecting to a node failed or timed out");
     };
-    hub.opened.fetch_add(1, Ordering::Relaxed);
-    let _ = stream.set_nodelay(true); // only a matter of speed
-    let tap = ChannelTap {
-        hub: hub.clone(),
+    pool.opened.fetch_add(1, Ordering::Relaxed);
+    let _ = stream.set_nodelay(true); // affects latency only
+    let observer = ChannelObserver {
+        pool: pool.clone(),
         id,
-        watch: watch.clone(),
-        inwards: Scanner::new(0),
-        outwards: Scanner::new(PREFACE),
+        progress: progress.clone(),
+        inbound: Scanner::new(0),
+        outbound: Scanner::new(PREFACE_BYTES),
     };
     let mut builder = h2::client::Builder::new();
-    let streams = hub.with(|_, state| state.channels.limits().streams) as u32;
+    let streams = pool.with(|_, state| state.channels.limits().streams) as u32;
     builder
         .enable_push(false)
-        .initial_window_size(hub.window)
-        .initial_connection_window_size(hub.window.saturating_mul(streams).max(u32::from(u16::MAX)))
-        .max_header_list_size(hub.header_bytes)
-        .max_send_buffer_size(hub.window as usize);
-    let Ok((sender, mut connection)) = builder.handshake(Tapped::new(stream, tap)).await else { return };
-    let (orders, mut received) = mpsc::unbounded_channel();
+        .initial_window_size(pool.stream_window)
+        .initial_connection_window_size(pool.stream_window.saturating_mul(streams).max(u32::from(u16::MAX)))
+        .max_header_list_size(pool.header_bytes)
+        .max_send_buffer_size(pool.stream_window as usize);
+    let Ok((sender, mut connection)) = builder.handshake(ObservedIo::new(stream, observer)).await else {
+        return;
+    };
+    let (commands, mut received) = mpsc::unbounded_channel();
     let mut pings = connection.ping_pong();
     let mut sender = Some(sender);
-    let settled = Instant::now() + hub.patience;
-    let mut allowed = None;
+    let settings_by = Instant::now() + pool.settings_timeout;
+    let mut max_streams = None;
     loop {
         let turn = poll_fn(|cx| {
             if let Some(pings) = &mut pings {
-                let _ = pings.poll_pong(cx); // any byte is a sign of life; this only takes it out of the way
+                let _ = pings.poll_pong(cx); // only takes the PONG: any byte shows that the node is alive
             }
             let ended = std::pin::Pin::new(&mut connection).poll(cx).is_ready();
-            let now_allowed = connection.max_concurrent_send_streams();
-            let settled = watch.with(|lines| lines.settled);
-            if ended || (settled && allowed != Some(now_allowed)) {
+            let current = connection.max_concurrent_send_streams();
+            let has_settings = progress.with(|progress| progress.has_settings);
+            if ended || (has_settings && max_streams != Some(current)) {
                 Poll::Ready(ended)
             } else {
                 Poll::Pending
             }
         });
-        let up = ends.up;
+        let established = cleanup.established;
         tokio::select! {
             biased;
-            order = received.recv() => match order {
-                Some(Order::Ping) => ping(&mut pings),
-                Some(Order::Close) | None => return,
+            command = received.recv() => match command {
+                Some(ChannelCommand::Ping) => ping(&mut pings),
+                Some(ChannelCommand::Close) | None => return,
             },
             ended = turn => {
                 if ended {
                     return;
                 }
-                // The peer's first SETTINGS, or new ones: from here on the channel takes as many as they say.
-                let now_allowed = connection.max_concurrent_send_streams();
-                allowed = Some(now_allowed);
-                hub.with(|hub, state| {
+                // The node's SETTINGS frame, the first or a later one, sets how many streams the channel
+                // takes.
+                let current = connection.max_concurrent_send_streams();
+                max_streams = Some(current);
+                pool.with(|pool, state| {
                     if let Some(sender) = sender.take() {
-                        let line = Line { sender, watch: watch.clone(), orders: orders.clone() };
-                        state.lines.insert(id, line);
-                        state.channels.connected(hub.now(), id, now_allowed);
+                        let progress = progress.clone();
+                        let channel = EstablishedChannel { sender, progress, commands: commands.clone() };
+                        state.established.insert(id, channel);
+                        state.channels.connected(pool.now(), id, current);
                     } else {
-                        state.channels.allowed(id, now_allowed);
+                        state.channels.set_max_streams(id, current);
                     }
                 });
-                ends.up = true;
-                hub.changed.notify_waiters();
+                cleanup.established = true;
+                pool.changed.notify_waiters();
             }
-            () = tokio::time::sleep_until(settled), if !up => return,
+            () = tokio::time::sleep_until(settings_by), if !established => return,
         }
     }
 }
 
 fn ping(pings: &mut Option<PingPong>) {
     if let Some(pings) = pings {
-        let _ = pings.send_ping(Ping::opaque()); // one that is still out will do as well
+        let _ = pings.send_ping(Ping::opaque()); // fails while an earlier PING is unanswered
     }
 }
 
-/// What has passed on a channel, by stream; and a word whenever it takes bytes again.
+/// What a channel has sent and received, by stream. The `Notify` wakes tasks when the socket is writable
+/// again.
 #[derive(Clone, Default)]
-struct Watch(Arc<(Mutex<Lines>, Notify)>);
+struct ChannelProgress(Arc<(Mutex<Progress>, Notify)>);
 
 #[derive(Default)]
-struct Lines {
-    /// The peer's first SETTINGS have come.
-    settled: bool,
-    /// Its socket takes nothing at the moment: the node does not read.
-    blocked: bool,
-    /// The last stream that a GOAWAY leaves to the peer.
+struct Progress {
+    /// The node's first SETTINGS frame has arrived.
+    has_settings: bool,
+    /// The socket accepts no bytes at the moment: the node does not read.
+    write_blocked: bool,
+    /// The last stream that the node may still process, from its GOAWAY frame.
     last_stream: Option<u32>,
-    streams: BTreeMap<u32, Progress>,
+    streams: BTreeMap<u32, StreamProgress>,
 }
 
+/// What has been written of the request on one stream.
 #[derive(Default)]
-struct Progress {
+struct StreamProgress {
     write_state: Arc<WriteState>,
+    /// A DATA frame was written.
     data: bool,
-    ending: bool,
-    whole: bool,
+    /// A frame with END_STREAM was written.
+    end_stream: bool,
+    /// The request's last frame was written.
+    complete: bool,
 }
 
-impl Watch {
-    fn with<T>(&self, f: impl FnOnce(&mut Lines) -> T) -> T {
-        let mut lines: MutexGuard<'_, Lines> = self.0.0.lock().unwrap_or_else(PoisonError::into_inner);
-        f(&mut lines)
+impl ChannelProgress {
+    fn with<T>(&self, f: impl FnOnce(&mut Progress) -> T) -> T {
+        let mut progress: MutexGuard<'_, Progress> = self.0.0.lock().unwrap_or_else(PoisonError::into_inner);
+        f(&mut progress)
     }
 
-    fn unblock(&self) {
-        if self.with(|lines| std::mem::take(&mut lines.blocked)) {
+    fn mark_writable(&self) {
+        if self.with(|progress| std::mem::take(&mut progress.write_blocked)) {
             self.0.1.notify_waiters();
         }
     }
 
-    /// Waits until the socket takes bytes. What is handed to h2 before that lies in its buffer: it would be
-    /// written with a time that has passed since, and although its client has gone.
-    async fn takes_bytes(&self) {
+    /// Waits until the socket accepts bytes. A request that h2 gets earlier stays in its buffer, and is
+    /// written later with a `grpc-timeout` that is out of date, even if its client has left.
+    async fn writable(&self) {
         loop {
-            let mut wrote = std::pin::pin!(self.0.1.notified());
-            wrote.as_mut().enable();
-            if !self.with(|lines| lines.blocked) {
+            let mut writable = std::pin::pin!(self.0.1.notified());
+            writable.as_mut().enable();
+            if !self.with(|progress| progress.write_blocked) {
                 return;
             }
-            wrote.await;
+            writable.await;
         }
     }
 }
 
-/// A stream under watch; off again when it is dropped.
-struct Watched {
-    watch: Watch,
+/// Tracks what is written on one stream until it is dropped.
+struct TrackedStream {
+    channel: ChannelProgress,
     stream: u32,
 }
 
-impl Watched {
-    fn new(watch: &Watch, stream: u32, write_state: Arc<WriteState>) -> Watched {
-        watch.with(|lines| lines.streams.insert(stream, Progress { write_state, ..Progress::default() }));
-        Watched { watch: watch.clone(), stream }
+impl TrackedStream {
+    fn new(channel: &ChannelProgress, stream: u32, write_state: Arc<WriteState>) -> TrackedStream {
+        let tracked = StreamProgress { write_state, ..StreamProgress::default() };
+        channel.with(|progress| progress.streams.insert(stream, tracked));
+        TrackedStream { channel: channel.clone(), stream }
     }
 
-    fn progress<T>(&self, f: impl FnOnce(&Progress) -> T) -> Option<T> {
-        self.watch.with(|lines| lines.streams.get(&self.stream).map(f))
+    fn progress<T>(&self, f: impl FnOnce(&StreamProgress) -> T) -> Option<T> {
+        self.channel.with(|progress| progress.streams.get(&self.stream).map(f))
     }
 
-    /// The peer has said that it did not and will not look at it.
+    /// Returns whether the node's GOAWAY frame says that the node has not processed and will not process this
+    /// stream.
     fn above_goaway(&self) -> bool {
-        self.watch.with(|lines| lines.last_stream.is_some_and(|last| self.stream > last))
+        self.channel.with(|progress| progress.last_stream.is_some_and(|last| self.stream > last))
     }
 }
 
-impl Drop for Watched {
+impl Drop for TrackedStream {
     fn drop(&mut self) {
-        self.watch.with(|lines| lines.streams.remove(&self.stream));
+        self.channel.with(|progress| progress.streams.remove(&self.stream));
     }
 }
 
-struct ChannelTap {
-    hub: Arc<Hub>,
+/// Follows the frames on a channel, in both directions.
+struct ChannelObserver {
+    pool: Arc<ChannelPool>,
     id: ChannelId,
-    watch: Watch,
-    inwards: Scanner,
-    outwards: Scanner,
+    progress: ChannelProgress,
+    inbound: Scanner,
+    outbound: Scanner,
 }
 
-impl Tap for ChannelTap {
-    fn read(&mut self, bytes: &[u8]) {
+impl IoObserver for ChannelObserver {
+    fn on_read(&mut self, bytes: &[u8]) {
         if bytes.is_empty() {
             return;
         }
-        let (mut leaves, id) = (None, self.id);
-        let watch = &self.watch;
-        self.inwards.pass(bytes, |seen| {
-            let Seen::Whole(frame) = seen else { return };
+        let (mut goaway, id) = (None, self.id);
+        let progress = &self.progress;
+        self.inbound.scan(bytes, |event| {
+            let FrameEvent::Complete(frame) = event else { return };
             match frame.kind {
-                Kind::Settings if !frame.is_ack() => watch.with(|lines| lines.settled = true),
-                Kind::GoAway => {
-                    leaves = frame.last_stream();
-                    watch.with(|lines| lines.last_stream = leaves);
+                FrameKind::Settings if !frame.is_ack() => {
+                    progress.with(|progress| progress.has_settings = true)
+                }
+                FrameKind::GoAway => {
+                    goaway = frame.last_stream();
+                    progress.with(|progress| progress.last_stream = goaway);
                 }
                 _ => {}
             }
         });
-        let close = self.hub.with(|hub, state| {
-            state.channels.heard(hub.now(), id);
-            leaves.is_some() && state.channels.goaway(id)
+        let close = self.pool.with(|pool, state| {
+            state.channels.bytes_received(pool.now(), id);
+            goaway.is_some() && state.channels.goaway_received(id)
         });
-        if let Some(last) = leaves {
+        if let Some(last) = goaway {
             event!(CHANNEL_LEAVES, channel = id, last);
             if close {
-                // Its own task lets go of the line: this one is inside of h2.
-                self.hub.order(id, Order::Close);
+                // This runs inside of h2; the channel's task closes the connection.
+                self.pool.command(id, ChannelCommand::Close);
             }
-            self.hub.changed.notify_waiters();
+            self.pool.changed.notify_waiters();
         }
     }
 
-    fn wrote(&mut self, bytes: &[u8]) {
-        self.watch.unblock();
-        self.watch.with(|lines| {
-            self.outwards.pass(bytes, |seen| match seen {
-                Seen::Begins(frame) => {
-                    if let Some(progress) = lines.streams.get_mut(&frame.stream) {
-                        progress.write_state.mark_started();
+    fn on_written(&mut self, bytes: &[u8]) {
+        self.progress.mark_writable();
+        self.progress.with(|progress| {
+            self.outbound.scan(bytes, |event| match event {
+                FrameEvent::Started(frame) => {
+                    if let Some(stream) = progress.streams.get_mut(&frame.stream) {
+                        stream.write_state.mark_started();
                     }
                 }
-                Seen::Whole(frame) => {
-                    if let Some(progress) = lines.streams.get_mut(&frame.stream) {
-                        progress.data |= frame.kind == Kind::Data;
-                        progress.ending |= frame.ends_stream();
-                        // HEADERS that end a stream may go on in CONTINUATIONs.
-                        progress.whole |=
-                            progress.ending && (frame.kind == Kind::Data || frame.ends_headers());
-                        if progress.whole {
-                            progress.write_state.mark_complete();
+                FrameEvent::Complete(frame) => {
+                    if let Some(stream) = progress.streams.get_mut(&frame.stream) {
+                        stream.data |= frame.kind == FrameKind::Data;
+                        stream.end_stream |= frame.ends_stream();
+                        // CONTINUATION frames may follow a HEADERS frame with END_STREAM.
+                        stream.complete |=
+                            stream.end_stream && (frame.kind == FrameKind::Data || frame.ends_headers());
+                        if stream.complete {
+                            stream.write_state.mark_complete();
                         }
                     }
                 }
@@ -457,14 +485,16 @@
         });
     }
 
-    fn blocked(&mut self) {
-        self.watch.with(|lines| lines.blocked = true);
+    fn on_write_blocked(&mut self) {
+        self.progress.with(|progress| progress.write_blocked = true);
     }
 }
 
-/// A call on its way to a node.
+/// A source of attempts for one call.
 pub struct CallWork {
+    /// The channels that attempts use.
     pub nodes: Nodes,
+    /// The call that attempts send.
     pub call: Arc<Call>,
 }
 
@@ -474,11 +504,12 @@
     }
 
     fn client_left(&self) -> bool {
-        self.call.left.is_cancelled() || self.call.client.has_left()
+        self.call.cancelled.is_cancelled() || self.call.client.has_left()
     }
 }
 
-fn request(call: &Call, context: &AttemptContext) -> Option<Request<()>> {
+/// Builds the head of an attempt's request. `None`: the URI or address is unfit for one.
+fn build_request(call: &Call, context: &AttemptContext) -> Option<Request<()>> {
     let mut uri = call.uri.clone().into_parts();
     uri.scheme = Some(hyper::http::uri::Scheme::HTTP);
     if uri.authority.is_none() {
@@ -487,74 +518,78 @@
     let mut request = Request::new(());
     *request.method_mut() = Method::POST;
     *request.uri_mut() = Uri::from_parts(uri).ok()?;
-    let left = context.answer_by.saturating_duration_since(Instant::now());
-    let mut metadata = passed_on(&call.metadata, &[TIMEOUT, PREVIOUS]);
+    let remaining = context.answer_by.saturating_duration_since(Instant::now());
+    let mut metadata = forwarded(&call.metadata, &[TIMEOUT, PREVIOUS_ATTEMPTS]);
     metadata.insert("te", HeaderValue::from_static("trailers"));
-    metadata.insert(TIMEOUT, HeaderValue::try_from(timeout::format(left)).ok()?);
-    let before = call.metadata.get(PREVIOUS).and_then(|value| value.to_str().ok()?.parse::<u32>().ok());
-    let previous = before.unwrap_or(0).saturating_add(context.binder.attempt());
+    metadata.insert(TIMEOUT, HeaderValue::try_from(timeout::format(remaining)).ok()?);
+    let earlier =
+        call.metadata.get(PREVIOUS_ATTEMPTS).and_then(|value| value.to_str().ok()?.parse::<u32>().ok());
+    let previous = earlier.unwrap_or(0).saturating_add(context.binder.attempt());
     if previous > 0 {
-        metadata.insert(PREVIOUS, HeaderValue::from(previous));
+        metadata.insert(PREVIOUS_ATTEMPTS, HeaderValue::from(previous));
     }
     *request.headers_mut() = metadata;
     Some(request)
 }
 
-async fn exchange(lease: Lease, call: &Call, context: &AttemptContext) -> Report {
-    let Ok(mut sender) = lease.sender.clone().ready().await else { return AttemptEnd::BrokeUnsent.into() };
-    if lease.watch.with(|lines| lines.blocked) {
-        let _blocked = Blocked::new(&lease);
-        lease.watch.takes_bytes().await;
+/// Sends the request on one stream and reads the response.
+async fn exchange(permit: StreamPermit, call: &Call, context: &AttemptContext) -> Report {
+    let Ok(mut sender) = permit.sender.clone().ready().await else { return AttemptEnd::BrokeUnsent.into() };
+    if permit.progress.with(|progress| progress.write_blocked) {
+        let _blocked = BlockedStream::new(&permit);
+        permit.progress.writable().await;
     }
     if !context.write_state.may_start_writing() {
         return AttemptEnd::Unsent.into();
     }
-    let Some(request) = request(call, context) else { return AttemptEnd::NotStarted.into() };
-    let Ok((response, upwards)) = sender.send_request(request, false) else {
+    let Some(request) = build_request(call, context) else { return AttemptEnd::NotStarted.into() };
+    let Ok((response, request_body)) = sender.send_request(request, false) else {
         return AttemptEnd::BrokeUnsent.into();
     };
-    let watched = Watched::new(&lease.watch, response.stream_id().as_u32(), context.write_state.clone());
-    let mut answer =
-        Answer { call, binder: &context.binder, watched: &watched, ours: false, write_state: false };
+    let tracked =
+        TrackedStream::new(&permit.progress, response.stream_id().as_u32(), context.write_state.clone());
+    let mut reader =
+        ResponseReader { call, binder: &context.binder, tracked: &tracked, bound: false, forwarded: false };
     let report = tokio::select! {
         biased;
-        report = answer.read(response) => report,
-        end = send(call, &context.binder, &lease, upwards) => end.into(),
+        report = reader.read(response) => report,
+        end = send_body(call, &context.binder, &permit, request_body) => end.into(),
     };
-    // The module must not send again what the client has some of, whatever the end would say otherwise.
+    // Once the client has received a part of the response, the module must not retry the call, whatever the
+    // end would allow.
     match report.end {
-        AttemptEnd::TurnedAway | AttemptEnd::NoConnection | AttemptEnd::BrokeUnsent if answer.write_state => {
+        AttemptEnd::TurnedAway | AttemptEnd::NoConnection | AttemptEnd::BrokeUnsent if reader.forwarded => {
             Report { end: AttemptEnd::Broke, ..report }
         }
         _ => report,
     }
 }
 
-/// Sends the request as it comes. Returns only where the attempt cannot go on; how it ended otherwise is for
-/// the node's side to tell.
-async fn send(
+/// Sends the request's body as it arrives from the client. Returns only if the attempt cannot go on; in all
+/// other cases the node's response tells how the attempt ended.
+async fn send_body(
     call: &Call,
     binder: &AnswerBinder,
-    lease: &Lease,
-    mut upwards: SendStream<Bytes>,
+    permit: &StreamPermit,
+    mut request_body: SendStream<Bytes>,
 ) -> AttemptEnd {
     let (attempt, mut sent) = (binder.attempt(), 0);
     loop {
         match call.next(attempt, sent).await {
             Next::Piece(piece) => {
                 let last = call.whole_with(attempt, sent + 1);
-                if !push(lease, &mut upwards, piece, last).await {
+                if !send_piece(permit, &mut request_body, piece, last).await {
                     return pending().await;
                 }
                 sent += 1;
                 call.sent(attempt, sent);
                 if last {
-                    return keep(upwards).await;
+                    return hold_open(request_body).await;
                 }
             }
             Next::End(Over::Whole) => {
-                let _ = upwards.send_data(Bytes::new(), true); // a broken stream is told by its answer
-                return keep(upwards).await;
+                let _ = request_body.send_data(Bytes::new(), true); // the response tells of a broken stream
+                return hold_open(request_body).await;
             }
             Next::Bind => {
                 if !binder.bind().await {
@@ -563,152 +598,170 @@
                 call.bind(attempt, sent);
             }
             Next::End(Over::Cut) => return AttemptEnd::CalledOff,
-            // Another attempt has the call, and what this one would begin with is gone.
+            // The call is bound to another attempt, and the pieces that this attempt would send first were
+            // dropped.
             Next::Lost => return AttemptEnd::NotStarted,
             Next::Wait => {}
         }
     }
 }
 
-async fn keep(_upwards: SendStream<Bytes>) -> AttemptEnd {
+/// Keeps the stream until the attempt ends: h2 resets a stream that is dropped.
+async fn hold_open(_request_body: SendStream<Bytes>) -> AttemptEnd {
     pending().await
 }
 
-/// Notes a stream that has to wait until its peer has read, for as long as it does.
-struct Blocked<'a>(&'a Lease);
+/// Counts a stream as blocked until it is dropped: the stream waits for the node to read.
+struct BlockedStream<'a>(&'a StreamPermit);
 
-impl<'a> Blocked<'a> {
-    fn new(lease: &'a Lease) -> Blocked<'a> {
-        lease.hub.with(|hub, state| state.channels.blocked(hub.now(), lease.id));
-        Blocked(lease)
+impl<'a> BlockedStream<'a> {
+    fn new(permit: &'a StreamPermit) -> BlockedStream<'a> {
+        permit.pool.with(|pool, state| state.channels.stream_blocked(pool.now(), permit.id));
+        BlockedStream(permit)
     }
 }
 
-impl Drop for Blocked<'_> {
+impl Drop for BlockedStream<'_> {
     fn drop(&mut self) {
-        self.0.hub.with(|_, state| state.channels.unblocked(self.0.id));
+        self.0.pool.with(|_, state| state.channels.stream_unblocked(self.0.id));
     }
 }
 
-/// False: the stream takes nothing any more.
-async fn push(lease: &Lease, upwards: &mut SendStream<Bytes>, mut piece: Bytes, last: bool) -> bool {
+/// Sends one piece of the body; `last` ends the stream with it. Returns false if the stream is closed.
+async fn send_piece(
+    permit: &StreamPermit,
+    request_body: &mut SendStream<Bytes>,
+    mut piece: Bytes,
+    last: bool,
+) -> bool {
     while !piece.is_empty() {
-        upwards.reserve_capacity(piece.len());
-        let mut room = upwards.capacity();
-        if room == 0 {
-            let _blocked = Blocked::new(lease);
-            room = match poll_fn(|cx| upwards.poll_capacity(cx)).await {
-                Some(Ok(room)) => room,
+        request_body.reserve_capacity(piece.len());
+        let mut capacity = request_body.capacity();
+        if capacity == 0 {
+            let _blocked = BlockedStream::new(permit);
+            capacity = match poll_fn(|cx| request_body.poll_capacity(cx)).await {
+                Some(Ok(capacity)) => capacity,
                 _ => return false,
             };
         }
-        let part = piece.split_to(room.min(piece.len()));
-        if upwards.send_data(part, last && piece.is_empty()).is_err() {
+        let part = piece.split_to(capacity.min(piece.len()));
+        if request_body.send_data(part, last && piece.is_empty()).is_err() {
             return false;
         }
     }
     true
 }
 
-/// A node's answer as it comes.
-struct Answer<'a> {
+/// Reads a node's response and forwards it to the call's task.
+struct ResponseReader<'a> {
     call: &'a Call,
     binder: &'a AnswerBinder,
-    watched: &'a Watched,
-    /// The call is bound to this attempt, and some of the answer has gone to the client.
-    ours: bool,
-    write_state: bool,
-}
-
-/// Why an answer does not go on.
-enum Stop {
-    End(AttemptEnd),
+    tracked: &'a TrackedStream,
+    /// The call is bound to this attempt: no other may answer it.
+    bound: bool,
+    /// A part of the response was forwarded to the client.
+    forwarded: bool,
+}
+
+/// Why reading a response stopped.
+enum ReadError {
+    /// The attempt has ended in this way.
+    Ended(AttemptEnd),
+    /// The stream or its channel failed.
     Broken(h2::Error),
 }
 
-impl From<AttemptEnd> for Stop {
-    fn from(end: AttemptEnd) -> Stop {
-        Stop::End(end)
+impl From<AttemptEnd> for ReadError {
+    fn from(end: AttemptEnd) -> ReadError {
+        ReadError::Ended(end)
     }
 }
 
-impl From<h2::Error> for Stop {
-    fn from(error: h2::Error) -> Stop {
-        Stop::Broken(error)
+impl From<h2::Error> for ReadError {
+    fn from(error: h2::Error) -> ReadError {
+        ReadError::Broken(error)
     }
 }
 
-impl Answer<'_> {
+impl ResponseReader<'_> {
+    /// Reads the response to its end and reports how the attempt ended.
     async fn read(&mut self, response: ResponseFuture) -> Report {
-        let (mut loads, mut meter) = (Load::default(), None);
-        let mut note = |metadata: &HeaderMap| {
+        let (mut node_load, mut usage) = (Load::default(), None);
+        let mut read_metadata = |metadata: &HeaderMap| {
             if let Some(queue) = load(metadata).queue {
-                loads.queue = Some(queue);
+                node_load.queue = Some(queue);
             }
-            meter = used(metadata).or(meter);
+            usage = used(metadata).or(usage);
         };
-        let end = match self.pass(response, &mut note).await {
-            Ok(end) | Err(Stop::End(end)) => end,
-            Err(Stop::Broken(error)) => self.end(&error),
+        let end = match self.forward(response, &mut read_metadata).await {
+            Ok(end) | Err(ReadError::Ended(end)) => end,
+            Err(ReadError::Broken(error)) => self.end_of_broken_stream(&error),
         };
-        Report { end, body: Bytes::new(), load: loads, used: meter }
+        Report { end, body: Bytes::new(), load: node_load, used: usage }
     }
 
-    async fn pass(
+    async fn forward(
         &mut self,
         response: ResponseFuture,
-        note: &mut impl FnMut(&HeaderMap),
-    ) -> Result<AttemptEnd, Stop> {
+        read_metadata: &mut impl FnMut(&HeaderMap),
+    ) -> Result<AttemptEnd, ReadError> {
         let (head, mut body) = response.await?.into_parts();
-        note(&head.headers);
+        read_metadata(&head.headers);
         if head.status != StatusCode::OK {
-            let unseen = head.status == StatusCode::SERVICE_UNAVAILABLE && not_processed(&head.headers);
-            return Ok(if unseen { AttemptEnd::TurnedAway } else { AttemptEnd::ErrorAnswer });
+            let turned_away = head.status == StatusCode::SERVICE_UNAVAILABLE && not_processed(&head.headers);
+            return Ok(if turned_away { AttemptEnd::TurnedAway } else { AttemptEnd::ErrorAnswer });
         }
-        // Trailers-only: the first metadata are the last.
+        // A Trailers-Only response: the headers hold the trailers.
         if body.is_end_stream() {
             return self.finish(None, head.headers).await;
         }
         let mut headers = Some(head.headers);
         if self.call.route.early {
-            self.begin(&mut headers).await?;
+            self.send_headers(&mut headers).await?;
         }
         while let Some(piece) = body.data().await {
             let piece = piece?;
             let length = piece.len();
             if length > 0 {
-                self.begin(&mut headers).await?;
-                self.tell(Down::Data(piece)).await?;
+                self.send_headers(&mut headers).await?;
+                self.send(ResponsePart::Data(piece)).await?;
             }
-            // Only now may the node send as much again: its pace is the client's.
+            // Only now may the node send as many bytes again, so that it sends no faster than the client
+            // reads.
             let _ = body.flow_control().release_capacity(length);
         }
         let trailers = body.trailers().await?.ok_or(AttemptEnd::BadAnswer)?;
-        note(&trailers);
+        read_metadata(&trailers);
         self.finish(headers, trailers).await
     }
 
-    /// From here on the call goes nowhere else.
-    async fn begin(&mut self, headers: &mut Option<HeaderMap>) -> Result<(), Stop> {
-        if !self.ours {
+    /// Binds the call to this attempt, so that it is not retried elsewhere, and forwards the headers, each
+    /// once.
+    async fn send_headers(&mut self, headers: &mut Option<HeaderMap>) -> Result<(), ReadError> {
+        if !self.bound {
             if !self.binder.bind().await {
                 return Err(AttemptEnd::CalledOff.into());
             }
-            self.ours = true;
+            self.bound = true;
         }
         if let Some(headers) = headers.take() {
-            self.write_state = true;
-            self.tell(Down::Headers(passed_on(&headers, &FOR_THE_HEAD))).await?;
+            self.forwarded = true;
+            self.send(ResponsePart::Headers(forwarded(&headers, &NODE_TO_PROXY))).await?;
         }
         Ok(())
     }
 
-    /// Waits until the client's task has room for it.
-    async fn tell(&self, down: Down) -> Result<(), Stop> {
-        self.call.down.send(down).await.map_err(|_| AttemptEnd::CalledOff.into())
+    /// Waits until the call's task has room for the part.
+    async fn send(&self, part: ResponsePart) -> Result<(), ReadError> {
+        self.call.response.send(part).await.map_err(|_| AttemptEnd::CalledOff.into())
     }
 
-    async fn finish(&mut self, headers: Option<HeaderMap>, trailers: HeaderMap) -> Result<AttemptEnd, Stop> {
+    /// Ends the response: forwards its trailers, or records the status of a failure that may be retried.
+    async fn finish(
+        &mut self,
+        headers: Option<HeaderMap>,
+        trailers: HeaderMap,
+    ) -> Result<AttemptEnd, ReadError> {
         let mut statuses = trailers.get_all(STATUS).iter();
         let code = match (statuses.next(), statuses.next()) {
             (Some(code), None) => status::read(Some(code.as_bytes())),
@@ -717,35 +770,36 @@
         let end = status::attempt(code, not_processed(&trailers));
         if end == AttemptEnd::Answered {
             let mut headers = headers;
-            self.begin(&mut headers).await?;
-            self.tell(Down::Trailers(passed_on(&trailers, &FOR_THE_HEAD))).await?;
-        } else if self.write_state && code.is_some() {
-            // The client has some of the answer: the node's own word on how it ended is the best there is.
-            let mut last = passed_on(&trailers, &FOR_THE_HEAD);
+            self.send_headers(&mut headers).await?;
+            self.send(ResponsePart::Trailers(forwarded(&trailers, &NODE_TO_PROXY))).await?;
+        } else if self.forwarded && code.is_some() {
+            // The client has a part of the response, and the node's own status describes its end best.
+            let mut last = forwarded(&trailers, &NODE_TO_PROXY);
             last.insert(PUSHBACK, HeaderValue::from_static("-1"));
-            self.tell(Down::Trailers(last)).await?;
+            self.send(ResponsePart::Trailers(last)).await?;
         } else {
-            self.call.note_status(code);
+            self.call.record_failure_status(code);
         }
         Ok(end)
     }
 
-    /// What came of a stream that broke off.
-    fn end(&self, error: &h2::Error) -> AttemptEnd {
-        let whole = self.watched.progress(|progress| progress.whole).unwrap_or(true);
-        let data = self.watched.progress(|progress| progress.data).unwrap_or(true);
-        debug!(stream = self.watched.stream, whole; "a stream broke: {error}");
+    /// Returns how an attempt ended whose stream failed with `error`.
+    fn end_of_broken_stream(&self, error: &h2::Error) -> AttemptEnd {
+        let complete = self.tracked.progress(|progress| progress.complete).unwrap_or(true);
+        let data = self.tracked.progress(|progress| progress.data).unwrap_or(true);
+        debug!(stream = self.tracked.stream, whole = complete; "a stream to a node failed: {error}");
         if error.is_reset() && error.is_remote() {
             return match error.reason() {
                 Some(Reason::REFUSED_STREAM) => AttemptEnd::TurnedAway,
                 _ => AttemptEnd::ErrorAnswer,
             };
         }
-        if self.watched.above_goaway() {
+        if self.tracked.above_goaway() {
             return AttemptEnd::TurnedAway;
         }
-        // What a node may begin with before it is whole may have run with its first piece.
-        let may_have_begun = whole || self.call.route.streams && data;
+        // A node may start a streaming call with the first piece of the request; it starts others with the
+        // last.
+        let may_have_begun = complete || self.call.route.streams && data;
         if !may_have_begun {
             return AttemptEnd::BrokeUnsent;
         }
@@ -753,6 +807,7 @@
     }
 }
 
+/// Returns whether the node says that it has not processed the call.
 fn not_processed(metadata: &HeaderMap) -> bool {
     metadata.get(HeaderName::from_static(NOT_PROCESSED)).is_some_and(|value| value == "1")
 }
--- a/src/net/grpc/call.rs
+++ b/src/net/grpc/call.rs
@@ -1,5 +1,5 @@
-//! One call between its client's task, which alone speaks to the client, and its attempts, each of which alone
-//! speaks to its node. What passes between them is here.
+//! State that the task of a client's call shares with the attempts of the call. Only the call's task
+//! communicates with the client, and only an attempt communicates with its node.
 
 use crate::config::grpc::Route;
 use crate::net::inbound::Presence;
@@ -12,56 +12,68 @@
 use tokio::sync::{Semaphore, mpsc};
 use tokio_util::sync::CancellationToken;
 
-/// What the one attempt that is bound to the call passes to the client.
+/// A part of the response. Only the attempt that is bound to the call sends these to the call's task.
 #[derive(Debug)]
-pub enum Down {
+pub enum ResponsePart {
+    /// The initial metadata.
     Headers(HeaderMap),
+    /// Bytes of response messages.
     Data(Bytes),
-    /// The node's own last word.
+    /// The node's trailers, which end the response.
     Trailers(HeaderMap),
 }
 
+/// A client's call: the request, and where its response goes.
 pub struct Call {
+    /// The request's URI.
     pub uri: Uri,
+    /// The request's metadata, as received.
     pub metadata: HeaderMap,
+    /// The route that matches the URI's path.
     pub route: Route,
-    /// Cancelled when nobody waits for the call any more.
-    pub left: CancellationToken,
+    /// Cancelled when the call's task ends: no one waits for a response any more.
+    pub cancelled: CancellationToken,
+    /// Whether the client's connection is still open.
     pub client: Presence,
-    pub down: mpsc::Sender<Down>,
-    source: Source,
-    /// The last status by which a node said that it failed.
-    status: Mutex<Option<u32>>,
+    /// Carries the response from the bound attempt to the call's task.
+    pub response: mpsc::Sender<ResponsePart>,
+    body: Source,
+    /// The status of the latest attempt that failed with one.
+    failure_status: Mutex<Option<u32>>,
 }
 
 impl Call {
+    /// Creates a call that keeps up to `hold` bytes of its request for further attempts; they count against
+    /// `memory`.
     pub fn new(
         uri: Uri,
         metadata: HeaderMap,
         route: Route,
         hold: usize,
         memory: Arc<Semaphore>,
-        down: mpsc::Sender<Down>,
+        response: mpsc::Sender<ResponsePart>,
         client: Presence,
     ) -> Call {
         Call {
             uri,
             metadata,
             route,
-            left: CancellationToken::new(),
+            cancelled: CancellationToken::new(),
             client,
-            down,
-            source: Source::new(hold, memory),
-            status: Mutex::default(),
+            response,
+            body: Source::new(hold, memory),
+            failure_status: Mutex::default(),
         }
     }
 
-    pub fn status(&self) -> Option<u32> {
-        *self.status.lock().unwrap_or_else(PoisonError::into_inner)
+    /// Returns the status of the latest attempt that failed with one.
+    pub fn failure_status(&self) -> Option<u32> {
+        *self.failure_status.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    pub fn note_status(&self, code: Option<u32>) {
-        let mut status = self.status.lock().unwrap_or_else(PoisonError::into_inner);
+    /// Records the status of a failed attempt; `None` leaves an earlier one in place.
+    pub fn record_failure_status(&self, code: Option<u32>) {
+        let mut status = self.failure_status.lock().unwrap_or_else(PoisonError::into_inner);
         *status = code.or(*status);
     }
 }
@@ -70,6 +82,6 @@
     type Target = Source;
 
     fn deref(&self) -> &Source {
-        &self.source
+        &self.body
     }
 }
--- a/src/net/grpc/front.rs
+++ b/src/net/grpc/front.rs
@@ -1,15 +1,16 @@
-//! Clients of the gRPC front. A connection's task owns its calls, and a call's task alone speaks to its client: what
-//! the one attempt passes on that the call is bound to, and one status at its end, whatever happens.
+//! Client connections of the gRPC front. A connection's task owns the tasks of its calls. Only a call's task
+//! responds to the client: it forwards the response of the attempt that the call is bound to, and ends every
+//! call with one status.
 
 use super::back::{CallWork, Nodes};
-use super::call::{Call, Down};
-use super::tap::{Tap, Tapped};
+use super::call::{Call, ResponsePart};
+use super::observed_io::{IoObserver, ObservedIo};
 use super::{CONTENT_TYPE, DETAILS, MESSAGE, PUSHBACK, STATUS, TIMEOUT};
 use crate::clock::micros;
 use crate::config::grpc::GrpcFront;
 use crate::core::{Answer, Arrival, Handle, Pending, less_margin};
 use crate::event;
-use crate::grpc::frames::{Kind, PREFACE, Scanner, Seen};
+use crate::grpc::frames::{FrameEvent, FrameKind, PREFACE_BYTES, Scanner};
 use crate::grpc::guard::{Guard, Offence};
 use crate::grpc::status::{Final, Pushback, details};
 use crate::grpc::timeout;
@@ -37,183 +38,205 @@
 use tokio::task::JoinSet;
 use tokio::time::{Duration, Instant, timeout as within, timeout_at};
 
-/// How often it is looked whether a client's socket takes what is sent.
-const LOOK: Duration = Duration::from_millis(250);
-/// For the last frames of a connection that is cut off.
-const LAST_FRAMES: Duration = Duration::from_millis(200);
-/// When a client that found no room is asked to come again.
-const NO_ROOM: Duration = Duration::from_secs(1);
-/// A client that takes no more of an answer that is there has so long after the call's time.
-const LAST_BYTES: Duration = Duration::from_millis(100);
-/// Parts of an answer on their way from its attempt to its client: enough for headers, one message and trailers, which
-/// then go out together.
-const PASSED_ON: usize = 4;
-/// Streams that a client may reset before they are even looked at, and those that h2 resets for their faults.
+/// How often the front checks whether a client's socket accepts bytes.
+const STALL_CHECK_INTERVAL: Duration = Duration::from_millis(250);
+/// How long the last frames of a connection that the front cuts off may take.
+const LAST_FRAMES_TIMEOUT: Duration = Duration::from_millis(200);
+/// The retry delay for a client whose call found no room.
+const NO_ROOM_RETRY_AFTER: Duration = Duration::from_secs(1);
+/// How long after the call's deadline a client may take to receive the rest of a response that is complete.
+const LAST_BYTES_TIMEOUT: Duration = Duration::from_millis(100);
+/// The most parts of a response between its attempt and its call's task. There must be room for headers, one
+/// message and trailers, which are then sent together.
+const RESPONSE_PARTS: usize = 4;
+/// The most streams that a client may have reset before they are accepted, and that h2 has reset for their
+/// errors.
 const PENDING_RESETS: usize = 200;
 
+/// The gRPC front. Clones share its state.
 #[derive(Clone)]
 pub struct Front {
+    /// Submits calls to the core.
     pub handle: Handle,
+    /// The channels to nodes.
     pub nodes: Nodes,
+    /// The front's configuration.
     pub config: Arc<GrpcFront>,
+    /// How long before a call's deadline the front answers.
     pub answer_margin: Duration,
+    /// The phase of the process's life, which tells when to stop accepting.
     pub phase: watch::Receiver<Phase>,
-    /// The memory for requests' bodies, in bytes; the first front's too.
+    /// The memory for request bodies, in bytes, shared with the HTTP front.
     pub bodies: Arc<Semaphore>,
+    /// What the front has counted.
     pub counters: Arc<Counters>,
 }
 
-/// What the front has seen so far.
+/// Counts of calls and offences since the start.
 #[derive(Debug, Default)]
 pub struct Counters {
+    /// Calls received.
     pub calls: AtomicU64,
     offences: [AtomicU64; Offence::ALL.len()],
 }
 
 impl Counters {
-    /// Returns how many there are now.
-    fn count(&self, offence: Offence, more: u64) -> u64 {
-        let place = Offence::ALL.iter().position(|known| *known == offence).unwrap_or(0);
-        self.offences[place].fetch_add(more, Ordering::Relaxed) + more
+    /// Adds `count` offences and returns the new total.
+    fn add(&self, offence: Offence, count: u64) -> u64 {
+        let index = Offence::ALL.iter().position(|known| *known == offence).unwrap_or(0);
+        self.offences[index].fetch_add(count, Ordering::Relaxed) + count
     }
 
-    /// All of them, for the log.
+    /// Formats the count of each offence for the event log.
     pub fn tell(&self) -> String {
-        let each = Offence::ALL.iter().zip(&self.offences);
-        let each =
-            each.map(|(offence, count)| format!("{}={}", offence.name(), count.load(Ordering::Relaxed)));
-        each.collect::<Vec<_>>().join(" ")
+        let counts = Offence::ALL.iter().zip(&self.offences);
+        let texts =
+            counts.map(|(offence, count)| format!("{}={}", offence.name(), count.load(Ordering::Relaxed)));
+        texts.collect::<Vec<_>>().join(" ")
     }
 }
 
+/// Accepts and serves clients until the process drains.
 pub async fn serve(listener: TcpListener, front: Front, slots: Slots) {
     let phase = front.phase.clone();
-    accept_all(listener, slots, phase, |stream, slot, _| client(stream, slot, front.clone())).await;
+    accept_all(listener, slots, phase, |stream, slot, _| serve_client(stream, slot, front.clone())).await;
 }
 
-/// What is noted of a client's connection as its frames pass.
-struct Noted {
+/// What the observer records of a client's connection.
+struct ConnectionState {
     guard: Guard,
     start: Instant,
+    /// The first offence, for which the connection is cut off.
     offence: Option<Offence>,
-    /// Streams beyond the bound, as h2 turns them away.
+    /// Streams beyond the limit, which h2 refuses.
     refused: u64,
-    blocked: Option<Instant>,
+    /// Since when the socket has accepted no bytes.
+    blocked_since: Option<Instant>,
 }
 
+/// The state of a client's connection, shared by its tasks. The `Notify` reports an offence.
 #[derive(Clone)]
-struct Notes(Arc<(Mutex<Noted>, Notify)>);
+struct ConnectionMonitor(Arc<(Mutex<ConnectionState>, Notify)>);
 
-impl Notes {
-    fn new(header_bytes: usize) -> Notes {
-        let noted = Noted {
+impl ConnectionMonitor {
+    fn new(header_bytes: usize) -> ConnectionMonitor {
+        let state = ConnectionState {
             guard: Guard::new(header_bytes),
             start: Instant::now(),
             offence: None,
             refused: 0,
-            blocked: None,
+            blocked_since: None,
         };
-        Notes(Arc::new((Mutex::new(noted), Notify::new())))
+        ConnectionMonitor(Arc::new((Mutex::new(state), Notify::new())))
     }
 
-    fn with<T>(&self, f: impl FnOnce(&mut Noted) -> T) -> T {
+    fn with<T>(&self, f: impl FnOnce(&mut ConnectionState) -> T) -> T {
         f(&mut self.0.0.lock().unwrap_or_else(PoisonError::into_inner))
     }
 
-    fn judge(&self, f: impl FnOnce(&mut Noted) -> Option<Offence>) {
-        let found = self.with(|noted| {
-            let found = f(noted);
-            noted.offence = noted.offence.or(found);
-            noted.offence.is_some()
+    /// Runs a check, and reports the offence that it finds.
+    fn check(&self, check: impl FnOnce(&mut ConnectionState) -> Option<Offence>) {
+        let offended = self.with(|state| {
+            let found = check(state);
+            state.offence = state.offence.or(found);
+            state.offence.is_some()
         });
-        if found {
+        if offended {
             self.0.1.notify_one();
         }
     }
 
-    /// Waits for something that costs the client its connection.
-    async fn offended(&self) -> Offence {
+    /// Waits for an offence, for which the connection is to be cut off.
+    async fn offence(&self) -> Offence {
         loop {
-            let noticed = self.0.1.notified();
-            if let Some(offence) = self.with(|noted| noted.offence) {
+            let notified = self.0.1.notified();
+            if let Some(offence) = self.with(|state| state.offence) {
                 return offence;
             }
-            noticed.await;
+            notified.await;
         }
     }
 
-    fn look(&self, patience: Duration) {
-        self.judge(|noted| {
-            noted.blocked.filter(|since| since.elapsed() >= patience).map(|_| Offence::Stalled)
+    /// Reports a client whose socket has accepted nothing for `patience`.
+    fn check_stalled(&self, patience: Duration) {
+        self.check(|state| {
+            state.blocked_since.filter(|since| since.elapsed() >= patience).map(|_| Offence::Stalled)
         });
     }
 
-    fn slow(&self) {
-        self.judge(|noted| noted.guard.slow(micros(noted.start.elapsed())));
+    /// Records a request that did not arrive in time.
+    fn record_slow_request(&self) {
+        self.check(|state| state.guard.slow_request(micros(state.start.elapsed())));
     }
 }
 
-struct ClientTap {
-    notes: Notes,
-    inwards: Scanner,
-    outwards: Scanner,
+/// Follows the frames of a client's connection, in both directions.
+struct ClientObserver {
+    monitor: ConnectionMonitor,
+    inbound: Scanner,
+    outbound: Scanner,
 }
 
-impl Tap for ClientTap {
-    fn read(&mut self, bytes: &[u8]) {
-        let inwards = &mut self.inwards;
-        self.notes.judge(|noted| {
-            let now = micros(noted.start.elapsed());
+impl IoObserver for ClientObserver {
+    fn on_read(&mut self, bytes: &[u8]) {
+        let inbound = &mut self.inbound;
+        self.monitor.check(|state| {
+            let now = micros(state.start.elapsed());
             let mut found = None;
-            inwards.pass(bytes, |seen| found = found.or(noted.guard.frame(now, seen)));
+            inbound.scan(bytes, |event| found = found.or(state.guard.frame(now, event)));
             found
         });
     }
 
-    fn wrote(&mut self, bytes: &[u8]) {
-        let outwards = &mut self.outwards;
-        self.notes.with(|noted| {
-            noted.blocked = None;
-            outwards.pass(bytes, |seen| {
-                if let Seen::Whole(frame) = seen
-                    && frame.kind == Kind::Reset
-                    && frame.start[..4] == u32::from(Reason::REFUSED_STREAM).to_be_bytes()
+    fn on_written(&mut self, bytes: &[u8]) {
+        let outbound = &mut self.outbound;
+        self.monitor.with(|state| {
+            state.blocked_since = None;
+            outbound.scan(bytes, |event| {
+                if let FrameEvent::Complete(frame) = event
+                    && frame.kind == FrameKind::Reset
+                    && frame.payload_start[..4] == u32::from(Reason::REFUSED_STREAM).to_be_bytes()
                 {
-                    noted.refused += 1;
+                    state.refused += 1;
                 }
             });
         });
     }
 
-    fn blocked(&mut self) {
-        self.notes.with(|noted| noted.blocked = noted.blocked.or_else(|| Some(Instant::now())));
+    fn on_write_blocked(&mut self) {
+        self.monitor.with(|state| state.blocked_since = state.blocked_since.or_else(|| Some(Instant::now())));
     }
 }
 
-async fn client(stream: TcpStream, slot: Slot, front: Front) {
+async fn serve_client(stream: TcpStream, slot: Slot, front: Front) {
     let (inbound, client) = Inbound::new(stream);
-    let notes = Notes::new(front.config.header_bytes);
-    let (calls, reason) = connection(inbound, &client, &slot, &front, &notes).await;
-    let refused = notes.with(|noted| noted.refused);
-    front.counters.count(Offence::Streams, refused);
-    if let Some(offence) = notes.with(|noted| noted.offence) {
-        let so_far = front.counters.count(offence, 1);
+    let monitor = ConnectionMonitor::new(front.config.header_bytes);
+    let (calls, reason) = serve_connection(inbound, &client, &slot, &front, &monitor).await;
+    let refused = monitor.with(|state| state.refused);
+    front.counters.add(Offence::Streams, refused);
+    if let Some(offence) = monitor.with(|state| state.offence) {
+        let so_far = front.counters.add(offence, 1);
         event!(GRPC_CLIENT_CUT, offence = offence.name(), so_far, calls);
     }
     event!(GRPC_CLIENT_GONE, reason, calls, refused);
     client.linger(&slot).await;
 }
 
-/// Serves until the connection ends; returns the calls that still were open, and why.
-async fn connection(
+/// Serves a connection until it ends. Returns the number of calls that were still open, and why the
+/// connection ended.
+async fn serve_connection(
     stream: Inbound,
     client: &Presence,
     slot: &Slot,
     front: &Front,
-    notes: &Notes,
+    monitor: &ConnectionMonitor,
 ) -> (usize, &'static str) {
     let config = &front.config;
-    let tap = ClientTap { notes: notes.clone(), inwards: Scanner::new(PREFACE), outwards: Scanner::new(0) };
+    let observer = ClientObserver {
+        monitor: monitor.clone(),
+        inbound: Scanner::new(PREFACE_BYTES),
+        outbound: Scanner::new(0),
+    };
     let mut builder = h2::server::Builder::new();
     builder
         .initial_window_size(config.stream_window)
@@ -223,70 +246,72 @@
         .max_send_buffer_size(config.stream_window as usize)
         .max_pending_accept_reset_streams(PENDING_RESETS)
         .max_concurrent_reset_streams(PENDING_RESETS);
-    let handshake = builder.handshake::<_, Bytes>(Tapped::new(stream, tap));
+    let handshake = builder.handshake::<_, Bytes>(ObservedIo::new(stream, observer));
     let handshake = tokio::select! {
         biased;
-        _ = notes.offended() => return (0, "it broke a bound before its first call"),
+        _ = monitor.offence() => return (0, "it broke a bound before its first call"),
         handshake = handshake => handshake,
         _ = slot.told_to_leave() => return (0, "its preface did not come in time"),
     };
     let Ok(mut connection) = handshake else {
-        notes.judge(|_| Some(Offence::Protocol));
+        monitor.check(|_| Some(Offence::Protocol));
         return (0, "no preface");
     };
     slot.answered();
     let mut phase = front.phase.clone();
-    let (mut calls, mut told, mut leaving) = (JoinSet::new(), false, false);
-    let mut look = tokio::time::interval(LOOK);
-    let mut gone = pin!(client.left());
+    // `told_to_leave`: another client wants the slot. `draining`: the process accepts no more calls.
+    let (mut calls, mut told_to_leave, mut draining) = (JoinSet::new(), false, false);
+    let mut stall_check = tokio::time::interval(STALL_CHECK_INTERVAL);
+    let mut client_left = pin!(client.left());
     let reason = loop {
         tokio::select! {
             biased;
-            _ = notes.offended() => {
+            _ = monitor.offence() => {
                 connection.abrupt_shutdown(Reason::ENHANCE_YOUR_CALM);
-                let _ = within(LAST_FRAMES, poll_fn(|cx| connection.poll_closed(cx))).await;
+                let _ = within(LAST_FRAMES_TIMEOUT, poll_fn(|cx| connection.poll_closed(cx))).await;
                 break "it broke a bound";
             }
-            // h2 does not read on while it cannot write.
-            () = &mut gone => break "it closed the connection",
+            // h2 does not read while it cannot write, and would not notice that the client has left.
+            () = &mut client_left => break "it closed the connection",
             Some(ended) = calls.join_next(), if !calls.is_empty() => {
-                // Its stream was reset when it went: that is its one end.
+                // A call that panicked has dropped its stream, which h2 has reset: the client has its one
+                // end.
                 if ended.is_err() {
                     event!(HANDLER_PANIC, front = "gRPC");
                 }
                 if calls.is_empty() {
                     slot.answered();
-                    if told {
+                    if told_to_leave {
                         connection.graceful_shutdown();
                     }
                 }
             }
-            () = until(&mut phase, |phase| phase.last || !phase.accept), if !leaving => {
-                leaving = true;
+            () = until(&mut phase, |phase| phase.last || !phase.accept), if !draining => {
+                draining = true;
                 connection.graceful_shutdown();
             }
             orderly = slot.told_to_leave() => {
-                if told || !orderly {
+                if told_to_leave || !orderly {
                     break "its place was wanted";
                 }
-                told = true;
+                told_to_leave = true;
                 connection.graceful_shutdown();
             }
-            _ = look.tick() => notes.look(config.patience),
+            _ = stall_check.tick() => monitor.check_stalled(config.patience),
             accepted = connection.accept() => match accepted {
                 Some(Ok((request, respond))) => {
                     front.counters.calls.fetch_add(1, Ordering::Relaxed);
                     slot.waiting();
-                    calls.spawn(serve_call(front.clone(), client.clone(), notes.clone(), request, respond));
+                    calls.spawn(serve_call(front.clone(), client.clone(), monitor.clone(), request, respond));
                 }
                 Some(Err(error)) => {
                     if !error.is_io() {
-                        debug!("a gRPC client's connection ended: {error}");
+                        debug!("a gRPC client's connection failed: {error}");
                         let offence = match error.reason() {
                             Some(Reason::ENHANCE_YOUR_CALM) => Offence::Other,
                             _ => Offence::Protocol,
                         };
-                        notes.judge(|_| Some(offence));
+                        monitor.check(|_| Some(offence));
                     }
                     break "the connection broke";
                 }
@@ -297,80 +322,86 @@
     (calls.len(), reason)
 }
 
-/// What can still be said to the client.
-enum Out {
-    Fresh(SendResponse<Bytes>),
+/// The sending side of a call's response.
+enum ResponseSender {
+    /// Nothing was sent yet.
+    Unsent(SendResponse<Bytes>),
+    /// The headers were sent.
     Open(SendStream<Bytes>),
 }
 
-enum Happened {
-    /// The client has reset the stream, or is gone.
+/// What happened on a response's stream.
+enum StreamEvent {
+    /// The client has reset the stream, or its connection is closed.
     Reset,
-    Room(usize),
+    /// This many bytes may be sent.
+    Capacity(usize),
 }
 
-impl Out {
-    fn poll(&mut self, cx: &mut Context<'_>, wants_room: bool) -> Poll<Happened> {
+impl ResponseSender {
+    /// Waits for a reset and, if `wants_capacity`, until bytes may be sent.
+    fn poll(&mut self, cx: &mut Context<'_>, wants_capacity: bool) -> Poll<StreamEvent> {
         let reset = match self {
-            Out::Fresh(respond) => respond.poll_reset(cx),
-            Out::Open(stream) => stream.poll_reset(cx),
+            ResponseSender::Unsent(respond) => respond.poll_reset(cx),
+            ResponseSender::Open(stream) => stream.poll_reset(cx),
         };
         if reset.is_ready() {
-            return Poll::Ready(Happened::Reset);
+            return Poll::Ready(StreamEvent::Reset);
         }
         match self {
-            Out::Open(stream) if wants_room => match stream.capacity() {
+            ResponseSender::Open(stream) if wants_capacity => match stream.capacity() {
                 0 => match ready!(stream.poll_capacity(cx)) {
                     Some(Ok(0)) => {
                         cx.waker().wake_by_ref();
                         Poll::Pending
                     }
-                    Some(Ok(room)) => Poll::Ready(Happened::Room(room)),
-                    _ => Poll::Ready(Happened::Reset),
+                    Some(Ok(capacity)) => Poll::Ready(StreamEvent::Capacity(capacity)),
+                    _ => Poll::Ready(StreamEvent::Reset),
                 },
-                room => Poll::Ready(Happened::Room(room)),
+                capacity => Poll::Ready(StreamEvent::Capacity(capacity)),
             },
             _ => Poll::Pending,
         }
     }
 
-    fn begun(&self) -> bool {
-        matches!(self, Out::Open(_))
+    fn has_started(&self) -> bool {
+        matches!(self, ResponseSender::Open(_))
     }
 
-    /// Nothing can be done about a client that is gone by now: that is where errors here come from.
+    /// Sends the headers. Errors are ignored: they only come from a client that has left.
     fn open(&mut self, metadata: HeaderMap) {
-        if let Out::Fresh(respond) = self
-            && let Ok(stream) = respond.send_response(head(metadata), false)
+        if let ResponseSender::Unsent(respond) = self
+            && let Ok(stream) = respond.send_response(response_head(metadata), false)
         {
-            *self = Out::Open(stream);
+            *self = ResponseSender::Open(stream);
         }
     }
 
-    /// The last word.
+    /// Ends the response with `trailers`, in a Trailers-Only response if nothing was sent before.
     fn close(self, trailers: HeaderMap) {
         match self {
-            Out::Fresh(mut respond) => drop(respond.send_response(head(trailers), true)),
-            Out::Open(mut stream) => drop(stream.send_trailers(trailers)),
+            ResponseSender::Unsent(mut respond) => drop(respond.send_response(response_head(trailers), true)),
+            ResponseSender::Open(mut stream) => drop(stream.send_trailers(trailers)),
         }
     }
 
-    fn finish(self, last: &Final) {
-        let begun = self.begun();
-        self.close(trailers(last, begun));
+    /// Ends the response with a status of the proxy's own.
+    fn finish(self, end: &Final) {
+        let started = self.has_started();
+        self.close(status_trailers(end, started));
     }
 }
 
-fn head(metadata: HeaderMap) -> Response<()> {
+fn response_head(metadata: HeaderMap) -> Response<()> {
     let mut response = Response::new(());
     *response.headers_mut() = metadata;
     response.headers_mut().entry(TYPE).or_insert(HeaderValue::from_static(CONTENT_TYPE));
     response
 }
 
-/// The status that the head words itself.
-fn trailers(last: &Final, begun: bool) -> HeaderMap {
-    let status = last.status(begun);
+/// Returns the trailers for a status of the proxy's own; `started`: the client has a part of the response.
+fn status_trailers(end: &Final, started: bool) -> HeaderMap {
+    let status = end.status(started);
     let mut trailers = HeaderMap::with_capacity(4);
     trailers.insert(STATUS, HeaderValue::from(status.code));
     trailers.insert(MESSAGE, HeaderValue::from_static(status.message));
@@ -380,7 +411,7 @@
             let millis = u64::try_from(after.as_nanos().div_ceil(1_000_000)).unwrap_or(u64::MAX);
             trailers.insert(PUSHBACK, HeaderValue::from(millis));
             let details = details::encode(status.code, status.message, after);
-            // Base64 is fit for a header.
+            // Never fails: base64 is valid in a header.
             if let Ok(details) = HeaderValue::try_from(BASE64_STANDARD_NO_PAD.encode(details)) {
                 trailers.insert(DETAILS, details);
             }
@@ -389,68 +420,71 @@
     trailers
 }
 
-/// Ends a call's attempts with its task, however that ends.
-struct Leaves(Arc<Call>);
+/// Cancels a call's attempts when the call's task ends, also by a panic.
+struct CancelOnDrop(Arc<Call>);
 
-impl Drop for Leaves {
+impl Drop for CancelOnDrop {
     fn drop(&mut self) {
-        self.0.left.cancel();
+        self.0.cancelled.cancel();
     }
 }
 
+/// Serves one call: reads its request, submits it to the core and sends its response.
 async fn serve_call(
     front: Front,
     client: Presence,
-    notes: Notes,
+    monitor: ConnectionMonitor,
     request: Request<RecvStream>,
     respond: SendResponse<Bytes>,
 ) {
     let received = Instant::now();
     let (head, mut body) = request.into_parts();
-    let mut out = Out::Fresh(respond);
-    let typed = head.headers.get(TYPE).and_then(|value| value.to_str().ok()).is_some_and(is_grpc);
-    if head.method != Method::POST || !typed {
-        // Not a call at all: the protocol has an HTTP status for it, and clients make UNKNOWN of that.
-        if let Out::Fresh(respond) = &mut out {
-            let mut response = Response::new(());
-            *response.status_mut() = StatusCode::UNSUPPORTED_MEDIA_TYPE;
-            let _ = respond.send_response(response, true);
+    let mut response = ResponseSender::Unsent(respond);
+    let is_call = head.headers.get(TYPE).and_then(|value| value.to_str().ok()).is_some_and(is_grpc);
+    if head.method != Method::POST || !is_call {
+        // The request is no gRPC call. The protocol prescribes this HTTP status, which clients turn into
+        // UNKNOWN.
+        if let ResponseSender::Unsent(respond) = &mut response {
+            let mut unsupported = Response::new(());
+            *unsupported.status_mut() = StatusCode::UNSUPPORTED_MEDIA_TYPE;
+            let _ = respond.send_response(unsupported, true);
         }
         return;
     }
-    let (arrival, route) = match read(&front, &head.uri, &head.headers, received) {
-        Ok(read) => read,
-        Err(last) => return out.finish(&last),
+    let (arrival, route) = match read_call(&front, &head.uri, &head.headers, received) {
+        Ok(call) => call,
+        Err(end) => return response.finish(&end),
     };
-    let (down, passed) = mpsc::channel(PASSED_ON);
+    let (parts_sender, parts) = mpsc::channel(RESPONSE_PARTS);
     let (streams, answer_by) = (route.streams, arrival.answer_by);
     let hold = front.config.hold;
-    let call = Arc::new(Call::new(head.uri, head.headers, route, hold, front.bodies.clone(), down, client));
-    let _leaves = Leaves(call.clone());
-    let (mut reading, whole_by) =
+    let memory = front.bodies.clone();
+    let call = Arc::new(Call::new(head.uri, head.headers, route, hold, memory, parts_sender, client));
+    let _cancel = CancelOnDrop(call.clone());
+    let (mut reading, complete_by) =
         (!body.is_end_stream(), answer_by.min(received + front.config.request_time));
     if !reading {
         call.end(Over::Whole);
     }
-    // Until a node may have it, only the client's own time passes.
+    // Reads until the call may go to a node: a streaming call with its first bytes, others once complete.
     while reading && !(streams && call.bytes() > 0) {
-        let room = tokio::select! {
+        let has_room = tokio::select! {
             biased;
-            happened = poll_fn(|cx| out.poll(cx, false)) => match happened {
-                Happened::Reset | Happened::Room(_) => return,
+            event = poll_fn(|cx| response.poll(cx, false)) => match event {
+                StreamEvent::Reset | StreamEvent::Capacity(_) => return,
             },
-            piece = timeout_at(whole_by, body.data()) => match piece {
-                Ok(piece) => take(&call, &mut body, piece, &mut reading),
+            piece = timeout_at(complete_by, body.data()) => match piece {
+                Ok(piece) => read_piece(&call, &mut body, piece, &mut reading),
                 Err(_) => {
-                    notes.slow();
-                    return out.finish(&Final::Slow);
+                    monitor.record_slow_request();
+                    return response.finish(&Final::SlowRequest);
                 }
             }
         };
-        if reading && !streams && !room {
-            let last =
-                if call.bytes() >= front.config.hold { Final::TooLong } else { Final::NoRoom(NO_ROOM) };
-            return out.finish(&last);
+        if reading && !streams && !has_room {
+            let too_long = call.bytes() >= front.config.hold;
+            let end = if too_long { Final::TooLong } else { Final::NoRoom(NO_ROOM_RETRY_AFTER) };
+            return response.finish(&end);
         }
         if !reading && call.cut() {
             return;
@@ -458,13 +492,14 @@
     }
     let work = Arc::new(CallWork { nodes: front.nodes.clone(), call: call.clone() });
     match front.handle.submit(arrival, work) {
-        None => out.finish(&Final::NoRoom(NO_ROOM)),
-        Some(pending) => carry(&call, out, body, reading, passed, pending, answer_by).await,
+        None => response.finish(&Final::NoRoom(NO_ROOM_RETRY_AFTER)),
+        Some(pending) => forward_response(&call, response, body, reading, parts, pending, answer_by).await,
     }
 }
 
-/// Takes a piece of the request, or its end. False: more has come than may be held.
-fn take(
+/// Stores a piece of the request, or records its end. Returns false if more bytes have arrived than may be
+/// held.
+fn read_piece(
     call: &Call,
     body: &mut RecvStream,
     piece: Option<Result<Bytes, h2::Error>>,
@@ -472,14 +507,15 @@
 ) -> bool {
     match piece {
         Some(Ok(piece)) => {
-            // What is held or on its way to the node is counted there; h2 may let the client go on.
+            // The call limits the bytes that are held or on their way to a node, so that h2 need not withhold
+            // capacity.
             let _ = body.flow_control().release_capacity(piece.len());
-            let room = call.push(piece, call.is_bound());
+            let has_room = call.push(piece, call.is_bound());
             if body.is_end_stream() {
                 *reading = false;
                 call.end(Over::Whole);
             }
-            room
+            has_room
         }
         Some(Err(_)) => {
             *reading = false;
@@ -494,24 +530,25 @@
     }
 }
 
-/// Carries a call that the core has taken to its one end.
-async fn carry(
+/// Forwards the response of a submitted call to the client, and the rest of a streaming request to the call,
+/// until the call ends.
+async fn forward_response(
     call: &Call,
-    mut out: Out,
+    mut response: ResponseSender,
     mut body: RecvStream,
     mut reading: bool,
-    mut passed: mpsc::Receiver<Down>,
+    mut parts: mpsc::Receiver<ResponsePart>,
     mut pending: Pending,
     answer_by: Instant,
 ) {
-    let (mut piece, mut last, mut answer) = (Bytes::new(), None, None);
+    let (mut piece, mut trailers, mut answer) = (Bytes::new(), None, None);
     loop {
-        let wants_room = !piece.is_empty();
+        let wants_capacity = !piece.is_empty();
         tokio::select! {
             biased;
-            happened = poll_fn(|cx| out.poll(cx, wants_room)) => match (happened, &mut out) {
-                (Happened::Room(room), Out::Open(stream)) => {
-                    let part = piece.split_to(room.min(piece.len()));
+            event = poll_fn(|cx| response.poll(cx, wants_capacity)) => match (event, &mut response) {
+                (StreamEvent::Capacity(capacity), ResponseSender::Open(stream)) => {
+                    let part = piece.split_to(capacity.min(piece.len()));
                     if stream.send_data(part, false).is_err() {
                         return;
                     }
@@ -521,64 +558,67 @@
                 }
                 _ => return,
             },
-            down = passed.recv(), if !wants_room && last.is_none() => match down {
-                Some(Down::Headers(metadata)) => out.open(metadata),
-                Some(Down::Data(data)) => {
-                    if let Out::Open(stream) = &mut out {
+            part = parts.recv(), if !wants_capacity && trailers.is_none() => match part {
+                Some(ResponsePart::Headers(metadata)) => response.open(metadata),
+                Some(ResponsePart::Data(data)) => {
+                    if let ResponseSender::Open(stream) = &mut response {
                         stream.reserve_capacity(data.len());
                     }
                     piece = data;
                 }
-                Some(Down::Trailers(trailers)) => last = Some(trailers),
+                Some(ResponsePart::Trailers(metadata)) => trailers = Some(metadata),
                 None => return,
             },
-            came = &mut pending, if answer.is_none() => answer = Some(came),
-            data = next(call, &mut body), if reading => {
-                take(call, &mut body, data, &mut reading);
+            outcome = &mut pending, if answer.is_none() => answer = Some(outcome),
+            data = next_piece(call, &mut body), if reading => {
+                read_piece(call, &mut body, data, &mut reading);
             }
-            () = tokio::time::sleep_until(patience(answer.as_ref(), answer_by)), if answer.is_some() => {
-                return out.finish(&Final::OutOfTime);
+            () = tokio::time::sleep_until(send_by(answer.as_ref(), answer_by)), if answer.is_some() => {
+                return response.finish(&Final::OutOfTime);
             }
         }
         let Some(answer) = &answer else { continue };
-        // What the attempt passed on before its end goes first, for as long as there is time.
-        let all_out = piece.is_empty() && passed.is_empty();
+        // The parts that the attempt forwarded before its end are sent first, until the deadline.
+        let all_sent = piece.is_empty() && parts.is_empty();
         let late = Instant::now() >= answer_by;
-        if !all_out && (!late || matches!(answer, Answer::Served(_))) {
+        if !all_sent && (!late || matches!(answer, Answer::Served(_))) {
             continue;
         }
-        if let Some(trailers) = last.take_if(|_| piece.is_empty()) {
-            return out.close(trailers);
+        if let Some(trailers) = trailers.take_if(|_| piece.is_empty()) {
+            return response.close(trailers);
         }
         match answer {
-            // Its trailers are on their way.
+            // The attempt's trailers have not arrived yet.
             Answer::Served(_) => {}
-            Answer::Refused(_) | Answer::Failed if late => return out.finish(&Final::OutOfTime),
-            Answer::Refused(after) => return out.finish(&Final::Refused(*after)),
-            Answer::Failed => return out.finish(&Final::Failed(call.status())),
+            Answer::Refused(_) | Answer::Failed if late => return response.finish(&Final::OutOfTime),
+            Answer::Refused(after) => return response.finish(&Final::Refused(*after)),
+            Answer::Failed => return response.finish(&Final::Failed(call.failure_status())),
         }
     }
 }
 
-/// How long an answer that is there may take to reach its client.
-fn patience(answer: Option<&Answer>, answer_by: Instant) -> Instant {
+/// Returns when the response must have been sent.
+fn send_by(answer: Option<&Answer>, answer_by: Instant) -> Instant {
     match answer {
-        Some(Answer::Served(_)) => answer_by + LAST_BYTES,
+        Some(Answer::Served(_)) => answer_by + LAST_BYTES_TIMEOUT,
         _ => answer_by,
     }
 }
 
-async fn next(call: &Call, body: &mut RecvStream) -> Option<Result<Bytes, h2::Error>> {
+/// Waits until the call has room for another piece of the request, then reads one.
+async fn next_piece(call: &Call, body: &mut RecvStream) -> Option<Result<Bytes, h2::Error>> {
     call.room().await;
     body.data().await
 }
 
-/// `application/grpc`, with a format behind a plus or parameters behind a semicolon.
+/// Returns whether a content type is `application/grpc`, alone or followed by `+` and a format or `;` and
+/// parameters.
 fn is_grpc(value: &str) -> bool {
     value.strip_prefix(CONTENT_TYPE).is_some_and(|rest| rest.is_empty() || rest.starts_with(['+', ';']))
 }
 
-fn read(
+/// Reads the route, deadline and metadata of a call. `Err` is the end of a call that cannot be served.
+fn read_call(
     front: &Front,
     uri: &hyper::Uri,
     metadata: &HeaderMap,
@@ -588,10 +628,10 @@
     if !metadata.get_all("te").iter().any(|value| value == "trailers") {
         return Err(Final::Malformed("te: trailers is missing"));
     }
-    let mut limits = metadata.get_all(HeaderName::from_static(TIMEOUT)).iter();
-    let wait = match (limits.next(), limits.next()) {
+    let mut timeouts = metadata.get_all(HeaderName::from_static(TIMEOUT)).iter();
+    let wait = match (timeouts.next(), timeouts.next()) {
         (None, _) => route.wait,
-        (Some(limit), None) => limit
+        (Some(text), None) => text
             .to_str()
             .ok()
             .and_then(timeout::parse)
@@ -599,17 +639,17 @@
             .min(route.wait),
         _ => return Err(Final::Malformed("grpc-timeout is there twice")),
     };
-    let told = front.config.sources.told(&route, uri.path(), metadata).map_err(Final::Malformed)?;
+    let values = front.config.sources.told(&route, uri.path(), metadata).map_err(Final::Malformed)?;
     let arrival = Arrival {
         body_time: None,
-        volume: told.volume,
-        key: told.key,
+        volume: values.volume,
+        key: values.key,
         class: route.class,
         plan: route.plan,
-        units: told.units,
-        volume_hosts: told.hosts,
-        repeat: metadata.contains_key(super::PREVIOUS),
-        shard: told.shard,
+        units: values.units,
+        volume_hosts: values.hosts,
+        repeat: metadata.contains_key(super::PREVIOUS_ATTEMPTS),
+        shard: values.shard,
         answer_by: received + less_margin(wait, front.answer_margin),
     };
     if arrival.answer_by <= received {
--- a/src/net/grpc/mod.rs
+++ b/src/net/grpc/mod.rs
@@ -1,22 +1,29 @@
-//! gRPC towards clients and nodes: HTTP/2 by h2, with every decision in `crate::grpc`.
+//! The gRPC front: HTTP/2 connections to clients and nodes, served by h2. `crate::grpc` makes the decisions.
 
 pub mod back;
 mod call;
 pub mod front;
-mod tap;
+mod observed_io;
 
 use crate::net::back::{LOAD, METER, NOT_PROCESSED};
 use hyper::header::{HeaderMap, HeaderName, HeaderValue};
 
+/// The request metadata that limits the duration of a call.
 pub const TIMEOUT: &str = "grpc-timeout";
+/// The trailer that holds the status code of a call.
 pub const STATUS: &str = "grpc-status";
+/// The trailer that holds the message of a status.
 pub const MESSAGE: &str = "grpc-message";
+/// The trailer that holds an encoded `google.rpc.Status`.
 pub const DETAILS: &str = "grpc-status-details-bin";
+/// The trailer that tells a client when it may retry, in milliseconds; -1 forbids retries.
 pub const PUSHBACK: &str = "grpc-retry-pushback-ms";
-pub const PREVIOUS: &str = "grpc-previous-rpc-attempts";
+/// The request metadata that counts the earlier attempts of a call.
+pub const PREVIOUS_ATTEMPTS: &str = "grpc-previous-rpc-attempts";
+/// The content type of gRPC requests and responses.
 pub const CONTENT_TYPE: &str = "application/grpc";
 
-/// What concerns one connection only, and so never passes on.
+/// Headers that concern a single connection and are never forwarded.
 const HOP_BY_HOP: [&str; 7] = [
     "connection",
     "keep-alive",
@@ -26,20 +33,22 @@
     "transfer-encoding",
     "upgrade",
 ];
-/// What a node tells the head, not the client.
-const FOR_THE_HEAD: [&str; 3] = [LOAD, METER, NOT_PROCESSED];
+/// Headers that a node sends to the proxy; clients do not receive them.
+const NODE_TO_PROXY: [&str; 3] = [LOAD, METER, NOT_PROCESSED];
 
-/// Metadata as it passes on: all but what concerns one connection, binary values included, in their order.
-fn passed_on(metadata: &HeaderMap, also_not: &[&str]) -> HeaderMap {
-    let left_out = |name: &HeaderName| {
+/// Returns the metadata to forward, in order and with binary values: all but hop-by-hop headers and
+/// `excluded`.
+fn forwarded(metadata: &HeaderMap, excluded: &[&str]) -> HeaderMap {
+    let is_excluded = |name: &HeaderName| {
         let name = name.as_str();
-        HOP_BY_HOP.contains(&name) || also_not.contains(&name)
+        HOP_BY_HOP.contains(&name) || excluded.contains(&name)
     };
-    let kept = metadata.iter().filter(|(name, _)| !left_out(name));
-    let kept: Vec<(HeaderName, HeaderValue)> = kept.map(|(n, v)| (n.clone(), v.clone())).collect();
-    let mut passed = HeaderMap::with_capacity(kept.len() + 2);
+    let kept = metadata.iter().filter(|(name, _)| !is_excluded(name));
+    let kept: Vec<(HeaderName, HeaderValue)> =
+        kept.map(|(name, value)| (name.clone(), value.clone())).collect();
+    let mut forwarded = HeaderMap::with_capacity(kept.len() + 2);
     for (name, value) in kept {
-        passed.append(name, value);
+        forwarded.append(name, value);
     }
-    passed
+    forwarded
 }
--- a/src/net/grpc/tap.rs
+++ b/src/net/grpc/observed_io.rs
@@ -1,30 +1,34 @@
-//! A socket whose frames are looked at as they pass, in either direction.
+//! A socket wrapper that shows every byte read and written to an observer.
 
 use std::io;
 use std::pin::Pin;
 use std::task::{Context, Poll, ready};
 use tokio::io::{AsyncRead, AsyncWrite, ReadBuf};
 
-/// Told of bytes that came from the socket and of those that it took.
-pub trait Tap: Unpin {
-    fn read(&mut self, bytes: &[u8]);
-    fn wrote(&mut self, bytes: &[u8]);
-    /// The socket takes nothing at the moment.
-    fn blocked(&mut self) {}
+/// Receives the bytes that pass through an [`ObservedIo`].
+pub trait IoObserver: Unpin {
+    /// Called with bytes that were read from the socket.
+    fn on_read(&mut self, bytes: &[u8]);
+    /// Called with bytes that the socket has accepted.
+    fn on_written(&mut self, bytes: &[u8]);
+    /// Called when a write to the socket would block.
+    fn on_write_blocked(&mut self) {}
 }
 
-pub struct Tapped<S, T> {
+/// A stream that reports its reads and writes to an [`IoObserver`].
+pub struct ObservedIo<S, T> {
     stream: S,
-    tap: T,
+    observer: T,
 }
 
-impl<S, T: Tap> Tapped<S, T> {
-    pub fn new(stream: S, tap: T) -> Tapped<S, T> {
-        Tapped { stream, tap }
+impl<S, T: IoObserver> ObservedIo<S, T> {
+    /// Wraps `stream`; `observer` observes its bytes.
+    pub fn new(stream: S, observer: T) -> ObservedIo<S, T> {
+        ObservedIo { stream, observer }
     }
 }
 
-impl<S: AsyncRead + Unpin, T: Tap> AsyncRead for Tapped<S, T> {
+impl<S: AsyncRead + Unpin, T: IoObserver> AsyncRead for ObservedIo<S, T> {
     fn poll_read(
         mut self: Pin<&mut Self>,
         cx: &mut Context<'_>,
@@ -32,21 +36,21 @@
     ) -> Poll<io::Result<()>> {
         let before = buf.filled().len();
         ready!(Pin::new(&mut self.stream).poll_read(cx, buf))?;
-        self.tap.read(&buf.filled()[before..]);
+        self.observer.on_read(&buf.filled()[before..]);
         Poll::Ready(Ok(()))
     }
 }
 
-impl<S: AsyncWrite + Unpin, T: Tap> AsyncWrite for Tapped<S, T> {
+impl<S: AsyncWrite + Unpin, T: IoObserver> AsyncWrite for ObservedIo<S, T> {
     fn poll_write(mut self: Pin<&mut Self>, cx: &mut Context<'_>, buf: &[u8]) -> Poll<io::Result<usize>> {
         let written = match Pin::new(&mut self.stream).poll_write(cx, buf) {
             Poll::Ready(written) => written?,
             Poll::Pending => {
-                self.tap.blocked();
+                self.observer.on_write_blocked();
                 return Poll::Pending;
             }
         };
-        self.tap.wrote(&buf[..written]);
+        self.observer.on_written(&buf[..written]);
         Poll::Ready(Ok(written))
     }
 
@@ -58,15 +62,15 @@
         let written = match Pin::new(&mut self.stream).poll_write_vectored(cx, bufs) {
             Poll::Ready(written) => written?,
             Poll::Pending => {
-                self.tap.blocked();
+                self.observer.on_write_blocked();
                 return Poll::Pending;
             }
         };
-        let mut left = written;
+        let mut remaining = written;
         for buf in bufs {
-            let taken = left.min(buf.len());
-            self.tap.wrote(&buf[..taken]);
-            left -= taken;
+            let observed = remaining.min(buf.len());
+            self.observer.on_written(&buf[..observed]);
+            remaining -= observed;
         }
         Poll::Ready(Ok(written))
     }
--- a/src/net/mod.rs
+++ b/src/net/mod.rs
@@ -9,7 +9,6 @@
 #[expect(missing_docs, reason = "not documented item by item yet")]
 pub mod fleet;
 pub mod front;
-#[expect(missing_docs, reason = "not documented item by item yet")]
 pub mod grpc;
 pub mod hot_restart;
 pub mod ids;
