--- a/src/config/sftp.rs
+++ b/src/config/sftp.rs
@@ -34,32 +34,34 @@
     pub unit_bytes: u64,
     pub hosts: f64,
     pub most_units: f64,
-    pub read: Use,
-    pub write: Use,
+    pub read: ClassLimits,
+    pub write: ClassLimits,
     /// For what must not be done twice: making or emptying a file, adding to its end.
-    pub once: Use,
+    pub once: ClassLimits,
 }
 
-/// A class, and how long its clients wait.
+/// The class of a command, and how long its clients wait.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Use {
+pub struct ClassLimits {
     pub class: usize,
     pub wait: Duration,
 }
 
-/// Where a path leads.
+/// What a path refers to: its rule, volume, key and shard.
 #[derive(Debug, PartialEq)]
-pub struct Place<'a> {
+pub struct FileTarget<'a> {
     pub rule: &'a PathRule,
     pub volume: VolumeId,
     pub key: u64,
     pub shard: u16,
 }
 
+/// Why a path has no target.
 #[derive(Debug, PartialEq, Eq)]
-pub enum NoPlace {
-    /// Relative, or with parts that climb or say nothing.
-    Unsound,
+pub enum TargetError {
+    /// The path is relative, or has an empty part, `.`, `..` or a NUL byte.
+    MalformedPath,
+    /// No rule's prefix matches the path.
     Unmapped,
 }
 
@@ -137,21 +139,22 @@
         }))
     }
 
-    pub fn place(&self, path: &str) -> Result<Place<'_>, NoPlace> {
+    pub fn place(&self, path: &str) -> Result<FileTarget<'_>, TargetError> {
         let climbs_or_empty = |part: &str| matches!(part, "" | "." | "..");
         let below = path.strip_prefix('/');
         let sound =
             below.is_some_and(|below| !below.split('/').any(climbs_or_empty) && !below.contains('\0'));
         if !sound {
-            return Err(NoPlace::Unsound);
+            return Err(TargetError::MalformedPath);
         }
-        let rule = self.rules.iter().find(|rule| path.starts_with(&rule.prefix)).ok_or(NoPlace::Unmapped)?;
+        let rule =
+            self.rules.iter().find(|rule| path.starts_with(&rule.prefix)).ok_or(TargetError::Unmapped)?;
         let rest = &path[rule.prefix.len()..];
         // The first part below the prefix is the customer: all of its files are one volume.
         let owner = rest.split('/').next().unwrap_or("");
         let key = fnv(path.as_bytes());
         let shard = rule.shards[(key % rule.shards.len() as u64) as usize];
-        Ok(Place { rule, volume: fnv(format!("{}{owner}", rule.prefix).as_bytes()), key, shard })
+        Ok(FileTarget { rule, volume: fnv(format!("{}{owner}", rule.prefix).as_bytes()), key, shard })
     }
 }
 
@@ -176,8 +179,10 @@
         let write = place(&names.classes, "write_class", &self.write_class)?;
         let once = settings.classes.len();
         settings.classes.push(Class { repeats: Repeats::Unsafe, ..settings.classes[write].clone() });
-        let use_of =
-            |class: usize| Use { class, wait: Duration::from_micros(settings.classes[class].deadline) };
+        let use_of = |class: usize| ClassLimits {
+            class,
+            wait: Duration::from_micros(settings.classes[class].deadline),
+        };
         Ok(PathRule {
             prefix: self.prefix,
             plan,
--- a/src/config/sftp/tests.rs
+++ b/src/config/sftp/tests.rs
@@ -29,9 +29,9 @@
     assert_eq!(settings.classes[deep.rule.once.class].repeats, Repeats::Unsafe);
     assert_eq!(deep.rule.write.wait, Duration::from_secs(3));
     for path in ["", "a/c1/x", "/a/../x", "/a//x", "/a/./x", "/a/c1/\0"] {
-        assert_eq!(front.place(path), Err(NoPlace::Unsound), "{path:?}");
+        assert_eq!(front.place(path), Err(TargetError::MalformedPath), "{path:?}");
     }
-    assert_eq!(front.place("/z/x"), Err(NoPlace::Unmapped));
+    assert_eq!(front.place("/z/x"), Err(TargetError::Unmapped));
 }
 
 #[test]
--- a/src/net/sftp/back.rs
+++ b/src/net/sftp/back.rs
@@ -1,8 +1,8 @@
-//! Store nodes behind the second front. Each attempt opens the file at its node, does one thing and closes it
-//! again, so that a node holds nothing between attempts: a file outlives its node's drain, and a client that
-//! goes leaves nothing open.
+//! Connections from the SFTP front to storage nodes. Each attempt opens a file at its node, performs one
+//! operation and closes the file, so that a node holds nothing between attempts: a client's open file
+//! survives the drain of its node, and a client that leaves keeps nothing open.
 
-use super::packet::{self, Attrs, Command, Encoded, Reply, Request, Response, Status, VERSION};
+use super::packet::{self, Attrs, Command, EncodedReply, Reply, Request, Response, Status, VERSION};
 use crate::attempt_end::AttemptEnd;
 use crate::config::{Config, NodeLimits};
 use crate::core::{Attempt, AttemptContext, AttemptSource, Report, WriteState};
@@ -15,18 +15,24 @@
 use tokio::time::{Instant, timeout_at};
 use tokio_util::codec::{Framed, LengthDelimitedCodec};
 
-/// A node's way to say that a command never ran, as `X-Not-Processed` does over HTTP: FAILURE with this text.
+/// The text of the FAILURE status by which a node says that it did not run a command, as `X-Not-Processed`
+/// does in HTTP.
 pub const NOT_PROCESSED: &str = "not processed";
 
-/// One thing to do with a file.
+/// An operation on a file.
 #[derive(Clone, Debug)]
-pub enum Deed {
+pub enum Operation {
+    /// Opens the file, to create, truncate or check it.
     Open { flags: u32, attrs: Attrs },
+    /// Reads up to `length` bytes.
     Read { offset: u64, length: u32 },
+    /// Writes bytes; `append`: at the end of the file.
     Write { offset: u64, data: Bytes, append: bool },
+    /// Reads the attributes; `follow`: of the target of a symbolic link.
     Stat { follow: bool },
 }
 
+/// A connection to a storage node.
 struct Connection {
     packets: Framed<TcpStream, LengthDelimitedCodec>,
     next_id: u32,
@@ -38,30 +44,34 @@
     }
 }
 
+/// The connections to all storage nodes; clones share them.
 #[derive(Clone)]
 pub struct Stores {
     pool: Pool<Connection>,
-    /// Where nodes listen for file commands; without it at the address that discovery gives.
+    /// The port on which nodes accept file commands; `None`: the port that discovery gives.
     port: Option<u16>,
 }
 
-/// How a step failed, and whether the command it led to may have run.
-enum Fault {
-    Before(AttemptEnd),
-    After(AttemptEnd),
+/// How an attempt failed, and whether the node may have run its operation.
+enum AttemptError {
+    /// The operation did not run.
+    NotRun(AttemptEnd),
+    /// The operation may have run.
+    MayHaveRun(AttemptEnd),
 }
 
-impl Fault {
+impl AttemptError {
     fn end(self) -> AttemptEnd {
         match self {
-            Fault::Before(end) | Fault::After(end) => end,
+            AttemptError::NotRun(end) | AttemptError::MayHaveRun(end) => end,
         }
     }
 }
 
 impl Stores {
+    /// Creates a pool without connections, and starts the task that closes idle ones.
     pub fn new(config: &Config, port: Option<u16>) -> Stores {
-        // The first front's connections to nodes share the descriptors with these.
+        // These connections share the file descriptors with the HTTP front's connections to nodes.
         let limits = NodeLimits { most: config.clients.most / 4, ..config.node_connections };
         let pool = Pool::new(limits);
         tokio::spawn(pool.clone().watch());
@@ -77,10 +87,10 @@
         let until = Instant::now() + self.pool.limits.connect;
         let stream = timeout_at(until, TcpStream::connect(address)).await;
         let Ok(Ok(stream)) = stream else { return Err(AttemptEnd::NoConnection) };
-        let _ = stream.set_nodelay(true); // only a matter of speed
+        let _ = stream.set_nodelay(true); // affects latency only
         let mut connection = Connection { packets: Framed::new(stream, packet::frames()), next_id: 0 };
         connection.send(Request::Init { version: VERSION }).await.map_err(|()| AttemptEnd::NoConnection)?;
-        // It is not up before its version is known.
+        // The connection is established once the node has sent its version.
         match timeout_at(until, connection.receive()).await {
             Ok(Ok(Response::Version(VERSION))) => Ok(connection),
             _ => Err(AttemptEnd::NoConnection),
@@ -91,35 +101,38 @@
         let Some(address) = self.address(&context.address) else { return AttemptEnd::NotStarted.into() };
         let _in_use = self.pool.begin();
         if let Some(connection) = self.pool.take(address) {
-            match self.on(address, connection, &job, &context).await {
-                // It had been closed in the meantime; what the command does was not begun.
-                Err(Fault::Before(AttemptEnd::BrokeUnsent)) => {}
-                Err(fault) => return fault.end().into(),
+            match self.run_on(address, connection, &job, &context).await {
+                // The pooled connection had been closed, and the operation did not run: a new connection is
+                // tried.
+                Err(AttemptError::NotRun(AttemptEnd::BrokeUnsent)) => {}
+                Err(error) => return error.end().into(),
                 Ok(report) => return report,
             }
         }
         match self.connect(address).await {
             Err(end) => end.into(),
-            Ok(connection) => {
-                self.on(address, connection, &job, &context).await.unwrap_or_else(|fault| fault.end().into())
-            }
+            Ok(connection) => self
+                .run_on(address, connection, &job, &context)
+                .await
+                .unwrap_or_else(|error| error.end().into()),
         }
     }
 
-    async fn on(
+    /// Runs the job on a connection, which returns to the pool if it succeeds.
+    async fn run_on(
         &self,
         address: SocketAddr,
         mut connection: Connection,
         job: &Job,
         context: &AttemptContext,
-    ) -> Result<Report, Fault> {
+    ) -> Result<Report, AttemptError> {
         if !context.write_state.may_start_writing() {
-            return Err(Fault::Before(AttemptEnd::Unsent));
+            return Err(AttemptError::NotRun(AttemptEnd::Unsent));
         }
         context.write_state.mark_started();
-        let reply = connection.carry_out(job, &context.write_state).await;
-        // What its node may have carried out was written whole.
-        if !matches!(reply, Err(Fault::Before(_))) {
+        let reply = connection.run(job, &context.write_state).await;
+        // If the node may have run the operation, all of its packet was written.
+        if !matches!(reply, Err(AttemptError::NotRun(_))) {
             context.write_state.mark_complete();
         }
         let reply = reply?;
@@ -129,7 +142,7 @@
             Reply::Status { code: Status::Failure | Status::BadMessage, .. } => AttemptEnd::ErrorAnswer,
             _ => AttemptEnd::Answered,
         };
-        Ok(Report { body: Encoded::new(&reply).into_bytes(), ..end.into() })
+        Ok(Report { body: EncodedReply::new(&reply).into_bytes(), ..end.into() })
     }
 }
 
@@ -145,41 +158,47 @@
         }
     }
 
-    /// `write_state`: the command is what its job does, and whole with the packet's last byte.
-    async fn ask(&mut self, command: Command, write_state: Option<&WriteState>) -> Result<Reply, Fault> {
+    /// Sends a command and waits for its reply. `write_state` is given with the command that performs the
+    /// job's operation, which is completely written with the last byte of the packet.
+    async fn request(
+        &mut self,
+        command: Command,
+        write_state: Option<&WriteState>,
+    ) -> Result<Reply, AttemptError> {
         let id = self.next_id;
         self.next_id = self.next_id.wrapping_add(1);
-        // A packet of which the last byte was not written is never carried out.
+        // A node never runs a command whose last byte was not written.
         self.send(Request::Command { id, command })
             .await
-            .map_err(|()| Fault::Before(AttemptEnd::BrokeUnsent))?;
+            .map_err(|()| AttemptError::NotRun(AttemptEnd::BrokeUnsent))?;
         write_state.into_iter().for_each(WriteState::mark_complete);
         match self.receive().await {
             Ok(Response::Reply { id: answered, reply }) if answered == id => Ok(reply),
-            Ok(_) => Err(Fault::After(AttemptEnd::BadAnswer)),
-            Err(end) => Err(Fault::After(end)),
+            Ok(_) => Err(AttemptError::MayHaveRun(AttemptEnd::BadAnswer)),
+            Err(end) => Err(AttemptError::MayHaveRun(end)),
         }
     }
 
-    async fn carry_out(&mut self, job: &Job, write_state: &WriteState) -> Result<Reply, Fault> {
+    /// Opens the file, performs the job's operation and closes the file.
+    async fn run(&mut self, job: &Job, write_state: &WriteState) -> Result<Reply, AttemptError> {
         let path = job.path.clone();
-        let opens = matches!(job.deed, Deed::Open { .. }).then_some(write_state);
-        let (flags, attrs) = match &job.deed {
-            Deed::Stat { follow } => {
-                return self.ask(Command::Stat { path, follow: *follow }, Some(write_state)).await;
+        let opens = matches!(job.operation, Operation::Open { .. }).then_some(write_state);
+        let (flags, attrs) = match &job.operation {
+            Operation::Stat { follow } => {
+                return self.request(Command::Stat { path, follow: *follow }, Some(write_state)).await;
             }
-            Deed::Open { flags, attrs } => (*flags, *attrs),
-            Deed::Read { .. } => (packet::READ, Attrs::default()),
-            Deed::Write { append, .. } => {
+            Operation::Open { flags, attrs } => (*flags, *attrs),
+            Operation::Read { .. } => (packet::READ, Attrs::default()),
+            Operation::Write { append, .. } => {
                 (packet::WRITE | if *append { packet::APPEND } else { 0 }, Attrs::default())
             }
         };
-        let opened = self.ask(Command::Open { path, flags, attrs }, opens).await.map_err(|fault| {
-            match (&job.deed, fault) {
-                // Opening is what the command does.
-                (Deed::Open { .. }, fault) => fault,
-                // The file was not touched yet: the command itself never ran.
-                (_, fault) => Fault::Before(match fault.end() {
+        let opened = self.request(Command::Open { path, flags, attrs }, opens).await.map_err(|error| {
+            match (&job.operation, error) {
+                // Opening the file is the job's operation.
+                (Operation::Open { .. }, error) => error,
+                // The file was opened for another operation, which has not run.
+                (_, error) => AttemptError::NotRun(match error.end() {
                     AttemptEnd::Broke => AttemptEnd::BrokeUnsent,
                     end => end,
                 }),
@@ -188,26 +207,26 @@
         let handle = match opened {
             Reply::Handle(handle) => handle,
             Reply::Status { code: Status::Ok, .. } | Reply::Data(_) | Reply::Attrs(_) => {
-                return Err(Fault::Before(AttemptEnd::BadAnswer));
+                return Err(AttemptError::NotRun(AttemptEnd::BadAnswer));
             }
             refusal => return Ok(refusal),
         };
-        let reply = match &job.deed {
-            Deed::Read { offset, length } => {
+        let reply = match &job.operation {
+            Operation::Read { offset, length } => {
                 let (handle, offset, length) = (handle.clone(), *offset, *length);
-                self.ask(Command::Read { handle, offset, length }, Some(write_state)).await?
+                self.request(Command::Read { handle, offset, length }, Some(write_state)).await?
             }
-            Deed::Write { offset, data, .. } => {
+            Operation::Write { offset, data, .. } => {
                 let (handle, offset, data) = (handle.clone(), *offset, data.clone());
-                self.ask(Command::Write { handle, offset, data }, Some(write_state)).await?
+                self.request(Command::Write { handle, offset, data }, Some(write_state)).await?
             }
-            Deed::Open { .. } | Deed::Stat { .. } => Reply::Handle(handle.clone()),
+            Operation::Open { .. } | Operation::Stat { .. } => Reply::Handle(handle.clone()),
         };
-        match self.ask(Command::Close { handle }, None).await {
+        match self.request(Command::Close { handle }, None).await {
             Ok(Reply::Status { code: Status::Ok, .. }) => Ok(reply),
-            // What was written may not have been kept.
-            Ok(_) => Err(Fault::After(AttemptEnd::ErrorAnswer)),
-            Err(fault) => Err(Fault::After(match fault.end() {
+            // The node may not have stored what was written.
+            Ok(_) => Err(AttemptError::MayHaveRun(AttemptEnd::ErrorAnswer)),
+            Err(error) => Err(AttemptError::MayHaveRun(match error.end() {
                 AttemptEnd::BrokeUnsent => AttemptEnd::Broke,
                 end => end,
             })),
@@ -215,15 +234,22 @@
     }
 }
 
+/// An operation and the path of its file.
 #[derive(Clone, Debug)]
 pub struct Job {
+    /// The file's path.
     pub path: String,
-    pub deed: Deed,
+    /// The operation.
+    pub operation: Operation,
 }
 
+/// A source of attempts for one job.
 pub struct FileWork {
+    /// The connections that attempts use.
     pub stores: Stores,
+    /// The job that attempts perform.
     pub job: Job,
+    /// Whether the client's connection is still open.
     pub client: Presence,
 }
 
--- a/src/net/sftp/front.rs
+++ b/src/net/sftp/front.rs
@@ -1,11 +1,11 @@
-//! Clients of the second front. A connection's task owns its file handles and its commands in flight: when the
-//! client goes, the task goes, and all that it held with it.
+//! Client connections of the SFTP front. A connection's task owns its file handles and its commands in
+//! flight, and drops them when the client leaves.
 
-use super::back::{Deed, FileWork, Job, Stores};
+use super::back::{FileWork, Job, Operation, Stores};
 use super::packet::{
-    self, Command, Encoded, MOST_DATA, Malformed, Reply, Request, Response, Status, VERSION,
+    self, Command, EncodedReply, MOST_DATA, Malformed, Reply, Request, Response, Status, VERSION,
 };
-use crate::config::sftp::{NoPlace, Place, SecondFront, Use};
+use crate::config::sftp::{ClassLimits, FileTarget, SecondFront, TargetError};
 use crate::core::{Answer, Arrival, Handle, less_margin};
 use crate::event;
 use crate::life::Phase;
@@ -26,39 +26,48 @@
 use tokio::time::{Duration, Instant, timeout, timeout_at};
 use tokio_util::codec::Framed;
 
-/// Files that a client may have open, and its commands in flight: beyond that it is not read from.
-const MOST_HANDLES: usize = 64;
-const MOST_IN_FLIGHT: usize = 16;
-/// A client that takes no replies is let go after this.
-const PATIENCE: Duration = Duration::from_secs(20);
+/// The most files that a client may have open.
+const MAX_HANDLES: usize = 64;
+/// The most commands of a client in flight. The front reads no further command until one has a reply.
+const MAX_IN_FLIGHT: usize = 16;
+/// How long a client may take to receive a reply before the front closes the connection.
+const SEND_TIMEOUT: Duration = Duration::from_secs(20);
 
+/// The SFTP front.
 #[derive(Clone)]
 pub struct Front {
+    /// Submits commands to the core.
     pub handle: Handle,
+    /// The connections to storage nodes.
     pub stores: Stores,
+    /// The front's configuration.
     pub config: Arc<SecondFront>,
+    /// How long before a command's deadline the front answers.
     pub answer_margin: Duration,
+    /// The phase of the process's life, which tells when to stop accepting and when to close.
     pub phase: watch::Receiver<Phase>,
 }
 
-/// An open file: the head's own, whichever node its data lies on at the moment. Commands on one handle take their
-/// turns, as the specification wants of commands on one file.
+/// A file that a client has open. The proxy keeps it, whichever node holds the file's data. Commands on one
+/// handle run one after another, as the specification requires of commands on one file.
 struct File {
     path: String,
     flags: u32,
-    turn: Mutex<()>,
+    lock: Mutex<()>,
 }
 
-/// The request's id; its answer, encoded or of the head's own; and, where that is a handle, the file to keep for it.
-type Done = (u32, Result<Bytes, Reply>, Option<File>);
-type InFlight = Pin<Box<dyn Future<Output = Done> + Send>>;
+/// The result of a command: its id; the node's encoded reply, or a reply of the proxy's own; and the file to
+/// register if the reply is a handle.
+type CommandResult = (u32, Result<Bytes, Reply>, Option<File>);
+type InFlight = Pin<Box<dyn Future<Output = CommandResult> + Send>>;
 
+/// Accepts and serves clients until the process drains.
 pub async fn serve(listener: TcpListener, front: Front, slots: Slots) {
     let phase = front.phase.clone();
-    accept_all(listener, slots, phase, |stream, slot, _| client(stream, slot, front.clone())).await;
+    accept_all(listener, slots, phase, |stream, slot, _| serve_client(stream, slot, front.clone())).await;
 }
 
-async fn client(stream: TcpStream, slot: Slot, front: Front) {
+async fn serve_client(stream: TcpStream, slot: Slot, front: Front) {
     let (inbound, client) = Inbound::new(stream);
     let mut session = Session {
         packets: Framed::new(inbound, packet::frames()),
@@ -66,7 +75,7 @@
         front,
         slot: slot.clone(),
         files: BTreeMap::new(),
-        last: 0,
+        last_handle: 0,
         in_flight: FuturesUnordered::new(),
     };
     let reason = session.run().await;
@@ -76,18 +85,19 @@
     client.linger(&slot).await;
 }
 
+/// A client's connection.
 struct Session {
     packets: Framed<Inbound, tokio_util::codec::LengthDelimitedCodec>,
     client: Presence,
     front: Front,
     slot: Slot,
     files: BTreeMap<u64, Arc<File>>,
-    last: u64,
+    last_handle: u64,
     in_flight: FuturesUnordered<InFlight>,
 }
 
 impl Session {
-    /// Serves until the connection ends; returns why.
+    /// Serves the connection until it ends, and returns why it ended.
     async fn run(&mut self) -> &'static str {
         let first = tokio::select! {
             biased;
@@ -105,26 +115,27 @@
             return "the connection broke";
         }
         let mut phase = self.front.phase.clone();
-        let mut wanted = false;
+        // Another client wants the slot.
+        let mut told_to_leave = false;
         let client = self.client.clone();
-        let mut gone = pin!(client.left());
+        let mut client_left = pin!(client.left());
         loop {
             let idle = self.in_flight.is_empty();
             if idle {
                 self.slot.answered();
-                // A command that has come in this very moment is read before the connection closes.
-                if wanted && !client.has_unread() {
+                // A command that has already arrived is served before the connection closes.
+                if told_to_leave && !client.has_unread() {
                     return "its place was wanted";
                 }
             } else {
                 self.slot.waiting();
             }
-            let full = self.in_flight.len() >= MOST_IN_FLIGHT;
+            let full = self.in_flight.len() >= MAX_IN_FLIGHT;
             tokio::select! {
                 biased;
                 Some((id, reply, file)) = self.in_flight.next() => {
                     let packet = match (reply, file) {
-                        (Ok(_), Some(file)) => Response::Reply { id, reply: self.keep(file) }.encode(),
+                        (Ok(_), Some(file)) => Response::Reply { id, reply: self.register(file) }.encode(),
                         (Ok(packet), None) => packet,
                         (Err(reply), _) => Response::Reply { id, reply }.encode(),
                     };
@@ -132,10 +143,10 @@
                         return "it takes no replies";
                     }
                 }
-                // Its end is seen also while it is not read from.
-                () = &mut gone => return "it closed the connection",
-                _ = self.slot.told_to_leave() => wanted = true,
-                packet = self.packets.next(), if !full && (idle || !wanted) => {
+                // Notices a closed connection also while no command is read from it.
+                () = &mut client_left => return "it closed the connection",
+                _ = self.slot.told_to_leave() => told_to_leave = true,
+                packet = self.packets.next(), if !full && (idle || !told_to_leave) => {
                     let received = Instant::now();
                     let packet = match packet {
                         Some(Ok(packet)) => packet.freeze(),
@@ -143,10 +154,10 @@
                         None => return "it closed the connection",
                     };
                     match Request::decode(packet) {
-                        Ok(Request::Command { id, command }) => self.take(id, command, received),
+                        Ok(Request::Command { id, command }) => self.dispatch(id, command, received),
                         Ok(Request::Init { .. }) => return "a second INIT",
                         Err(Malformed { id: Some(id), what }) => {
-                            self.answer(id, Reply::status(Status::BadMessage, what));
+                            self.queue_reply(id, Reply::status(Status::BadMessage, what));
                         }
                         Err(Malformed { id: None, what }) => return what,
                     }
@@ -161,18 +172,19 @@
     }
 
     async fn send(&mut self, packet: Bytes) -> bool {
-        matches!(timeout(PATIENCE, self.packets.send(packet)).await, Ok(Ok(())))
+        matches!(timeout(SEND_TIMEOUT, self.packets.send(packet)).await, Ok(Ok(())))
     }
 
-    /// A reply that needs no node takes the same way as all others, behind a bound like theirs.
-    fn answer(&mut self, id: u32, reply: Reply) {
+    /// Queues a reply that needs no node. It counts as a command in flight, like all others.
+    fn queue_reply(&mut self, id: u32, reply: Reply) {
         self.in_flight.push(Box::pin(async move { (id, Err(reply), None) }));
     }
 
-    fn keep(&mut self, file: File) -> Reply {
-        self.last += 1;
-        self.files.insert(self.last, Arc::new(file));
-        Reply::Handle(Bytes::copy_from_slice(&self.last.to_be_bytes()))
+    /// Registers an opened file and returns the reply with its handle.
+    fn register(&mut self, file: File) -> Reply {
+        self.last_handle += 1;
+        self.files.insert(self.last_handle, Arc::new(file));
+        Reply::Handle(Bytes::copy_from_slice(&self.last_handle.to_be_bytes()))
     }
 
     fn file(&self, handle: &Bytes) -> Result<Arc<File>, Reply> {
@@ -181,15 +193,17 @@
         file.cloned().ok_or_else(|| Reply::status(Status::Failure, "no such handle"))
     }
 
-    fn take(&mut self, id: u32, command: Command, received: Instant) {
+    /// Starts a command.
+    fn dispatch(&mut self, id: u32, command: Command, received: Instant) {
         match self.plan(command) {
-            Err(reply) => self.answer(id, reply),
-            Ok(Step { path, deed, file, opens }) => {
+            Err(reply) => self.queue_reply(id, reply),
+            Ok(PlannedOperation { path, operation, file, opens }) => {
                 let (front, client) = (self.front.clone(), self.client.clone());
                 self.in_flight.push(Box::pin(async move {
-                    let done = AssertUnwindSafe(carry_out(&front, client, path, deed, file, received))
-                        .catch_unwind();
-                    let reply = done.await.unwrap_or_else(|_| {
+                    let result =
+                        AssertUnwindSafe(run_operation(&front, client, path, operation, file, received))
+                            .catch_unwind();
+                    let reply = result.await.unwrap_or_else(|_| {
                         event!(HANDLER_PANIC, front = "file commands");
                         Err(Reply::status(Status::Failure, "failed; it may have been done"))
                     });
@@ -205,58 +219,67 @@
         }
     }
 
-    /// What a command comes to; `Err`: it is answered here and now.
-    fn plan(&mut self, command: Command) -> Result<Step, Reply> {
-        let step = |path: &str, deed, file| Step { path: path.to_string(), deed, file, opens: None };
+    /// Plans the operation for a command. `Err` is the reply to a command that needs no node.
+    fn plan(&mut self, command: Command) -> Result<PlannedOperation, Reply> {
+        let planned = |path: &str, operation, file| PlannedOperation {
+            path: path.to_string(),
+            operation,
+            file,
+            opens: None,
+        };
         Ok(match command {
             Command::Open { path, flags, attrs } => {
                 if flags & (packet::READ | packet::WRITE) == 0 {
                     return Err(Reply::status(Status::BadMessage, "neither read nor write"));
                 }
-                // Those that are being opened count as well.
-                if self.files.len() + self.in_flight.len() >= MOST_HANDLES {
+                // All commands in flight count, since they may open files.
+                if self.files.len() + self.in_flight.len() >= MAX_HANDLES {
                     return Err(Reply::status(Status::Failure, "too many open files"));
                 }
-                let opens = Some(File { path: path.clone(), flags, turn: Mutex::new(()) });
-                Step { opens, ..step(&path, Deed::Open { flags, attrs }, None) }
+                let opens = Some(File { path: path.clone(), flags, lock: Mutex::new(()) });
+                PlannedOperation { opens, ..planned(&path, Operation::Open { flags, attrs }, None) }
             }
             Command::Close { handle } => {
                 let file = self.file(&handle)?;
                 if let Ok(number) = <[u8; 8]>::try_from(&handle[..]) {
                     self.files.remove(&u64::from_be_bytes(number));
                 }
-                // Commands sent before it still have the file; no node has it open.
-                debug!(path = file.path.as_str(); "closed");
+                // Earlier commands in flight still hold the file. No node has it open.
+                debug!(path = file.path.as_str(); "a client closed its file handle");
                 return Err(Reply::status(Status::Ok, "closed"));
             }
             Command::Read { handle, offset, length } => {
                 let file = allowed(self.file(&handle)?, packet::READ)?;
-                // A server may return less than was asked for; it must not be made to hold any amount.
+                // A server may return fewer bytes than requested; the limit bounds the memory of a reply.
                 let length = length.min(MOST_DATA as u32);
-                step(&file.path, Deed::Read { offset, length }, Some(file.clone()))
+                planned(&file.path, Operation::Read { offset, length }, Some(file.clone()))
             }
             Command::Write { handle, offset, data } => {
                 let file = allowed(self.file(&handle)?, packet::WRITE)?;
                 let append = file.flags & packet::APPEND != 0;
-                step(&file.path, Deed::Write { offset, data, append }, Some(file.clone()))
+                planned(&file.path, Operation::Write { offset, data, append }, Some(file.clone()))
             }
-            Command::Stat { path, follow } => step(&path, Deed::Stat { follow }, None),
+            Command::Stat { path, follow } => planned(&path, Operation::Stat { follow }, None),
             Command::Fstat { handle } => {
                 let file = self.file(&handle)?;
-                step(&file.path, Deed::Stat { follow: true }, Some(file.clone()))
+                planned(&file.path, Operation::Stat { follow: true }, Some(file.clone()))
             }
             Command::Unsupported(_) => return Err(Reply::status(Status::OpUnsupported, "not served here")),
         })
     }
 }
 
-struct Step {
+/// The operation that a command needs.
+struct PlannedOperation {
     path: String,
-    deed: Deed,
+    operation: Operation,
+    /// The file of the command's handle.
     file: Option<Arc<File>>,
+    /// The file to register if the operation opens one.
     opens: Option<File>,
 }
 
+/// Returns the file if it was opened with `flag`.
 fn allowed(file: Arc<File>, flag: u32) -> Result<Arc<File>, Reply> {
     if file.flags & flag != 0 {
         Ok(file)
@@ -265,71 +288,71 @@
     }
 }
 
-/// Which class a deed goes by, and the bytes that it moves.
-fn uses(place: &Place, deed: &Deed) -> (Use, usize) {
-    let rule = place.rule;
-    match deed {
-        Deed::Open { flags, .. } if flags & (packet::CREAT | packet::TRUNC | packet::EXCL) != 0 => {
+/// Returns the class of an operation and the number of bytes that it transfers.
+fn class_and_bytes(target: &FileTarget, operation: &Operation) -> (ClassLimits, usize) {
+    let rule = target.rule;
+    match operation {
+        Operation::Open { flags, .. } if flags & (packet::CREAT | packet::TRUNC | packet::EXCL) != 0 => {
             (rule.once, 0)
         }
-        Deed::Open { .. } | Deed::Stat { .. } => (rule.read, 0),
-        Deed::Read { length, .. } => (rule.read, *length as usize),
-        Deed::Write { append: true, data, .. } => (rule.once, data.len()),
-        // The same bytes in the same place: what the class allows to repeat is harmless to repeat.
-        Deed::Write { data, .. } => (rule.write, data.len()),
+        Operation::Open { .. } | Operation::Stat { .. } => (rule.read, 0),
+        Operation::Read { length, .. } => (rule.read, *length as usize),
+        Operation::Write { append: true, data, .. } => (rule.once, data.len()),
+        // Writing the same bytes at the same offset again is harmless, so the class of writes applies.
+        Operation::Write { data, .. } => (rule.write, data.len()),
     }
 }
 
-async fn carry_out(
+/// Submits an operation to the core and waits for its reply.
+async fn run_operation(
     front: &Front,
     client: Presence,
     path: String,
-    deed: Deed,
+    operation: Operation,
     file: Option<Arc<File>>,
     received: Instant,
-) -> Result<Encoded, Reply> {
-    let place = front.config.place(&path).map_err(|none| match none {
-        NoPlace::Unsound => Reply::status(Status::PermissionDenied, "no path for here"),
-        NoPlace::Unmapped => Reply::status(Status::NoSuchFile, "nothing is kept there"),
+) -> Result<EncodedReply, Reply> {
+    let target = front.config.place(&path).map_err(|error| match error {
+        TargetError::MalformedPath => Reply::status(Status::PermissionDenied, "no path for here"),
+        TargetError::Unmapped => Reply::status(Status::NoSuchFile, "nothing is kept there"),
     })?;
-    let (use_of, bytes) = uses(&place, &deed);
-    let answer_by = received + less_margin(use_of.wait, front.answer_margin);
-    let turn = async {
+    let (limits, bytes) = class_and_bytes(&target, &operation);
+    let answer_by = received + less_margin(limits.wait, front.answer_margin);
+    let lock = async {
         match &file {
-            Some(file) => Some(file.turn.lock().await),
+            Some(file) => Some(file.lock.lock().await),
             None => None,
         }
     };
-    let Ok(_turn) = timeout_at(answer_by, turn).await else {
+    let Ok(_guard) = timeout_at(answer_by, lock).await else {
         return Err(Reply::status(Status::Failure, "no turn in time; nothing was done"));
     };
     let arrival = Arrival {
         body_time: None,
-        volume: place.volume,
-        key: place.key,
-        class: use_of.class,
-        plan: place.rule.plan,
-        units: place.rule.units(bytes),
-        volume_hosts: place.rule.hosts,
+        volume: target.volume,
+        key: target.key,
+        class: limits.class,
+        plan: target.rule.plan,
+        units: target.rule.units(bytes),
+        volume_hosts: target.rule.hosts,
         repeat: false,
-        shard: Some(place.shard),
+        shard: Some(target.shard),
         answer_by,
     };
-    let work = FileWork { stores: front.stores.clone(), job: Job { path, deed }, client };
+    let work = FileWork { stores: front.stores.clone(), job: Job { path, operation }, client };
     let answer = match front.handle.submit(arrival, Arc::new(work)) {
         Some(pending) => pending.await,
         None => Answer::Refused(Duration::from_secs(1)),
     };
-    status(answer)
+    encoded_reply(answer)
 }
 
-/// The final answer in the specification's codes: it knows one for what a server could not do, and the text says
-/// whether trying again is harmless.
-fn status(answer: Answer) -> Result<Encoded, Reply> {
+/// Returns the reply for the core's final answer. The specification has one code for all failures of a
+/// server, so the text says whether a retry is harmless.
+fn encoded_reply(answer: Answer) -> Result<EncodedReply, Reply> {
     match answer {
-        Answer::Served(body) => {
-            Encoded::from_bytes(body).ok_or_else(|| Reply::status(Status::Failure, "an unreadable reply"))
-        }
+        Answer::Served(body) => EncodedReply::from_bytes(body)
+            .ok_or_else(|| Reply::status(Status::Failure, "an unreadable reply")),
         Answer::Refused(after) => {
             let text = format!("refused; trying again is harmless after {:.3} s", after.as_secs_f64());
             Err(Reply::status(Status::Failure, text))
--- a/src/net/sftp/mod.rs
+++ b/src/net/sftp/mod.rs
@@ -1,4 +1,4 @@
-//! The second front: file commands as SFTP version 3 has them (draft-ietf-secsh-filexfer-02), without SSH below.
+//! The SFTP front: the file commands of SFTP version 3 (draft-ietf-secsh-filexfer-02), without SSH.
 
 pub mod back;
 pub mod front;
--- a/src/net/sftp/packet.rs
+++ b/src/net/sftp/packet.rs
@@ -1,26 +1,34 @@
-//! Packets of SFTP version 3, both ways: each is decoded once into a typed value and encoded once.
+//! Packets of SFTP version 3, in both directions. Each is decoded once into a typed value and encoded once.
 
 use bytes::{Buf, BufMut, Bytes, BytesMut};
 use std::fmt;
 use tokio_util::codec::LengthDelimitedCodec;
 
+/// The protocol version that the front speaks.
 pub const VERSION: u32 = 3;
-/// The most data in one READ or WRITE; a server may always return less than was asked for.
+/// The most bytes of data in one READ or WRITE. A server may always return fewer bytes than were requested.
 pub const MOST_DATA: usize = 64 * 1024;
-/// A WRITE of the most data, its handle and its figures.
+/// The longest packet, in bytes: a WRITE with the most data, its handle and its numbers.
 pub const MOST_PACKET: usize = MOST_DATA + 1024;
+/// The longest path, in bytes.
 pub const MOST_PATH: usize = 4096;
-/// The specification's bound on a handle.
+/// The longest handle that the specification allows, in bytes.
 pub const MOST_HANDLE: usize = 256;
 
-/// Flags of OPEN.
+/// OPEN flag: open for reading.
 pub const READ: u32 = 1;
+/// OPEN flag: open for writing.
 pub const WRITE: u32 = 2;
+/// OPEN flag: append all writes to the file.
 pub const APPEND: u32 = 4;
+/// OPEN flag: create the file if it does not exist.
 pub const CREAT: u32 = 8;
+/// OPEN flag: truncate the file.
 pub const TRUNC: u32 = 16;
+/// OPEN flag: fail if the file exists.
 pub const EXCL: u32 = 32;
 
+// Packet types.
 const INIT: u8 = 1;
 const VERSION_PACKET: u8 = 2;
 const OPEN: u8 = 3;
@@ -35,21 +43,29 @@
 const DATA: u8 = 103;
 const ATTRS: u8 = 105;
 
+// Flags that tell which attributes follow.
 const HAS_SIZE: u32 = 1;
 const HAS_OWNER: u32 = 2;
 const HAS_PERMISSIONS: u32 = 4;
 const HAS_TIMES: u32 = 8;
 const HAS_EXTENDED: u32 = 1 << 31;
 
-/// `SSH_FX_*`; the two pseudo-errors (6 and 7) are for clients' own use and never on the wire.
+/// A status code, `SSH_FX_*`. The pseudo-errors 6 and 7 are for the use of clients alone and are never sent.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Status {
+    /// `SSH_FX_OK`.
     Ok,
+    /// `SSH_FX_EOF`.
     Eof,
+    /// `SSH_FX_NO_SUCH_FILE`.
     NoSuchFile,
+    /// `SSH_FX_PERMISSION_DENIED`.
     PermissionDenied,
+    /// `SSH_FX_FAILURE`.
     Failure,
+    /// `SSH_FX_BAD_MESSAGE`.
     BadMessage,
+    /// `SSH_FX_OP_UNSUPPORTED`.
     OpUnsupported,
 }
 
@@ -63,70 +79,75 @@
     (Status::OpUnsupported, 8),
 ];
 
-/// Extended attributes are read over: nothing here means anything by them.
+/// The attributes of a file. Extended attributes are skipped, since the front does not use them.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Attrs {
+    /// The size in bytes.
     pub size: Option<u64>,
+    /// The user and group identifiers.
     pub owner: Option<(u32, u32)>,
+    /// The permission bits.
     pub permissions: Option<u32>,
+    /// The times of access and modification, in seconds since 1970.
     pub times: Option<(u32, u32)>,
 }
 
+/// A command from a client.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Command {
-    Open {
-        path: String,
-        flags: u32,
-        attrs: Attrs,
-    },
-    Close {
-        handle: Bytes,
-    },
-    Read {
-        handle: Bytes,
-        offset: u64,
-        length: u32,
-    },
-    Write {
-        handle: Bytes,
-        offset: u64,
-        data: Bytes,
-    },
-    Stat {
-        path: String,
-        follow: bool,
-    },
-    Fstat {
-        handle: Bytes,
-    },
-    /// A packet that the specification or an extension may know, and this program does not serve.
+    /// Opens a file.
+    Open { path: String, flags: u32, attrs: Attrs },
+    /// Closes a handle.
+    Close { handle: Bytes },
+    /// Reads up to `length` bytes.
+    Read { handle: Bytes, offset: u64, length: u32 },
+    /// Writes bytes.
+    Write { handle: Bytes, offset: u64, data: Bytes },
+    /// Reads the attributes of a path; `follow`: of the target of a symbolic link.
+    Stat { path: String, follow: bool },
+    /// Reads the attributes of an open file.
+    Fstat { handle: Bytes },
+    /// A command of another packet type, which the front does not serve.
     Unsupported(u8),
 }
 
+/// A packet from a client.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Request {
+    /// Begins a session.
     Init { version: u32 },
+    /// A command, with an id that its reply repeats.
     Command { id: u32, command: Command },
 }
 
+/// A reply to a command.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Reply {
+    /// A status, with a text for the client.
     Status { code: Status, text: String },
+    /// The handle of an opened file.
     Handle(Bytes),
+    /// Bytes that were read.
     Data(Bytes),
+    /// The attributes of a file.
     Attrs(Attrs),
 }
 
+/// A packet to a client.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Response {
+    /// Answers INIT with the server's version.
     Version(u32),
+    /// The reply to the command with this id.
     Reply { id: u32, reply: Reply },
 }
 
-/// What is wrong with a packet, and the request to answer so, where its id could be read.
+/// An error in decoding a packet.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Malformed {
+    /// The id of the command to reply to, if the packet has one.
     pub id: Option<u32>,
+    /// What is wrong with the packet.
     pub what: &'static str,
 }
 
@@ -138,42 +159,44 @@
 
 impl std::error::Error for Malformed {}
 
-/// Length fields: a packet longer than any may be ends its connection before it is held in memory.
+/// Returns a codec that splits a stream into packets by their length fields. It rejects a packet longer than
+/// [`MOST_PACKET`] before the packet is read into memory.
 pub fn frames() -> LengthDelimitedCodec {
     LengthDelimitedCodec::builder().length_field_length(4).max_frame_length(MOST_PACKET).new_codec()
 }
 
+/// Reads the fields of a packet.
 struct Reader(Bytes);
 
-type Part<T> = Result<T, &'static str>;
+type ReadResult<T> = Result<T, &'static str>;
 
 impl Reader {
-    fn u8(&mut self) -> Part<u8> {
+    fn u8(&mut self) -> ReadResult<u8> {
         self.0.try_get_u8().map_err(|_| "a byte is missing")
     }
 
-    fn u32(&mut self) -> Part<u32> {
+    fn u32(&mut self) -> ReadResult<u32> {
         self.0.try_get_u32().map_err(|_| "a number is cut short")
     }
 
-    fn u64(&mut self) -> Part<u64> {
+    fn u64(&mut self) -> ReadResult<u64> {
         self.0.try_get_u64().map_err(|_| "a number is cut short")
     }
 
-    fn string(&mut self, most: usize) -> Part<Bytes> {
+    fn string(&mut self, max_length: usize) -> ReadResult<Bytes> {
         let length = self.u32()? as usize;
         if length > self.0.len() {
             return Err("a string is cut short");
         }
-        if length > most { Err("a string is too long") } else { Ok(self.0.split_to(length)) }
+        if length > max_length { Err("a string is too long") } else { Ok(self.0.split_to(length)) }
     }
 
-    fn path(&mut self) -> Part<String> {
+    fn path(&mut self) -> ReadResult<String> {
         let path = self.string(MOST_PATH)?;
         String::from_utf8(path.to_vec()).map_err(|_| "a path is not UTF-8")
     }
 
-    fn attrs(&mut self) -> Part<Attrs> {
+    fn attrs(&mut self) -> ReadResult<Attrs> {
         let flags = self.u32()?;
         let mut attrs = Attrs::default();
         if flags & HAS_SIZE != 0 {
@@ -189,7 +212,7 @@
             attrs.times = Some((self.u32()?, self.u32()?));
         }
         if flags & HAS_EXTENDED != 0 {
-            // Bounded by what is there: each pair takes eight bytes at least.
+            // The packet's length bounds this loop: each pair takes at least eight bytes.
             for _ in 0..self.u32()? {
                 self.string(MOST_PACKET)?;
                 self.string(MOST_PACKET)?;
@@ -198,7 +221,7 @@
         Ok(attrs)
     }
 
-    fn end(&self) -> Part<()> {
+    fn end(&self) -> ReadResult<()> {
         if self.0.is_empty() { Ok(()) } else { Err("something follows the packet's end") }
     }
 }
@@ -209,7 +232,7 @@
 }
 
 fn put_attrs(out: &mut BytesMut, attrs: &Attrs) {
-    let flag = |there: bool, flag: u32| if there { flag } else { 0 };
+    let flag = |present: bool, flag: u32| if present { flag } else { 0 };
     out.put_u32(
         flag(attrs.size.is_some(), HAS_SIZE)
             | flag(attrs.owner.is_some(), HAS_OWNER)
@@ -232,53 +255,64 @@
     }
 }
 
-/// A reply as a store node's answer keeps it: encoded, for whatever request it will be sent on.
+/// An encoded reply of a storage node, to which any request id can be given.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Encoded(Bytes);
+pub struct EncodedReply(Bytes);
 
-const ID: std::ops::Range<usize> = 1..5;
+/// The position of the request id.
+const ID_BYTES: std::ops::Range<usize> = 1..5;
 
-impl Encoded {
-    pub fn new(reply: &Reply) -> Encoded {
+impl EncodedReply {
+    /// Encodes a reply, with 0 for its id.
+    pub fn new(reply: &Reply) -> EncodedReply {
         let mut out = BytesMut::new();
         reply.encode(0, &mut out);
-        Encoded(out.freeze())
+        EncodedReply(out.freeze())
     }
 
+    /// Returns the encoded reply.
     pub fn into_bytes(self) -> Bytes {
         self.0
     }
 
-    /// `None`: too short to be a reply.
-    pub fn from_bytes(bytes: Bytes) -> Option<Encoded> {
-        (bytes.len() >= ID.end).then_some(Encoded(bytes))
+    /// Wraps an encoded reply. `None`: the bytes are too short for a reply.
+    pub fn from_bytes(bytes: Bytes) -> Option<EncodedReply> {
+        (bytes.len() >= ID_BYTES.end).then_some(EncodedReply(bytes))
     }
 
+    /// Returns whether the reply holds a handle.
     pub fn is_handle(&self) -> bool {
         self.0.first() == Some(&HANDLE)
     }
 
+    /// Returns the encoded reply with a request id.
     pub fn with_id(self, id: u32) -> Bytes {
         let mut out = BytesMut::from(self.0);
-        out[ID].copy_from_slice(&id.to_be_bytes());
+        out[ID_BYTES].copy_from_slice(&id.to_be_bytes());
         out.freeze()
     }
 }
 
 impl Request {
+    /// Decodes a packet from a client.
+    ///
+    /// # Errors
+    ///
+    /// Fails if the packet is malformed.
     pub fn decode(packet: Bytes) -> Result<Request, Malformed> {
-        let mut r = Reader(packet);
+        let mut reader = Reader(packet);
         let no_id = |what| Malformed { id: None, what };
-        let kind = r.u8().map_err(no_id)?;
+        let kind = reader.u8().map_err(no_id)?;
         if kind == INIT {
-            // Extension pairs may follow; none is known.
-            return Ok(Request::Init { version: r.u32().map_err(no_id)? });
+            // Extension pairs may follow, none of which the front knows.
+            return Ok(Request::Init { version: reader.u32().map_err(no_id)? });
         }
-        let id = r.u32().map_err(no_id)?;
-        let command = Command::decode(kind, &mut r).map_err(|what| Malformed { id: Some(id), what })?;
+        let id = reader.u32().map_err(no_id)?;
+        let command = Command::decode(kind, &mut reader).map_err(|what| Malformed { id: Some(id), what })?;
         Ok(Request::Command { id, command })
     }
 
+    /// Encodes the packet.
     pub fn encode(&self) -> Bytes {
         let mut out = BytesMut::new();
         match self {
@@ -293,80 +327,88 @@
 }
 
 impl Command {
-    fn decode(kind: u8, r: &mut Reader) -> Part<Command> {
+    fn decode(kind: u8, reader: &mut Reader) -> ReadResult<Command> {
         let command = match kind {
-            OPEN => Command::Open { path: r.path()?, flags: r.u32()?, attrs: r.attrs()? },
-            CLOSE => Command::Close { handle: r.string(MOST_HANDLE)? },
-            READ_PACKET => {
-                Command::Read { handle: r.string(MOST_HANDLE)?, offset: r.u64()?, length: r.u32()? }
-            }
+            OPEN => Command::Open { path: reader.path()?, flags: reader.u32()?, attrs: reader.attrs()? },
+            CLOSE => Command::Close { handle: reader.string(MOST_HANDLE)? },
+            READ_PACKET => Command::Read {
+                handle: reader.string(MOST_HANDLE)?,
+                offset: reader.u64()?,
+                length: reader.u32()?,
+            },
             WRITE_PACKET => Command::Write {
-                handle: r.string(MOST_HANDLE)?,
-                offset: r.u64()?,
-                data: r.string(MOST_DATA)?,
+                handle: reader.string(MOST_HANDLE)?,
+                offset: reader.u64()?,
+                data: reader.string(MOST_DATA)?,
             },
-            LSTAT | STAT => Command::Stat { path: r.path()?, follow: kind == STAT },
-            FSTAT => Command::Fstat { handle: r.string(MOST_HANDLE)? },
+            LSTAT | STAT => Command::Stat { path: reader.path()?, follow: kind == STAT },
+            FSTAT => Command::Fstat { handle: reader.string(MOST_HANDLE)? },
             other => return Ok(Command::Unsupported(other)),
         };
-        r.end()?;
+        reader.end()?;
         Ok(command)
     }
 
     fn encode(&self, id: u32, out: &mut BytesMut) {
-        let mut head = |kind: u8| {
+        let mut put_head = |kind: u8| {
             out.put_u8(kind);
             out.put_u32(id);
         };
         match self {
             Command::Open { path, flags, attrs } => {
-                head(OPEN);
+                put_head(OPEN);
                 put_string(out, path.as_bytes());
                 out.put_u32(*flags);
                 put_attrs(out, attrs);
             }
             Command::Close { handle } => {
-                head(CLOSE);
+                put_head(CLOSE);
                 put_string(out, handle);
             }
             Command::Read { handle, offset, length } => {
-                head(READ_PACKET);
+                put_head(READ_PACKET);
                 put_string(out, handle);
                 out.put_u64(*offset);
                 out.put_u32(*length);
             }
             Command::Write { handle, offset, data } => {
-                head(WRITE_PACKET);
+                put_head(WRITE_PACKET);
                 put_string(out, handle);
                 out.put_u64(*offset);
                 put_string(out, data);
             }
             Command::Stat { path, follow } => {
-                head(if *follow { STAT } else { LSTAT });
+                put_head(if *follow { STAT } else { LSTAT });
                 put_string(out, path.as_bytes());
             }
             Command::Fstat { handle } => {
-                head(FSTAT);
+                put_head(FSTAT);
                 put_string(out, handle);
             }
-            Command::Unsupported(kind) => head(*kind),
+            Command::Unsupported(kind) => put_head(*kind),
         }
     }
 }
 
 impl Response {
+    /// Decodes a packet from a server.
+    ///
+    /// # Errors
+    ///
+    /// Fails if the packet is malformed.
     pub fn decode(packet: Bytes) -> Result<Response, Malformed> {
-        let mut r = Reader(packet);
+        let mut reader = Reader(packet);
         let no_id = |what| Malformed { id: None, what };
-        let kind = r.u8().map_err(no_id)?;
-        let id = r.u32().map_err(no_id)?;
+        let kind = reader.u8().map_err(no_id)?;
+        let id = reader.u32().map_err(no_id)?;
         if kind == VERSION_PACKET {
             return Ok(Response::Version(id));
         }
-        let reply = Reply::decode(kind, &mut r).map_err(|what| Malformed { id: Some(id), what })?;
+        let reply = Reply::decode(kind, &mut reader).map_err(|what| Malformed { id: Some(id), what })?;
         Ok(Response::Reply { id, reply })
     }
 
+    /// Encodes the packet.
     pub fn encode(&self) -> Bytes {
         let mut out = BytesMut::new();
         match self {
@@ -381,40 +423,41 @@
 }
 
 impl Reply {
+    /// Returns a status reply.
     pub fn status(code: Status, text: impl Into<String>) -> Reply {
         Reply::Status { code, text: text.into() }
     }
 
-    fn decode(kind: u8, r: &mut Reader) -> Part<Reply> {
+    fn decode(kind: u8, reader: &mut Reader) -> ReadResult<Reply> {
         let reply = match kind {
             STATUS => {
-                let code = r.u32()?;
+                let code = reader.u32()?;
                 let known = STATUSES.iter().find(|(_, number)| *number == code);
-                // Some servers leave out the text and its language.
-                let text = if r.0.is_empty() { Bytes::new() } else { r.string(MOST_PACKET)? };
+                // Some servers omit the text and its language.
+                let text = if reader.0.is_empty() { Bytes::new() } else { reader.string(MOST_PACKET)? };
                 let text = String::from_utf8_lossy(&text).into_owned();
                 return Ok(Reply::Status {
                     code: known.map_or(Status::Failure, |(status, _)| *status),
                     text,
                 });
             }
-            HANDLE => Reply::Handle(r.string(MOST_HANDLE)?),
-            DATA => Reply::Data(r.string(MOST_DATA)?),
-            ATTRS => Reply::Attrs(r.attrs()?),
+            HANDLE => Reply::Handle(reader.string(MOST_HANDLE)?),
+            DATA => Reply::Data(reader.string(MOST_DATA)?),
+            ATTRS => Reply::Attrs(reader.attrs()?),
             _ => return Err("a reply of a kind that nothing here asks for"),
         };
-        r.end()?;
+        reader.end()?;
         Ok(reply)
     }
 
     fn encode(&self, id: u32, out: &mut BytesMut) {
-        let mut head = |kind: u8| {
+        let mut put_head = |kind: u8| {
             out.put_u8(kind);
             out.put_u32(id);
         };
         match self {
             Reply::Status { code, text } => {
-                head(STATUS);
+                put_head(STATUS);
                 out.put_u32(
                     STATUSES.iter().find(|(status, _)| status == code).map_or(4, |(_, number)| *number),
                 );
@@ -422,15 +465,15 @@
                 put_string(out, b"en");
             }
             Reply::Handle(handle) => {
-                head(HANDLE);
+                put_head(HANDLE);
                 put_string(out, handle);
             }
             Reply::Data(data) => {
-                head(DATA);
+                put_head(DATA);
                 put_string(out, data);
             }
             Reply::Attrs(attrs) => {
-                head(ATTRS);
+                put_head(ATTRS);
                 put_attrs(out, attrs);
             }
         }
--- a/src/net/sftp/packet/tests.rs
+++ b/src/net/sftp/packet/tests.rs
@@ -5,7 +5,7 @@
 }
 
 #[test]
-fn every_packet_comes_back_as_it_went() {
+fn every_packet_decodes_to_the_value_that_was_encoded() {
     let attrs = Attrs {
         size: Some(1 << 40),
         owner: Some((7, 8)),
@@ -34,13 +34,13 @@
     ] {
         let response = Response::Reply { id: 7, reply };
         assert_eq!(Response::decode(response.encode()), Ok(response.clone()));
-        let Response::Reply { id, reply } = &response else { unreachable!("none is a version") };
-        assert_eq!(Encoded::new(reply).with_id(*id), response.encode());
+        let Response::Reply { id, reply } = &response else { unreachable!("the response is a reply") };
+        assert_eq!(EncodedReply::new(reply).with_id(*id), response.encode());
     }
 }
 
 #[test]
-fn bytes_on_the_wire_are_those_of_the_specification() {
+fn packets_are_encoded_as_the_specification_prescribes() {
     let read = Request::Command {
         id: 2,
         command: Command::Read { handle: handle(), offset: 0x1_0000_0000, length: 0x8000 },
@@ -53,7 +53,7 @@
 }
 
 #[test]
-fn malformed_packets_are_named_with_the_request_they_are_for() {
+fn errors_in_packets_carry_the_request_id_if_it_can_be_read() {
     for (packet, id, what) in [
         (&[][..], None, "a byte is missing"),
         (&[OPEN, 0, 0], None, "a number is cut short"),
