--- a/src/message.rs
+++ b/src/message.rs
@@ -1,17 +1,21 @@
-//! What hosts tell each other, and its bytes: a form, then its figures, big-endian. Nothing here decides.
+//! The messages between hosts and their encoding: one byte for the form, then the values, big-endian.
 
 use crate::interface::Micros;
 
-/// A node's queue, and the time of the answer that told of it. Without a queue: something waited that long
-/// there in vain.
+/// A report of a node's queue.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Message {
+    /// The shard that the node serves.
     pub shard: u16,
+    /// The length of the queue; `None` if unknown.
     pub queue: Option<f64>,
+    /// The latency of the answer with the report or, without a queue length, how long a request waited in
+    /// vain.
     pub latency: Micros,
 }
 
 impl Message {
+    /// Encodes the message. The length of the queue is cut to 254, the latency to whole milliseconds.
     pub fn bytes(&self) -> Vec<u8> {
         let ([a, b], queue) =
             (self.shard.to_be_bytes(), self.queue.map_or(u8::MAX, |q| q.clamp(0.0, 254.0) as u8));
@@ -19,7 +23,7 @@
         vec![1, a, b, queue, c, d]
     }
 
-    /// `None`: of no form known here.
+    /// Decodes a message; `None` if its form is unknown.
     pub fn read(bytes: &[u8]) -> Option<Message> {
         let &[1, a, b, queue, c, d] = bytes else { return None };
         let latency = 1000 * Micros::from(u16::from_be_bytes([c, d]));
--- a/src/policy/flows.rs
+++ b/src/policy/flows.rs
@@ -4,21 +4,21 @@
 use super::*;
 use fair_queue::{Anticipation, FlowState};
 
-/// T: how far a flow's virtual time may run ahead of the global one, in largest requests at weight 1: room
-/// for a batch, yet a surge is throttled within a few requests.
+/// T of MQFQ: how far a flow's virtual time may be ahead of the global one, in requests of the largest size
+/// at weight 1. That admits a batch but throttles a surge within a few requests.
 pub(super) const MAX_VIRTUAL_LEAD_REQUESTS: f64 = 2.0;
-/// alpha: an emptied flow stays active for this many of its mean arrival gaps; before a second arrival has
-/// told a gap for so many microseconds (the design's figure).
+/// Alpha of MQFQ: an empty flow stays active for this many of its mean inter-arrival times, or, until its
+/// second arrival, for `first` microseconds (the design's value).
 const ANTICIPATION: Anticipation = Anticipation { gaps: 1.0, first: 1_000_000 };
 
 impl Policy {
-    /// The flow of a request's volume, awake and its arrival noted.
+    /// Returns the flow of a request's volume, created if it is new, and records the arrival.
     pub(super) fn flow(&mut self, now: Micros, request: &Request) -> FlowIndex {
         let next = self.free_flows.last().copied().unwrap_or(self.flows.len());
         let plan = self.settings.plan(request.plan);
-        let ix = *self.flow_of.entry(request.volume).or_insert(next);
-        if ix == next {
-            // The limit's store is empty at this host's start: what it spent before that is not known.
+        let flow_index = *self.flow_of.entry(request.volume).or_insert(next);
+        if flow_index == next {
+            // The rate limit's bucket was empty when this host started: earlier use of the limit is unknown.
             let limit = TokenBucket { level: 0.0, at: self.started };
             let reserve = TokenBucket { level: plan.reserve, at: now };
             let fair = FlowState::first_arrival(now, self.global_virtual_time);
@@ -29,21 +29,21 @@
             }
         }
         let global_virtual_time = self.global_virtual_time(now);
-        let flow = &mut self.flows[ix];
-        // Under other figures of its plan it keeps what it has saved up, as far as they let it.
+        let flow = &mut self.flows[flow_index];
+        // When the plan changes, the bucket keeps its level, up to the new cap.
         flow.limit_available(now, self.share);
         (flow.plan, flow.plan_number) = (plan, request.plan);
         let all = f64::from(self.settings.hosts.max(1));
         let hosts = if (1.0..=all).contains(&request.volume_hosts) { request.volume_hosts } else { all };
         flow.hosts = flow.hosts.max(hosts);
-        if ix != next {
+        if flow_index != next {
             flow.fair.arrive(now, global_virtual_time, ANTICIPATION);
         }
-        ix
+        flow_index
     }
 
-    /// The lowest virtual time among active flows. A flow whose queued work lies only at nodes that take none
-    /// does not hold the others back.
+    /// The lowest virtual time of all active flows. Flows whose queued requests are all for nodes that take
+    /// no work are left out, so that they don't hold the others back.
     pub(super) fn global_virtual_time(&mut self, now: Micros) -> f64 {
         let open = self.nodes.values().filter(|n| n.ready && n.unresponsive_since.is_none());
         let open: BTreeSet<u16> = open.map(|n| n.shard).collect();
@@ -58,20 +58,21 @@
         self.global_virtual_time
     }
 
-    /// Another instance of this host comes or has gone. Stores fill as before until now, and are cut to what
-    /// they may hold now. One for a volume not seen here yet begins empty: the other one may have spent it.
+    /// Another process of this host has started or ended. Token buckets are filled at the old rate up to now
+    /// and cut to the new cap. The bucket of a volume not seen here yet starts empty: the other process may
+    /// have spent it.
     pub(super) fn on_capacity_share(&mut self, now: Micros, share: f64) {
         self.rescale(now, share);
         self.started = if share >= self.share || self.flows.is_empty() { now } else { self.started };
-        // What was learned of a node holds for the host: its tokens are shared out anew.
-        let shared_out = share / std::mem::replace(&mut self.share, share);
+        // A node's depth was learned for the whole host, so it is scaled to this process's new share.
+        let ratio = share / std::mem::replace(&mut self.share, share);
         let most = self.max_depth();
-        let depth = |node: &mut Node| node.depth = (node.depth * shared_out).clamp(MIN_DEPTH, most);
+        let depth = |node: &mut Node| node.depth = (node.depth * ratio).clamp(MIN_DEPTH, most);
         self.nodes.values_mut().for_each(depth);
     }
 
-    /// Other figures count at once, for what waits too: stores fill by the old ones up to now, and hold no
-    /// more than the new ones let them.
+    /// Applies new plans and a new share at once, to waiting requests too: token buckets are filled at the
+    /// old rate up to now and cut to the new cap.
     pub(super) fn rescale(&mut self, now: Micros, share: f64) {
         for flow in &mut self.flows {
             flow.limit_available(now, self.share);
--- a/src/policy/guards.rs
+++ b/src/policy/guards.rs
@@ -1,14 +1,15 @@
-//! The guards that every send has to pass: repeats, order of keys, retry budget, slow start of nodes.
+//! The conditions for sending a request: repeats, order within a key, retry budget and slow start of nodes.
 
 use super::*;
 
-/// The demand for a shard is taken to be two thirds of its node's full capacity: in slow start a host sends this multiple
-/// of the allowed fraction of its own demand.
+/// The demand for a shard is taken to be two thirds of its node's full capacity: in slow start a host sends
+/// this multiple of the allowed fraction of its own demand.
 pub(super) const SLOW_START_MULTIPLE: f64 = 1.5;
-/// Requests outside the reserve wait until credit for this many mean requests is saved up.
+/// Requests outside the reserve need slow-start credit for this many requests of mean size.
 const SLOW_START_SPARE_REQUESTS: f64 = 1.5;
 
 impl Policy {
+    /// Whether an attempt of the request may start at the node now.
     pub(super) fn may_send(
         &self,
         now: Micros,
@@ -38,28 +39,30 @@
             && self.slow_start_allows(now, node, pending)
     }
 
-    /// Whether a further attempt of the request can be allowed at all.
+    /// Whether the request's class and number of attempts allow a further attempt.
     pub(super) fn may_retry(&self, now: Micros, pending: &PendingRequest) -> bool {
         let class = &self.settings.classes[pending.class];
-        let kind = pending.first_that_may_have_run().is_none_or(|first| match class.repeats {
+        let class_allows = pending.first_that_may_have_run().is_none_or(|first| match class.repeats {
             Repeats::Safe => true,
             Repeats::Keyed => now < first.sent + class.window,
             Repeats::Unsafe => false,
         });
-        kind && !pending.streaming && pending.attempts.len() < pending.max_attempts as usize
+        class_allows && !pending.streaming && pending.attempts.len() < pending.max_attempts as usize
     }
 
+    /// Whether the budget has room for one more retry.
     pub(super) fn budget_allows(&self, now: Micros) -> bool {
         self.settings.budget.is_none_or(|budget| {
             let since = now.saturating_sub(budget.window);
-            let retries = self.retries.iter().filter(|t| **t >= since).count() as f64;
-            let taken = self.taken.iter().filter(|t| **t > since).count() as f64;
-            retries + 1.0 <= budget.floor + budget.ratio * taken
+            let retries = self.retried_at.iter().filter(|t| **t >= since).count() as f64;
+            let accepted = self.accepted_at.iter().filter(|t| **t > since).count() as f64;
+            retries + 1.0 <= budget.floor + budget.ratio * accepted
         })
     }
 
-    /// Whether this host may send that many units now to a node that may be cold: what it has saved up of its
-    /// part; of few hosts also an even part of what such a node always bears, growing as the node warms.
+    /// Whether slow start lets this host send the request to the node now: its credit suffices or, with few
+    /// hosts, the request fits into an even part of the units that such a node always serves, which grows as
+    /// the node warms up.
     fn slow_start_allows(&self, now: Micros, node: &Node, pending: &PendingRequest) -> bool {
         let s = &self.settings;
         if node.slow_start_since.is_none_or(|since| now >= since + s.cold) {
@@ -67,33 +70,35 @@
         } else if s.slow_start_units <= 0.0 || s.slow_start_fraction <= 0.0 {
             return node.in_flight.is_empty();
         }
-        let saved = s.mean_units * if pending.reserved { 1.0 } else { SLOW_START_SPARE_REQUESTS };
+        let needed = s.mean_units * if pending.reserved { 1.0 } else { SLOW_START_SPARE_REQUESTS };
         let share = self.share * slow_start_capacity(s, now, node) / s.slow_start_fraction
             * s.slow_start_units
             / f64::from(s.hosts.max(1));
         let sends = node.slow_start_sends.iter().filter(|(t, _)| *t + s.fall >= now);
         let even = share - sends.map(|(_, units)| units).sum::<f64>() >= pending.units;
-        node.slow_start_credit.level >= saved || even && !self.many_hosts()
+        node.slow_start_credit.level >= needed || even && !self.many_hosts()
     }
 
-    /// An even part of what a cold node always bears may be less than any request, and is due to hosts that
-    /// never use it. A node that is warm carries what all hosts ask of its shard: a host keeps to the
-    /// part of its own asking that the node bears cold, or to the even part, and saves up for its turns.
+    /// Adds to the credit of nodes in slow start. An even part of a node's capacity may be smaller than any
+    /// request, and goes unused at hosts that don't need it. A warm node carries the demand of all hosts for
+    /// its shard, so a host earns credit at the fraction of its own demand that the cold node can serve, or
+    /// at the even part if that is larger.
     pub(super) fn fill_slow_start_credit(&mut self, now: Micros) {
-        let (s, of_host) = (&self.settings, self.share);
+        let (s, host_share) = (&self.settings, self.share);
         let cold = |n: &Node| n.slow_start_since.is_some_and(|since| now < since + s.cold);
         for node in self.nodes.values_mut().filter(|n| cold(n)) {
-            let slow_start_capacity = slow_start_capacity(s, now, node);
-            let even = of_host * slow_start_capacity / s.slow_start_fraction * s.slow_start_units * SECOND
+            let capacity = slow_start_capacity(s, now, node);
+            let even = host_share * capacity / s.slow_start_fraction * s.slow_start_units * SECOND
                 / (s.fall.max(1) as f64 * f64::from(s.hosts));
-            let asked = self.asked.get(&node.shard).map_or(0.0, |rate| rate.before(now, self.started));
-            let share = even.max(SLOW_START_MULTIPLE * s.fall_multiple * slow_start_capacity * asked);
+            let demand =
+                self.demand.get(&node.shard).map_or(0.0, |rate| rate.before_latest(now, self.started));
+            let share = even.max(SLOW_START_MULTIPLE * s.fall_multiple * capacity * demand);
             node.slow_start_credit.fill(now, share, SLOW_START_SPARE_REQUESTS * s.mean_units);
         }
     }
 }
 
-/// The part of its capacity that a cold node has at least.
+/// The fraction of its full capacity that a node in slow start has at least.
 pub(super) fn slow_start_capacity(s: &Settings, now: Micros, node: &Node) -> f64 {
     let warm = (now - node.slow_start_since.unwrap_or(0)) as f64 / s.cold.max(1) as f64;
     s.slow_start_fraction + (1.0 - s.slow_start_fraction) * warm.min(1.0)
--- a/src/policy/requests.rs
+++ b/src/policy/requests.rs
@@ -1,50 +1,53 @@
-//! The life cycle of a request: arrival, outcomes of its attempts, deadline, final answer.
+//! The life cycle of a request: arrival, outcomes of its attempts, deadline and final answer.
 
 use super::*;
 
-/// A request that was sent to no node is given up after this fraction of its client's time: it is past its target by then.
+/// A request that was sent to no node is refused after this fraction of its client's time: it is past its
+/// target then.
 const GIVE_UP_FRACTION: f64 = 0.15;
 
 impl Policy {
+    /// Queues a new request, starts its timers, and refuses it at once if its volume's rate limit can't admit
+    /// it in time.
     pub(super) fn on_request(&mut self, now: Micros, request: Request, actions: &mut Vec<Action>) {
         let Some(class) = self.settings.classes.get(request.class) else {
             return actions.push(Action::Fail { request: request.id });
         };
         let target_at = now + class.target.min(request.time_left);
-        let in_line = class.in_order && request.key != 0;
+        let in_order = class.in_order && request.key != 0;
         let units = if request.units.is_finite() { request.units.max(0.0) } else { self.settings.most_units };
         let (margin, flow_index) = (2 * self.settings.tick, self.flow(now, &request));
-        let (most, flow) = (self.settings.most_units, &mut self.flows[flow_index]);
+        let (max_units, flow) = (self.settings.most_units, &mut self.flows[flow_index]);
         let rate = flow.reserve_rate();
-        let reserved = flow.reserve.fill(now, rate, rate + most) >= units && rate > 0.0;
+        let reserved = flow.reserve.fill(now, rate, rate + max_units) >= units && rate > 0.0;
         flow.reserve.level -= if reserved { units } else { 0.0 };
         if let Some(shard) = request.shard.filter(|_| !request.repeat) {
-            self.asked.entry(shard).or_default().add(now, units);
+            self.demand.entry(shard).or_default().add(now, units);
         }
         self.serial += 1;
         let pending = PendingRequest {
             flow: flow_index,
             destination: request.shard,
             class: request.class,
-            key: if in_line { request.key } else { 0 },
+            key: if in_order { request.key } else { 0 },
             units,
             serial: self.serial,
             target_at,
             answer_by: now + request.time_left.saturating_sub(margin),
             give_up_at: now + (GIVE_UP_FRACTION * request.time_left as f64) as Micros,
             reserved,
-            drawn: false,
+            limit_charged: false,
             streaming: false,
             max_attempts: self.settings.max_attempts,
             over: false,
             attempts: Vec::new(),
         };
-        if in_line {
+        if in_order {
             self.keys.entry(request.key).or_default().queue.push_back(request.id);
         }
         if let Some(budget) = self.settings.budget {
-            self.taken.push_back(now);
-            forget(&mut self.taken, now, budget.window);
+            self.accepted_at.push_back(now);
+            drop_expired(&mut self.accepted_at, now, budget.window);
         }
         actions.push(Action::Timer { after: request.time_left.saturating_sub(margin), token: request.id });
         actions.push(Action::Timer { after: pending.give_up_at - now, token: request.id });
@@ -53,21 +56,27 @@
         }
         self.requests.insert(request.id, pending);
         self.enqueue(request.id);
-        // What a limit cannot let through in time is refused at once: to wait would only hold its client.
+        // A request that the rate limit can't admit in time is refused at once: waiting would only delay its
+        // client.
         if self.over_limit(now, request.id) {
             self.finish(now, request.id, actions);
         }
     }
 
-    /// Whether what waits of the request's flow takes more than its limit gives before it is given up.
+    /// Whether the waiting requests of the request's flow need more units than its rate limit admits until
+    /// the request is given up.
     fn over_limit(&mut self, now: Micros, id: RequestId) -> bool {
-        let (ix, time) = (self.requests[&id].flow, (self.requests[&id].give_up_at - now) as f64 / SECOND);
-        let (flow, share) = (&mut self.flows[ix], self.share);
+        let (flow_index, time) =
+            (self.requests[&id].flow, (self.requests[&id].give_up_at - now) as f64 / SECOND);
+        let (flow, share) = (&mut self.flows[flow_index], self.share);
         let available = flow.limit_available(now, share) + share * flow.plan.limit / flow.hosts * time;
-        let waiting = self.queues.of(ix).map(|id| &self.requests[id]).filter(|pending| !pending.drawn);
+        let waiting =
+            self.queues.of(flow_index).map(|id| &self.requests[id]).filter(|pending| !pending.limit_charged);
         flow.plan.limit > 0.0 && waiting.map(|pending| pending.units).sum::<f64>() > available
     }
 
+    /// Handles the end of an attempt: updates the flow, key and node, then ends, refuses or requeues the
+    /// request.
     pub(super) fn on_outcome(&mut self, now: Micros, outcome: Outcome, actions: &mut Vec<Action>) {
         let id = outcome.request;
         let Some(pending) = self.requests.get_mut(&id) else { return };
@@ -75,14 +84,15 @@
         if attempt.state != AttemptState::InFlight {
             return;
         }
-        let proves_idle = matches!(
+        let did_not_run = matches!(
             outcome.result,
             AttemptResult::Overloaded | AttemptResult::ConnectFailed | AttemptResult::NotSent
         );
-        attempt.state = if proves_idle { AttemptState::NotRun } else { AttemptState::MayHaveRun };
+        attempt.state = if did_not_run { AttemptState::NotRun } else { AttemptState::MayHaveRun };
         let (sent, node, units, key) = (attempt.sent, attempt.node, pending.units, pending.key);
-        // What was not written took nothing of its limit yet: sent later, it draws then.
-        pending.drawn &= !matches!(outcome.result, AttemptResult::ConnectFailed | AttemptResult::NotSent);
+        // A request that was not written uses none of its rate limit; it is charged when it is sent again.
+        pending.limit_charged &=
+            !matches!(outcome.result, AttemptResult::ConnectFailed | AttemptResult::NotSent);
         let flow = &mut self.flows[pending.flow];
         flow.fair.completed();
         if outcome.result == AttemptResult::Served {
@@ -110,7 +120,8 @@
         }
     }
 
-    /// The request goes on at this attempt only, whose silence tells nothing of its node any more.
+    /// Handles the start of an attempt's answer: the request gets no other attempt, and this attempt's
+    /// silence no longer counts against its node.
     pub(super) fn on_began(&mut self, id: RequestId, attempt: usize) {
         let Some(pending) = self.requests.get_mut(&id) else { return };
         pending.streaming = true;
@@ -119,28 +130,31 @@
         mark.into_iter().for_each(|mark| mark.streaming = true);
     }
 
-    /// What never got a turn in the first part of its client's time is given up: late, it would earn little.
-    /// When that time is all but up, what has nothing out gets its final answer, the rest its time-out.
+    /// Handles a request's timers. A request that no node may have run by `give_up_at` is refused: a late
+    /// answer would earn little. At `answer_by` a request with nothing in flight gets its final answer;
+    /// attempts in flight time out.
     pub(super) fn on_deadline(&mut self, now: Micros, id: RequestId, actions: &mut Vec<Action>) {
         let Some(pending) =
             self.requests.get(&id).filter(|pending| !pending.over && !pending.has_attempt_in_flight())
         else {
             return;
         };
-        let unsent = pending.attempts.iter().all(|a| a.state == AttemptState::NotRun);
-        if now >= pending.answer_by || unsent && now >= pending.give_up_at {
+        let never_ran = pending.attempts.iter().all(|a| a.state == AttemptState::NotRun);
+        if now >= pending.answer_by || never_ran && now >= pending.give_up_at {
             self.finish(now, id, actions);
         }
     }
 
+    /// Refuses the request if a retry of the client is retry_is_safe, otherwise fails it, and ends it.
     fn finish(&mut self, now: Micros, id: RequestId, actions: &mut Vec<Action>) {
         let Some(pending) = self.requests.get(&id) else { return };
         let class = &self.settings.classes[pending.class];
-        let harmless = pending.first_that_may_have_run().is_none()
+        let retry_is_safe = pending.first_that_may_have_run().is_none()
             || class.repeats == Repeats::Safe
             || class.repeats == Repeats::Keyed && class.scope == Scope::All;
-        actions.push(if harmless {
-            // As late as clients honour: what was given up found no turn in many answer times.
+        actions.push(if retry_is_safe {
+            // The longest delay that clients honour: the request found no free token for many times the
+            // latency.
             Action::Refuse { request: id, retry_in: self.settings.max_retry_after.unwrap_or(0) }
         } else {
             Action::Fail { request: id }
@@ -148,7 +162,7 @@
         self.end(now, id);
     }
 
-    /// The request is over; it is forgotten once nothing of it is out.
+    /// Ends the request. It is removed once none of its attempts is in flight.
     pub(super) fn end(&mut self, now: Micros, id: RequestId) {
         self.dequeue(now, id);
         let Some(pending) = self.requests.get_mut(&id) else { return };
@@ -165,12 +179,14 @@
         self.requests.remove(&id);
     }
 
+    /// Adds the request to its flow's queue.
     fn enqueue(&mut self, id: RequestId) {
         let pending = &self.requests[&id];
         self.queues.insert(pending.destination, pending.flow, (pending.serial, id));
         self.flows[pending.flow].fair.enqueued();
     }
 
+    /// Removes the request from its flow's queue, if it is queued.
     pub(super) fn dequeue(&mut self, now: Micros, id: RequestId) {
         let Some(pending) = self.requests.get(&id) else { return };
         if self.queues.remove(pending.destination, pending.flow, (pending.serial, id)) {
--- a/src/state.rs
+++ b/src/state.rs
@@ -1,30 +1,35 @@
-//! The state of the scheduling policy: flows, pending requests, nodes, and the token buckets and queues that they are made
-//! of. Decisions on it are in `policy`.
+//! The state of the scheduling policy: flows, pending requests and nodes, with their token buckets and
+//! queues. The decisions are in `policy`.
 
 use crate::interface::*;
 use fair_queue::FlowState;
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 
+/// Microseconds in a second.
 pub const SECOND: f64 = 1e6;
 /// The weight of one answer in a node's moving averages.
 pub const EWMA_WEIGHT: f64 = 0.125;
-/// A queue of this many requests or more tells how long each of them takes; a shorter one is noise.
-const MIN_TELLING_QUEUE: f64 = 4.0;
-/// How fast a queue of which nothing is heard is taken to shrink, in time worked off for each time passed.
+/// The latency per queued request is measured on queues of at least this length; shorter ones are too noisy.
+const MIN_MEASURED_QUEUE: f64 = 4.0;
+/// How fast a queue is assumed to shrink without new reports: microseconds of wait per microsecond passed.
 const QUEUE_DECAY: f64 = 0.5;
 
+/// The index of a flow in the policy's list of flows.
 pub type FlowIndex = usize;
-/// Where a request may be served: the node of a shard, or (`None`, a new object) any node.
+/// Where a request may be served: at the node of a shard or, for a new object (`None`), at any node.
 pub type Destination = Option<u16>;
 
-/// A token bucket: it fills at a rate up to a cap.
+/// A token bucket that fills at a rate up to a cap.
 #[derive(Debug, Default)]
 pub struct TokenBucket {
+    /// The units in the bucket at time `at`.
     pub level: f64,
+    /// When the bucket was last filled.
     pub at: Micros,
 }
 
 impl TokenBucket {
+    /// Fills the bucket up to now, at `rate` units per second and up to `cap`, and returns its level.
     pub fn fill(&mut self, now: Micros, rate: f64, cap: f64) -> f64 {
         self.level = (self.level + rate * (now - self.at) as f64 / SECOND).min(cap);
         self.at = now;
@@ -32,63 +37,72 @@
     }
 }
 
-/// A running mean of units a second, of what came before the latest.
+/// A moving mean of units per second that leaves out the latest arrival.
 #[derive(Debug, Default)]
 pub struct Rate {
     sum: f64,
     latest: f64,
-    /// When the latest came.
+    /// When the latest units arrived.
     pub at: Micros,
 }
 
 impl Rate {
-    /// The mean's memory, and the least time that it is taken over: a burst is no rate.
+    /// The time constant of the mean, microseconds.
     const SPAN: f64 = 10.0 * SECOND;
-    const LEAST: f64 = 2.0 * SECOND;
+    /// The shortest time that the mean is taken over, microseconds, so that a burst doesn't count as a rate.
+    const MIN_SPAN: f64 = 2.0 * SECOND;
 
+    /// Adds units that arrived now.
     pub fn add(&mut self, now: Micros, units: f64) {
-        let faded = (-((now - self.at) as f64) / Self::SPAN).exp();
-        (self.sum, self.latest, self.at) = ((self.sum + self.latest) * faded, units, now);
+        let decay = (-((now - self.at) as f64) / Self::SPAN).exp();
+        (self.sum, self.latest, self.at) = ((self.sum + self.latest) * decay, units, now);
     }
 
-    /// Counted from `start` on. Without the latest, which did not come at any time but just now.
-    pub fn before(&self, now: Micros, start: Micros) -> f64 {
-        let faded = |since| (-((now - since) as f64) / Self::SPAN).exp();
-        self.sum * faded(self.at) * SECOND / (Self::SPAN * (1.0 - faded(start))).max(Self::LEAST)
+    /// The mean in units per second since `start`, without the latest arrival: that one is why the mean is
+    /// asked for, and would raise it.
+    pub fn before_latest(&self, now: Micros, start: Micros) -> f64 {
+        let decay = |since| (-((now - since) as f64) / Self::SPAN).exp();
+        self.sum * decay(self.at) * SECOND / (Self::SPAN * (1.0 - decay(start))).max(Self::MIN_SPAN)
     }
 }
 
-/// One volume at this host.
+/// The state of one volume at this host.
 #[derive(Debug, Default)]
 pub struct Flow {
     pub plan: Plan,
     pub plan_number: usize,
+    /// The number of hosts that the volume's requests come through.
     pub hosts: f64,
-    /// Its virtual time and activity.
+    /// The flow's virtual time and activity.
     pub fair: FlowState,
+    /// The bucket of the volume's rate limit.
     pub limit: TokenBucket,
+    /// The bucket of the volume's reserve.
     pub reserve: TokenBucket,
-    /// Units a second served here, and by the reports elsewhere.
+    /// Units per second served through this host, as of `own_use_at`.
     pub own_use: f64,
     pub own_use_at: Micros,
+    /// Units per second served through other hosts, by the reports of use; `None` without a report.
     pub elsewhere: Option<f64>,
 }
 
 impl Flow {
-    /// Weight of one report of use in the estimate of what the volume gets elsewhere, and the time over which
-    /// this host's own part is averaged, in use periods.
-    const USE_LEARN: f64 = 0.3;
+    /// The weight of one report of use in the estimate of what the volume gets through other hosts.
+    const USE_WEIGHT: f64 = 0.3;
+    /// The time over which this host's own use is averaged, in use periods.
     const USE_PERIODS: f64 = 1.5;
 
-    /// Units of the volume's limit that this host may draw now: it keeps an even part of rate and burst.
+    /// The units that the volume's rate limit admits at this host now. Each host gets an even part of rate
+    /// and burst.
     pub fn limit_available(&mut self, now: Micros, share: f64) -> f64 {
         let hosts = self.hosts / share;
         self.limit.fill(now, self.plan.limit / hosts, self.plan.limit_burst / hosts)
     }
 
-    /// The part of the volume's reserve that is this host's to use: what the others leave by the reports of
-    /// use, an even part at least. Without reports it is the whole: underrating the host that leads a
-    /// volume's traffic costs more than overrating the others.
+    /// This host's part of the volume's reserve, units per second: what other hosts leave unused by the
+    /// reports of use, but at least an even part. Without reports it is the reserve divided by the square
+    /// root of the number of hosts, more than an even part: too little at the host with most of a volume's
+    /// traffic costs more than too much at the others.
     pub fn reserve_rate(&self) -> f64 {
         let reserve = self.plan.reserve;
         match self.elsewhere {
@@ -97,30 +111,36 @@
         }
     }
 
-    /// Notes what the volume got here and, where the answer tells its whole use, what it gets elsewhere.
+    /// Records units served through this host and, if the answer reports the volume's total use, what is
+    /// served through other hosts.
     pub fn observe_use(&mut self, now: Micros, units: f64, used: Option<f64>, period: f64) {
         let span = Self::USE_PERIODS * if period > 0.0 { period } else { SECOND };
-        let faded = (-((now - self.own_use_at) as f64) / span).exp();
-        self.own_use = self.own_use * faded + units * SECOND / span;
+        let decay = (-((now - self.own_use_at) as f64) / span).exp();
+        self.own_use = self.own_use * decay + units * SECOND / span;
         self.own_use_at = now;
         if let Some(used) = used {
             let elsewhere = (used * self.plan.rate - self.own_use).max(0.0);
             let before = self.elsewhere.unwrap_or(elsewhere);
-            self.elsewhere = Some(before + Self::USE_LEARN * (elsewhere - before));
+            self.elsewhere = Some(before + Self::USE_WEIGHT * (elsewhere - before));
         }
     }
 }
 
+/// What is known of an attempt.
 #[derive(Debug, PartialEq, Clone, Copy)]
 pub enum AttemptState {
+    /// Sent and not ended.
     InFlight,
+    /// Ended, and the node did not run it.
     NotRun,
+    /// Ended, and the node may have run it.
     MayHaveRun,
 }
 
+/// One attempt of a request.
 #[derive(Debug)]
 pub struct Attempt {
-    /// The node, and where it stands: it may be gone before the request is.
+    /// The node, with its zone and shard: the node may be removed before the request ends.
     pub node: NodeId,
     pub zone: u16,
     pub shard: u16,
@@ -128,86 +148,111 @@
     pub state: AttemptState,
 }
 
+/// A request without a final answer, or with attempts in flight.
 #[derive(Debug)]
 pub struct PendingRequest {
     pub flow: FlowIndex,
     pub destination: Destination,
     pub class: usize,
+    /// The key, if the request's class is ordered; otherwise 0.
     pub key: u64,
     pub units: f64,
     /// Order of arrival at this host.
     pub serial: u64,
+    /// When the latency target ends.
     pub target_at: Micros,
+    /// When the request gets its final answer at the latest.
     pub answer_by: Micros,
-    /// Without any attempt that may have run by then, it is given up.
+    /// When the request is given up if no attempt may have run by then.
     pub give_up_at: Micros,
+    /// The request is within its volume's reserve.
     pub reserved: bool,
-    pub drawn: bool,
+    /// The rate limit was charged for the request.
+    pub limit_charged: bool,
+    /// The answer of an attempt has begun.
     pub streaming: bool,
-    /// As it was when it came.
+    /// The setting at the time of the request's arrival.
     pub max_attempts: u32,
+    /// The request has its final answer, or its client left.
     pub over: bool,
     pub attempts: Vec<Attempt>,
 }
 
 impl PendingRequest {
+    /// Whether an attempt is in flight.
     pub fn has_attempt_in_flight(&self) -> bool {
         self.attempts.iter().any(|a| a.state == AttemptState::InFlight)
     }
 
+    /// The first attempt that may have run, including one in flight.
     pub fn first_that_may_have_run(&self) -> Option<&Attempt> {
         self.attempts.iter().find(|a| a.state != AttemptState::NotRun)
     }
 }
 
-/// What became of later requests while one is out: how many were answered, and whether it was called off.
+/// The state of one attempt in flight at a node.
 #[derive(Debug, Default)]
 pub struct InFlightMark {
+    /// The number of later requests that the node has answered.
     pub overtaken: u32,
+    /// The attempt was cancelled because it is lost.
     pub cancelled: bool,
-    /// Some of its request or answer is on its way: it may take as long as it does.
+    /// The request's body or the answer is being streamed, which may take any time.
     pub streaming: bool,
 }
 
+/// A storage node as this host knows it.
 #[derive(Debug)]
 pub struct Node {
     pub zone: u16,
     pub shard: u16,
+    /// The node takes requests.
     pub ready: bool,
-    /// Off the list: forgotten once nothing is out there.
+    /// The node is off the list, and dropped once it has nothing in flight.
     pub removed: bool,
+    /// The time of its last start, as listed; 0: long ago.
     pub started: Micros,
+    /// The number of tokens that this process has at the node.
     pub depth: f64,
-    /// What is out, oldest first.
+    /// The attempts in flight, oldest first.
     pub in_flight: BTreeMap<(Micros, RequestId), InFlightMark>,
     /// When the node last answered a request.
     pub last_answer_at: Micros,
-    /// Running means of an answer's time and units, and the best time for a unit.
+    /// Moving mean of the latency, microseconds.
     pub latency: f64,
+    /// Moving mean of the units of an answer.
     pub units: f64,
-    pub best: f64,
+    /// The lowest recent latency per unit, microseconds.
+    pub best_latency_per_unit: f64,
+    /// The node gets no work before this.
     pub ejected_until: Micros,
+    /// Since when the node has been silent, if it is unresponsive.
     pub unresponsive_since: Option<Micros>,
-    /// Connections that did not come up, and attempts that timed out, since its last answer.
+    /// Failed connections and attempts that timed out since the node's last answer.
     pub failures: u32,
+    /// When slow start began, if it has not ended.
     pub slow_start_since: Option<Micros>,
+    /// Time and units of recent sends during slow start.
     pub slow_start_sends: VecDeque<(Micros, f64)>,
-    /// What this host has saved up of its part of what a cold node bears.
+    /// This host's unused part of the node's capacity during slow start.
     pub slow_start_credit: TokenBucket,
-    /// Time to work off the node's own queue as last told by the node or another host, when that was heard,
-    /// when it was last passed on or asked for, and the time that each queued request takes.
+    /// The wait in the node's queue as last reported by the node or another host, microseconds.
     pub queue_wait: f64,
+    /// When `queue_wait` was reported.
     pub queue_wait_at: Micros,
+    /// When the queue was last reported to or by other hosts, or probed.
     pub queue_view_at: Micros,
+    /// The latency per queued request, microseconds.
     pub latency_per_queued: f64,
+    /// The fraction of hosts that may send work outside the reserve, as of `admitted_at`.
     pub admitted_fraction: f64,
     pub admitted_at: Micros,
-    /// A probe is out since then.
-    pub asked: Option<Micros>,
+    /// When the probe in flight was sent, if there is one.
+    pub probe_sent_at: Option<Micros>,
 }
 
 impl Node {
-    /// A node that the list has just named, with nothing out and nothing known.
+    /// Creates a newly listed node, with nothing in flight and no estimates.
     pub fn new(entry: &NodeEntry, now: Micros, depth: f64) -> Self {
         Node {
             zone: entry.zone,
@@ -220,7 +265,7 @@
             last_answer_at: 0,
             latency: 0.0,
             units: 0.0,
-            best: 0.0,
+            best_latency_per_unit: 0.0,
             ejected_until: 0,
             unresponsive_since: None,
             failures: 0,
@@ -233,49 +278,53 @@
             latency_per_queued: 0.0,
             admitted_fraction: 1.0,
             admitted_at: now,
-            asked: None,
+            probe_sent_at: None,
         }
     }
 }
 
 impl Node {
-    /// How long a request sent now would wait in the node's own queue.
+    /// How long a request sent now would wait in the node's own queue, microseconds.
     pub fn queue_wait(&self, now: Micros) -> f64 {
         (self.queue_wait - QUEUE_DECAY * (now - self.queue_wait_at) as f64).max(0.0)
     }
 
-    /// What a queue of so many requests tells, with the time that an answer behind it took.
-    pub fn observe_queue(&mut self, now: Micros, queue: f64, latency: Option<f64>, usual: f64) {
-        let idle = self.best * self.units;
-        if let Some(latency) = latency.filter(|_| queue >= MIN_TELLING_QUEUE) {
-            let each = (latency - idle).max(0.0) / queue;
+    /// Records a report of `queue` queued requests, with the latency of the answer that waited behind them.
+    /// `typical` is the latency per queued request of other nodes, used where this node's is unknown.
+    pub fn observe_queue(&mut self, now: Micros, queue: f64, latency: Option<f64>, typical: f64) {
+        let idle = self.best_latency_per_unit * self.units;
+        if let Some(latency) = latency.filter(|_| queue >= MIN_MEASURED_QUEUE) {
+            let per_request = (latency - idle).max(0.0) / queue;
             self.latency_per_queued += if self.latency_per_queued > 0.0 {
-                EWMA_WEIGHT * (each - self.latency_per_queued)
+                EWMA_WEIGHT * (per_request - self.latency_per_queued)
             } else {
-                each
+                per_request
             };
         }
-        let each =
-            [self.latency_per_queued, idle / 2.0, usual].into_iter().find(|each| *each > 0.0).unwrap_or(0.0);
-        (self.queue_wait, self.queue_wait_at) = (queue * each, now);
+        let per_request = [self.latency_per_queued, idle / 2.0, typical]
+            .into_iter()
+            .find(|per_request| *per_request > 0.0)
+            .unwrap_or(0.0);
+        (self.queue_wait, self.queue_wait_at) = (queue * per_request, now);
     }
 
-    /// It gets no work now, or one request at a time.
+    /// Whether the node gets no work now, or only one request at a time.
     pub fn avoided(&self, now: Micros) -> bool {
         !self.ready || self.unresponsive_since.is_some() || self.ejected_until > now
     }
 }
 
-/// The flows' queues, one for each place; in each the requests by their order of arrival.
+/// The flows' queues, one for each flow and destination, each in order of arrival.
 #[derive(Debug, Default)]
 pub struct Queues(BTreeMap<(Destination, FlowIndex), BTreeSet<(u64, RequestId)>>);
 
 impl Queues {
+    /// Adds a request, given by its order of arrival and id.
     pub fn insert(&mut self, destination: Destination, flow: FlowIndex, request: (u64, RequestId)) {
         self.0.entry((destination, flow)).or_default().insert(request);
     }
 
-    /// Whether it was there.
+    /// Removes a request, and returns whether it was queued.
     pub fn remove(&mut self, destination: Destination, flow: FlowIndex, request: (u64, RequestId)) -> bool {
         let Some(queue) = self.0.get_mut(&(destination, flow)) else { return false };
         let removed = queue.remove(&request);
@@ -285,20 +334,22 @@
         removed
     }
 
+    /// Whether no request is queued.
     pub fn is_empty(&self) -> bool {
         self.0.is_empty()
     }
 
+    /// All queues that are not empty.
     pub fn iter(&self) -> impl Iterator<Item = (Destination, FlowIndex, &BTreeSet<(u64, RequestId)>)> {
         self.0.iter().map(|((destination, flow), queue)| (*destination, *flow, queue))
     }
 
-    /// What waits of one flow, at all places.
+    /// The queued requests of one flow, for all destinations.
     pub fn of(&self, flow: FlowIndex) -> impl Iterator<Item = &RequestId> {
         self.iter().filter(move |(_, of, _)| *of == flow).flat_map(|(.., queue)| queue).map(|(_, id)| id)
     }
 
-    /// The queues at one place.
+    /// The queues for one destination.
     pub fn at(
         &self,
         destination: Destination,
@@ -314,18 +365,19 @@
 pub struct KeyQueue {
     /// Pending requests in order of arrival; only the first may be sent.
     pub queue: VecDeque<RequestId>,
-    /// No request is sent before this: an earlier attempt may still run.
+    /// No request is sent before this, because an earlier attempt may still run.
     pub blocked_until: Micros,
 }
 
-pub fn forget(times: &mut VecDeque<Micros>, now: Micros, window: Micros) {
+/// Drops times that are more than `window` ago.
+pub fn drop_expired(times: &mut VecDeque<Micros>, now: Micros, window: Micros) {
     while times.front().is_some_and(|t| t + window < now) {
         times.pop_front();
     }
 }
 
-/// A number from 0 to 1 that looks random and differs by host and thing.
-pub fn hash_fraction(seed: u64, thing: u64) -> f64 {
-    let mixed = (seed ^ thing.wrapping_mul(0x9e37_79b9_7f4a_7c15)).wrapping_mul(0xbf58_476d_1ce4_e5b9);
+/// A pseudo-random number from 0 to 1, determined by the host's seed and a value.
+pub fn hash_fraction(seed: u64, value: u64) -> f64 {
+    let mixed = (seed ^ value.wrapping_mul(0x9e37_79b9_7f4a_7c15)).wrapping_mul(0xbf58_476d_1ce4_e5b9);
     ((mixed ^ (mixed >> 31)).wrapping_mul(0x94d0_49bb_1331_11eb) >> 11) as f64 / (1u64 << 53) as f64
 }
