--- a/tests/allocations.rs
+++ b/tests/allocations.rs
@@ -1,4 +1,5 @@
-//! Writing a line and putting it on its queue allocates nothing once the buffers have their sizes.
+//! Writing an event-log line and queueing it allocates nothing once the buffers have grown to their final
+//! size.
 
 #![allow(clippy::unwrap_used, clippy::expect_used, reason = "a test fails by a panic")]
 
@@ -27,7 +28,7 @@
             line.parameter("odd", &"a]\"\\\u{e9}\n");
             line.end(&"");
             queue.push(u64::from(i), severity, "REQUEST", buffer.as_bytes());
-            // A reader that falls behind now and then: some lines are dropped for want of room.
+            // The reader falls behind now and then, so that a full queue drops some lines.
             if i % 3 != 0 {
                 queue.pop(&mut out);
             }
--- a/tests/common/mod.rs
+++ b/tests/common/mod.rs
@@ -1,10 +1,12 @@
-//! A small world for tests of the module alone: settings, a list of nodes, and a recorder of actions.
-#![allow(dead_code)] // each test file uses its own part
+//! Helpers for tests of the policy alone: settings, node lists, and a host that records the policy's actions.
+#![allow(dead_code)] // no test file uses all of it
 
 use pathbank::interface::*;
 use pathbank::{Action, Event, Policy};
 
+/// A millisecond.
 pub const MS: Micros = 1_000;
+/// A second.
 pub const S: Micros = 1_000_000;
 
 pub fn class(repeats: Repeats) -> Class {
@@ -48,7 +50,7 @@
     NodeEntry { node: id, zone: 0, shard, state: NodeState::Ready, started: 0 }
 }
 
-/// A policy, its clock, and every action it took.
+/// A policy, its clock, and all actions that it took.
 pub struct Host {
     pub policy: Policy,
     pub now: Micros,
@@ -67,7 +69,7 @@
         self.policy.handle(self.now, event, &mut self.actions);
     }
 
-    /// Time passes; the module's timers are stood in for by one look.
+    /// Advances the clock and has the policy recheck its queues once, in place of its own timers.
     pub fn wait(&mut self, time: Micros) {
         self.now += time;
         self.event(Event::Timer { token: u64::MAX });
--- a/tests/mechanism.rs
+++ b/tests/mechanism.rs
@@ -1,4 +1,4 @@
-//! The ordinary path of MQFQ-Sticky, on the module alone.
+//! Tests of MQFQ-Sticky dispatch, on the policy alone.
 
 #![allow(clippy::unwrap_used, clippy::expect_used, reason = "a test fails by a panic")]
 
@@ -7,11 +7,12 @@
 use pathbank::Event;
 use pathbank::interface::*;
 
-fn plain() -> Host {
+/// A host with one class and one node.
+fn one_node_host() -> Host {
     Host::new(settings(vec![class(Repeats::Safe)]), vec![node(10, 1)])
 }
 
-/// Fills the node's tokens with requests of volume 1 and returns how many it took.
+/// Fills the node's tokens with requests of volume 1, from id 1000 on, and returns their number.
 fn fill(host: &mut Host) -> u64 {
     let mut id = 1000;
     loop {
@@ -25,8 +26,8 @@
 }
 
 #[test]
-fn a_host_has_few_requests_out_at_a_node() {
-    let mut host = plain();
+fn a_host_has_few_requests_in_flight_at_a_node() {
+    let mut host = one_node_host();
     for id in 1..=30 {
         host.arrive(id, |_| {});
     }
@@ -35,7 +36,7 @@
 
 #[test]
 fn a_free_token_goes_to_the_oldest_request_of_the_longest_queue() {
-    let mut host = plain();
+    let mut host = one_node_host();
     fill(&mut host);
     host.arrive(1, |r| r.volume = 2);
     for id in 2..=4 {
@@ -46,8 +47,8 @@
 }
 
 #[test]
-fn a_throttled_flow_gives_way_and_a_free_token_never_idles() {
-    let mut host = plain();
+fn a_throttled_flow_yields_but_still_uses_otherwise_free_tokens() {
+    let mut host = one_node_host();
     let mut served = 0;
     for id in 1..=60 {
         host.arrive(id, |r| r.volume = 1);
@@ -59,7 +60,7 @@
         served += 1;
         assert!(served < 20, "the long queue is never throttled");
     }
-    // Only the throttled flow is left: its work goes on all the same.
+    // Only the throttled flow is left: its requests are still sent.
     while served < 30 {
         let (id, node) = host.sends()[served];
         host.outcome(id, 0, node, AttemptResult::Served);
@@ -68,7 +69,7 @@
 }
 
 #[test]
-fn backlogged_flows_get_service_by_weight() {
+fn backlogged_flows_are_served_by_weight() {
     let mut unequal = settings(vec![class(Repeats::Safe)]);
     unequal.plans[1].limit = 0.0;
     unequal.plans[0].reserve = 0.0;
@@ -86,7 +87,7 @@
 }
 
 #[test]
-fn a_flow_that_returns_from_idle_claims_no_lost_time() {
+fn a_flow_that_was_idle_gets_no_service_for_the_time_it_missed() {
     let patient = Class { target: 40 * S, ..class(Repeats::Safe) };
     let mut host = Host::new(settings(vec![patient]), vec![node(10, 1)]);
     host.arrive(1, |r| r.volume = 2);
@@ -124,8 +125,8 @@
 }
 
 #[test]
-fn late_work_takes_a_token_of_an_idle_node_once_its_slowness_is_old_news() {
-    let mut host = plain();
+fn late_work_takes_a_token_of_an_idle_node_once_its_last_slow_answer_is_old() {
+    let mut host = one_node_host();
     let served = |host: &mut Host, id, latency| {
         let result = AttemptResult::Served;
         let (used, load) = (None, Load::default());
@@ -141,16 +142,16 @@
     host.arrive(6, |_| {});
     served(&mut host, 6, 200 * MS);
     host.outcome(5, 0, 10, AttemptResult::Error);
-    assert_eq!(host.sent(5), 1, "a late repeat stands back from a node that has just answered slowly");
+    assert_eq!(host.sent(5), 1, "a late retry does not go to a node that has just answered slowly");
     host.wait(S / 2);
     assert_eq!(host.sent(5), 1, "and for the shortest target after that");
     host.wait(S / 2);
-    assert_eq!(host.sent(5), 2, "but not until its client's time is up");
+    assert_eq!(host.sent(5), 2, "but it is sent before its client's time is up");
 }
 
 #[test]
-fn late_work_does_not_stand_before_work_in_time() {
-    let mut host = plain();
+fn work_in_time_is_served_before_late_work() {
+    let mut host = one_node_host();
     let filled = fill(&mut host);
     for id in 1..=9 {
         host.arrive(id, |r| r.volume = 3);
@@ -161,11 +162,11 @@
         host.outcome(1000 + id, 0, 10, AttemptResult::Served);
     }
     let after = host.sends()[filled as usize].0;
-    assert_eq!(after, 20, "the late queue is longer, yet worth a hundredth");
+    assert_eq!(after, 20, "the late queue is longer, but worth a hundredth");
 }
 
 #[test]
-fn with_equal_tokens_new_objects_go_where_answers_come_soonest() {
+fn with_equal_tokens_new_objects_go_to_the_node_with_the_lowest_latency() {
     let mut host = Host::new(settings(vec![class(Repeats::Safe)]), vec![node(10, 1), node(11, 2)]);
     host.arrive(1, |r| r.shard = Some(1));
     host.arrive(2, |r| r.shard = Some(2));
@@ -187,7 +188,7 @@
 }
 
 #[test]
-fn what_is_gone_is_forgotten() {
+fn state_of_removed_nodes_and_idle_volumes_is_dropped() {
     let mut host = Host::new(settings(vec![Class { in_order: true, ..class(Repeats::Safe) }]), vec![]);
     let mut sizes = Vec::new();
     for round in 0..40 {
@@ -206,8 +207,8 @@
 }
 
 #[test]
-fn a_volume_that_is_ahead_of_the_others_is_not_forgotten() {
-    let mut host = plain();
+fn a_volume_ahead_of_the_global_virtual_time_is_kept() {
+    let mut host = one_node_host();
     for id in 1..=20 {
         host.arrive(id, |r| r.volume = 1);
     }
@@ -221,29 +222,29 @@
 }
 
 #[test]
-fn a_silent_connection_does_not_keep_its_node_from_getting_more() {
+fn requests_on_a_silent_connection_do_not_block_their_node() {
     let patient = Class { target: 30 * S, ..class(Repeats::Safe) };
     let mut host = Host::new(settings(vec![patient]), vec![node(10, 1)]);
-    // However many it takes to fill the node: none is ever answered.
+    // None of the requests that fill the node is ever answered.
     fill(&mut host);
     for id in [1, 2] {
         host.arrive(id, |r| r.time_left = 40 * S);
     }
     assert_eq!((host.sent(1), host.sent(2)), (0, 0));
-    // In small steps: a host that stood still itself has not heard a silence.
+    // In small steps: a long one would count as a stall of the host itself, not as silence of the node.
     for _ in 0..60 {
         host.wait(25 * MS);
     }
-    assert_eq!(host.sent(1) + host.sent(2), 1, "one at a time goes on to a node that says nothing");
+    assert_eq!(host.sent(1) + host.sent(2), 1, "a silent node gets one request at a time");
     let id = if host.sent(1) == 1 { 1 } else { 2 };
     host.outcome(id, 0, 10, AttemptResult::Served);
     assert_eq!(host.sent(3 - id), 1);
 }
 
 #[test]
-fn broken_connections_do_not_rest_a_node_and_those_that_never_come_up_do() {
-    for (result, rests) in [(AttemptResult::Reset, false), (AttemptResult::ConnectFailed, true)] {
-        let mut host = plain();
+fn failed_connections_eject_a_node_and_broken_ones_do_not() {
+    for (result, ejects) in [(AttemptResult::Reset, false), (AttemptResult::ConnectFailed, true)] {
+        let mut host = one_node_host();
         host.arrive(1, |_| {});
         host.outcome(1, 0, 10, AttemptResult::Served);
         host.arrive(2, |_| {});
@@ -252,12 +253,12 @@
             host.wait(25 * MS);
         }
         host.arrive(3, |_| {});
-        assert_eq!(host.sent(3) == 0, rests, "{result:?}");
+        assert_eq!(host.sent(3) == 0, ejects, "{result:?}");
     }
 }
 
-/// A node says nothing to what fills its tokens, or refuses a connection: when it is tried again, in steps of
-/// 5 ms.
+/// Returns the time until a node is tried again, in steps of 5 ms: a node that refuses a connection or,
+/// otherwise, one that doesn't answer the requests that fill its tokens.
 fn tried_again_after(target: Micros, fall: Micros, refuses: bool) -> Micros {
     let class = Class { target, deadline: 4 * target, ..class(Repeats::Safe) };
     let mut host = Host::new(Settings { fall, ..settings(vec![class]) }, vec![node(10, 1)]);
@@ -270,31 +271,32 @@
             host.arrive(id, |r| r.time_left = time_left);
         }
     }
-    let (before, begun) = (host.sends().len(), host.now);
+    let (before, start) = (host.sends().len(), host.now);
     while host.sends().len() == before {
-        assert!(host.now < begun + 4 * target, "never in its client's time");
+        assert!(host.now < start + 4 * target, "the node was not tried again within the client's time");
         host.wait(5 * MS);
         host.arrive(100 + host.now / MS, |r| r.time_left = time_left);
     }
-    host.now - begun
+    host.now - start
 }
 
 #[test]
-fn a_silent_or_refusing_node_is_tried_again_while_its_clients_wait_on_every_site() {
-    // By the fall time where targets are long, by the shortest target where they are short.
+fn a_silent_or_refusing_node_is_tried_again_while_its_clients_wait() {
+    // The fall time decides where targets are long, the shortest target where they are short.
     for (target, fall, silent, refusing) in [
         (4 * S, S, 500 * MS, 250 * MS),
         (400 * MS, S, 500 * MS, 200 * MS),
         (60 * MS, 2 * S, 90 * MS, 30 * MS),
     ] {
-        for (refuses, wanted) in [(false, silent), (true, refusing)] {
+        for (refuses, expected) in [(false, silent), (true, refusing)] {
             let after = tried_again_after(target, fall, refuses);
-            assert!((wanted..=wanted + 15 * MS).contains(&after), "{target} {fall} {refuses}: {after}");
+            assert!((expected..=expected + 15 * MS).contains(&after), "{target} {fall} {refuses}: {after}");
         }
     }
 }
 
-/// One limited volume: 10 units a second, 20 at once, at one of two hosts: an even part is 5 and 10.
+/// Requests of one volume with a rate limit of 10 units per second and a burst of 20. An even part for one of
+/// two hosts is 5 and 10.
 fn limited(host: &mut Host, ids: std::ops::Range<u64>) {
     for id in ids {
         host.arrive(id, |r| (r.volume, r.plan, r.units) = (1, 1, 2.0));
@@ -302,10 +304,10 @@
 }
 
 #[test]
-fn what_a_limit_cannot_let_through_in_time_is_refused_at_once() {
+fn a_request_that_the_rate_limit_cannot_admit_in_time_is_refused_at_once() {
     let mut host = Host::new(settings(vec![class(Repeats::Safe)]), vec![node(10, 1), node(11, 2)]);
     host.wait(10 * S);
-    // Ten units are saved up, three more come before the rest would be given up.
+    // Ten units are available, and three more before the other requests would be given up.
     limited(&mut host, 1..12);
     let refused: Vec<u64> = (1..12).filter(|id| host.refused(*id)).collect();
     assert_eq!(refused, (7..12).collect::<Vec<_>>(), "{:?}", host.sends());
@@ -317,12 +319,13 @@
 }
 
 #[test]
-fn two_instances_of_a_host_have_one_hosts_part_of_a_limit() {
+fn two_processes_of_a_host_together_keep_to_its_part_of_a_rate_limit() {
     let fresh = || Host::new(settings(vec![class(Repeats::Safe)]), vec![node(10, 1)]);
     let (mut old, mut new) = (fresh(), fresh());
     let mut sent = Vec::new();
     for step in 0..200 {
-        // The old one's store is full when the new one comes, after 10 s; 3 s later the old one has gone.
+        // The old process's bucket is full when the new process starts, after 10 s; 3 s later the old one
+        // ends.
         match step {
             100 => [&mut old, &mut new]
                 .into_iter()
@@ -342,16 +345,20 @@
         }
         sent.push(2.0 * (old.sends().len() + new.sends().len()) as f64);
     }
-    // Within any time: the even part of the burst, and of the rate, and one request.
+    // Within any period: the even part of burst and rate, and one request.
     for (from, to) in (90..200).flat_map(|from| (from + 1..200).map(move |to| (from, to))) {
         let most = 10.0 + 5.0 * (to - from) as f64 / 10.0 + 2.0;
         assert!(sent[to] - sent[from] <= most, "{} units from {from} to {to}", sent[to] - sent[from]);
     }
-    assert!(sent[199] - sent[130] > 25.0, "the one that is left has all again: {}", sent[199] - sent[130]);
+    assert!(
+        sent[199] - sent[130] > 25.0,
+        "the remaining process has the host's whole part again: {}",
+        sent[199] - sent[130]
+    );
 }
 
 #[test]
-fn other_settings_hold_for_what_comes_and_not_for_what_is_open() {
+fn new_settings_apply_to_new_requests_and_not_to_pending_ones() {
     let mut host = Host::new(settings(vec![class(Repeats::Safe)]), vec![node(10, 1)]);
     host.arrive(1, |_| {});
     let changed =
@@ -367,12 +374,12 @@
 }
 
 #[test]
-fn a_limit_that_is_lowered_holds_for_what_waits_and_saves_nothing_up_twice() {
+fn a_lowered_rate_limit_applies_to_waiting_requests_and_empties_the_bucket() {
     for lowered in [false, true] {
         let mut host = Host::new(settings(vec![class(Repeats::Safe)]), vec![node(10, 1)]);
         host.wait(10 * S);
         let tokens = fill(&mut host);
-        // Ten units are saved up for them, and no token is free.
+        // Ten units are available for these requests, but no token is free.
         for id in 1..5 {
             host.arrive(id, |r| (r.volume, r.plan) = (9, 1));
         }
@@ -380,7 +387,7 @@
             let mut changed = settings(vec![class(Repeats::Safe)]);
             (changed.plans[1].limit, changed.plans[1].limit_burst) = (f64::MIN_POSITIVE, 0.0);
             host.event(Event::Settings(Box::new(changed)));
-            // Raised again at once: what was cut is gone, and is earned anew by the rate.
+            // Raised again at once: the units that were cut don't come back, the bucket fills at its rate.
             host.event(Event::Settings(Box::new(settings(vec![class(Repeats::Safe)]))));
         }
         for id in 0..tokens {
@@ -392,21 +399,22 @@
 }
 
 #[test]
-fn what_is_passed_on_may_take_as_long_as_it_does() {
+fn an_answer_that_has_begun_does_not_make_its_node_unresponsive() {
     for began in [false, true] {
         let mut host = Host::new(settings(vec![class(Repeats::Safe)]), vec![node(10, 1)]);
-        // More than the node has tokens for: the others wait.
+        // More requests than the node has tokens: the others wait.
         for id in 1..10 {
             host.arrive(id, |r| r.time_left = 60 * S);
         }
         for (request, _) in host.sends().into_iter().filter(|_| began) {
             host.event(Event::AnswerBegan { request, attempt: 0 });
         }
-        // In steps that are no stall of the host's own.
+        // In steps that are too short to count as a stall of the host itself.
         for _ in 0..100 {
             host.wait(40 * MS);
         }
-        let mute = host.actions.iter().any(|a| matches!(a, Action::Log(text) if text.contains("mute")));
-        assert_eq!((mute, host.policy.node_counts(host.now)), (!began, (1, usize::from(!began))));
+        let unresponsive =
+            host.actions.iter().any(|a| matches!(a, Action::Log(text) if text.contains("mute")));
+        assert_eq!((unresponsive, host.policy.node_counts(host.now)), (!began, (1, usize::from(!began))));
     }
 }
--- a/tests/rules.rs
+++ b/tests/rules.rs
@@ -1,4 +1,4 @@
-//! One test for each of the seven rules, and one for each guard beside them, on the module alone.
+//! Tests of the policy alone: one for each of the seven rules and for each further condition for sending.
 
 #![allow(clippy::unwrap_used, clippy::expect_used, reason = "a test fails by a panic")]
 
@@ -13,7 +13,7 @@
 }
 
 #[test]
-fn no_request_is_lost_and_nothing_goes_out_after_the_answer() {
+fn each_request_gets_one_final_answer_and_no_attempt_after_it() {
     let mut host = Host::new(settings(vec![class(Repeats::Safe)]), vec![]);
     host.arrive(1, |_| {});
     let timer = host.actions.iter().find_map(|a| match a {
@@ -32,7 +32,7 @@
 }
 
 #[test]
-fn what_found_no_turn_is_given_up_early_and_told_when_to_come_back() {
+fn an_unsent_request_is_refused_early_with_a_retry_time() {
     let with_hint = Settings { max_retry_after: Some(S), ..settings(vec![class(Repeats::Unsafe)]) };
     let mut host = Host::new(with_hint, vec![node(10, 1)]);
     host.arrive(1, |r| r.shard = Some(2));
@@ -43,22 +43,22 @@
     }
     assert!(host.actions.contains(&Action::Refuse { request: 1, retry_in: S }));
     assert_eq!(host.sent(2), 1);
-    assert!(!host.refused(2) && !host.failed(2), "a node has it");
+    assert!(!host.refused(2) && !host.failed(2), "a node is serving it");
 }
 
 #[test]
-fn what_is_out_at_the_deadline_fails_on_its_time_out() {
+fn an_attempt_in_flight_at_the_deadline_fails_when_it_times_out() {
     let mut host = Host::new(settings(vec![class(Repeats::Unsafe)]), vec![node(10, 1)]);
     host.arrive(1, |_| {});
     host.now += 4 * S;
     host.event(Event::Timer { token: 1 });
-    assert!(!host.failed(1) && !host.refused(1), "the time-out is still to come");
+    assert!(!host.failed(1) && !host.refused(1), "the attempt has not timed out yet");
     host.outcome(1, 0, 10, AttemptResult::TimedOut);
     assert!(host.failed(1) && !host.refused(1));
 }
 
 #[test]
-fn an_unsafe_request_that_may_have_run_is_not_repeated_nor_refused() {
+fn an_unsafe_request_that_may_have_run_is_neither_repeated_nor_refused() {
     let mut host = Host::new(settings(vec![class(Repeats::Unsafe)]), vec![node(10, 1)]);
     host.arrive(1, |_| {});
     host.outcome(1, 0, 10, AttemptResult::Reset);
@@ -68,11 +68,11 @@
     host.arrive(2, |_| {});
     host.outcome(2, 0, 10, AttemptResult::Overloaded);
     host.wait(3 * S);
-    assert_eq!(host.sent(2), 2, "'full' proves that it never ran");
+    assert_eq!(host.sent(2), 2, "an overloaded node did not run it");
 }
 
 #[test]
-fn a_keyed_repeat_stays_in_its_group_and_window() {
+fn a_keyed_repeat_stays_within_its_scope_and_window() {
     for (scope, stays) in [(Scope::All, true), (Scope::Zone, false)] {
         let keyed = Class { scope, ..class(Repeats::Keyed) };
         let mut host = Host::new(settings(vec![keyed]), vec![node(10, 1)]);
@@ -104,7 +104,7 @@
 }
 
 #[test]
-fn a_cold_node_gets_no_more_than_this_hosts_part_of_what_it_bears() {
+fn a_node_in_slow_start_gets_at_most_this_hosts_part_of_its_capacity() {
     let mut host = Host::new(settings(vec![class(Repeats::Safe)]), vec![]);
     let cold = NodeEntry { started: host.now, ..node(10, 1) };
     host.event(Event::Nodes { update: ListUpdate::Changes, nodes: vec![cold] });
@@ -114,11 +114,12 @@
             host.outcome(id, 0, 10, AttemptResult::Served);
         }
     }
-    // 8 units within the window from two hosts: two requests of two units are this one's part.
+    // The node serves 8 units within the window for two hosts: this host's part is two requests of two units.
     assert_eq!(host.sends().len(), 2);
 }
 
-/// A node goes silent with a request out, and a connection to it fails; the next one there is answered.
+/// Counts the requests sent after a silence: a node goes silent with request 1 in flight, then answers
+/// `first_answered`. If that is request 2, the connection of request 1 failed before.
 fn sends_after_silence(first_answered: RequestId) -> usize {
     let mut host = Host::new(settings(vec![class(Repeats::Safe)]), vec![node(10, 1)]);
     host.arrive(1, |_| {});
@@ -140,12 +141,12 @@
 }
 
 #[test]
-fn a_node_that_answers_anew_after_a_long_silence_counts_as_cold() {
+fn a_node_that_answers_a_new_request_after_a_long_silence_begins_slow_start() {
     assert!(sends_after_silence(2) <= 2);
 }
 
 #[test]
-fn a_node_that_still_knows_an_old_request_has_not_restarted() {
+fn a_node_that_answers_an_old_request_does_not_begin_slow_start() {
     assert_eq!(sends_after_silence(1), 18);
 }
 
@@ -158,33 +159,33 @@
         host.arrive(id, |_| {});
         host.outcome(id, 0, 10, AttemptResult::Served);
     }
-    let calls = |host: &Host| host.actions.iter().filter(|a| matches!(a, Action::Cancel { .. })).count();
+    let cancelled = |host: &Host| host.actions.iter().filter(|a| matches!(a, Action::Cancel { .. })).count();
     host.arrive(11, |_| {});
     host.arrive(12, |_| {});
     host.arrive(13, |_| {});
     host.wait(10 * MS);
-    assert_eq!(calls(&host), 1);
+    assert_eq!(cancelled(&host), 1);
     host.outcome(1, 0, 10, AttemptResult::Cancelled);
     host.outcome(11, 0, 10, AttemptResult::Served);
     host.outcome(12, 0, 10, AttemptResult::Served);
     host.wait(10 * MS);
     assert_eq!(host.sent(1), 2);
-    assert!(!host.actions.iter().any(|a| matches!(a, Action::Log(_))), "the node is not mute");
+    assert!(!host.actions.iter().any(|a| matches!(a, Action::Log(_))), "the node is not unresponsive");
 }
 
 #[test]
-fn a_host_that_stood_still_does_not_blame_its_nodes() {
+fn a_host_that_was_stalled_does_not_mark_its_nodes_unresponsive() {
     let mut host = Host::new(settings(vec![class(Repeats::Safe)]), vec![node(10, 1)]);
     for id in 1..=9 {
         host.arrive(id, |_| {});
     }
     host.now += 3 * S;
     host.arrive(10, |_| {});
-    assert!(!host.actions.iter().any(|a| matches!(a, Action::Log(_))), "the silence was this host's own");
+    assert!(!host.actions.iter().any(|a| matches!(a, Action::Log(_))), "this host itself was stalled");
 }
 
 #[test]
-fn keys_keep_their_order_and_rest_after_a_time_out() {
+fn requests_of_a_key_keep_their_order_and_wait_after_an_attempt_that_may_still_run() {
     let ordered = Class { in_order: true, ..class(Repeats::Safe) };
     let mut host =
         Host::new(Settings { order_settle: 500 * MS, ..settings(vec![ordered]) }, vec![node(10, 1)]);
@@ -195,16 +196,16 @@
     host.outcome(1, 0, 10, AttemptResult::Served);
     assert_eq!(host.sends(), [(1, 10), (2, 10)]);
     host.event(Event::ClientLeft { request: 2 });
-    assert_eq!(host.sent(3), 0, "an attempt of the one before is out");
+    assert_eq!(host.sent(3), 0, "an attempt of the previous request is in flight");
     host.outcome(2, 0, 10, AttemptResult::Cancelled);
     host.wait(400 * MS);
-    assert_eq!(host.sent(3), 0, "the key rests");
+    assert_eq!(host.sent(3), 0, "the key is blocked");
     host.wait(200 * MS);
     assert_eq!(host.sent(3), 1);
 }
 
 #[test]
-fn further_attempts_stay_within_the_budget() {
+fn retries_stay_within_the_budget() {
     let budget = Some(AttemptBudget { floor: 1.0, ratio: 0.5, window: 10 * S });
     let safe = settings(vec![class(Repeats::Safe)]);
     let mut host = Host::new(Settings { budget, ..safe }, vec![node(10, 1)]);
@@ -215,16 +216,16 @@
         host.outcome(id, 0, 10, AttemptResult::Error);
         host.outcome(id, 1, 10, AttemptResult::Error);
     }
-    // Two requests taken allow 1 + 0.5 x 2 extra attempts.
+    // Two accepted requests allow 1 + 0.5 x 2 retries.
     assert_eq!(host.sends().len(), 2 + 2);
 }
 
 #[test]
-fn a_hosts_part_of_a_limit_is_kept_and_starts_empty() {
+fn a_host_keeps_to_its_part_of_a_rate_limit_and_starts_with_an_empty_bucket() {
     let mut host = Host::new(settings(vec![class(Repeats::Safe)]), vec![node(10, 1)]);
     let start = host.now;
     host.arrive(1, |r| (r.volume, r.plan) = (5, 1));
-    assert!(host.sends().is_empty(), "what a former life spent is not known");
+    assert!(host.sends().is_empty(), "use before the start is unknown");
     for id in 2.. {
         if host.now >= start + 3 * S {
             break;
@@ -234,33 +235,34 @@
         for (id, node) in host.sends() {
             host.outcome(id, 0, node, AttemptResult::Served);
         }
-        // Half of 10 units a second, as two hosts share the volume.
+        // Half of 10 units per second, because two hosts share the volume.
         let units = 2.0 * host.sends().len() as f64;
         assert!(units <= 5.0 * (host.now - start) as f64 / S as f64 + 1e-6);
     }
     assert!(host.sends().len() >= 7);
 }
 
-/// A request takes its units once it is written whole, and an attempt whose connection does not come up never
-/// was: what it drew must not come on top of what has filled up by the time at which it is sent again.
+/// A request is charged to the rate limit once it is written completely. An attempt whose connection failed
+/// was not written: its earlier charge must not be used in addition to the units that are available when the
+/// request is sent again.
 #[test]
-fn a_limit_is_kept_where_connections_do_not_come_up_for_a_while() {
+fn a_rate_limit_holds_while_connections_fail() {
     for (limit, nodes, outage) in
         [(10.0, 1, S), (40.0, 1, S), (40.0, 4, S), (40.0, 4, 3 * S), (100.0, 2, 2 * S)]
     {
-        let mut held = settings(vec![Class { deadline: 5 * S, target: S, ..class(Repeats::Safe) }]);
-        (held.hosts, held.plans[1].limit, held.plans[1].limit_burst) = (1, limit, 16.0);
+        let mut limited = settings(vec![Class { deadline: 5 * S, target: S, ..class(Repeats::Safe) }]);
+        (limited.hosts, limited.plans[1].limit, limited.plans[1].limit_burst) = (1, limit, 16.0);
         let list = (0..nodes).map(|n| node(10 + n, n as u16)).collect();
-        let mut host = Host::new(held, list);
-        let (start, mut id, mut told) = (host.now, 0, 0);
-        // What the operators' own store has: full at first, and never more than that.
-        let (mut store, mut at, mut least) = (16.0_f64, start, 16.0_f64);
+        let mut host = Host::new(limited, list);
+        let (start, mut id, mut seen) = (host.now, 0, 0);
+        // The operators' own token bucket: full at first.
+        let (mut bucket, mut at, mut lowest) = (16.0_f64, start, 16.0_f64);
         let mut due: Vec<(Micros, RequestId, u32, NodeId, AttemptResult)> = Vec::new();
         let mut attempts = std::collections::BTreeMap::<RequestId, u32>::new();
         let mut counted = std::collections::BTreeSet::new();
         while host.now < start + 12 * S {
             host.wait(5 * MS);
-            // Three times what the limit lets through.
+            // Three times the rate limit arrives.
             if ((host.now - start) / (5 * MS)).is_multiple_of(4) {
                 for _ in 0..(limit * 3.0 * 0.02 / 2.0).ceil() as u64 {
                     id += 1;
@@ -275,28 +277,29 @@
             for (_, id, attempt, node, result) in over {
                 host.outcome(id, attempt, node, result);
             }
-            let sends = host.sends()[told..].to_vec();
-            told += sends.len();
+            let sends = host.sends()[seen..].to_vec();
+            seen += sends.len();
             for (id, node) in sends {
                 let attempt = attempts.entry(id).or_default();
-                // From its second second on nothing comes up for a while.
-                let out = (start + 2 * S..start + 2 * S + outage).contains(&host.now);
-                let (after, result) = if out {
+                // After two seconds, all connections fail during the outage.
+                let outage_now = (start + 2 * S..start + 2 * S + outage).contains(&host.now);
+                let (after, result) = if outage_now {
                     (250 * MS, AttemptResult::ConnectFailed)
                 } else {
                     (20 * MS, AttemptResult::Served)
                 };
                 due.push((host.now + after, id, *attempt, node, result));
                 *attempt += 1;
-                if !out && counted.insert(id) {
-                    store = (store + limit * (host.now - at) as f64 / S as f64).min(16.0) - 2.0;
-                    (at, least) = (host.now, least.min(store));
+                if !outage_now && counted.insert(id) {
+                    bucket = (bucket + limit * (host.now - at) as f64 / S as f64).min(16.0) - 2.0;
+                    (at, lowest) = (host.now, lowest.min(bucket));
                 }
             }
         }
-        // The slack of the rule: one of the largest requests, and what the limit allows in 150 ms.
+        // The rule's tolerance: one request of the largest size and the units that the limit allows in 150
+        // ms.
         let slack = 4.0 + 0.15 * limit;
-        assert!(least >= -slack, "{limit} {nodes} {outage}: {least} of -{slack}");
+        assert!(lowest >= -slack, "{limit} {nodes} {outage}: {lowest} of -{slack}");
         assert!(counted.len() >= 50, "{limit} {nodes} {outage}: only {} were served", counted.len());
     }
 }
@@ -314,7 +317,7 @@
 }
 
 #[test]
-fn odd_but_legal_events_change_nothing() {
+fn unexpected_but_valid_events_have_no_effect() {
     let mut host = Host::new(settings(vec![class(Repeats::Safe)]), vec![node(10, 1)]);
     host.arrive(1, |r| (r.units, r.volume_hosts) = (0.0, f64::NAN));
     host.outcome(1, 0, 10, AttemptResult::Served);
@@ -328,7 +331,7 @@
 }
 
 #[test]
-fn a_node_that_refuses_connections_is_left_alone_for_a_while() {
+fn a_node_that_refuses_connections_is_ejected_for_a_while() {
     let mut host = Host::new(settings(vec![class(Repeats::Unsafe)]), vec![node(10, 1), node(11, 2)]);
     host.arrive(1, |_| {});
     host.outcome(1, 0, 10, AttemptResult::ConnectFailed);
--- a/tests/waits.rs
+++ b/tests/waits.rs
@@ -1,4 +1,4 @@
-//! What the rehearsal kit waits for comes, or is said never to come: no case waits for good.
+//! Waits of the rehearsal kit end: with the expected event or with an error, never without end.
 
 #![allow(clippy::unwrap_used, clippy::expect_used, reason = "a test fails by a panic")]
 
@@ -8,34 +8,34 @@
 use std::time::Duration;
 
 const SILENCE: Duration = Duration::from_secs(20);
-const AMID_OTHERS: Duration = Duration::from_millis(100);
+const AMONG_OTHERS: Duration = Duration::from_millis(100);
 
 #[test]
-fn an_event_that_fits_is_found_behind_others() {
+fn an_expected_event_is_found_after_other_events() {
     let (sender, events) = channel();
     [1, 2, 3].into_iter().for_each(|event| sender.send(event).unwrap());
-    let found = wait_within(&events, "three", (SILENCE, AMID_OTHERS), |event| *event == 3);
+    let found = wait_within(&events, "three", (SILENCE, AMONG_OTHERS), |event| *event == 3);
     assert_eq!(found.unwrap(), 3);
 }
 
 #[test]
-fn a_program_that_tells_the_same_for_good_is_stuck() {
+fn waiting_ends_if_a_program_repeats_another_event_forever() {
     let (sender, events) = channel();
-    let tells = thread::spawn(move || {
+    let sender_thread = thread::spawn(move || {
         while sender.send("still ill").is_ok() {
             thread::sleep(Duration::from_millis(1));
         }
     });
-    let found = wait_within(&events, "well again", (SILENCE, AMID_OTHERS), |event| *event == "well again");
+    let found = wait_within(&events, "well again", (SILENCE, AMONG_OTHERS), |event| *event == "well again");
     assert!(found.unwrap_err().to_string().contains("well again"));
     drop(events);
-    tells.join().unwrap();
+    sender_thread.join().unwrap();
 }
 
 #[test]
-fn a_program_that_says_nothing_or_ends_is_told_apart() {
+fn a_silent_program_and_an_ended_one_give_different_errors() {
     let (sender, events) = channel::<u32>();
-    let silent = wait_within(&events, "a word", (AMID_OTHERS, SILENCE), |_| true);
+    let silent = wait_within(&events, "a word", (AMONG_OTHERS, SILENCE), |_| true);
     assert!(silent.unwrap_err().to_string().contains("never came"));
     drop(sender);
     let ended = wait_within(&events, "a word", (SILENCE, SILENCE), |_| true);
--- a/tests/wire.rs
+++ b/tests/wire.rs
@@ -1,4 +1,4 @@
-//! The wire page's worked frames, and what malformed input gets.
+//! The example frames of the protocol's documentation, and the errors for malformed input.
 
 #![allow(clippy::unwrap_used, clippy::expect_used, reason = "a test fails by a panic")]
 
@@ -22,14 +22,14 @@
 }
 
 #[test]
-fn an_empty_batch_and_its_reply() {
+fn an_empty_batch_is_decoded_and_gets_an_empty_reply() {
     let frame = bytes("0000000c 0000000000805c5a");
     assert_eq!(Decoder::default().batch(&frame).unwrap(), (0x805c5a, vec![]));
     assert_eq!(Reply::default().finish(), bytes("00000008 00000000"));
 }
 
 #[test]
-fn events_for_two_instances_and_the_reply() {
+fn events_of_two_instances_are_decoded_and_their_actions_encoded() {
     let frame = bytes(
         "00000053 0000000000805c5a 1b 0003
          12 000d41b15d3a91c4 40400000 2b8e6401d9f37c10 91f03b7c55d20a64 01 00 40000000 0003a980 00000000 00000000
@@ -66,7 +66,7 @@
 }
 
 #[test]
-fn the_other_worked_events() {
+fn the_other_example_events_are_decoded() {
     let records = "1b 0003
         1a 0000 00000002
         03124a07 0000 00 0000 01 3f800000 0000000000000000
@@ -108,7 +108,7 @@
 }
 
 #[test]
-fn the_other_worked_actions() {
+fn the_other_example_actions_are_encoded() {
     let id = 0xd41b15d3a91c4;
     let cases = [
         (Action::Cancel { request: id, attempt: 0 }, "13 000d41b15d3a91c4 00"),
@@ -126,7 +126,7 @@
 }
 
 #[test]
-fn malformed_frames_are_named_with_their_byte() {
+fn errors_in_malformed_frames_give_the_offset() {
     let fails = |frame: &[u8]| Decoder::default().batch(frame).unwrap_err();
     let unknown = fails(&batch("1b 0003 7f"));
     assert_eq!((unknown.at, unknown.what.as_str()), (15, "unknown event code 127"));
@@ -137,7 +137,7 @@
 }
 
 #[test]
-fn settings_skip_the_unknown_and_name_the_missing() {
+fn unknown_settings_are_skipped_and_missing_ones_are_named() {
     let text = "balancers=3\nposition=1\nmembership_mode=subscribe\npolicy_limits.send_cap=4\nnew.key=7\n\
         profiles.count=1\nprofiles.0.target=500000\nprofiles.0.hard_limit=4000000\nprofiles.0.worth=2.0\n\
         profiles.0.idempotency=deduplicated\nprofiles.0.dedup_scope=cell\nprofiles.0.window=10000000\n";
@@ -151,7 +151,7 @@
     assert!(unreadable.0.contains("profiles.0.hard_limit"));
 }
 
-/// An answer's load report as an instance reads it that was told of `fields`.
+/// Returns the load that an instance decodes from `report` after it was started with `fields`.
 fn load_after(fields: &str, report: &str) -> Load {
     let text = format!("report.fields={fields}");
     let hex: String = text.bytes().map(|b| format!("{b:02x}")).collect();
@@ -160,12 +160,12 @@
     let (_, records) = Decoder::default().batch(&batch(&format!("{start} {probed}"))).unwrap();
     match records.into_iter().last() {
         Some((_, Record::Event { event: Event::Probed { load, .. }, .. })) => load,
-        other => panic!("a probe's answer, not {other:?}"),
+        other => panic!("expected the end of a probe, got {other:?}"),
     }
 }
 
 #[test]
-fn a_load_report_is_read_by_its_announced_fields_or_skipped() {
+fn a_load_report_is_read_by_its_announced_fields_or_ignored() {
     let queue = |fields, report| load_after(fields, report).queue;
     assert_eq!(queue("utilization,backlog", "02 3f1eb852 40400000"), Some(3.0));
     assert_eq!(queue("backlog", "01 40400000"), Some(3.0));
