--- a/src/policy/dispatch.rs
+++ b/src/policy/dispatch.rs
@@ -189,7 +189,7 @@
                 as Micros;
         let time = match expected {
             t if t <= pending.target_at => 1.0,
-            // A late answer has the value of spare work, whatever the request's share.
+            // A late answer counts as spare work, whatever the request's share.
             t if t <= pending.answer_by => class.late_value * self.settings.spare_value / share_factor,
             _ => 0.0,
         };
--- a/src/policy/nodes.rs
+++ b/src/policy/nodes.rs
@@ -27,6 +27,7 @@
 /// The minimum silence is this fraction of `fall`, but at most `MAX_SILENCE_TARGETS` times the shortest
 /// target: a request that has waited that long is late in any case.
 const MIN_SILENCE_OF_FALL: f64 = 0.5;
+/// See `MIN_SILENCE_OF_FALL`; in shortest targets.
 const MAX_SILENCE_TARGETS: f64 = 1.5;
 /// A request counts as lost when this many later ones of its node were answered: more than a node's cores can
 /// reorder.
@@ -35,6 +36,7 @@
 /// for at most `MAX_EJECTION_TARGETS` of the shortest target: requests that wait for its return can still be
 /// in time.
 const EJECTION_OF_FALL: f64 = 0.25;
+/// See `EJECTION_OF_FALL`; in shortest targets.
 const MAX_EJECTION_TARGETS: f64 = 0.5;
 /// A node that refused a request for its full queue is ejected for this fraction of its mean latency.
 const OVERLOADED_EJECTION: f64 = 0.5;
--- a/src/state.rs
+++ b/src/state.rs
@@ -58,8 +58,8 @@
         (self.sum, self.latest, self.at) = ((self.sum + self.latest) * decay, units, now);
     }
 
-    /// The mean in units per second since `start`, without the latest arrival: that one is why the mean is
-    /// asked for, and would raise it.
+    /// The mean in units per second since `start`, without the latest arrival: the mean is read just after that
+    /// arrival, which would bias it upwards.
     pub fn before_latest(&self, now: Micros, start: Micros) -> f64 {
         let decay = |since| (-((now - since) as f64) / Self::SPAN).exp();
         self.sum * decay(self.at) * SECOND / (Self::SPAN * (1.0 - decay(start))).max(Self::MIN_SPAN)
--- a/tests/crowd.rs
+++ b/tests/crowd.rs
@@ -117,8 +117,7 @@
     by_second
 }
 
-/// Asserts that the units sent in each fall time of 2 s are no more than the node can serve, and enough of
-/// it.
+/// Asserts that in each fall time of 2 s the node gets no more units than it can serve, and most of those.
 fn assert_served_within_capacity(by_second: &[f64]) {
     let (mut all, mut total_capacity) = (0.0, 0.0);
     for (second, sent) in by_second.chunks(2).enumerate() {
