--- a/src/index/wheel.rs
+++ b/src/index/wheel.rs
@@ -1,5 +1,5 @@
 //! A hierarchical timing wheel: values expire in exact order of their due times, then of insertion, and can
-//! be removed before.
+//! be removed earlier.
 //!
 //! Six levels of 64 slots; a slot of the lowest level is 1,024 us wide, one of each next level 64 times as
 //! wide. An entry is at the highest level at which its time differs from the wheel's, and moves down as the
@@ -14,6 +14,7 @@
 const SLOTS: usize = 64;
 /// A tick, the width of a slot of the lowest level, is 2 to this power microseconds.
 const TICK_BITS: u32 = 10;
+/// The binary logarithm of `SLOTS`.
 const SLOT_BITS: u32 = 6;
 
 /// Identifies an entry while it is in the wheel.
--- a/tests/crowd.rs
+++ b/tests/crowd.rs
@@ -53,11 +53,11 @@
 }
 
 fn reports_sent(host: &Host) -> Vec<&Vec<u8>> {
-    let told = host.actions.iter().filter_map(|a| match a {
+    let reported = host.actions.iter().filter_map(|a| match a {
         Action::SendToPeer { peer: None, bytes } => Some(bytes),
         _ => None,
     });
-    told.collect()
+    reported.collect()
 }
 
 fn probes(host: &Host) -> usize {
@@ -299,7 +299,7 @@
 
 #[test]
 fn timeouts_and_refusals_for_a_full_queue_are_reported_to_all_hosts() {
-    for (result, told) in [(AttemptResult::TimedOut, 2000), (AttemptResult::Overloaded, 1000)] {
+    for (result, reported) in [(AttemptResult::TimedOut, 2000), (AttemptResult::Overloaded, 1000)] {
         let mut host = one_of_many_hosts(|_| {}, vec![node(10, 1)]);
         host.arrive(1, |_| {});
         host.now += 3 * S;
@@ -317,7 +317,7 @@
         }));
         assert_eq!(
             reports_sent(&host),
-            [&report(1, 255, told)],
+            [&report(1, 255, reported)],
             "{result:?}: two shortest targets at most, or one"
         );
     }
--- a/tests/waits.rs
+++ b/tests/waits.rs
@@ -35,9 +35,9 @@
 #[test]
 fn a_silent_program_and_an_ended_one_give_different_errors() {
     let (sender, events) = channel::<u32>();
-    let silent = wait_within(&events, "a word", (AMONG_OTHERS, SILENCE), |_| true);
+    let silent = wait_within(&events, "an event", (AMONG_OTHERS, SILENCE), |_| true);
     assert!(silent.unwrap_err().to_string().contains("never came"));
     drop(sender);
-    let ended = wait_within(&events, "a word", (SILENCE, SILENCE), |_| true);
+    let ended = wait_within(&events, "an event", (SILENCE, SILENCE), |_| true);
     assert!(ended.unwrap_err().to_string().contains("ended before"));
 }
