--- a/src/net/back.rs
+++ b/src/net/back.rs
@@ -1,11 +1,11 @@
-//! What is behind the platform's front: requests to nodes over HTTP/1.1.
+//! Sends requests to storage nodes over HTTP/1.1.
 //!
-//! Spoken with hyper's `client::conn`, the nearest relative of hyper-util's client. That one was measured
-//! with the test of spoilt answers: an answer that stops halfway held its request until the client's
-//! deadline, for nobody is told when a first byte came; and each connection runs in a task of its own, so
-//! that what comes on an idle one is known only from that task's next turn on. Here each exchange owns its
-//! connection, looks at the socket itself before it writes, and hands the connection back only when it is
-//! clean; giving an attempt up closes it at once, and nothing is ever sent again by itself.
+//! Uses hyper's `client::conn` rather than hyper-util's pooled client, for two reasons. That client doesn't
+//! report the arrival of an answer's first byte: in the test of malformed answers, an answer that stopped
+//! halfway held its request until the client's deadline. It also runs each connection in a task of its own,
+//! so that bytes on an idle connection are noticed only when that task next runs. Here each exchange owns its
+//! connection, checks the socket before it writes, and returns the connection to the pool only when it is
+//! clean. Dropping an attempt closes its connection at once, and nothing is retransmitted automatically.
 
 use crate::attempt_end::AttemptEnd;
 use crate::config::NodeLimits;
@@ -40,66 +40,75 @@
 use tokio::sync::{OwnedSemaphorePermit, mpsc, oneshot};
 use tokio::time::{Duration, Instant, sleep_until, timeout, timeout_at};
 
-/// A body is held up to this, either way, and is passed on as it comes beyond it.
+/// The most bytes of a body, of a request or an answer, that is held whole; a longer body is streamed.
 pub const MOST_BODY: usize = 64 * 1024;
-/// No body is longer.
+/// The most bytes of any body.
 pub const MOST_LARGE: u64 = 32 * 1024 * 1024;
+/// The header with the id of a request.
 pub const REQUEST_ID: &str = "x-request-id";
+/// The header with the idempotency key of a request.
 pub const IDEMPOTENCY_KEY: &str = "idempotency-key";
+/// The header with the time that remains for a request, in milliseconds.
 pub const TIMEOUT: &str = "x-timeout-ms";
+/// The header by which a node states that it has not processed the request.
 pub(super) const NOT_PROCESSED: &str = "x-not-processed";
+/// The header with a node's load.
 pub(super) const LOAD: &str = "x-server-load";
+/// The header with the used share of the plan's rate, in percent.
 pub(super) const METER: &str = "x-meter";
-/// The most that an answer's head may hold, and all that may come in front of it with 1xx answers; from the
-/// head on, all that may come for a body that is held, of which each byte may be a chunk.
-const MOST_HEAD: usize = 16 * 1024;
-const MOST_BEFORE: usize = MOST_HEAD + 2 * MOST_BODY;
-const MOST_FRAMED: usize = 8 * MOST_BODY;
-/// An answer that is held and of which nothing more came for so long has a length that does not fit, or no
-/// end.
-const ANSWER_TIME: Duration = Duration::from_millis(600);
-/// A node or a client that gives or takes nothing for so long, in the middle of what is passed on, is cut
-/// off.
-const PASS_TIME: Duration = Duration::from_secs(10);
-/// Pieces between a node and its client. The node's pace is the client's beyond them.
-const PIECES: usize = 2;
-/// Answers name no request, and a node may send a second one some milliseconds late: a connection on which
-/// nothing has come for so long since its last answer may be asked on again, once a node has said more than
-/// it was asked.
-const REST: Duration = Duration::from_millis(25);
-/// A connection that comes up within so long after its attempt gave it up is kept for others.
-const LATE: Duration = Duration::from_secs(2);
-/// Figures in reports beyond this are none.
-const MOST_FIGURE: f64 = 1e6;
-
+/// The most bytes of an answer's head.
+const MAX_HEAD_BYTES: usize = 16 * 1024;
+/// The most bytes before the final head has been parsed, 1xx answers included.
+const MAX_BYTES_BEFORE_BODY: usize = MAX_HEAD_BYTES + 2 * MOST_BODY;
+/// The most bytes after the head for a body that is held; each byte may come as a chunk of its own.
+const MAX_FRAMED_BODY_BYTES: usize = 8 * MOST_BODY;
+/// The longest pause within an answer that is held. After it, the declared length is taken to be wrong, or
+/// the answer to have no end.
+const ANSWER_STALL_LIMIT: Duration = Duration::from_millis(600);
+/// The longest time without progress, by the node or the client, in a body that is streamed.
+const STREAM_STALL_LIMIT: Duration = Duration::from_secs(10);
+/// The pieces buffered between a node and its client. Beyond them, the client's pace limits the node's.
+const STREAM_BUFFER_PIECES: usize = 2;
+/// How long a connection rests after its answer before reuse, once any node has sent unsolicited bytes.
+/// HTTP/1.1 answers carry no request id, and a node may send a second answer some milliseconds late.
+const CONNECTION_REST: Duration = Duration::from_millis(25);
+/// A connection established within this time after its attempt gave it up is kept for other attempts.
+const LATE_CONNECT_LIMIT: Duration = Duration::from_secs(2);
+/// Larger values in load and usage reports are ignored.
+const MAX_REPORTED_VALUE: f64 = 1e6;
+
+/// The client side towards storage nodes, with its pool of connections.
 #[derive(Clone)]
 pub struct Back {
     pool: Pool<TcpStream>,
+    /// Connections opened so far.
     opened: Arc<AtomicU64>,
-    asked: Arc<AtomicU64>,
+    /// Attempts begun so far.
+    attempts: Arc<AtomicU64>,
 }
 
 impl Back {
+    /// Creates an empty pool with these limits, of which `part` is this process's share.
     pub fn new(limits: NodeLimits, part: Part) -> Back {
-        let pool = Pool::shared(limits, part).resting(REST);
-        Back { pool, opened: Arc::default(), asked: Arc::default() }
+        let pool = Pool::shared(limits, part).resting(CONNECTION_REST);
+        Back { pool, opened: Arc::default(), attempts: Arc::default() }
     }
 
-    /// Drops idle connections in time, for as long as the program runs.
+    /// Drops expired and closed idle connections, for as long as the program runs.
     pub fn watch(&self) -> impl Future<Output = ()> + use<> {
         self.pool.clone().watch()
     }
 
-    /// Connections opened to nodes and attempts begun, so far: more of the first than run at once are
-    /// surplus.
+    /// Returns the numbers of connections opened to nodes and of attempts begun so far.
     pub fn counts(&self) -> (u64, u64) {
-        (self.opened.load(Ordering::Relaxed), self.asked.load(Ordering::Relaxed))
+        (self.opened.load(Ordering::Relaxed), self.attempts.load(Ordering::Relaxed))
     }
 
-    /// A kept connection that turns out closed before a byte went out is replaced: that is no attempt yet.
+    /// Runs one attempt. A pooled connection that proves closed before a byte was written is replaced: the
+    /// attempt has not started yet.
     async fn attempt(self, forward: Arc<Forward>, context: AttemptContext) -> Report {
         let context = Arc::new(context);
-        self.asked.fetch_add(1, Ordering::Relaxed);
+        self.attempts.fetch_add(1, Ordering::Relaxed);
         let Ok(address) = context.address.parse() else { return AttemptEnd::NotStarted.into() };
         let _in_use = self.pool.begin();
         while let Some(stream) = self.pool.latest(address) {
@@ -117,13 +126,13 @@
         }
     }
 
-    /// A new connection, or one that has rested by the time at which that one is still not up. What comes up
-    /// too late for this attempt is kept for the next.
+    /// Opens a connection, or takes a pooled one that becomes usable while the connect is pending. A
+    /// connection established too late for this attempt is kept for the next.
     async fn connect(&self, address: SocketAddr) -> Option<TcpStream> {
         let mut opens = Box::pin(TcpStream::connect(address));
         let until = Instant::now() + self.pool.limits.connect;
         loop {
-            match timeout_at(until.min(Instant::now() + REST), &mut opens).await {
+            match timeout_at(until.min(Instant::now() + CONNECTION_REST), &mut opens).await {
                 Ok(Ok(stream)) => return Some(self.opened(stream)),
                 Ok(Err(_)) => return None,
                 Err(_) => {}
@@ -136,7 +145,7 @@
                 let back = self.clone();
                 tokio::spawn(async move {
                     let _spare = spare;
-                    if let Ok(Ok(stream)) = timeout(LATE, opens).await {
+                    if let Ok(Ok(stream)) = timeout(LATE_CONNECT_LIMIT, opens).await {
                         back.pool.put(address, back.opened(stream));
                     }
                 });
@@ -147,11 +156,13 @@
 
     fn opened(&self, stream: TcpStream) -> TcpStream {
         self.opened.fetch_add(1, Ordering::Relaxed);
-        // Only a matter of speed; a stream that is broken already tells so when it is written to.
+        // TCP_NODELAY affects only latency; a broken stream fails when it is written to.
         let _ = stream.set_nodelay(true);
         stream
     }
 
+    /// Sends the request on the connection, reads the answer, and pools the connection again if it is
+    /// reusable.
     async fn exchange(
         &self,
         stream: TcpStream,
@@ -159,37 +170,39 @@
         forward: &Forward,
         context: &Arc<AttemptContext>,
     ) -> Report {
-        let wire = Wire::new(context.write_state.clone(), forward.payload.length());
-        let Some(mut request) = forward.request(context, &wire) else { return AttemptEnd::NotStarted.into() };
-        // A 1xx answer is none yet: the time for one begins anew behind it.
-        let interim = wire.clone();
+        let progress = SharedProgress::new(context.write_state.clone(), forward.payload.length());
+        let Some(mut request) = forward.request(context, &progress) else {
+            return AttemptEnd::NotStarted.into();
+        };
+        // A 1xx answer is not the final one: the stall limit starts again after it.
+        let interim = progress.clone();
         hyper::ext::on_informational(&mut request, move |_| interim.with(|p| p.last_byte = None));
-        let watched = Watched { io: TokioIo::new(stream), wire: wire.clone() };
-        let handshake = http1::Builder::new().max_buf_size(MOST_HEAD).handshake(watched).await;
+        let watched = ObservedConnection { io: TokioIo::new(stream), progress: progress.clone() };
+        let handshake = http1::Builder::new().max_buf_size(MAX_HEAD_BYTES).handshake(watched).await;
         let Ok((mut sender, mut connection)) = handshake else { return AttemptEnd::BrokeUnsent.into() };
-        let read = wire.clone();
-        let unanswered = Unanswered { pool: &self.pool, address, wire: &wire };
+        let read = progress.clone();
+        let unanswered = UnansweredGuard { pool: &self.pool, address, progress: &progress };
         let mut ended = false;
         let got = {
             let mut answer = pin!(async move {
                 match sender.send_request(request).await {
                     Ok(response) => read_answer(response, forward, context, &read).await,
-                    Err(error) => Err(Spoilt::Broken(error)),
+                    Err(error) => Err(AnswerError::Broken(error)),
                 }
             });
-            let mut late = pin!(sleep_until(Instant::now() + ANSWER_TIME));
-            let mut late_set = None;
+            let mut late = pin!(sleep_until(Instant::now() + ANSWER_STALL_LIMIT));
+            let mut stall_since = None;
             poll_fn(|cx| {
                 ended = ended || Pin::new(&mut connection).poll(cx).is_ready();
                 if let Poll::Ready(got) = answer.as_mut().poll(cx) {
                     return Poll::Ready(Some(got));
                 }
-                let (patience, since) = wire.with(|p| p.patience());
-                if late_set != since {
-                    late_set = since;
+                let (patience, since) = progress.with(|p| p.stall_limit());
+                if stall_since != since {
+                    stall_since = since;
                     late.as_mut().reset(since.unwrap_or_else(Instant::now) + patience);
                 }
-                if late_set.is_some() && late.as_mut().poll(cx).is_ready() {
+                if stall_since.is_some() && late.as_mut().poll(cx).is_ready() {
                     return Poll::Ready(None);
                 }
                 Poll::Pending
@@ -197,25 +210,25 @@
             .await
         };
         drop(unanswered);
-        if wire.with(|p| p.talked) {
+        if progress.with(|p| p.unsolicited) {
             self.pool.rest();
         }
-        let whole = wire.with(|p| p.whole());
+        let whole = progress.with(|p| p.request_is_written());
         let (report, reusable) = match got {
-            // An answer before the request's last byte is not to this request, unless it turns it away
-            // unread.
+            // An answer before the request's last byte can't belong to this request, unless it rejects the
+            // request unread.
             Some(Ok((report, _))) if !whole && report.end == AttemptEnd::Answered => {
                 (AttemptEnd::BadAnswer.into(), false)
             }
             Some(Ok(done)) => done,
-            Some(Err(spoilt)) => (wire.with(|p| spoilt.end(p)).into(), false),
-            None if wire.with(|p| p.whole()) => (AttemptEnd::BadAnswer.into(), false),
-            // Its node takes nothing of the request any more.
+            Some(Err(error)) => (progress.with(|p| error.end(p)).into(), false),
+            None if progress.with(|p| p.request_is_written()) => (AttemptEnd::BadAnswer.into(), false),
+            // The node no longer reads the request.
             None => (AttemptEnd::BrokeUnsent.into(), false),
         };
         if reusable && whole && !ended {
             let parts = connection.into_parts();
-            // Bytes beyond the answer: it stands, but nothing else is asked on this connection.
+            // With bytes beyond the answer, the answer is valid, but the connection is not reused.
             if parts.read_buf.is_empty() {
                 self.pool.put(address, parts.io.io.into_inner());
             } else {
@@ -226,63 +239,68 @@
     }
 }
 
-/// An attempt that ends without a byte of an answer, though all of it was written, makes its node's idle
-/// connections doubtful: the machine may have vanished, and said nothing on any of them.
-struct Unanswered<'a> {
+/// Drops a node's idle connections when an attempt ends without a byte of an answer although its request was
+/// written in full: the machine may have vanished without closing any of its connections.
+struct UnansweredGuard<'a> {
     pool: &'a Pool<TcpStream>,
     address: SocketAddr,
-    wire: &'a Wire,
+    progress: &'a SharedProgress,
 }
 
-impl Drop for Unanswered<'_> {
+impl Drop for UnansweredGuard<'_> {
     fn drop(&mut self) {
-        if self.wire.with(|p| p.whole() && p.read == 0) {
+        if self.progress.with(|p| p.request_is_written() && p.read == 0) {
             self.pool.distrust(self.address);
         }
     }
 }
 
-/// Why there is no answer to pass on.
-enum Spoilt {
+/// Why an exchange yields no valid answer.
+enum AnswerError {
+    /// hyper failed to send the request or to read the answer.
     Broken(hyper::Error),
-    /// Its length is told in no way or in two, it is too long, or its chunks cannot be read.
+    /// The answer declares its length in no way or in two, or is too long.
     Framing,
-    /// Some of it is with the client, and no more came, or no more was taken.
+    /// The answer could not be streamed to its end: the node sent no more, or the client took no more.
     Stopped(AttemptEnd),
 }
 
-impl Spoilt {
+impl AnswerError {
+    /// The end to report for the attempt.
     fn end(&self, progress: &Progress) -> AttemptEnd {
         match self {
             _ if progress.overrun => AttemptEnd::BadAnswer,
-            Spoilt::Framing => AttemptEnd::BadAnswer,
-            Spoilt::Stopped(end) => *end,
-            Spoilt::Broken(error) if error.is_parse() || unreadable(error) => AttemptEnd::BadAnswer,
-            Spoilt::Broken(_) if progress.whole() => AttemptEnd::Broke,
-            Spoilt::Broken(_) => AttemptEnd::BrokeUnsent,
+            AnswerError::Framing => AttemptEnd::BadAnswer,
+            AnswerError::Stopped(end) => *end,
+            AnswerError::Broken(error) if error.is_parse() || is_body_parse_error(error) => {
+                AttemptEnd::BadAnswer
+            }
+            AnswerError::Broken(_) if progress.request_is_written() => AttemptEnd::Broke,
+            AnswerError::Broken(_) => AttemptEnd::BrokeUnsent,
         }
     }
 }
 
-/// Chunks that cannot be read, as hyper tells it: by the kind of an error inside its own.
-fn unreadable(error: &hyper::Error) -> bool {
+/// Reports whether hyper could not parse the chunks of a body, which it shows by the kind of the source
+/// error.
+fn is_body_parse_error(error: &hyper::Error) -> bool {
     let inside = error.source().and_then(|source| source.downcast_ref::<io::Error>());
     inside.is_some_and(|e| matches!(e.kind(), io::ErrorKind::InvalidInput | io::ErrorKind::InvalidData))
 }
 
-/// The report, and whether another request may follow on the connection.
+/// Reads an answer. Returns the report, and whether the connection may be reused.
 async fn read_answer(
     response: Response<Incoming>,
     forward: &Forward,
     context: &AttemptContext,
-    wire: &Wire,
-) -> Result<(Report, bool), Spoilt> {
+    progress: &SharedProgress,
+) -> Result<(Report, bool), AnswerError> {
     let (head, mut body) = response.into_parts();
-    wire.with(|p| p.head_end = Some(p.read));
-    let last = elements(&head.headers, CONNECTION)
+    progress.with(|p| p.head_end = Some(p.read));
+    let last = list_elements(&head.headers, CONNECTION)
         .is_none_or(|options| options.iter().any(|o| o.eq_ignore_ascii_case("close")));
-    if !framed(&head.headers, last) {
-        return Err(Spoilt::Framing);
+    if !has_valid_framing(&head.headers, last) {
+        return Err(AnswerError::Framing);
     }
     let end = match head.status {
         StatusCode::OK => AttemptEnd::Answered,
@@ -296,96 +314,101 @@
     let (load, used) = (load(&head.headers), used(&head.headers));
     let length = body.size_hint().exact();
     let held = match length {
-        Some(length) if length > MOST_BODY as u64 => Held::More(first(&mut body).await?),
-        _ => hold(&mut body).await?,
+        Some(length) if length > MOST_BODY as u64 => ReceivedBody::More(first_piece(&mut body).await?),
+        _ => buffer_body(&mut body).await?,
     };
     let body = match held {
-        Held::Whole(body) => body,
-        // What is not to be passed on is of no use at that length.
-        Held::More(_) if end != AttemptEnd::Answered || !wire.with(|p| p.whole()) => {
-            return Err(Spoilt::Framing);
+        ReceivedBody::Whole(body) => body,
+        // A long body that is not to be streamed is of no use.
+        ReceivedBody::More(_)
+            if end != AttemptEnd::Answered || !progress.with(|p| p.request_is_written()) =>
+        {
+            return Err(AnswerError::Framing);
         }
-        Held::More(pieces) => {
+        ReceivedBody::More(pieces) => {
             if !context.binder.begin_answer(load, used).await {
-                return Err(Spoilt::Stopped(AttemptEnd::CalledOff));
+                return Err(AnswerError::Stopped(AttemptEnd::CalledOff));
             }
-            wire.with(|p| p.passing = true);
-            pass(pieces, body, length, forward).await?;
+            progress.with(|p| p.passing = true);
+            stream_to_client(pieces, body, length, forward).await?;
             Bytes::new()
         }
     };
     Ok((Report { end, body, load, used }, head.version == Version::HTTP_11 && !last))
 }
 
-/// A body that is held, or what has come of one that is longer.
-enum Held {
+/// A body received whole, or the first pieces of a longer one.
+enum ReceivedBody {
     Whole(Bytes),
     More(Vec<Bytes>),
 }
 
-async fn first(body: &mut Incoming) -> Result<Vec<Bytes>, Spoilt> {
-    Ok(next(body).await?.into_iter().collect())
+async fn first_piece(body: &mut Incoming) -> Result<Vec<Bytes>, AnswerError> {
+    Ok(next_piece(body).await?.into_iter().collect())
 }
 
-async fn next(body: &mut Incoming) -> Result<Option<Bytes>, Spoilt> {
+/// Returns the next piece that is not empty; `None` at the end of the body.
+async fn next_piece(body: &mut Incoming) -> Result<Option<Bytes>, AnswerError> {
     while let Some(frame) = body.frame().await {
-        match frame.map_err(Spoilt::Broken)?.into_data() {
+        match frame.map_err(AnswerError::Broken)?.into_data() {
             Ok(data) if !data.is_empty() => return Ok(Some(data)),
-            // Trailers tell a client nothing that it was promised.
+            // Trailers are ignored: clients are promised none.
             _ => {}
         }
     }
     Ok(None)
 }
 
-async fn hold(body: &mut Incoming) -> Result<Held, Spoilt> {
+/// Reads a body up to [`MOST_BODY`] bytes; returns the pieces so far of a longer one.
+async fn buffer_body(body: &mut Incoming) -> Result<ReceivedBody, AnswerError> {
     let (mut pieces, mut bytes) = (Vec::new(), 0);
-    while let Some(piece) = next(body).await? {
+    while let Some(piece) = next_piece(body).await? {
         bytes += piece.len();
         pieces.push(piece);
         if bytes > MOST_BODY {
-            return Ok(Held::More(pieces));
+            return Ok(ReceivedBody::More(pieces));
         }
     }
-    Ok(Held::Whole(if pieces.len() == 1 { pieces.swap_remove(0) } else { pieces.concat().into() }))
+    Ok(ReceivedBody::Whole(if pieces.len() == 1 { pieces.swap_remove(0) } else { pieces.concat().into() }))
 }
 
-/// Gives a long answer to its client piece by piece, at the pace of the slower of the two.
-async fn pass(
+/// Streams a long answer to the client, at the pace of the slower of node and client.
+async fn stream_to_client(
     pieces: Vec<Bytes>,
     mut body: Incoming,
     length: Option<u64>,
     forward: &Forward,
-) -> Result<(), Spoilt> {
+) -> Result<(), AnswerError> {
     let Some(begins) = forward.begins.lock().unwrap_or_else(PoisonError::into_inner).take() else {
-        return Err(Spoilt::Stopped(AttemptEnd::CalledOff));
+        return Err(AnswerError::Stopped(AttemptEnd::CalledOff));
     };
-    let (down, taken) = mpsc::channel(PIECES);
-    let gone = || Spoilt::Stopped(AttemptEnd::CalledOff);
+    let (down, taken) = mpsc::channel(STREAM_BUFFER_PIECES);
+    let gone = || AnswerError::Stopped(AttemptEnd::CalledOff);
     begins.send(Passing { length, pieces: taken }).map_err(|_| gone())?;
     let mut bytes = 0;
     let mut pieces = VecDeque::from(pieces);
     loop {
         let piece = match pieces.pop_front() {
             Some(piece) => piece,
-            None => match timeout(PASS_TIME, next(&mut body)).await {
+            None => match timeout(STREAM_STALL_LIMIT, next_piece(&mut body)).await {
                 Ok(piece) => match piece? {
                     Some(piece) => piece,
                     None => return Ok(()),
                 },
-                Err(_) => return Err(Spoilt::Stopped(AttemptEnd::Broke)),
+                Err(_) => return Err(AnswerError::Stopped(AttemptEnd::Broke)),
             },
         };
         bytes += piece.len() as u64;
         if bytes > MOST_LARGE {
-            return Err(Spoilt::Framing);
+            return Err(AnswerError::Framing);
         }
-        timeout(PASS_TIME, down.send(piece)).await.map_err(|_| gone())?.map_err(|_| gone())?;
+        timeout(STREAM_STALL_LIMIT, down.send(piece)).await.map_err(|_| gone())?.map_err(|_| gone())?;
     }
 }
 
-/// A list's elements over all fields of that name; empty ones are none (RFC 9110, 5.6.1). `None`: unreadable.
-fn elements(headers: &HeaderMap, name: HeaderName) -> Option<Vec<&str>> {
+/// Returns the list elements of all headers `name`, without empty ones (RFC 9110, 5.6.1); `None` if a value
+/// is not text.
+fn list_elements(headers: &HeaderMap, name: HeaderName) -> Option<Vec<&str>> {
     let mut all = Vec::new();
     for value in headers.get_all(name) {
         all.extend(value.to_str().ok()?.split(',').map(str::trim).filter(|element| !element.is_empty()));
@@ -393,13 +416,13 @@
     Some(all)
 }
 
-/// Whether the head says in exactly one way how long the body is, and no longer than any may be. Up to the
-/// connection's end is one only where the head announces that end (`last`): a process that dies resets its
-/// connections.
-fn framed(headers: &HeaderMap, last: bool) -> bool {
+/// Reports whether the head declares the body's length in exactly one way and within [`MOST_LARGE`]. A body
+/// that lasts until the connection closes is valid only if the head announces the close (`last`), since a
+/// process that dies resets its connections, which differs from a close.
+fn has_valid_framing(headers: &HeaderMap, last: bool) -> bool {
     // The same length several times is one length (RFC 9110, 8.6).
     let (Some(lengths), Some(codings)) =
-        (elements(headers, CONTENT_LENGTH), elements(headers, TRANSFER_ENCODING))
+        (list_elements(headers, CONTENT_LENGTH), list_elements(headers, TRANSFER_ENCODING))
     else {
         return false;
     };
@@ -415,7 +438,7 @@
     }
 }
 
-/// `X-Server-Load: inflight=7,queue=2`; a value that is no number of requests tells nothing.
+/// Parses `X-Server-Load: inflight=7,queue=2`. A value that is not a plausible number of requests is ignored.
 pub(super) fn load(headers: &HeaderMap) -> Load {
     read_load(headers.get(LOAD).and_then(|value| value.to_str().ok()).unwrap_or(""))
 }
@@ -424,37 +447,51 @@
     let fields = text.split(',').filter_map(|field| field.trim().split_once('='));
     let mut queues = fields.filter(|(name, _)| matches!(*name, "queue" | "backlog"));
     let queue = queues.next().and_then(|(_, value)| value.parse::<f64>().ok());
-    Load { queue: queue.filter(|queue| (0.0..=MOST_FIGURE).contains(queue)) }
+    Load { queue: queue.filter(|queue| (0.0..=MAX_REPORTED_VALUE).contains(queue)) }
 }
 
-/// `X-Meter: 85`: percent of the plan's rate.
+/// Parses `X-Meter: 85`, a percentage of the plan's rate, into a fraction.
 pub(super) fn used(headers: &HeaderMap) -> Option<f64> {
     let percent: f64 = headers.get(METER)?.to_str().ok()?.trim().parse().ok()?;
-    (0.0..=MOST_FIGURE).contains(&percent).then_some(percent / 100.0)
+    (0.0..=MAX_REPORTED_VALUE).contains(&percent).then_some(percent / 100.0)
 }
 
-/// What passes on to a node unchanged.
+/// The parts of a request that are forwarded to a node unchanged.
 #[derive(Debug)]
 pub struct Forward {
+    /// The method.
     pub method: Method,
+    /// The path and query.
     pub target: Uri,
-    /// `None`: a probe, which is no client's request.
+    /// The request's id; `None` for a probe.
     pub id: Option<HeaderValue>,
+    /// The idempotency key, if the client sent one.
     pub key: Option<HeaderValue>,
+    /// The body.
     pub payload: Payload,
     /// How long the client waits.
     pub wait: Duration,
-    /// Takes what begins to be passed on of a long answer.
+    /// Receives a long answer when its streaming begins.
     pub begins: Mutex<Option<oneshot::Sender<Passing>>>,
 }
 
 /// A request's body.
 #[derive(Debug)]
 pub enum Payload {
-    /// Whole, with its part of the memory for bodies.
-    Held { body: Bytes, _memory: Option<OwnedSemaphorePermit> },
-    /// Still on its way from the client.
-    Coming { source: Arc<Source>, length: Option<u64> },
+    /// The whole body, with its permit for the memory of bodies.
+    Held {
+        /// The bytes of the body.
+        body: Bytes,
+        /// The permit, released with the body.
+        _memory: Option<OwnedSemaphorePermit>,
+    },
+    /// A body that is still arriving from the client.
+    Coming {
+        /// The pieces held, and those still to come.
+        source: Arc<Source>,
+        /// The length that the client declared, in bytes.
+        length: Option<u64>,
+    },
 }
 
 impl Payload {
@@ -466,37 +503,39 @@
     }
 }
 
-/// A long answer on its way to the client.
+/// A long answer that is streamed to the client.
 #[derive(Debug)]
 pub struct Passing {
+    /// The length that the node declared, in bytes.
     pub length: Option<u64>,
+    /// The pieces of the body, in order.
     pub pieces: mpsc::Receiver<Bytes>,
 }
 
 type Upload = StreamBody<BoxStream<'static, io::Result<Frame<Bytes>>>>;
 
-/// A body that still comes, as one attempt sends it: bound to that attempt before what is held of it is let
-/// go of.
-fn upload(source: Arc<Source>, context: Arc<AttemptContext>, wire: Wire) -> Upload {
+/// The body that one attempt sends while it still arrives from the client. The body is bound to the attempt
+/// before its first pieces are released.
+fn upload(source: Arc<Source>, context: Arc<AttemptContext>, progress: SharedProgress) -> Upload {
     let over = || io::Error::from(io::ErrorKind::BrokenPipe);
     StreamBody::new(Box::pin(unfold(
-        (source, context, wire, 0),
-        move |(source, context, wire, sent)| async move {
+        (source, context, progress, 0),
+        move |(source, context, progress, sent)| async move {
             let attempt = context.binder.attempt();
             source.sent(attempt, sent);
             loop {
                 match source.next(attempt, sent).await {
                     Next::Piece(piece) => {
-                        return Some((Ok(Frame::data(piece)), (source, context, wire, sent + 1)));
+                        return Some((Ok(Frame::data(piece)), (source, context, progress, sent + 1)));
                     }
                     Next::Bind if context.binder.bind().await => source.bind(attempt, sent),
                     Next::Wait => {}
                     Next::End(Over::Whole) => {
-                        wire.with(|p| p.all_given = true);
+                        progress.with(|p| p.all_given = true);
                         return None;
                     }
                     Next::Bind | Next::End(Over::Cut) | Next::Lost => {
-                        return Some((Err(over()), (source, context, wire, sent)));
+                        return Some((Err(over()), (source, context, progress, sent)));
                     }
                 }
             }
@@ -505,18 +544,18 @@
 }
 
 impl Forward {
-    /// `None`: the address is none.
+    /// Builds the request for one attempt; `None` if the address is not a valid `Host` value.
     fn request(
         &self,
         context: &Arc<AttemptContext>,
-        wire: &Wire,
+        progress: &SharedProgress,
     ) -> Option<Request<Either<Full<Bytes>, Upload>>> {
         let host = HeaderValue::try_from(&context.address).ok()?;
         let left = context.answer_by.saturating_duration_since(Instant::now()).min(self.wait);
         let body = match &self.payload {
             Payload::Held { body, .. } => Either::Left(Full::new(body.clone())),
             Payload::Coming { source, .. } => {
-                Either::Right(upload(source.clone(), context.clone(), wire.clone()))
+                Either::Right(upload(source.clone(), context.clone(), progress.clone()))
             }
         };
         let mut request = Request::new(body);
@@ -538,10 +577,13 @@
     }
 }
 
-/// A client's request on its way to a node.
+/// Runs the attempts of a client's request.
 pub struct ForwardWork {
+    /// The connections to nodes.
     pub back: Back,
+    /// The request.
     pub forward: Arc<Forward>,
+    /// Tells whether the client is still connected.
     pub client: Presence,
 }
 
@@ -555,9 +597,11 @@
     }
 }
 
-/// Probes of nodes: whether one answers, and where reports come only so, its load.
+/// Runs probes of nodes.
 pub struct ProbeWork {
+    /// The connections to nodes.
     pub back: Back,
+    /// Whether the probe asks for the load report too, where nodes send it only on request.
     pub load: bool,
 }
 
@@ -581,41 +625,44 @@
     }
 }
 
-/// What one exchange has written to and read from its socket.
+/// The progress of one exchange, shared by its connection and its reader.
 #[derive(Clone, Debug)]
-struct Wire(Arc<Mutex<Progress>>);
+struct SharedProgress(Arc<Mutex<Progress>>);
 
+/// What one exchange has written to and read from its socket.
 #[derive(Debug, Default)]
 struct Progress {
     write_state: Arc<WriteState>,
-    /// How much of the empty line that ends the head has been seen.
-    matched: usize,
-    /// `None`: it goes out in chunks, and is whole with the last one.
+    /// How many bytes of [`HEAD_END`] have matched.
+    head_end_matched: usize,
+    /// Bytes of the body still to be written; `None` for a chunked body, which ends with its last chunk.
     body_left: Option<u64>,
-    /// All of a body in chunks is given to the connection; what it wrote last.
+    /// Whether all of a chunked body was given to hyper.
     all_given: bool,
+    /// The last bytes written of a chunked body.
     tail: [u8; 5],
+    /// Bytes read so far.
     read: usize,
-    /// Since which the answer is waited for: its last byte so far.
+    /// When a byte of the answer was last read.
     last_byte: Option<Instant>,
-    /// The last byte of a request that went out.
+    /// When a byte of the request was last written.
     wrote_at: Option<Instant>,
-    /// How much had come when its head was read.
+    /// How many bytes had been read when the head was parsed.
     head_end: Option<usize>,
-    /// Some of the answer is with the client: how long it may be, and take, is judged there.
+    /// The answer is being streamed: `stream_to_client` enforces its limits of size and time.
     passing: bool,
-    /// More came than any answer holds.
+    /// More bytes arrived than a valid answer may have.
     overrun: bool,
-    /// Something came before the request's first byte.
-    talked: bool,
+    /// Bytes arrived before the request's first byte was written.
+    unsolicited: bool,
 }
 
 const HEAD_END: &[u8] = b"\r\n\r\n";
 const LAST_CHUNK: &[u8; 5] = b"0\r\n\r\n";
 
-impl Wire {
-    fn new(write_state: Arc<WriteState>, body_left: Option<u64>) -> Wire {
-        Wire(Arc::new(Mutex::new(Progress { write_state, body_left, ..Progress::default() })))
+impl SharedProgress {
+    fn new(write_state: Arc<WriteState>, body_left: Option<u64>) -> SharedProgress {
+        SharedProgress(Arc::new(Mutex::new(Progress { write_state, body_left, ..Progress::default() })))
     }
 
     fn with<T>(&self, f: impl FnOnce(&mut Progress) -> T) -> T {
@@ -624,16 +671,16 @@
 }
 
 impl Progress {
-    fn wrote(&mut self, bytes: &[u8]) {
+    fn record_written(&mut self, bytes: &[u8]) {
         if !bytes.is_empty() {
             self.write_state.mark_started();
         }
         let mut rest = bytes.iter();
-        while self.matched < HEAD_END.len()
+        while self.head_end_matched < HEAD_END.len()
             && let Some(byte) = rest.next()
         {
-            self.matched = if *byte == HEAD_END[self.matched] {
-                self.matched + 1
+            self.head_end_matched = if *byte == HEAD_END[self.head_end_matched] {
+                self.head_end_matched + 1
             } else {
                 usize::from(*byte == HEAD_END[0])
             };
@@ -649,57 +696,61 @@
             }
         }
         self.wrote_at = Some(Instant::now());
-        if self.whole() {
+        if self.request_is_written() {
             self.write_state.mark_complete();
         }
     }
 
-    /// The request's last byte was written.
-    fn whole(&self) -> bool {
+    /// Reports whether the request's last byte was written.
+    fn request_is_written(&self) -> bool {
         let body = match self.body_left {
             Some(left) => left == 0,
             None => self.all_given && self.tail == *LAST_CHUNK,
         };
-        self.matched == HEAD_END.len() && body
+        self.head_end_matched == HEAD_END.len() && body
     }
 
-    /// For how long, and since when, something has to happen; since never: no time but the request's own.
-    fn patience(&self) -> (Duration, Option<Instant>) {
+    /// Returns the longest time without progress and its start; without a start, only the request's deadline
+    /// applies.
+    fn stall_limit(&self) -> (Duration, Option<Instant>) {
         match self.last_byte.filter(|_| !self.passing) {
-            None if self.wrote_at.is_some() && !self.whole() => (PASS_TIME, self.wrote_at),
-            since => (ANSWER_TIME, since),
+            None if self.wrote_at.is_some() && !self.request_is_written() => {
+                (STREAM_STALL_LIMIT, self.wrote_at)
+            }
+            since => (ANSWER_STALL_LIMIT, since),
         }
     }
 
-    /// Whether so many more bytes are still within an answer's bounds.
-    fn got(&mut self, bytes: usize) -> bool {
+    /// Records bytes read; returns whether the answer is still within its size limits.
+    fn record_read(&mut self, bytes: usize) -> bool {
         self.read += bytes;
         if bytes > 0 {
             self.last_byte = Some(Instant::now());
         }
-        self.overrun = !self.passing && self.read > self.head_end.map_or(MOST_BEFORE, |at| at + MOST_FRAMED);
+        self.overrun = !self.passing
+            && self.read > self.head_end.map_or(MAX_BYTES_BEFORE_BODY, |at| at + MAX_FRAMED_BODY_BYTES);
         !self.overrun
     }
 }
 
-/// A connection to a node that notes what is written to it and read from it.
-struct Watched {
+/// A connection to a node that records the bytes written and read.
+struct ObservedConnection {
     io: TokioIo<TcpStream>,
-    wire: Wire,
+    progress: SharedProgress,
 }
 
-impl hyper::rt::Read for Watched {
+impl hyper::rt::Read for ObservedConnection {
     fn poll_read(
         mut self: Pin<&mut Self>,
         cx: &mut Context<'_>,
         mut buf: ReadBufCursor<'_>,
     ) -> Poll<io::Result<()>> {
-        // Read aside first: how much went into the cursor could not be told afterwards.
+        // Reads into a local buffer first: bytes written to the cursor can't be counted afterwards.
         let mut part = [0; 8192];
         let most = part.len().min(buf.remaining());
         let mut own = tokio::io::ReadBuf::new(&mut part[..most]);
         std::task::ready!(tokio::io::AsyncRead::poll_read(Pin::new(self.io.inner_mut()), cx, &mut own))?;
-        if !self.wire.with(|p| p.got(own.filled().len())) {
+        if !self.progress.with(|p| p.record_read(own.filled().len())) {
             return Poll::Ready(Err(io::ErrorKind::InvalidData.into()));
         }
         buf.put_slice(own.filled());
@@ -707,22 +758,22 @@
     }
 }
 
-impl hyper::rt::Write for Watched {
+impl hyper::rt::Write for ObservedConnection {
     fn poll_write(mut self: Pin<&mut Self>, cx: &mut Context<'_>, buf: &[u8]) -> Poll<io::Result<usize>> {
-        // Before the first byte nothing may have come: it would be taken for the answer, or the node has
-        // closed.
-        let first = self.wire.with(|p| (!p.write_state.has_started()).then(|| p.write_state.clone()));
+        // Bytes that arrived before the first write would be taken for the answer; an end means that the node
+        // has closed the connection.
+        let first = self.progress.with(|p| (!p.write_state.has_started()).then(|| p.write_state.clone()));
         if let Some(write_state) = first {
             let quiet = self.io.inner().quiet();
             if !quiet && self.io.inner().talks() {
-                self.wire.with(|p| p.talked = true);
+                self.progress.with(|p| p.unsolicited = true);
             }
             if !quiet || !write_state.may_start_writing() {
                 return Poll::Ready(Err(io::ErrorKind::BrokenPipe.into()));
             }
         }
         let written = std::task::ready!(Pin::new(&mut self.io).poll_write(cx, buf))?;
-        self.wire.with(|p| p.wrote(&buf[..written]));
+        self.progress.with(|p| p.record_written(&buf[..written]));
         Poll::Ready(Ok(written))
     }
 
--- a/src/net/back/tests.rs
+++ b/src/net/back/tests.rs
@@ -1,7 +1,7 @@
 use super::*;
 
 #[test]
-fn a_request_is_whole_with_its_last_byte_and_not_before() {
+fn a_request_is_written_once_its_last_byte_is() {
     for (parts, body, whole) in [
         (&["GET / HTTP/1.1\r\nhost: x\r\n\r\n"][..], 0, true),
         (&["GET / HTTP/1.1\r\nhost: x\r\n\r"], 0, false),
@@ -11,9 +11,9 @@
         (&[], 0, false),
     ] {
         let mut progress = Progress { body_left: Some(body), ..Progress::default() };
-        parts.iter().for_each(|part| progress.wrote(part.as_bytes()));
+        parts.iter().for_each(|part| progress.record_written(part.as_bytes()));
         assert_eq!(
-            (progress.whole(), progress.write_state.has_started()),
+            (progress.request_is_written(), progress.write_state.has_started()),
             (whole, !parts.is_empty()),
             "{parts:?}"
         );
@@ -21,7 +21,7 @@
 }
 
 #[test]
-fn reports_of_load_and_use_are_read_and_nonsense_is_not() {
+fn load_and_usage_headers_are_parsed_and_invalid_values_ignored() {
     for (text, queue) in [
         ("inflight=7,queue=2,util=0.61", Some(2.0)),
         ("inflight=7, queue=2.5", Some(2.5)),
@@ -42,7 +42,7 @@
 }
 
 #[test]
-fn an_answers_length_is_told_in_one_way_or_the_answer_is_spoilt() {
+fn an_answer_must_declare_its_length_in_exactly_one_way() {
     for (fields, sound) in [
         (&[("content-length", "3")][..], true),
         (&[("transfer-encoding", "chunked")], true),
@@ -67,12 +67,12 @@
         for (name, value) in fields {
             headers.append(HeaderName::from_static(name), value.parse().unwrap());
         }
-        assert_eq!(framed(&headers, false), sound, "{fields:?}");
-        assert_eq!(framed(&headers, true), sound || fields.is_empty(), "{fields:?}, last");
+        assert_eq!(has_valid_framing(&headers, false), sound, "{fields:?}");
+        assert_eq!(has_valid_framing(&headers, true), sound || fields.is_empty(), "{fields:?}, last");
     }
 }
 
-/// How long anything may take before a test is called stuck.
+/// The time after which a test fails as stuck.
 const STUCK: Duration = Duration::from_secs(20);
 
 fn with_back<T>(connect: Duration, play: impl AsyncFnOnce(Back, crate::core::Handle) -> T) -> T {
@@ -98,9 +98,9 @@
     }
 }
 
-/// The runtime has not looked at the connection since: only the system knows.
+/// The runtime has not polled the connection since the bytes arrived: only the kernel knows of them.
 #[test]
-fn nothing_is_written_on_a_connection_on_which_something_came_before_its_first_byte() {
+fn nothing_is_written_to_a_connection_that_received_bytes_before_the_request() {
     use std::io::{Read, Write};
     for (what, before) in [
         ("half a line", Some(&b"HTTP/1.1 2"[..])),
@@ -118,24 +118,27 @@
                 None => theirs.shutdown(std::net::Shutdown::Write).unwrap(),
             }
             let context = Arc::new(handle.context(address.to_string(), STUCK));
-            // With no turn of the runtime between, as where both come in one instant.
+            // The runtime does not run in between, as if the bytes arrived just before the write.
             let io = TokioIo::new(ours);
-            let mut watched = Watched { io, wire: Wire::new(context.write_state.clone(), Some(0)) };
+            let mut watched = ObservedConnection {
+                io,
+                progress: SharedProgress::new(context.write_state.clone(), Some(0)),
+            };
             let wrote = poll_fn(|cx| hyper::rt::Write::poll_write(Pin::new(&mut watched), cx, b"GET")).await;
             assert!(wrote.is_err(), "{what}");
             let report = back.exchange(watched.io.into_inner(), address, &get(), &context).await;
             assert_eq!(report.end, AttemptEnd::BrokeUnsent, "{what}");
             assert!(!context.write_state.has_started(), "{what}");
             let mut got = Vec::new();
-            // It ends with a reset where something came that was not read.
+            // The connection is reset if it closes with unread bytes.
             let _ = (&observed).read_to_end(&mut got);
             assert!(got.is_empty(), "{what}");
         });
     }
 }
 
-/// A listener whose queue is full: the system answers no more connections until one is accepted.
-fn full() -> (socket2::Socket, SocketAddr, std::net::TcpStream) {
+/// A listener whose queue is full: the kernel completes no further connection until one is accepted.
+fn full_listener() -> (socket2::Socket, SocketAddr, std::net::TcpStream) {
     let listener = socket2::Socket::new(socket2::Domain::IPV4, socket2::Type::STREAM, None).unwrap();
     listener.bind(&SocketAddr::from(([127, 0, 0, 1], 0)).into()).unwrap();
     listener.listen(0).unwrap();
@@ -145,9 +148,9 @@
 }
 
 #[test]
-fn a_connection_that_comes_up_too_late_for_its_attempt_is_kept_for_the_next() {
+fn a_connection_established_too_late_for_its_attempt_is_kept_for_the_next() {
     with_back(Duration::from_millis(100), async |back, _| {
-        let (listener, address, _filler) = full();
+        let (listener, address, _filler) = full_listener();
         assert!(back.connect(address).await.is_none());
         assert_eq!(back.pool.held(), 0);
         let _accepted = listener.accept().unwrap();
@@ -155,15 +158,15 @@
             tokio::time::sleep(Duration::from_millis(10)).await;
         }
         assert_eq!(back.counts().0, 1);
-        tokio::time::sleep(2 * REST).await;
-        assert!(back.connect(address).await.is_some(), "the one that came up late");
+        tokio::time::sleep(2 * CONNECTION_REST).await;
+        assert!(back.connect(address).await.is_some(), "the late connection was not kept");
     });
 }
 
 #[test]
-fn an_attempt_whose_connection_does_not_come_up_takes_one_that_is_free_meanwhile() {
+fn an_attempt_that_waits_for_its_connection_takes_one_that_becomes_idle() {
     with_back(STUCK, async |back, _| {
-        let (_listener, address, _filler) = full();
+        let (_listener, address, _filler) = full_listener();
         let other = std::net::TcpListener::bind("127.0.0.1:0").unwrap();
         let kept = TcpStream::connect(other.local_addr().unwrap()).await.unwrap();
         let port = kept.local_addr().unwrap();
--- a/src/net/body.rs
+++ b/src/net/body.rs
@@ -1,30 +1,31 @@
-//! Clients' bodies as they come: read piece by piece for as long as they make progress. A slow client is told from one
-//! that has stopped by its bytes, not by its total time.
+//! Reads clients' bodies piece by piece for as long as they make progress. A slow client is distinguished
+//! from a stalled one by its rate of bytes, not by the total time.
 
 use axum::body::{Body, HttpBody};
 use bytes::Bytes;
 use http_body_util::BodyExt;
 use tokio::time::{Duration, Instant, timeout};
 
-/// No client is silent for longer in the middle of a body.
-const SILENCE: Duration = Duration::from_millis(2_200);
-/// A body comes at 64 kB a second at least; one at a third of that on the whole, beyond its first moments, holds its
-/// place for nothing.
-const FIRST_MOMENTS: Duration = Duration::from_millis(2_500);
-const LEAST_RATE: f64 = 21_000.0;
+/// The longest time between two pieces of a body.
+const MAX_SILENCE: Duration = Duration::from_millis(2_200);
+/// The waiting time that does not count towards the minimum rate.
+const RATE_GRACE: Duration = Duration::from_millis(2_500);
+/// The minimum average rate after [`RATE_GRACE`]. Clients send at least 64 kB a second; a body at less than a
+/// third of that occupies its slot without use.
+const MIN_BYTES_PER_SECOND: f64 = 21_000.0;
 
-/// Why a body cannot be read.
+/// Why a body could not be read.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Fault {
-    /// It stopped, or comes too slowly.
+    /// It stalled, or arrives too slowly.
     Slow,
-    /// It broke off, or its framing cannot be read.
+    /// It was cut off, or its framing is invalid.
     Broken,
     /// It is longer than the limit.
     TooLong,
 }
 
-/// Whether a body may go on: time that was spent waiting for its client, and bytes that came.
+/// The time spent waiting for a body and the bytes received, from which its average rate follows.
 #[derive(Clone, Copy, Debug, Default)]
 struct Pace {
     waited: Duration,
@@ -33,12 +34,12 @@
 
 impl Pace {
     fn too_slow(&self) -> bool {
-        let due = self.waited.saturating_sub(FIRST_MOMENTS).as_secs_f64() * LEAST_RATE;
+        let due = self.waited.saturating_sub(RATE_GRACE).as_secs_f64() * MIN_BYTES_PER_SECOND;
         due > self.bytes as f64
     }
 }
 
-/// A body while it arrives.
+/// A body that is being received.
 pub struct Reading {
     body: Body,
     pace: Pace,
@@ -46,21 +47,21 @@
 }
 
 impl Reading {
-    /// A body of at most so many bytes.
+    /// Starts to receive a body of at most `most` bytes.
     pub fn new(body: Body, most: u64) -> Reading {
         Reading { body, pace: Pace::default(), most }
     }
 
-    /// What the head says of its length; `None`: it comes in chunks.
+    /// Returns the length that the head declares, in bytes; `None` if the body is chunked.
     pub fn length(&self) -> Option<u64> {
         self.body.size_hint().exact()
     }
 
-    /// The next bytes; `None`: it is whole. Trailers say nothing that a node would need.
+    /// Returns the next piece; `None` at the end of the body. Trailers are skipped: nodes need none.
     pub async fn next(&mut self) -> Result<Option<Bytes>, Fault> {
         loop {
             let begun = Instant::now();
-            let frame = timeout(SILENCE, self.body.frame()).await.map_err(|_| Fault::Slow)?;
+            let frame = timeout(MAX_SILENCE, self.body.frame()).await.map_err(|_| Fault::Slow)?;
             self.pace.waited += begun.elapsed();
             let Some(frame) = frame else { return Ok(None) };
             let Ok(data) = frame.map_err(|_| Fault::Broken)?.into_data() else { continue };
@@ -77,17 +78,17 @@
         }
     }
 
-    /// All of it.
+    /// Reads the whole body.
     pub async fn whole(&mut self) -> Result<Bytes, Fault> {
         let mut pieces = Vec::new();
         while let Some(piece) = self.next().await? {
             pieces.push(piece);
         }
-        Ok(joined(pieces))
+        Ok(concat_pieces(pieces))
     }
 }
 
-fn joined(mut pieces: Vec<Bytes>) -> Bytes {
+fn concat_pieces(mut pieces: Vec<Bytes>) -> Bytes {
     match pieces.len() {
         0 => Bytes::new(),
         1 => pieces.swap_remove(0),
--- a/src/net/body/tests.rs
+++ b/src/net/body/tests.rs
@@ -1,16 +1,16 @@
 use super::*;
 
 #[test]
-fn slow_is_by_the_bytes_that_came_for_the_time_that_was_waited() {
+fn a_body_is_too_slow_by_its_bytes_for_the_time_waited() {
     for (waited_ms, bytes, slow) in [
         (0, 0, false),
         (2_500, 0, false),
         (2_600, 1, true),
         (3_500, 22_000, false),
         (3_500, 20_000, true),
-        // 64 kB a second, for half a minute.
+        // 64 kB a second for 30 seconds.
         (30_000, 30 * 64_000, false),
-        // A byte every two seconds.
+        // One byte every two seconds.
         (60_000, 30, true),
     ] {
         let pace = Pace { waited: Duration::from_millis(waited_ms), bytes };
@@ -19,7 +19,7 @@
 }
 
 #[test]
-fn a_body_is_read_whole_up_to_its_bound() {
+fn a_body_up_to_its_size_limit_is_read_whole() {
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build().unwrap();
     runtime.block_on(async {
         for (length, whole) in [(0, true), (99, true), (100, true), (101, false)] {
--- a/src/net/front.rs
+++ b/src/net/front.rs
@@ -1,4 +1,4 @@
-//! The platform's front: clients' HTTP/1.1 requests become the core's, and its answers theirs.
+//! The HTTP/1.1 front: submits clients' requests to the core and sends the core's answers to the clients.
 
 use crate::classes::Directory;
 use crate::core::{Answer, Arrival, Handle, Pending, less_margin};
@@ -44,53 +44,56 @@
 use tokio::time::{Duration, Instant};
 use tower_service::Service;
 
-const METHOD: &str = "method";
-const CLASS: &str = "x-priority-class";
-const PLAN: &str = "x-storage-class";
-const EXTENT: &str = "x-extent";
-const RETRIED: &str = "x-retried";
-/// What a connection may hold of a request's head.
-const MOST_HEAD: usize = 16 * 1024;
-/// The most that ids and keys may hold, and paths with their queries.
-const MOST_TOKEN: usize = 128;
-const MOST_TARGET: usize = 1024;
-/// A body beyond 64 KiB, or of no told length, is held up to this before it is sent on.
-const MOST_UPLOAD: usize = 1024 * 1024;
-/// When a client that found no room is asked to come again.
-const NO_ROOM: Duration = Duration::from_secs(1);
+/// The part of a request that [`Malformed`] names when the method is not served.
+const METHOD_PART: &str = "method";
+const CLASS_HEADER: &str = "x-priority-class";
+const PLAN_HEADER: &str = "x-storage-class";
+const EXTENT_HEADER: &str = "x-extent";
+const RETRIED_HEADER: &str = "x-retried";
+/// The most bytes that a connection buffers of a request's head.
+const MAX_HEAD_BYTES: usize = 16 * 1024;
+/// The most bytes of an id or a key.
+const MAX_TOKEN_BYTES: usize = 128;
+/// The most bytes of a path with its query.
+const MAX_TARGET_BYTES: usize = 1024;
+/// The most bytes held before forwarding of a body that exceeds 64 KiB or has no declared length.
+const MAX_BUFFERED_UPLOAD_BYTES: usize = 1024 * 1024;
+/// The `Retry-After` time of a request that is refused because memory or the queue is full.
+const NO_ROOM_RETRY_AFTER: Duration = Duration::from_secs(1);
 
 /// The HTTP front.
 #[derive(Clone)]
 pub struct Front {
-    /// The core.
+    /// The handle to the core.
     pub handle: Handle,
-    /// Connections to nodes.
+    /// The connections to storage nodes.
     pub back: Back,
-    /// The names that are in force; a reload changes them.
+    /// The names of classes and plans that are in force; a reload changes them.
     pub names: watch::Receiver<Arc<Directory>>,
-    /// Time kept back from a client's time.
+    /// The time subtracted from a client's timeout, so that the answer arrives before the timeout.
     pub answer_margin: Duration,
     /// The process's phase.
     pub phase: watch::Receiver<Phase>,
-    /// The memory for bodies, in bytes.
+    /// The memory for bodies up to 64 KiB, in bytes.
     pub bodies: Arc<Semaphore>,
-    /// The memory for those beyond 64 KiB and those of no told length.
+    /// The memory for bodies beyond 64 KiB and bodies of no declared length, in bytes.
     pub uploads: Arc<Semaphore>,
-    /// Ids of recent requests.
+    /// The ids of recent requests.
     pub ids: Ids,
 }
 
-/// Accepts connections until the phase ends it.
+/// Accepts and serves connections until the phase no longer accepts.
 pub async fn serve(listener: TcpListener, front: Front, slots: Slots) {
     let phase = front.phase.clone();
-    let router = Router::new().route("/up", get(up)).fallback(take).with_state(front);
+    let router = Router::new().route("/up", get(readiness)).fallback(handle_request).with_state(front);
     let connection = |stream, slot, phase: &watch::Receiver<Phase>| {
         connection(stream, slot, router.clone(), phase.clone())
     };
     accept_all(listener, slots, phase, connection).await;
 }
 
-/// Accepts for as long as the phase has it, and then what has come until then; each connection is a task of its own.
+/// Accepts connections while the phase accepts. Then, unless the listener was handed over, accepts those that
+/// wait in the kernel's queue. Each connection runs in a task of its own.
 pub async fn accept_all<C: Future<Output = ()> + Send + 'static>(
     listener: TcpListener,
     slots: Slots,
@@ -102,12 +105,13 @@
             () = until(&mut phase, |phase| !phase.accept) => break,
             accepted = listener.accept() => accepted,
         };
-        // What is accepted gets its place whatever the phase becomes meanwhile: dropped, it would be reset.
+        // An accepted connection waits for its slot even if the phase changes: dropping the connection would
+        // reset it.
         match accepted {
             Ok((stream, _)) => drop(tokio::spawn(connection(stream, slots.take().await, &phase))),
             Err(problem) => {
                 event!(ACCEPT_FAILED, problem:%);
-                // With no descriptor left it waits a moment rather than spin.
+                // Pauses rather than spin when no file descriptor is left.
                 tokio::time::sleep(Duration::from_millis(10)).await;
             }
         }
@@ -115,7 +119,8 @@
     if phase.borrow().handed_over {
         return;
     }
-    // The system resets what is in its queue when the listener closes. Asked itself, it knows what has come by now.
+    // The kernel resets the connections in its queue when the listener closes. Accepting from the std
+    // listener takes every connection queued by now, also those that the runtime has not been notified of.
     let waiting = listener.into_std();
     while let Ok((stream, _)) =
         waiting.as_ref().map_err(|_| ErrorKind::NotConnected.into()).and_then(std::net::TcpListener::accept)
@@ -126,18 +131,20 @@
     }
 }
 
-async fn up(State(front): State<Front>) -> Response {
+/// Answers `GET /up`: 200 while the process is up, 503 while it drains.
+async fn readiness(State(front): State<Front>) -> Response {
     let phase = *front.phase.borrow();
     let response = match phase.up {
         true => "up".into_response(),
         false => (StatusCode::SERVICE_UNAVAILABLE, "draining").into_response(),
     };
-    if phase.last { last_on_its_connection(response) } else { response }
+    if phase.last { with_connection_close(response) } else { response }
 }
 
+/// Serves one client connection until it ends, is told to close, or its client leaves.
 async fn connection(stream: TcpStream, slot: Slot, router: Router, mut phase: watch::Receiver<Phase>) {
     let (inbound, client) = Inbound::new(stream);
-    let io = Watched { io: TokioIo::new(inbound), slot: slot.clone() };
+    let io = ObservedConnection { io: TokioIo::new(inbound), slot: slot.clone() };
     let (of_request, of_client) = (slot.clone(), client.clone());
     let service = service_fn(move |mut request: hyper::Request<Incoming>| {
         of_request.asking();
@@ -146,79 +153,81 @@
         let (answer, slot) = (router.clone().call(request), of_request.clone());
         async move {
             let response = answer.await?;
-            let still_out = response.extensions().get::<StillOut>().is_some();
+            let still_out = response.extensions().get::<ResponseUnfinished>().is_some();
             let last = if still_out { slot.had_better_go() } else { slot.answered() } || slot.is_told();
-            Ok::<_, std::convert::Infallible>(if last { last_on_its_connection(response) } else { response })
+            Ok::<_, std::convert::Infallible>(if last { with_connection_close(response) } else { response })
         }
     });
-    let mut served = Box::pin(http1::Builder::new().max_buf_size(MOST_HEAD).serve_connection(io, service));
+    let mut served =
+        Box::pin(http1::Builder::new().max_buf_size(MAX_HEAD_BYTES).serve_connection(io, service));
     let mut gone = pin!(client.left());
     let (mut told, mut ends) = (false, false);
     let ended = loop {
-        // What has come is read before the connection is told to go.
+        // Bytes that have arrived are read before the connection is told to close.
         tokio::select! {
             biased;
             ended = served.as_mut() => break ended,
-            // hyper does not read on behind a request that is open: its client's end would not be seen.
+            // hyper does not read further while a request is open, so it would not notice that the client
+            // closes.
             () = &mut gone => {
-                debug!("a client has left");
+                debug!("client closed its connection");
                 return;
             }
             () = until(&mut phase, |phase| phase.close), if !ends => {
                 ends = true;
-                if !half_way(&slot, &client) {
+                if !has_request_under_way(&slot, &client) {
                     served.as_mut().graceful_shutdown();
                 }
             }
             orderly = slot.told_to_leave() => {
                 if told || !orderly {
-                    debug!("a client's connection is cut off");
+                    debug!("client connection cut off");
                     return;
                 }
                 told = true;
-                if !half_way(&slot, &client) {
+                if !has_request_under_way(&slot, &client) {
                     served.as_mut().graceful_shutdown();
                 }
             }
         }
     };
     if let Err(problem) = ended {
-        debug!("a client's connection ended: {problem}");
+        debug!("client connection ended with an error: {problem}");
     }
     drop(served);
     client.linger(&slot).await;
 }
 
-/// In the middle of a request, or with one that has come in this very moment: hyper would throw that away. Its answer says
-/// by itself that it is the last.
-fn half_way(slot: &Slot, client: &Presence) -> bool {
+/// Reports whether a request is open on the connection or has arrived unread. A graceful shutdown of hyper
+/// would discard such a request; instead, its answer carries `Connection: close`.
+fn has_request_under_way(slot: &Slot, client: &Presence) -> bool {
     slot.is_asking() || client.has_unread()
 }
 
-/// A client's connection that tells its place what comes.
-struct Watched {
+/// A client's connection that reports the bytes it reads to its slot.
+struct ObservedConnection {
     io: TokioIo<Inbound>,
     slot: Slot,
 }
 
-impl hyper::rt::Read for Watched {
+impl hyper::rt::Read for ObservedConnection {
     fn poll_read(
         mut self: Pin<&mut Self>,
         cx: &mut Context<'_>,
         mut buf: ReadBufCursor<'_>,
     ) -> Poll<io::Result<()>> {
-        // Read aside first: what went into the cursor could not be seen afterwards.
+        // Reads into a local buffer first: bytes written to the cursor can't be inspected afterwards.
         let mut part = [0; 8192];
         let most = part.len().min(buf.remaining());
         let mut own = ReadBuf::new(&mut part[..most]);
         std::task::ready!(Pin::new(self.io.inner_mut()).poll_read(cx, &mut own))?;
-        self.slot.bytes_came(own.filled(), MOST_HEAD);
+        self.slot.bytes_came(own.filled(), MAX_HEAD_BYTES);
         buf.put_slice(own.filled());
         Poll::Ready(Ok(()))
     }
 }
 
-impl hyper::rt::Write for Watched {
+impl hyper::rt::Write for ObservedConnection {
     fn poll_write(mut self: Pin<&mut Self>, cx: &mut Context<'_>, buf: &[u8]) -> Poll<io::Result<usize>> {
         Pin::new(&mut self.io).poll_write(cx, buf)
     }
@@ -232,8 +241,8 @@
     }
 }
 
-/// Whatever happens inside, a request gets one answer; a panic is one of the things that may.
-async fn take(
+/// Answers one request. A panic in its handling is answered with 500.
+async fn handle_request(
     State(front): State<Front>,
     Extension(slot): Extension<Slot>,
     Extension(client): Extension<Presence>,
@@ -247,16 +256,18 @@
         StatusCode::INTERNAL_SERVER_ERROR.into_response()
     });
     if leaving.borrow().last {
-        response = last_on_its_connection(response);
+        response = with_connection_close(response);
     }
     response
 }
 
-fn last_on_its_connection(mut response: Response) -> Response {
+/// Announces that the connection closes after this response.
+fn with_connection_close(mut response: Response) -> Response {
     response.headers_mut().insert(header::CONNECTION, HeaderValue::from_static("close"));
     response
 }
 
+/// Checks a request, reads its body, submits it to the core and returns the response.
 async fn answer(
     front: &Front,
     slot: &Slot,
@@ -266,13 +277,14 @@
 ) -> Response {
     let (head, body) = request.into_parts();
     let names = front.names.borrow().clone();
-    let arrival = match read(&head, &names, received, front.answer_margin) {
+    let arrival = match parse_request(&head, &names, received, front.answer_margin) {
         Ok(arrival) => arrival,
-        Err(Malformed(METHOD)) => return not_allowed(),
+        Err(Malformed(METHOD_PART)) => return not_allowed(),
         Err(malformed) => return denied(StatusCode::BAD_REQUEST, &malformed.to_string()),
     };
-    // A length beside a coding may hide another request in the body (RFC 9112, 6.3). hyper passes over a length that
-    // comes behind a coding: that is looked for in what was read.
+    // A Content-Length beside a Transfer-Encoding may smuggle another request in the body (RFC 9112, 6.3).
+    // hyper ignores a Content-Length that follows a Transfer-Encoding, so the bytes read for the head are
+    // searched too.
     let coded = head.headers.contains_key(header::TRANSFER_ENCODING);
     if coded
         && (head.headers.contains_key(header::CONTENT_LENGTH)
@@ -312,19 +324,20 @@
     let held = length.unwrap_or(0).min(MOST_BODY as u64) as u32;
     let Ok(memory) = front.bodies.clone().try_acquire_many_owned(held) else {
         front.handle.figures().count(arrival.class, Count::Dropped);
-        return behind(reading, slot, refused(NO_ROOM));
+        return drain_body_after(reading, slot, refused(NO_ROOM_RETRY_AFTER));
     };
     slot.reading();
     let body = if length.is_some_and(|length| length <= MOST_BODY as u64) {
         match reading.whole().await {
             Ok(body) => Payload::Held { body, _memory: Some(memory) },
-            Err(fault) => return faulty(fault),
+            Err(fault) => return fault_response(fault),
         }
     } else {
-        // Sent on only when it is whole or can no longer be held: a slow client keeps no token and no connection.
-        let source = Arc::new(Source::new(MOST_UPLOAD, front.uploads.clone()));
-        if let Err(fault) = pump(&mut reading, &source).await {
-            return faulty(fault);
+        // The body is forwarded only once it is complete or can no longer be held, so that a slow client
+        // occupies neither a token nor a connection to a node.
+        let source = Arc::new(Source::new(MAX_BUFFERED_UPLOAD_BYTES, front.uploads.clone()));
+        if let Err(fault) = read_while_room(&mut reading, &source).await {
+            return fault_response(fault);
         }
         Payload::Coming { source, length }
     };
@@ -332,7 +345,7 @@
         return denied(StatusCode::CONFLICT, "this id has been used");
     }
     slot.waiting();
-    // A request's time counts from its last byte.
+    // A request's timeout counts from its last held byte.
     let answer_by = Instant::now() + wait;
     let source = match &body {
         Payload::Coming { source, .. } if !source.is_over() => Some(source.clone()),
@@ -342,19 +355,19 @@
     let (work, begun) = forward(body, wait);
     let Some(pending) = front.handle.submit(arrival, work) else {
         return match source {
-            // The connection goes with it, so that its place is free for the next one.
-            None => last_on_its_connection(refused(NO_ROOM)),
-            Some(_) => behind(reading, slot, refused(NO_ROOM)),
+            // The connection closes after this answer, so that its slot is free for another client.
+            None => with_connection_close(refused(NO_ROOM_RETRY_AFTER)),
+            Some(_) => drain_body_after(reading, slot, refused(NO_ROOM_RETRY_AFTER)),
         };
     };
     match source {
-        None => result(pending, begun, slot).await,
-        Some(source) => coming(reading, &source, pending, begun, slot).await,
+        None => await_answer(pending, begun, slot).await,
+        Some(source) => answer_while_receiving(reading, &source, pending, begun, slot).await,
     }
 }
 
-/// Reads on while there is room to hold it.
-async fn pump(reading: &mut Reading, source: &Source) -> Result<(), Fault> {
+/// Reads pieces of the body into `source` while `source` has room.
+async fn read_while_room(reading: &mut Reading, source: &Source) -> Result<(), Fault> {
     while source.has_room() {
         match reading.next().await? {
             Some(piece) => drop(source.push(piece, source.is_bound())),
@@ -364,8 +377,9 @@
     Ok(())
 }
 
-/// A request that is still being read while it is decided on and sent on. Its answer may come before its end.
-async fn coming(
+/// Reads the rest of a request's body while the core queues and forwards the request. The answer may come
+/// before the body's end.
+async fn answer_while_receiving(
     mut reading: Reading,
     source: &Source,
     pending: Pending,
@@ -377,7 +391,7 @@
         let fault = async {
             while !source.is_over() {
                 source.room().await;
-                if let Err(fault) = pump(&mut reading, source).await {
+                if let Err(fault) = read_while_room(&mut reading, source).await {
                     source.end(Over::Cut);
                     return fault;
                 }
@@ -387,37 +401,38 @@
         };
         tokio::select! {
             biased;
-            response = result(pending, begun, slot) => response,
-            // Dropped with it, the request is its client's that has gone.
-            fault = fault => return faulty(fault),
+            response = await_answer(pending, begun, slot) => response,
+            // Returning drops `pending`, which cancels the request like one whose client has left.
+            fault = fault => return fault_response(fault),
         }
     };
-    if source.is_over() { response } else { behind(reading, slot, response) }
+    if source.is_over() { response } else { drain_body_after(reading, slot, response) }
 }
 
-/// An answer before its request's end. What is still to come is read behind it: closed at once, a reset could overtake
-/// the answer, and a client that goes on writing would hear of none.
-fn behind(mut reading: Reading, slot: &Slot, mut response: Response) -> Response {
+/// Returns a response that is sent before the request's body has ended, and reads the rest of the body in the
+/// background. If the connection closed at once, a reset could overtake the response, and a client still
+/// writing would never see it.
+fn drain_body_after(mut reading: Reading, slot: &Slot, mut response: Response) -> Response {
     let slot = slot.clone();
-    response.extensions_mut().insert(StillOut);
+    response.extensions_mut().insert(ResponseUnfinished);
     tokio::spawn(async move {
         slot.reading();
-        // Whatever is wrong with it, hyper closes the connection when the body is dropped unread.
+        // On any fault, hyper closes the connection when the unread body is dropped.
         while let Ok(Some(_)) = reading.next().await {}
         slot.answered();
     });
     response
 }
 
-/// The one answer, whole or as it comes.
-async fn result(mut pending: Pending, mut begun: oneshot::Receiver<Passing>, slot: &Slot) -> Response {
+/// Waits for the core's answer, or for the start of an answer that is streamed to the client.
+async fn await_answer(mut pending: Pending, mut begun: oneshot::Receiver<Passing>, slot: &Slot) -> Response {
     let mut may_begin = true;
     loop {
         tokio::select! {
             biased;
             began = &mut begun, if may_begin => match began {
-                Ok(passing) => return passed_on(passing, pending, slot),
-                // No attempt will: the request is over.
+                Ok(passing) => return streamed_response(passing, pending, slot),
+                // No attempt will stream an answer: the request has ended.
                 Err(_) => may_begin = false,
             },
             answer = &mut pending => return match answer {
@@ -429,31 +444,33 @@
     }
 }
 
-fn passed_on(passing: Passing, pending: Pending, slot: &Slot) -> Response {
+/// Builds the response to a long answer, whose body is streamed.
+fn streamed_response(passing: Passing, pending: Pending, slot: &Slot) -> Response {
     let length = passing.length;
-    let body = PassedOn { passing, pending, given: 0, slot: slot.clone() };
+    let body = StreamedBody { passing, pending, given: 0, slot: slot.clone() };
     let mut response = Response::new(Body::new(body));
     if let Some(length) = length {
         response.headers_mut().insert(header::CONTENT_LENGTH, HeaderValue::from(length));
     }
-    response.extensions_mut().insert(StillOut);
+    response.extensions_mut().insert(ResponseUnfinished);
     response
 }
 
-/// Marks an answer whose body holds its connection's slot until its end.
+/// Marks a response whose slot becomes idle only when a body ends: the streamed answer or the rest of the
+/// request.
 #[derive(Clone)]
-struct StillOut;
+struct ResponseUnfinished;
 
-/// The body of a long answer. Its end is good only with the core's word that the node's was; otherwise the connection
-/// breaks off, and the client can tell.
-struct PassedOn {
+/// The body of a long answer. It ends normally only if the core reports that the node's answer was complete;
+/// otherwise the connection is aborted, so that the client notices the truncation.
+struct StreamedBody {
     passing: Passing,
     pending: Pending,
     given: u64,
     slot: Slot,
 }
 
-impl HttpBody for PassedOn {
+impl HttpBody for StreamedBody {
     type Data = Bytes;
     type Error = io::Error;
 
@@ -475,13 +492,14 @@
     }
 }
 
-impl Drop for PassedOn {
+impl Drop for StreamedBody {
     fn drop(&mut self) {
         self.slot.answered();
     }
 }
 
-fn faulty(fault: Fault) -> Response {
+/// The response to a request whose body could not be read.
+fn fault_response(fault: Fault) -> Response {
     match fault {
         Fault::Slow => denied(StatusCode::REQUEST_TIMEOUT, "the body did not come in time"),
         Fault::Broken => denied(StatusCode::BAD_REQUEST, "the body did not come whole"),
@@ -489,17 +507,19 @@
     }
 }
 
+/// The response to a method other than GET and PUT.
 fn not_allowed() -> Response {
     let mut response = denied(StatusCode::METHOD_NOT_ALLOWED, "GET and PUT are served");
     response.headers_mut().insert(header::ALLOW, HeaderValue::from_static("GET, PUT"));
     response
 }
 
-/// What is not as the protocol has it is the last that is read on its connection.
+/// The response to a request that violates the protocol; the connection closes after it.
 fn denied(status: StatusCode, why: &str) -> Response {
-    last_on_its_connection((status, why.to_string()).into_response())
+    with_connection_close((status, why.to_string()).into_response())
 }
 
+/// The response to a request that the client may repeat after the time `after`.
 fn refused(after: Duration) -> Response {
     let mut response = StatusCode::SERVICE_UNAVAILABLE.into_response();
     if let Ok(seconds) = HeaderValue::try_from(format!("{:.3}", after.as_secs_f64())) {
@@ -508,7 +528,7 @@
     response
 }
 
-/// The part of a request that is not as the protocol has it.
+/// The part of a request that is missing or malformed.
 #[derive(Debug, PartialEq)]
 struct Malformed(&'static str);
 
@@ -518,44 +538,60 @@
     }
 }
 
-/// The only value of that name: of two it could not be said which one holds.
-fn text<'a>(headers: &'a HeaderMap, name: &'static str) -> Result<&'a str, Malformed> {
+/// Returns the value of the header `name`, which must occur exactly once: with two values, neither is known
+/// to apply.
+fn single_header<'a>(headers: &'a HeaderMap, name: &'static str) -> Result<&'a str, Malformed> {
     let mut values = headers.get_all(name).iter();
     let (Some(value), None) = (values.next(), values.next()) else { return Err(Malformed(name)) };
     value.to_str().map_err(|_| Malformed(name))
 }
 
-/// Short and without spaces, so that it means the same to whoever reads it.
+/// Returns a header value of 1 to [`MAX_TOKEN_BYTES`] visible ASCII characters, which every reader parses
+/// alike.
 fn token<'a>(headers: &'a HeaderMap, name: &'static str) -> Result<&'a str, Malformed> {
-    let sound =
-        |text: &&str| (1..=MOST_TOKEN).contains(&text.len()) && text.bytes().all(|b| b.is_ascii_graphic());
-    text(headers, name).ok().filter(sound).ok_or(Malformed(name))
+    let is_token = |text: &&str| {
+        (1..=MAX_TOKEN_BYTES).contains(&text.len()) && text.bytes().all(|b| b.is_ascii_graphic())
+    };
+    single_header(headers, name).ok().filter(is_token).ok_or(Malformed(name))
 }
 
-fn hex(part: Option<&str>) -> Option<u64> {
+/// Parses exactly 16 hexadecimal digits.
+fn parse_hex(part: Option<&str>) -> Option<u64> {
     let digits = part.filter(|p| p.len() == 16 && p.bytes().all(|b| b.is_ascii_hexdigit()))?;
     u64::from_str_radix(digits, 16).ok()
 }
 
-fn read(head: &Parts, names: &Directory, received: Instant, margin: Duration) -> Result<Arrival, Malformed> {
+/// Parses the head of a request.
+///
+/// # Errors
+///
+/// Names the first part that is missing or malformed.
+fn parse_request(
+    head: &Parts,
+    names: &Directory,
+    received: Instant,
+    margin: Duration,
+) -> Result<Arrival, Malformed> {
     if head.method != Method::GET && head.method != Method::PUT {
-        return Err(Malformed(METHOD));
+        return Err(Malformed(METHOD_PART));
     }
-    if head.uri.path_and_query().is_none_or(|target| target.as_str().len() > MOST_TARGET) {
+    if head.uri.path_and_query().is_none_or(|target| target.as_str().len() > MAX_TARGET_BYTES) {
         return Err(Malformed("path"));
     }
     let mut parts = head.uri.path().rsplit('/');
-    let (key, volume) = (hex(parts.next()), hex(parts.next()));
+    let (key, volume) = (parse_hex(parts.next()), parse_hex(parts.next()));
     let (Some(key), Some(volume)) = (key, volume) else { return Err(Malformed("path")) };
-    let (class, longest) = names.class(text(&head.headers, CLASS)?).ok_or(Malformed(CLASS))?;
-    let plan = names.plan(text(&head.headers, PLAN)?).ok_or(Malformed(PLAN))?;
+    let (class, longest) =
+        names.class(single_header(&head.headers, CLASS_HEADER)?).ok_or(Malformed(CLASS_HEADER))?;
+    let plan = names.plan(single_header(&head.headers, PLAN_HEADER)?).ok_or(Malformed(PLAN_HEADER))?;
     token(&head.headers, REQUEST_ID)?;
     if head.headers.contains_key(IDEMPOTENCY_KEY) {
         token(&head.headers, IDEMPOTENCY_KEY)?;
     }
-    let wait: u64 = text(&head.headers, TIMEOUT)?.parse().map_err(|_| Malformed(TIMEOUT))?;
-    let (units, shard, volume_hosts) = extent(text(&head.headers, EXTENT)?).ok_or(Malformed(EXTENT))?;
-    // No client of a class waits longer than that.
+    let wait: u64 = single_header(&head.headers, TIMEOUT)?.parse().map_err(|_| Malformed(TIMEOUT))?;
+    let (units, shard, volume_hosts) =
+        parse_extent(single_header(&head.headers, EXTENT_HEADER)?).ok_or(Malformed(EXTENT_HEADER))?;
+    // A client's timeout is capped at its class's longest deadline.
     let wait = Duration::from_millis(wait).min(longest);
     Ok(Arrival {
         body_time: None,
@@ -565,16 +601,16 @@
         plan,
         units,
         volume_hosts,
-        repeat: head.headers.get(RETRIED).is_some_and(|value| value == "1"),
+        repeat: head.headers.get(RETRIED_HEADER).is_some_and(|value| value == "1"),
         shard,
         answer_by: received + less_margin(wait, margin),
     })
 }
 
-/// `units=2,shard=5,hosts=3`, in any order; shard -1 is a new object.
-fn extent(text: &str) -> Option<(f64, Option<u16>, f64)> {
+/// Parses `units=2,shard=5,hosts=3`, in any order, into units, shard and hosts; shard -1 is a new object.
+fn parse_extent(text: &str) -> Option<(f64, Option<u16>, f64)> {
     let (mut units, mut shard, mut hosts) = (None, None, None);
-    // Empty elements of a list are none (RFC 9110, 5.6.1).
+    // Empty elements of a list are ignored (RFC 9110, 5.6.1).
     for field in text.split(',').map(str::trim).filter(|field| !field.is_empty()) {
         let (name, value) = field.split_once('=')?;
         let value: f64 = value.parse().ok().filter(|v: &f64| v.is_finite())?;
--- a/src/net/front/tests.rs
+++ b/src/net/front/tests.rs
@@ -29,9 +29,9 @@
     (front, slots)
 }
 
-/// The system has let them in; closed with the listener they would be reset.
+/// The kernel has completed these connections; it would reset them when the listener closes.
 #[test]
-fn who_waits_in_the_listeners_queue_as_it_closes_is_served() {
+fn connections_in_the_accept_queue_are_served_when_the_listener_closes() {
     use std::io::{Read, Write};
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build().unwrap();
     for (handed_over, served) in [(false, 3), (true, 0)] {
@@ -58,16 +58,17 @@
     }
 }
 
-/// It is accepted while every place is held, and the head ceases to accept before it has one.
+/// The connection is accepted while every slot is held, and the process stops accepting before a slot is
+/// free.
 #[test]
-fn who_was_accepted_and_waits_for_a_place_as_the_phase_changes_is_served() {
+fn an_accepted_connection_that_waits_for_a_slot_is_served_after_the_phase_changes() {
     use tokio::io::{AsyncReadExt, AsyncWriteExt};
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build().unwrap();
     runtime.block_on(async {
         let (core, _wanted) = Core::new(Settings::default(), 7, 10, Clock::start());
         let (phase, watched) = watch::channel(SERVING);
         let (front, slots) = front(&core.handle(), watched);
-        // Places that nobody can be told to leave.
+        // A connection whose request waits for an answer is never asked to leave its slot.
         let mut held = Vec::new();
         for _ in 0..4 {
             let slot = slots.take().await;
@@ -83,11 +84,11 @@
             tokio::task::yield_now().await;
         }
         phase.send_replace(Phase { accept: false, last: true, close: true, ..SERVING });
-        // Every task has its turn while nothing is free.
+        // Lets every task run while no slot is free.
         for _ in 0..100 {
             tokio::task::yield_now().await;
         }
-        assert!(!serving.is_finished(), "it has no place yet");
+        assert!(!serving.is_finished(), "serve ended before the accepted connection had a slot");
         held.pop();
         let mut answer = String::new();
         client.read_to_string(&mut answer).await.unwrap();
@@ -98,9 +99,10 @@
     });
 }
 
-/// The system has it, and the runtime has not looked: told to go, the connection would throw it away.
+/// The kernel has received the request, but the runtime has not read it: a graceful shutdown now would
+/// discard it.
 #[test]
-fn a_request_in_the_systems_buffer_is_seen_as_its_connection_is_told_to_close() {
+fn an_unread_request_in_the_socket_buffer_counts_as_under_way() {
     use std::io::Write;
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build().unwrap();
     runtime.block_on(async {
@@ -112,20 +114,23 @@
         stream.set_nonblocking(true).unwrap();
         let (_inbound, presence) = Inbound::new(TcpStream::from_std(stream).unwrap());
         let slot = slots.take().await;
-        assert!(half_way(&slot, &presence), "its first request has not come yet");
+        assert!(has_request_under_way(&slot, &presence), "the connection still awaits its first request");
         slot.answered();
-        assert!(!half_way(&slot, &presence), "it rests");
+        assert!(!has_request_under_way(&slot, &presence), "an idle connection has no request under way");
         client.write_all(b"GET /up HTTP/1.1\r\nHost: x\r\n\r\n").unwrap();
-        // No turn of the runtime from here on; loopback has it at once or very soon.
+        // The runtime does not run from here on. Loopback delivers the bytes at once or very soon.
         let since = std::time::Instant::now();
-        while !half_way(&slot, &presence) {
-            assert!(since.elapsed() < Duration::from_secs(20), "the system never told of it");
+        while !has_request_under_way(&slot, &presence) {
+            assert!(
+                since.elapsed() < Duration::from_secs(20),
+                "the kernel never reported the unread request"
+            );
         }
     });
 }
 
 #[test]
-fn while_it_leaves_the_head_takes_nobody_new_and_serves_who_is_there_until_it_closes() {
+fn a_draining_process_accepts_no_connections_and_serves_open_ones_until_it_closes_them() {
     use tokio::io::{AsyncReadExt, AsyncWriteExt};
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build().unwrap();
     runtime.block_on(async {
@@ -152,7 +157,8 @@
         busy.write_all(b"GET /up HTTP/1.1\r\nHost: x\r\n\r\n").await.unwrap();
         let n = busy.read(&mut rest).await.unwrap();
         assert!(ok(n, &rest));
-        // Half a request crosses the end: it is still read, and its answer is the last.
+        // The phase changes in the middle of a request: the request is still read, and its answer closes the
+        // connection.
         busy.write_all(b"GET /x HTTP/1.1\r\n").await.unwrap();
         while slots.idle() > 1 {
             tokio::task::yield_now().await;
@@ -169,10 +175,10 @@
 
 const GOOD: [(&str, &str); 5] = [
     ("x-request-id", "9b1f03aa5c7e2d41"),
-    (CLASS, "checkout"),
-    (PLAN, "gold"),
+    (CLASS_HEADER, "checkout"),
+    (PLAN_HEADER, "gold"),
     ("x-timeout-ms", "480"),
-    (EXTENT, "units=2,shard=5,hosts=3"),
+    (EXTENT_HEADER, "units=2,shard=5,hosts=3"),
 ];
 
 fn parse(path: &str, change: Option<(&str, &str)>) -> Result<Arrival, Malformed> {
@@ -188,38 +194,38 @@
         Settings { classes: vec![class], plans: vec![Default::default(); 2], ..Settings::default() };
     let (_, names) = Numbers::new(&names, &settings, false).adopt(&names, &settings);
     let (head, ()) = request.body(()).unwrap().into_parts();
-    read(&head, &names, Instant::now(), Duration::from_millis(5))
+    parse_request(&head, &names, Instant::now(), Duration::from_millis(5))
 }
 
 #[test]
-fn a_request_as_the_protocol_has_it_is_read_whole() {
+fn every_part_of_a_well_formed_request_is_parsed() {
     let got = parse("/api/00000003b4d60021/7f3a9c21e0b4d655", None).unwrap();
     assert_eq!((got.volume, got.key), (0x3_b4d6_0021, 0x7f3a_9c21_e0b4_d655));
     assert_eq!((got.class, got.plan, got.units, got.shard, got.volume_hosts), (0, 1, 2.0, Some(5), 3.0));
     assert!(got.answer_by <= Instant::now() + Duration::from_millis(475));
-    // A client that waits for a short time keeps nine tenths of it.
+    // Nine tenths of a short timeout remain after the margin.
     let before = Instant::now();
     let got = parse("/api/00000003b4d60021/7f3a9c21e0b4d655", Some(("x-timeout-ms", "30"))).unwrap();
     assert!(got.answer_by >= before + Duration::from_millis(27));
 }
 
 #[test]
-fn what_is_malformed_is_named() {
+fn the_malformed_part_of_a_request_is_named() {
     let path = "/api/00000003b4d60021/7f3a9c21e0b4d655";
     for (path, change, fault) in [
         ("/api/3/7f3a9c21e0b4d655", None, "path"),
         ("/api/00000003b4d60021/7f3a9c21e0b4d6zz", None, "path"),
-        (path, Some((CLASS, "none")), CLASS),
-        (path, Some((PLAN, "")), PLAN),
+        (path, Some((CLASS_HEADER, "none")), CLASS_HEADER),
+        (path, Some((PLAN_HEADER, "")), PLAN_HEADER),
         (path, Some(("x-timeout-ms", "-4")), "x-timeout-ms"),
         (path, Some(("x-request-id", "")), "x-request-id"),
         (path, Some(("x-request-id", "a b")), "x-request-id"),
-        (path, Some((EXTENT, "units=2,hosts=3")), EXTENT),
-        (path, Some((EXTENT, "units=2,shard=-2,hosts=3")), EXTENT),
-        (path, Some((EXTENT, "units=inf,shard=1,hosts=3")), EXTENT),
+        (path, Some((EXTENT_HEADER, "units=2,hosts=3")), EXTENT_HEADER),
+        (path, Some((EXTENT_HEADER, "units=2,shard=-2,hosts=3")), EXTENT_HEADER),
+        (path, Some((EXTENT_HEADER, "units=inf,shard=1,hosts=3")), EXTENT_HEADER),
     ] {
         assert_eq!(parse(path, change), Err(Malformed(fault)), "{path} {change:?}");
     }
-    assert_eq!(extent("hosts=1,units=0.5,shard=-1,later=x9").map(|e| e.1), None);
-    assert_eq!(extent("hosts=1,units=0.5,shard=-1"), Some((0.5, None, 1.0)));
+    assert_eq!(parse_extent("hosts=1,units=0.5,shard=-1,later=x9").map(|e| e.1), None);
+    assert_eq!(parse_extent("hosts=1,units=0.5,shard=-1"), Some((0.5, None, 1.0)));
 }
--- a/src/net/ids.rs
+++ b/src/net/ids.rs
@@ -1,6 +1,6 @@
-//! The ids of requests that were taken of late. Every request has its own: a second one with the same id is not
-//! passed on, for to a node it would be a further attempt of the first. Two processes of an upgrade are one head: what
-//! the other one took is known here as well.
+//! Remembers the ids of recent requests. Each request has an id of its own: a second request with the same id
+//! is not forwarded, because a node would take it for another attempt of the first. During an upgrade two
+//! processes serve one host; ids that the other process accepted are known here too.
 
 use crate::event;
 use crate::idlog::{Bytes, Header, Reader, Record};
@@ -19,7 +19,7 @@
 pub struct Ids(Arc<Mutex<Known>>);
 
 struct Known {
-    /// Ids by their hashes, under a key that nobody outside knows.
+    /// The hashes of the ids, under a secret random key.
     hashes: HashSet<u64>,
     by_age: VecDeque<(Instant, u64)>,
     hasher: RandomState,
@@ -29,7 +29,7 @@
 }
 
 impl Bytes for File {
-    /// What cannot be read is not known.
+    /// Returns the number of bytes read; bytes that cannot be read count as missing.
     fn at(&self, place: u64, buffer: &mut [u8]) -> usize {
         let mut got = 0;
         while got < buffer.len() {
@@ -43,15 +43,15 @@
     }
 }
 
-/// What both processes of a head took, each in a file of its own.
+/// The ids accepted by both processes of a host, each process with a file of its own.
 struct Shared {
     file: Arc<File>,
     header: Header,
-    /// What an earlier process took that had this one's place.
+    /// The ids that an earlier process wrote to this process's file.
     before: Reader,
     next: u64,
     other: (Arc<File>, Reader),
-    /// The last write failed: told once, until one succeeds.
+    /// The last write failed. The event is logged once, until a write succeeds.
     failing: bool,
 }
 
@@ -73,8 +73,8 @@
         Ok(Shared { file: ours, header, before, next, other: (other, Reader::default()), failing: false })
     }
 
-    /// Writes it down, and only then looks whether the other one, or one before, took it: of two processes that take one
-    /// id at the very same moment, whichever looks last has the other one's word.
+    /// Writes the id, and only then checks whether the other process or an earlier one accepted it. If two
+    /// processes accept one id at the same moment, the one that checks last sees the other's record.
     fn first_time(&mut self, id: &[u8], time: Duration) -> bool {
         let now = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
         self.write(id, now);
@@ -102,7 +102,7 @@
 }
 
 impl Ids {
-    /// Each id is known for that time, but never more of them than `most`.
+    /// Remembers each id for `time`, and at most `most` ids.
     pub fn new(most: usize, time: Duration) -> Ids {
         let (hashes, by_age, hasher) = (HashSet::new(), VecDeque::new(), RandomState::new());
         Ids(Arc::new(Mutex::new(Known { hashes, by_age, hasher, most, time, shared: None })))
@@ -112,7 +112,11 @@
         self.0.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// From here on ids are written to that file, and the other one's are known too.
+    /// From now on writes ids to the first file, and checks those in the second, the other process's, too.
+    ///
+    /// # Errors
+    ///
+    /// Fails if this process's file cannot be initialized.
     pub fn share(&self, (ours, other): (Arc<File>, Arc<File>)) -> io::Result<()> {
         let mut known = self.known();
         let key =
@@ -122,7 +126,7 @@
         Ok(())
     }
 
-    /// Notes the id; false if it is known already.
+    /// Records the id; returns false if it is known already.
     pub fn first_time(&self, id: &[u8], now: Instant) -> bool {
         let mut known = self.known();
         let known = &mut *known;
--- a/src/net/ids/tests.rs
+++ b/src/net/ids/tests.rs
@@ -1,7 +1,7 @@
 use super::*;
 
 #[test]
-fn an_id_is_known_for_its_time_and_no_more_than_so_many_are() {
+fn an_id_is_known_for_its_time_and_their_number_is_limited() {
     let (ids, start) = (Ids::new(3, Duration::from_secs(5)), Instant::now());
     for (second, id, first) in [
         (0, "a", true),
@@ -19,7 +19,7 @@
 }
 
 #[test]
-fn what_another_process_of_the_head_took_is_known_also_after_it_is_gone() {
+fn ids_accepted_by_another_process_of_the_host_are_known_after_it_has_ended() {
     let folder = std::env::temp_dir().join(format!("pathbank-ids-{}", std::process::id()));
     std::fs::create_dir_all(&folder).unwrap();
     let file = |name: &str| {
@@ -37,20 +37,20 @@
     assert!(old.first_time(b"a", now) && old.first_time(b"b", now));
     let new = start("1", "0", 60);
     assert!(!new.first_time(b"a", now) && new.first_time(b"c", now));
-    assert!(!old.first_time(b"c", now), "both ways");
+    assert!(!old.first_time(b"c", now), "the old process must know an id that the new one accepted");
     drop(old);
-    // The next one takes the old one's place, and the files as they were left.
+    // The next process takes the number of the old one, and the files as it left them.
     let next = start("0", "1", 60);
     assert!(!next.first_time(b"b", now) && !next.first_time(b"c", now) && next.first_time(b"d", now));
     let much_later = start("0", "1", 0);
     std::thread::sleep(Duration::from_millis(2));
-    assert!(much_later.first_time(b"b", now), "its time is over");
+    assert!(much_later.first_time(b"b", now), "an id must expire");
     std::fs::remove_dir_all(&folder).unwrap();
 }
 
-/// Each of two processes writes and looks, in every order of the four steps.
+/// Each of two processes writes and checks, in every order of the four steps.
 #[test]
-fn an_id_that_both_processes_take_at_one_moment_is_passed_on_by_one_of_them_at_most() {
+fn an_id_that_both_processes_accept_at_once_is_forwarded_by_at_most_one() {
     let folder = std::env::temp_dir().join(format!("pathbank-ids-both-{}", std::process::id()));
     std::fs::create_dir_all(&folder).unwrap();
     for (turns, passed_on) in [
@@ -82,9 +82,9 @@
     std::fs::remove_dir_all(&folder).unwrap();
 }
 
-/// The same with both at work at once: each writes an id down before it looks for the other one's word of it.
+/// Two threads run concurrently: each writes an id before it checks the other's file.
 #[test]
-fn two_processes_that_take_the_same_ids_at_once_never_both_pass_one_on() {
+fn two_concurrent_processes_never_both_forward_the_same_id() {
     const IDS: u32 = 4_000;
     let folder = std::env::temp_dir().join(format!("pathbank-ids-race-{}", std::process::id()));
     std::fs::create_dir_all(&folder).unwrap();
@@ -110,6 +110,6 @@
     });
     let [first, second] = takes.map(|taken| taken.join().unwrap());
     let both = first.iter().zip(&second).filter(|(a, b)| **a && **b).count();
-    assert_eq!(both, 0, "passed on twice of {IDS}");
+    assert_eq!(both, 0, "ids of {IDS} forwarded twice");
     std::fs::remove_dir_all(&folder).unwrap();
 }
--- a/src/net/inbound.rs
+++ b/src/net/inbound.rs
@@ -1,5 +1,6 @@
-//! A client's connection, whichever front speaks on it. Its bytes are read ahead of whoever parses them, so that its end
-//! is seen also while nobody wants any; and it is closed in one way: the write end first, then what still comes is read.
+//! A client's connection, for all fronts. Its bytes are read ahead of the parser, so that its end is noticed
+//! even while the parser reads nothing. It is closed by a lingering close: the write end first, then the
+//! remaining bytes are read.
 
 use crate::net::slots::Slot;
 use bytes::{Buf, BytesMut};
@@ -15,29 +16,34 @@
 use tokio::net::tcp::{OwnedReadHalf, OwnedWriteHalf};
 use tokio::time::{Duration, sleep, timeout};
 
-/// Bytes read ahead of the parser. Behind so many the end is known by the system's word alone.
-const MOST_AHEAD: usize = 32 * 1024;
-const PIECE: usize = 4 * 1024;
-/// With as many ahead as there may be, the system is asked this often.
-const LOOK: Duration = Duration::from_millis(25);
-/// A close over unread bytes resets the connection, and a reset overtakes an answer that was written. What a client
-/// still sends behind its last answer is read for so long, and up to so much.
-const LINGER: Duration = Duration::from_secs(1);
-const MOST_LINGER: usize = 1024 * 1024;
-
+/// The most bytes read ahead of the parser. With more unread, the end is known only from the kernel's
+/// readiness.
+const MAX_READ_AHEAD: usize = 32 * 1024;
+/// The most bytes per read.
+const READ_SIZE: usize = 4 * 1024;
+/// How often the kernel is asked for the end of the connection while the read-ahead buffer is full.
+const CLOSE_CHECK_INTERVAL: Duration = Duration::from_millis(25);
+/// How long bytes are read after the last answer, and at most how many. Closing a socket with unread bytes
+/// resets the connection, and a reset can overtake an answer that was written.
+const LINGER_TIME: Duration = Duration::from_secs(1);
+const MAX_LINGER_BYTES: usize = 1024 * 1024;
+
+/// How the client's side of the connection ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum Ended {
-    /// In order: its client sends nothing more, and is taken to be gone.
+enum ReadEnd {
+    /// An orderly end: the client sends nothing more and is taken to have left.
     InOrder,
+    /// A read failed.
     Broken(ErrorKind),
 }
 
 #[derive(Debug)]
 struct State {
     read: OwnedReadHalf,
+    /// Bytes that were read and not yet parsed.
     ahead: BytesMut,
-    ended: Option<Ended>,
-    /// The task that parses, where it waits for bytes: whoever else reads them has to wake it.
+    ended: Option<ReadEnd>,
+    /// The waker of the parser while it waits for bytes: any other reader has to wake it.
     parser: Option<Waker>,
 }
 
@@ -53,13 +59,14 @@
     }
 
     fn full(&self) -> bool {
-        self.ahead.len() >= MOST_AHEAD
+        self.ahead.len() >= MAX_READ_AHEAD
     }
 
-    /// Reads ahead until nothing more has come; ready with the end, or with as much as there may be.
+    /// Reads ahead until no more bytes are available; ready once the connection has ended or the buffer is
+    /// full.
     fn poll_ahead(&mut self, cx: &mut Context<'_>) -> Poll<()> {
         while self.ended.is_none() && !self.full() {
-            let mut piece = [0; PIECE];
+            let mut piece = [0; READ_SIZE];
             let mut piece = ReadBuf::new(&mut piece);
             match Pin::new(&mut self.read).poll_read(cx, &mut piece) {
                 Poll::Pending => {
@@ -72,10 +79,10 @@
         Poll::Ready(())
     }
 
-    /// The same at this very moment: what the runtime knows of a socket is as old as its last look.
+    /// Reads ahead directly from the socket: the runtime's readiness is only as recent as its last poll.
     fn read_now(&mut self) {
         while self.ended.is_none() && !self.full() {
-            let mut piece = [0; PIECE];
+            let mut piece = [0; READ_SIZE];
             let read = {
                 let socket = SockRef::from(self.read.as_ref());
                 let mut socket: &Socket = &socket;
@@ -91,28 +98,28 @@
 
     fn note(&mut self, read: io::Result<&[u8]>) {
         match read {
-            Ok([]) => self.ended = Some(Ended::InOrder),
+            Ok([]) => self.ended = Some(ReadEnd::InOrder),
             Ok(bytes) => self.ahead.extend_from_slice(bytes),
-            Err(error) => self.ended = Some(Ended::Broken(error.kind())),
+            Err(error) => self.ended = Some(ReadEnd::Broken(error.kind())),
         }
         self.wake();
     }
 
-    /// Whether the end has come behind bytes that are not read.
+    /// Returns whether the connection ended after bytes that are still unread.
     fn ended_behind(&self) -> bool {
         let readiness = self.read.as_ref().ready(Interest::READABLE).now_or_never();
         readiness.is_some_and(|ready| ready.is_ok_and(Ready::is_read_closed))
     }
 }
 
-/// The connection as a parser has it. Dropped, its write end is shut.
+/// The half of the connection for the parser. Dropping it shuts the write end down.
 #[derive(Debug)]
 pub struct Inbound {
     state: Arc<Mutex<State>>,
     write: OwnedWriteHalf,
 }
 
-/// The connection as all others have it.
+/// A handle that tells whether the client is still connected.
 #[derive(Clone, Debug)]
 pub struct Presence(Arc<Mutex<State>>);
 
@@ -121,10 +128,10 @@
 }
 
 impl Inbound {
-    /// A client's connection, and whether its client is still there.
+    /// Splits a connection into the parser's half and a handle on the client's presence.
     pub fn new(stream: TcpStream) -> (Inbound, Presence) {
-        // A small answer that the system still holds back would go with a reset; a socket that cannot be set is broken, and
-        // tells so when it is read.
+        // A reset would discard a small answer that the kernel still delays. A socket that rejects the option
+        // is broken, and reads from it fail.
         let _ = stream.set_nodelay(true);
         let (read, write) = stream.into_split();
         let state = State { read, ahead: BytesMut::new(), ended: None, parser: None };
@@ -134,38 +141,39 @@
 }
 
 impl Presence {
-    /// Whether the client has closed or lost its connection, as the system has it now.
+    /// Returns whether the client has closed or lost its connection, as the kernel knows it now.
     pub fn has_left(&self) -> bool {
         let mut state = lock(&self.0);
         state.read_now();
         state.ended.is_some() || state.full() && state.ended_behind()
     }
 
-    /// Whether something has come that nobody has parsed, as the system has it now.
+    /// Returns whether bytes have arrived that are not parsed yet, as the kernel knows it now.
     pub fn has_unread(&self) -> bool {
         let mut state = lock(&self.0);
         state.read_now();
         !state.ahead.is_empty()
     }
 
-    /// Waits until the client is gone. For the task that parses: only one is woken by the socket.
+    /// Waits until the client has left. Only the task of the parser may call this: the socket wakes only one
+    /// task.
     pub async fn left(&self) {
         loop {
             poll_fn(|cx| lock(&self.0).poll_ahead(cx)).await;
             if self.has_left() {
                 return;
             }
-            sleep(LOOK).await;
+            sleep(CLOSE_CHECK_INTERVAL).await;
         }
     }
 
-    /// Reads what still comes behind the last answer, once the write end is shut, until the client shuts its own; for a
-    /// while, and not where the place is wanted.
+    /// Reads and discards bytes after the last answer, once the write end is shut down, until the client
+    /// closes its side, a limit of time or bytes is reached, or the slot is wanted.
     pub async fn linger(&self, slot: &Slot) {
         slot.lingers();
         let rest = async {
             let mut read = 0;
-            while read < MOST_LINGER {
+            while read < MAX_LINGER_BYTES {
                 poll_fn(|cx| lock(&self.0).poll_ahead(cx)).await;
                 let mut state = lock(&self.0);
                 read += state.ahead.len();
@@ -176,7 +184,7 @@
             }
         };
         tokio::select! {
-            _ = timeout(LINGER, rest) => {}
+            _ = timeout(LINGER_TIME, rest) => {}
             _ = slot.told_to_leave() => {}
         }
     }
@@ -192,8 +200,8 @@
             return Poll::Ready(Ok(()));
         }
         match state.ended {
-            Some(Ended::InOrder) => return Poll::Ready(Ok(())),
-            Some(Ended::Broken(kind)) => return Poll::Ready(Err(kind.into())),
+            Some(ReadEnd::InOrder) => return Poll::Ready(Ok(())),
+            Some(ReadEnd::Broken(kind)) => return Poll::Ready(Err(kind.into())),
             None => {}
         }
         let (before, room) = (buf.filled().len(), buf.remaining() > 0);
@@ -203,11 +211,11 @@
                 return Poll::Pending;
             }
             Poll::Ready(Ok(())) if room && buf.filled().len() == before => {
-                state.ended = Some(Ended::InOrder);
+                state.ended = Some(ReadEnd::InOrder);
             }
             Poll::Ready(Ok(())) => {}
             Poll::Ready(Err(error)) => {
-                state.ended = Some(Ended::Broken(error.kind()));
+                state.ended = Some(ReadEnd::Broken(error.kind()));
                 return Poll::Ready(Err(error));
             }
         }
--- a/src/net/inbound/tests.rs
+++ b/src/net/inbound/tests.rs
@@ -3,10 +3,10 @@
 use std::net::{Shutdown, TcpListener as StdListener, TcpStream as StdStream};
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 
-/// How long anything may take before a test is called stuck.
+/// The time after which a test fails as stuck.
 const STUCK: Duration = Duration::from_secs(20);
 
-/// A client and what the head has of its connection, on a runtime that is only run as far as the test has it.
+/// Runs a test with a client and both halves of its connection, on a current-thread runtime.
 fn with_pair<T>(play: impl AsyncFnOnce(StdStream, Inbound, Presence) -> T) -> T {
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build().unwrap();
     runtime.block_on(async {
@@ -25,16 +25,16 @@
 
 type Way = (&'static str, fn(StdStream));
 
-/// How a client may go, and what it had sent that nobody parses.
+/// Covers each way in which a client ends its connection, after different numbers of unparsed bytes.
 #[test]
-fn the_end_is_seen_behind_bytes_that_nobody_parses() {
+fn the_end_is_noticed_behind_unparsed_bytes() {
     let ways: [Way; 3] = [
         ("a close", drop),
         ("a half-close", |client| client.shutdown(Shutdown::Write).unwrap()),
         ("a reset", reset),
     ];
     for (way, go) in ways {
-        for unparsed in [0, 100, MOST_AHEAD - 1, MOST_AHEAD, 2 * MOST_AHEAD] {
+        for unparsed in [0, 100, MAX_READ_AHEAD - 1, MAX_READ_AHEAD, 2 * MAX_READ_AHEAD] {
             with_pair(async |mut client, _inbound, presence| {
                 assert!(!presence.has_left(), "{way} behind {unparsed}");
                 client.write_all(&vec![7; unparsed]).unwrap();
@@ -48,21 +48,21 @@
     }
 }
 
-/// The runtime has no turn between the client's end and the question.
+/// The runtime doesn't run between the client's close and the check.
 #[test]
-fn an_end_is_known_before_the_runtime_has_looked() {
+fn an_end_is_noticed_before_the_runtime_polls_the_socket() {
     with_pair(async |client, _inbound, presence| {
         assert!(!presence.has_left());
         drop(client);
         let since = std::time::Instant::now();
         while !presence.has_left() {
-            assert!(since.elapsed() < STUCK, "the system never told of it");
+            assert!(since.elapsed() < STUCK, "the kernel never reported the end");
         }
     });
 }
 
 #[test]
-fn what_others_read_ahead_reaches_a_parser_that_waits_for_it() {
+fn bytes_read_ahead_by_another_task_reach_the_waiting_parser() {
     with_pair(async |mut client, mut inbound, presence| {
         let parser = tokio::spawn(async move {
             let mut all = Vec::new();
@@ -70,7 +70,7 @@
         });
         let mut sent = Vec::new();
         for piece in 0..200_u8 {
-            // The parser waits by now; what comes is taken by the question.
+            // The parser waits by now; `has_unread` reads the bytes ahead of it.
             tokio::task::yield_now().await;
             client.write_all(&[piece; 300]).unwrap();
             sent.extend_from_slice(&[piece; 300]);
@@ -82,9 +82,9 @@
     });
 }
 
-/// A reset overtakes what is on its way: the client would read an error in place of its answer.
+/// A reset would overtake the answer on its way: the client would read an error instead.
 #[test]
-fn an_answer_is_read_whole_by_a_client_that_writes_on_behind_it() {
+fn a_client_that_keeps_writing_after_its_request_reads_the_whole_answer() {
     with_pair(async |mut client, mut inbound, presence| {
         let slots = crate::net::slots::Slots::new(crate::config::ClientLimits {
             most: 4,
--- a/src/net/lifecycle.rs
+++ b/src/net/lifecycle.rs
@@ -1,4 +1,4 @@
-//! Carries out what `life` decides: tells the fronts each phase when it begins, by the clock and as it is called.
+//! Applies the decisions of `life`: publishes each phase to the fronts when it begins, by time or by a call.
 
 use crate::event;
 use crate::life::{Ends, Life, Phase};
@@ -6,7 +6,8 @@
 use tokio::sync::{Notify, watch};
 use tokio::time::{Duration, Instant, sleep_until};
 
-/// Held by whoever may say what the program does; may be called from any thread, and never waits.
+/// A handle that starts and stops draining and ends the program. Its calls may come from any thread and never
+/// block.
 #[derive(Clone)]
 pub struct Lifecycle(Arc<Inner>);
 
@@ -17,7 +18,8 @@
 }
 
 impl Lifecycle {
-    /// A process that serves, and its phases. `longest`: the longest deadline of a request.
+    /// Creates the lifecycle of a serving process, and the receiver of its phases. `longest` is the longest
+    /// deadline of a request.
     pub fn new(longest: Duration) -> (Lifecycle, watch::Receiver<Phase>) {
         let life = Life::new(longest);
         let (phase, watched) = watch::channel(life.phase(now()));
@@ -28,26 +30,34 @@
         self.0.life.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Fronts hear of it before the call is over.
+    /// Applies a call. The new phase is published before this returns.
     fn call<T>(&self, call: impl FnOnce(&mut Life) -> T) -> T {
         let mut life = self.life();
         let done = call(&mut life);
-        self.tell(&life);
+        self.publish(&life);
         self.0.changed.notify_one();
         done
     }
 
-    /// Begins to drain.
+    /// Starts draining.
+    ///
+    /// # Errors
+    ///
+    /// Fails if the program is ending.
     pub fn drain(&self) -> Result<(), Ends> {
         self.call(|life| life.drain(now())).inspect(|()| event!(DRAIN, on = "yes"))
     }
 
-    /// Serves again.
+    /// Stops draining and serves again.
+    ///
+    /// # Errors
+    ///
+    /// Fails if the program is ending.
     pub fn undrain(&self) -> Result<(), Ends> {
         self.call(Life::undrain).inspect(|()| event!(DRAIN, on = "no"))
     }
 
-    /// Begins to end. `shared`: another process serves from the same socket.
+    /// Starts the end of the program. `shared`: another process accepts on the same socket.
     pub fn end(&self, shared: bool) {
         self.call(|life| life.end(now(), shared));
     }
@@ -57,17 +67,17 @@
         self.call(|life| life.set_longest(longest));
     }
 
-    /// The phase now.
+    /// Returns the current phase.
     pub fn phase(&self) -> Phase {
         self.life().phase(now())
     }
 
-    /// While the program ends: when what is still open has to fail.
+    /// Returns when requests that are still open have to fail; `None` unless the program is ending.
     pub fn last(&self) -> Option<Instant> {
         self.life().last().map(Instant::from_std)
     }
 
-    /// Tells each phase as its time comes, for as long as the program runs.
+    /// Publishes each phase as its time comes, for as long as the program runs.
     pub async fn run(self) {
         loop {
             let next = self.life().next_change(now()).map(Instant::from_std);
@@ -81,14 +91,15 @@
                 () = changes => {}
                 () = self.0.changed.notified() => {}
             }
-            self.tell(&self.life());
+            self.publish(&self.life());
         }
     }
 
-    /// With `life` held: told outside of that, a phase could go out behind a later one.
-    fn tell(&self, life: &Life) {
+    /// Publishes the current phase. The caller holds the lock on `life`: otherwise a phase could be published
+    /// after a later one.
+    fn publish(&self, life: &Life) {
         let phase = life.phase(now());
-        self.0.phase.send_if_modified(|told| std::mem::replace(told, phase) != phase);
+        self.0.phase.send_if_modified(|published| std::mem::replace(published, phase) != phase);
     }
 }
 
@@ -96,7 +107,8 @@
     Instant::now().into_std()
 }
 
-/// Waits for a phase of that kind. An error says that the sender is gone: the program ends.
+/// Waits for a phase that satisfies `wanted`. Returns too if the sender is gone, which means that the program
+/// ends.
 pub async fn until(phase: &mut watch::Receiver<Phase>, wanted: impl Fn(&Phase) -> bool) {
     let _ = phase.wait_for(|phase| wanted(phase)).await;
 }
--- a/src/net/mod.rs
+++ b/src/net/mod.rs
@@ -1,8 +1,7 @@
-//! All that knows sockets: the three fronts, what is behind them, discovery, and
-//! what heads say to each other.
+//! Everything that uses sockets: the three fronts, the connections to nodes, discovery, and messages between
+//! hosts.
 
 pub mod agree;
-#[expect(missing_docs, reason = "not documented item by item yet")]
 pub mod back;
 pub mod body;
 pub mod discovery;
@@ -16,7 +15,6 @@
 pub mod inbound;
 pub mod lifecycle;
 pub mod ops;
-#[expect(missing_docs, reason = "not documented item by item yet")]
 pub mod passed;
 pub mod peers;
 pub mod pool;
--- a/src/net/passed.rs
+++ b/src/net/passed.rs
@@ -1,8 +1,8 @@
-//! A listening socket that this process inherited: taken over by its descriptor's number, and checked to be what the
-//! configuration says.
+//! Takes over a listening socket that this process inherited, by its descriptor's number, and checks it
+//! against the configuration.
 //!
-//! `filedescriptor` duplicates a descriptor by number without `unsafe` of ours. What it gives is an open file of ours
-//! alone; the inherited descriptor itself stays open beside it, held by nobody.
+//! `filedescriptor` duplicates a descriptor by number without `unsafe` in this crate. This process owns the
+//! duplicate; the inherited descriptor stays open beside it, without an owner.
 
 use filedescriptor::FileDescriptor;
 use socket2::{SockRef, Type};
@@ -11,17 +11,20 @@
 use std::net::{SocketAddr, TcpListener};
 use std::os::fd::OwnedFd;
 
-/// What is wrong with the descriptor.
+/// Why an inherited descriptor cannot be used.
 #[derive(Debug)]
 pub enum Unusable {
-    /// There is no such descriptor.
+    /// The descriptor is not open.
     NotOpen(String),
-    /// It is no TCP socket.
+    /// The descriptor is not a TCP socket.
     NoSocket(io::Error),
     /// The socket does not listen.
     NotListening,
+    /// The socket listens at another address than the configured one.
     Elsewhere {
+        /// The address at which the socket listens.
         at: SocketAddr,
+        /// The configured address.
         wanted: SocketAddr,
     },
 }
@@ -29,17 +32,21 @@
 impl fmt::Display for Unusable {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            Unusable::NotOpen(why) => write!(f, "it is not open: {why}"),
-            Unusable::NoSocket(why) => write!(f, "it is no TCP socket: {why}"),
-            Unusable::NotListening => write!(f, "it does not listen"),
-            Unusable::Elsewhere { at, wanted } => write!(f, "it listens at {at}, not at {wanted}"),
+            Unusable::NotOpen(why) => write!(f, "the descriptor is not open: {why}"),
+            Unusable::NoSocket(why) => write!(f, "the descriptor is not a TCP socket: {why}"),
+            Unusable::NotListening => write!(f, "the socket does not listen"),
+            Unusable::Elsewhere { at, wanted } => write!(f, "the socket listens at {at}, not at {wanted}"),
         }
     }
 }
 
 impl std::error::Error for Unusable {}
 
-/// Takes over a listening socket.
+/// Takes over the listening TCP socket `descriptor`, which must listen at `wanted`.
+///
+/// # Errors
+///
+/// Fails if the descriptor is not open, or is not a TCP socket that listens at that address.
 pub fn take(descriptor: i32, wanted: SocketAddr) -> Result<TcpListener, Unusable> {
     let not_open = |error: filedescriptor::Error| Unusable::NotOpen(error.to_string());
     let file = FileDescriptor::dup(&descriptor).and_then(|ours| ours.as_file()).map_err(not_open)?;
--- a/src/net/passed/tests.rs
+++ b/src/net/passed/tests.rs
@@ -12,7 +12,7 @@
     let file = std::fs::File::open("/dev/null").unwrap();
     for (descriptor, wanted, fault) in [
         (1_000_000, address, "not open"),
-        (file.as_raw_fd(), address, "no TCP socket"),
+        (file.as_raw_fd(), address, "not a TCP socket"),
         (udp.as_raw_fd(), address, "does not listen"),
         (client.as_raw_fd(), address, "does not listen"),
         (listener.as_raw_fd(), other, "not at 127.0.0.1:1"),
@@ -21,7 +21,7 @@
         assert!(error.contains(fault), "{error}");
     }
     let ours = take(listener.as_raw_fd(), address).unwrap();
-    // The queue is one: what came before is there, whoever else held the socket.
+    // Both descriptors share one accept queue: a connection queued earlier is still there.
     drop(listener);
     client.write_all(b"x").unwrap();
     ours.set_nonblocking(false).unwrap();
--- a/src/net/pool.rs
+++ b/src/net/pool.rs
@@ -1,5 +1,6 @@
-//! Idle connections to nodes, for whichever wire. One is given out only if nothing has come on it since its last
-//! answer: bytes would be taken for the next one, and an end or a reset means that it is gone.
+//! Pools idle connections to nodes, for all protocols. A connection is reused only if nothing has arrived on
+//! it since its last answer: bytes would be taken for the next answer, and an end or a reset means that the
+//! connection is closed.
 
 use crate::config::NodeLimits;
 use crate::handover::Part;
@@ -13,22 +14,22 @@
 use tokio::net::TcpStream;
 use tokio::time::{Duration, Instant};
 
-/// How often idle connections are looked through.
-const LOOK: Duration = Duration::from_millis(500);
+/// How often idle connections are checked.
+const CHECK_INTERVAL: Duration = Duration::from_millis(500);
 
-/// A connection that can say whether nothing has come on it.
+/// A connection that can tell whether anything has arrived on it.
 pub trait Quiet {
-    /// Whether the connection stands and nothing has arrived on it.
+    /// Returns whether the connection is open and nothing has arrived on it.
     fn quiet(&self) -> bool;
 
-    /// Whether it has said something that nobody asked for.
+    /// Returns whether unsolicited bytes have arrived.
     fn talks(&self) -> bool {
         false
     }
 }
 
 impl Quiet for TcpStream {
-    /// Asks the system itself: what the runtime knows of a socket is as old as its last look.
+    /// Asks the kernel: the runtime's readiness is only as recent as its last poll.
     fn quiet(&self) -> bool {
         let mut byte = [MaybeUninit::uninit()];
         SockRef::from(self).peek(&mut byte).is_err_and(|error| error.kind() == ErrorKind::WouldBlock)
@@ -40,19 +41,21 @@
     }
 }
 
+/// An idle connection and the time of its last use.
 struct Kept<C> {
     connection: C,
     since: Instant,
 }
 
-struct Idle<C> {
+/// The idle connections by address, their number, and the number of connections in use.
+struct PoolState<C> {
     kept: BTreeMap<SocketAddr, Vec<Kept<C>>>,
     count: usize,
     used: usize,
 }
 
-/// Counts one connection in use, or about to be opened.
-pub struct InUse<C>(Arc<Mutex<Idle<C>>>);
+/// Counts one connection as in use, or about to be opened, until dropped.
+pub struct InUse<C>(Arc<Mutex<PoolState<C>>>);
 
 impl<C> Drop for InUse<C> {
     fn drop(&mut self) {
@@ -60,13 +63,13 @@
     }
 }
 
-/// Idle connections to nodes.
+/// A pool of idle connections to nodes.
 pub struct Pool<C> {
-    idle: Arc<Mutex<Idle<C>>>,
+    idle: Arc<Mutex<PoolState<C>>>,
     /// The limits of all connections to nodes.
     pub limits: NodeLimits,
     part: Part,
-    /// How long a connection rests before it is given out again, once anybody has said more than was asked.
+    /// How long a connection rests before reuse, once any node has sent unsolicited bytes.
     rest: Duration,
     talked: Arc<AtomicBool>,
 }
@@ -84,35 +87,37 @@
 }
 
 impl<C: Quiet> Pool<C> {
-    /// An empty pool.
+    /// Creates an empty pool.
     pub fn new(limits: NodeLimits) -> Pool<C> {
         Pool::shared(limits, Part::default())
     }
 
-    /// While another process of this head lives, half of the connections are its own.
+    /// Creates an empty pool whose limits are shared: while another process of this host runs, half of the
+    /// connections belong to that process.
     pub fn shared(limits: NodeLimits, part: Part) -> Pool<C> {
-        let idle = Arc::new(Mutex::new(Idle { kept: BTreeMap::new(), count: 0, used: 0 }));
+        let idle = Arc::new(Mutex::new(PoolState { kept: BTreeMap::new(), count: 0, used: 0 }));
         Pool { idle, limits, part, rest: Duration::ZERO, talked: Arc::default() }
     }
 
-    /// Where an answer does not say to which request it is, a second one that comes late would be taken for the next.
-    /// Nodes that never say more than is asked are not made to open connections for that.
+    /// Sets the rest between two uses of a connection, for protocols whose answers carry no request id: a
+    /// late second answer would be taken for the answer to the next request. The rest applies only once a
+    /// node has sent unsolicited bytes, so that other nodes need no extra connections.
     pub fn resting(self, rest: Duration) -> Pool<C> {
         Pool { rest, ..self }
     }
 
-    /// A node has said more than it was asked: from here on connections rest.
+    /// Records that a node has sent unsolicited bytes: from now on connections rest before reuse.
     pub fn rest(&self) {
         self.talked.store(true, Ordering::Relaxed);
     }
 
-    fn idle(&self) -> MutexGuard<'_, Idle<C>> {
+    fn idle(&self) -> MutexGuard<'_, PoolState<C>> {
         self.idle.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// The connection to that address that was used last, of those that have rested; where none has, the one that has
-    /// rested longest, as long as nobody has said more than was asked. Whether it is still good is for whoever writes on
-    /// it to see.
+    /// Takes the most recently used connection to that address that has rested. If none has, takes the one
+    /// that has rested longest, unless a node has sent unsolicited bytes. The caller checks whether the
+    /// connection is still usable.
     pub fn latest(&self, address: SocketAddr) -> Option<C> {
         let mut idle = self.idle();
         loop {
@@ -128,28 +133,30 @@
         }
     }
 
-    /// The same, if it is still good.
+    /// Takes a connection like [`latest`](Self::latest), and skips those that are no longer usable.
     pub fn take(&self, address: SocketAddr) -> Option<C> {
         std::iter::from_fn(|| self.latest(address)).find(C::quiet)
     }
 
-    /// Keeps a connection that is not in use any more.
+    /// Returns a connection that is no longer in use to the pool.
     pub fn put(&self, address: SocketAddr, connection: C) {
         let mut idle = self.idle();
         idle.count += 1;
         idle.kept.entry(address).or_default().push(Kept { connection, since: Instant::now() });
-        idle.fit(self.part.of(self.limits.most));
+        idle.shrink_to(self.part.of(self.limits.most));
     }
 
-    /// Announces one more in use. Idle ones make room for it; an attempt goes on even where there are none.
+    /// Counts one more connection as in use. Idle connections are closed to stay within the limit; the
+    /// attempt proceeds even if none is left to close.
     pub fn begin(&self) -> InUse<C> {
         let mut idle = self.idle();
         idle.used += 1;
-        idle.fit(self.part.of(self.limits.most));
+        idle.shrink_to(self.part.of(self.limits.most));
         InUse(self.idle.clone())
     }
 
-    /// The same for a connection that comes up after its attempt has ended; `None` where too many are in use for that.
+    /// Counts a connection that may be established after its attempt has ended; `None` if half of the limit
+    /// or more is in use.
     pub fn begin_spare(&self) -> Option<InUse<C>> {
         let few = {
             let idle = self.idle();
@@ -158,28 +165,29 @@
         few.then(|| self.begin())
     }
 
-    /// Drops what is idle at that address: something that was written there was lost without a word.
+    /// Closes the idle connections to that address, after a request to it was written and never answered.
     pub fn distrust(&self, address: SocketAddr) {
         let mut idle = self.idle();
         idle.count -= idle.kept.remove(&address).map_or(0, |kept| kept.len());
     }
 
-    /// Idle connections in the pool.
+    /// Returns the number of idle connections.
     pub fn held(&self) -> usize {
         self.idle().count
     }
 
-    /// Drops what has been idle for long, well before a node would, or is gone; for as long as the program runs.
+    /// Closes connections that were idle for too long, well before a node would close them, and those that
+    /// have ended; runs for as long as the program does.
     pub async fn watch(self) {
         loop {
-            tokio::time::sleep(LOOK).await;
-            self.look();
+            tokio::time::sleep(CHECK_INTERVAL).await;
+            self.drop_stale();
         }
     }
 
-    fn look(&self) {
+    fn drop_stale(&self) {
         let mut idle = self.idle();
-        let Idle { kept, count, .. } = &mut *idle;
+        let PoolState { kept, count, .. } = &mut *idle;
         kept.retain(|_, kept| {
             let before = kept.len();
             kept.retain(|kept| {
@@ -195,8 +203,8 @@
     }
 }
 
-impl<C> Idle<C> {
-    fn fit(&mut self, most: usize) {
+impl<C> PoolState<C> {
+    fn shrink_to(&mut self, most: usize) {
         while self.count > 0 && self.count + self.used > most {
             self.drop_oldest();
         }
--- a/src/net/pool/tests.rs
+++ b/src/net/pool/tests.rs
@@ -19,12 +19,12 @@
 }
 
 #[test]
-fn the_latest_good_connection_is_given_and_no_other() {
+fn the_most_recently_used_quiet_connection_is_taken() {
     let (pool, quiet) = (pool(3, Duration::from_secs(3600)), Rc::new(Cell::new(true)));
     for (port, number) in [(1, 1), (1, 2), (2, 3), (1, 4)] {
         pool.put(at(port), Fake(number, quiet.clone()));
     }
-    // Three are kept at most: the oldest went.
+    // The pool keeps at most three: the oldest was closed.
     assert_eq!(pool.take(at(1)).map(|fake| fake.0), Some(4));
     pool.put(at(1), Fake(5, Rc::new(Cell::new(false))));
     assert_eq!(pool.take(at(1)).map(|fake| fake.0), Some(2));
@@ -40,22 +40,22 @@
     drop(third);
     pool.put(at(1), Fake(7, quiet.clone()));
     quiet.set(false);
-    pool.look();
+    pool.drop_stale();
     assert_eq!(pool.held(), 0);
 }
 
 #[test]
-fn what_has_been_idle_for_too_long_is_not_given() {
+fn a_connection_idle_for_too_long_is_not_taken() {
     let (pool, quiet) = (pool(3, Duration::ZERO), Rc::new(Cell::new(true)));
     pool.put(at(1), Fake(1, quiet.clone()));
     assert!(pool.take(at(1)).is_none());
     pool.put(at(1), Fake(2, quiet));
-    pool.look();
+    pool.drop_stale();
     assert_eq!(pool.held(), 0);
 }
 
 #[test]
-fn a_connection_is_quiet_until_something_comes_or_it_ends() {
+fn a_connection_is_quiet_until_bytes_arrive_or_it_ends() {
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build().unwrap();
     runtime.block_on(async {
         use tokio::io::AsyncWriteExt;
@@ -76,13 +76,13 @@
 }
 
 #[test]
-fn a_connection_that_has_not_rested_is_not_given_and_another_is() {
+fn only_a_connection_that_has_rested_is_taken() {
     let (pool, quiet) = (pool(4, Duration::from_secs(3600)), Rc::new(Cell::new(true)));
     pool.put(at(1), Fake(1, quiet.clone()));
-    assert_eq!(pool.take(at(1)).map(|fake| fake.0), Some(1), "without a rest it is given at once");
+    assert_eq!(pool.take(at(1)).map(|fake| fake.0), Some(1), "without a rest a connection is taken at once");
     let resting = pool.clone().resting(Duration::from_secs(60));
     pool.put(at(1), Fake(9, quiet.clone()));
-    assert_eq!(resting.take(at(1)).map(|fake| fake.0), Some(9), "nobody has said more than was asked");
+    assert_eq!(resting.take(at(1)).map(|fake| fake.0), Some(9), "no node has sent unsolicited bytes");
     resting.rest();
     pool.put(at(1), Fake(2, quiet));
     assert!(resting.take(at(1)).is_none() && resting.latest(at(1)).is_none());
@@ -93,9 +93,9 @@
     assert!(resting.take(at(1)).is_none());
 }
 
-/// A second answer that comes late is the first sign of a node that gives such: until then rests cost no connection.
+/// Until a node sends a late second answer, resting costs no extra connection.
 #[test]
-fn before_any_word_that_was_not_asked_for_what_has_rested_longest_is_given() {
+fn before_any_unsolicited_bytes_the_connection_that_rested_longest_is_taken() {
     let (pool, quiet) = (pool(4, Duration::from_secs(3600)), Rc::new(Cell::new(true)));
     let pool = pool.resting(Duration::from_secs(60));
     for number in 1..=4 {
@@ -108,11 +108,15 @@
     };
     rested(&[0, 1]);
     let given: Vec<u32> = std::iter::from_fn(|| pool.take(at(1))).map(|fake| fake.0).collect();
-    assert_eq!(given, [2, 1, 3, 4], "the latest of those that have rested, then the one nearest to it");
+    assert_eq!(
+        given,
+        [2, 1, 3, 4],
+        "the latest of those that have rested, then the one that has rested longest"
+    );
 }
 
 #[test]
-fn connections_that_come_up_for_nobody_take_no_more_than_half_of_the_room() {
+fn connections_without_an_attempt_take_at_most_half_of_the_limit() {
     let pool = pool(4, Duration::from_secs(1));
     let first = pool.begin();
     let spare = pool.begin_spare();
--- a/src/net/slots.rs
+++ b/src/net/slots.rs
@@ -1,5 +1,5 @@
-//! The places for a front's connections: how many there are, what each connection is at, and who has to go when
-//! none is left or a limit has passed. Shared by both fronts.
+//! The slots for the client connections of a front: how many there are, the activity of each connection, and
+//! which connection is asked to leave when no slot is free or a time limit has passed. Shared by the fronts.
 
 use crate::config::ClientLimits;
 use crate::handover::Part;
@@ -8,39 +8,44 @@
 use tokio::sync::Notify;
 use tokio::time::{Duration, Instant, sleep, timeout};
 
-/// How often connections are looked at, and the wait for one told to go before the next one is told.
-const LOOK: Duration = Duration::from_millis(200);
-const NEXT_VICTIM: Duration = Duration::from_millis(10);
-/// What was told to go in order and has nothing open any more, but does not take its last bytes, is cut off after this.
-const LAST_BYTES: Duration = Duration::from_millis(2_500);
+/// How often connections are checked against their time limits.
+const CHECK_INTERVAL: Duration = Duration::from_millis(200);
+/// How long a new connection waits for one that was asked to leave before another is asked.
+const EVICTION_INTERVAL: Duration = Duration::from_millis(10);
+/// A connection that was asked to leave, has no open request and does not take its last bytes is cut off
+/// after this.
+const CLOSE_LIMIT: Duration = Duration::from_millis(2_500);
 
+/// What a connection is doing.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum Doing {
+enum Activity {
     /// Connected, or in the middle of a request's head.
     Asking,
-    /// In the middle of a request's body, which whoever reads it watches.
+    /// In the middle of a request's body, whose reader enforces its time limits.
     Reading,
-    /// Its request is open.
+    /// Its request awaits the end of its answer.
     Waiting,
+    /// Between two requests.
     Idle,
-    /// All is said, and its write end is shut.
+    /// Everything is written and the write end is shut down.
     Lingering,
 }
 
+/// The state of a connection.
 struct State {
-    doing: Doing,
+    activity: Activity,
     since: Instant,
-    /// It has had an answer before.
-    known: bool,
-    told: Option<Instant>,
+    /// Whether the connection has had an answer before.
+    answered_before: bool,
+    asked_at: Option<Instant>,
     leave: Arc<Notify>,
-    /// The bytes of the request's head, as far as they were read, and what came in the same piece behind it.
+    /// The bytes read of the request's head, and those read together with its end.
     head: Vec<u8>,
 }
 
 impl State {
-    fn tell(&mut self, now: Instant) {
-        self.told = Some(now);
+    fn ask_to_leave(&mut self, now: Instant) {
+        self.asked_at = Some(now);
         self.leave.notify_one();
     }
 }
@@ -52,14 +57,14 @@
     counts: Counts,
 }
 
-/// Connections so far: taken, told to go over a limit, and told to go because another wanted the place.
+/// Counts of connections that took a slot and of those asked to leave.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Counts {
-    /// Connections that got a slot.
+    /// Connections that took a slot.
     pub taken: u64,
-    /// Connections that were closed because all slots were taken.
+    /// Connections that were asked to leave because a time limit passed.
     pub over_limit: u64,
-    /// Connections that were closed to free a slot.
+    /// Connections that were asked to leave to free a slot for another.
     pub for_others: u64,
 }
 
@@ -73,12 +78,13 @@
 }
 
 impl Slots {
-    /// Free slots.
+    /// Creates the slots, all free.
     pub fn new(limits: ClientLimits) -> Slots {
         Slots { limits, taken: Arc::default(), freed: Arc::default(), part: Part::default() }
     }
 
-    /// While another process of this head lives, half of the places are its own.
+    /// Sets this process's share: while another process of this host runs, half of the slots belong to
+    /// that process.
     pub fn shared(mut self, part: Part) -> Slots {
         self.part = part;
         self
@@ -88,89 +94,98 @@
         self.taken.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Slots that are taken.
+    /// Returns the number of slots that are taken.
     pub fn held(&self) -> usize {
         self.taken().slots.len()
     }
 
-    /// What was counted so far.
+    /// Returns the counts so far.
     pub fn counts(&self) -> Counts {
         self.taken().counts
     }
 
-    /// Idle connections.
+    /// Returns the number of idle connections.
     pub fn idle(&self) -> usize {
-        self.taken().slots.values().filter(|state| state.doing == Doing::Idle).count()
+        self.taken().slots.values().filter(|state| state.activity == Activity::Idle).count()
     }
 
-    /// A place for a connection that has come. Where none is left, one without an open request goes: first what only
-    /// lingers, then the oldest that never had an answer, so that a flood of such costs nobody else; then the longest idle. What
-    /// comes meanwhile takes a spare place: waiting for each to go before the next is accepted would leave others
-    /// in the system's queue, whose time runs already.
+    /// Takes a slot for an accepted connection. If none is free, a connection without an open request is
+    /// asked to leave: first one that lingers, then the oldest that never had an answer, so that a flood of
+    /// those displaces nobody else, then the longest idle. Meanwhile the new connection takes a spare slot:
+    /// waiting for the other to leave before the next accept would keep clients, whose timeouts run already,
+    /// in the kernel's queue.
     pub async fn take(&self) -> Slot {
-        let slot = self.sit();
+        let slot = self.insert();
         if self.held() > self.part.of(self.limits.most) {
-            self.tell_one(slot.0.id);
+            self.ask_one_to_leave(slot.0.id);
         }
         while self.held() > self.part.of(self.limits.most + self.limits.spare) {
             let freed = self.freed.notified();
-            if timeout(NEXT_VICTIM, freed).await.is_err() {
-                self.tell_one(slot.0.id);
+            if timeout(EVICTION_INTERVAL, freed).await.is_err() {
+                self.ask_one_to_leave(slot.0.id);
             }
         }
         slot
     }
 
-    fn tell_one(&self, but: u64) {
+    /// Asks one connection to leave, other than `but`.
+    fn ask_one_to_leave(&self, but: u64) {
         let mut taken = self.taken();
         let others = taken.slots.iter_mut().filter(|(id, _)| **id != but).map(|(_, state)| state);
-        let able = others.filter(|s| s.doing != Doing::Waiting && s.told.is_none());
-        if let Some(state) =
-            able.min_by_key(|s| (s.doing != Doing::Lingering, s.known, s.doing != Doing::Idle, s.since))
-        {
-            state.tell(Instant::now());
+        let able = others.filter(|s| s.activity != Activity::Waiting && s.asked_at.is_none());
+        if let Some(state) = able.min_by_key(|s| {
+            (s.activity != Activity::Lingering, s.answered_before, s.activity != Activity::Idle, s.since)
+        }) {
+            state.ask_to_leave(Instant::now());
             taken.counts.for_others += 1;
         }
     }
 
-    fn sit(&self) -> Slot {
+    fn insert(&self) -> Slot {
         let (mut taken, leave) = (self.taken(), Arc::new(Notify::new()));
         taken.last += 1;
         taken.counts.taken += 1;
         let (id, since) = (taken.last, Instant::now());
         let (head, leave_too) = (Vec::new(), leave.clone());
-        let state = State { doing: Doing::Asking, since, known: false, told: None, leave: leave_too, head };
+        let state = State {
+            activity: Activity::Asking,
+            since,
+            answered_before: false,
+            asked_at: None,
+            leave: leave_too,
+            head,
+        };
         taken.slots.insert(id, state);
         Slot(Arc::new(Held { id, slots: self.clone(), leave }))
     }
 
-    /// Waits until all connections are gone.
+    /// Waits until no slot is taken.
     pub async fn empty(&self) {
         while self.held() > 0 {
             let freed = self.freed.notified();
-            let _ = timeout(NEXT_VICTIM, freed).await; // looked at again either way
+            let _ = timeout(EVICTION_INTERVAL, freed).await; // checked again on both a notification and a timeout
         }
     }
 
-    /// Tells those to go that are over a limit, for as long as the program runs.
+    /// Asks connections that are over a time limit to leave, for as long as the program runs.
     pub async fn watch(self) {
         loop {
-            sleep(LOOK).await;
-            self.look(Instant::now());
+            sleep(CHECK_INTERVAL).await;
+            self.check_limits(Instant::now());
         }
     }
 
-    fn look(&self, now: Instant) {
+    fn check_limits(&self, now: Instant) {
         let (limits, mut taken) = (self.limits, self.taken());
         let Taken { slots, counts, .. } = &mut *taken;
         let many = slots.len() > self.part.of(limits.most) / 2;
         for state in slots.values_mut() {
-            let limit = match (state.doing, state.told) {
-                (Doing::Waiting | Doing::Reading | Doing::Lingering, _) => continue,
-                (_, Some(told)) if now > told + LAST_BYTES => Duration::ZERO,
+            let limit = match (state.activity, state.asked_at) {
+                (Activity::Waiting | Activity::Reading | Activity::Lingering, _) => continue,
+                (_, Some(asked_at)) if now > asked_at + CLOSE_LIMIT => Duration::ZERO,
                 (_, Some(_)) => continue,
-                (Doing::Asking, None) => limits.request,
-                (Doing::Idle, None) => {
+                (Activity::Asking, None) => limits.request,
+                (Activity::Idle, None) => {
                     if many {
                         limits.idle_if_many
                     } else {
@@ -179,14 +194,14 @@
                 }
             };
             if now >= state.since + limit {
-                state.tell(now);
+                state.ask_to_leave(now);
                 counts.over_limit += 1;
             }
         }
     }
 }
 
-/// A connection's place; free again when the last of its clones is dropped.
+/// The slot of a connection; it is free again when its last clone is dropped.
 #[derive(Clone)]
 pub struct Slot(Arc<Held>);
 
@@ -208,30 +223,31 @@
         self.0.slots.taken().slots.get_mut(&self.0.id).map(f)
     }
 
-    fn set(&self, doing: Doing) {
+    fn set(&self, activity: Activity) {
         self.with(|slot| {
-            if slot.doing != doing {
-                (slot.doing, slot.since) = (doing, Instant::now());
+            if slot.activity != activity {
+                (slot.activity, slot.since) = (activity, Instant::now());
             }
         });
     }
 
-    /// Bytes have come. Inside an open request that changes nothing; a request's head is kept, up to so many bytes.
+    /// Records bytes read. An idle connection becomes one that sends a request. The request's head is kept,
+    /// up to `most` bytes.
     pub fn bytes_came(&self, bytes: &[u8], most: usize) {
         self.with(|slot| {
-            if slot.doing == Doing::Idle {
-                (slot.doing, slot.since) = (Doing::Asking, Instant::now());
+            if slot.activity == Activity::Idle {
+                (slot.activity, slot.since) = (Activity::Asking, Instant::now());
                 slot.head.clear();
             }
-            if slot.doing == Doing::Asking {
+            if slot.activity == Activity::Asking {
                 let room = most.saturating_sub(slot.head.len());
                 slot.head.extend_from_slice(&bytes[..room.min(bytes.len())]);
             }
         });
     }
 
-    /// Whether the head of the request has a field of that name, as it was read. Of requests that came in one piece
-    /// behind another only the first one's is known.
+    /// Reports whether the request's head, as it was read, has a header `name`. Of pipelined requests that
+    /// were read together, only the first one's head is kept.
     pub fn head_has(&self, name: &str) -> bool {
         let found = self.with(|slot| {
             let lines = slot.head.split(|byte| *byte == b'\n').map(<[u8]>::trim_ascii_end).skip(1);
@@ -245,62 +261,66 @@
         found.unwrap_or(false)
     }
 
-    /// Its head is read, its body is not.
+    /// Marks that the request's head is read and its body is not.
     pub fn reading(&self) {
         self.with(|slot| slot.head = Vec::new());
-        self.set(Doing::Reading);
+        self.set(Activity::Reading);
     }
 
-    /// A request's head has come.
+    /// Marks that a request has begun.
     pub fn asking(&self) {
-        self.set(Doing::Asking);
+        self.set(Activity::Asking);
     }
 
-    /// A whole request has come: the connection is not cut off before its answer.
+    /// Marks that the request is complete or queued: the connection is not cut off before its answer.
     pub fn waiting(&self) {
-        self.set(Doing::Waiting);
+        self.set(Activity::Waiting);
     }
 
-    /// Its request has its answer. True if that had better be the connection's last: so many are idle that clients,
-    /// who hold no more than their part of the descriptors, have few left to ask on. One that has asked more than
-    /// once is kept for longer.
+    /// Marks that the request has its answer. Returns true if the connection should close after it because
+    /// many are idle: clients, whose descriptors are limited too, would have few left for requests. A
+    /// connection that has had an answer before is kept for longer.
     pub fn answered(&self) -> bool {
-        self.set(Doing::Idle);
-        let known = self.with(|state| std::mem::replace(&mut state.known, true)).unwrap_or(false);
-        self.too_many_idle(known)
+        self.set(Activity::Idle);
+        let answered_before =
+            self.with(|state| std::mem::replace(&mut state.answered_before, true)).unwrap_or(false);
+        self.too_many_idle(answered_before)
     }
 
-    /// The same of an answer that is still going out.
+    /// Returns whether the connection should close after an answer that is still being sent, by the same
+    /// rule.
     pub fn had_better_go(&self) -> bool {
-        self.too_many_idle(self.with(|state| state.known).unwrap_or(false))
+        self.too_many_idle(self.with(|state| state.answered_before).unwrap_or(false))
     }
 
-    fn too_many_idle(&self, known: bool) -> bool {
+    fn too_many_idle(&self, answered_before: bool) -> bool {
         let slots = &self.0.slots;
         let (idle, most) = (slots.idle(), slots.part.of(slots.limits.most_idle));
-        idle > if known { most + most / 3 } else { most }
+        idle > if answered_before { most + most / 3 } else { most }
     }
 
-    /// All is said: what still comes on it is read for a while and thrown away. It may be told to go once more.
+    /// Marks that everything is written: further bytes are read for a while and discarded. The connection may
+    /// be asked to leave once more.
     pub fn lingers(&self) {
-        self.set(Doing::Lingering);
-        self.with(|slot| slot.told = None);
+        self.set(Activity::Lingering);
+        self.with(|slot| slot.asked_at = None);
     }
 
-    /// It has been told to go: its next answer is its last.
+    /// Returns whether the connection was asked to leave: its next answer is its last.
     pub fn is_told(&self) -> bool {
-        self.with(|slot| slot.told.is_some()).unwrap_or(true)
+        self.with(|slot| slot.asked_at.is_some()).unwrap_or(true)
     }
 
-    /// Whether a request is open on the connection.
+    /// Returns whether a request is awaited or being read.
     pub fn is_asking(&self) -> bool {
-        matches!(self.with(|state| state.doing), Some(Doing::Asking | Doing::Reading))
+        matches!(self.with(|state| state.activity), Some(Activity::Asking | Activity::Reading))
     }
 
-    /// Told to go: true while a request is open or an answer is on its way, which go first.
+    /// Waits until the connection is asked to leave. Returns true if it may finish its open answer first;
+    /// false if no complete request has been read, so that it is cut off.
     pub async fn told_to_leave(&self) -> bool {
         self.0.leave.notified().await;
-        self.with(|slot| !matches!(slot.doing, Doing::Asking | Doing::Reading)).unwrap_or(false)
+        self.with(|slot| !matches!(slot.activity, Activity::Asking | Activity::Reading)).unwrap_or(false)
     }
 }
 
--- a/src/net/slots/tests.rs
+++ b/src/net/slots/tests.rs
@@ -15,49 +15,49 @@
     })
 }
 
-fn told(place: &Slot) -> Option<bool> {
-    place.told_to_leave().now_or_never()
+fn told(slot: &Slot) -> Option<bool> {
+    slot.told_to_leave().now_or_never()
 }
 
 #[test]
-fn whoever_is_over_a_limit_is_told_to_go_and_an_open_request_never() {
+fn connections_over_a_time_limit_are_asked_to_leave_but_never_with_an_open_request() {
     for (others, after, gone) in [
         (0, REQUEST / 2, [false, false, false]),
         (0, REQUEST, [true, false, false]),
         (0, IDLE, [true, false, true]),
-        // More than half of the places taken: idle ones go earlier.
+        // With more than half of the slots taken, idle connections are asked to leave earlier.
         (3, IDLE / 5, [true, false, true]),
     ] {
         let slots = slots(10);
-        let held: Vec<Slot> = (0..3 + others).map(|_| slots.sit()).collect();
+        let held: Vec<Slot> = (0..3 + others).map(|_| slots.insert()).collect();
         held[1].waiting();
         held[2].answered();
         held[3..].iter().for_each(Slot::waiting);
-        slots.look(Instant::now() + after);
+        slots.check_limits(Instant::now() + after);
         assert_eq!([&held[0], &held[1], &held[2]].map(|slot| told(slot).is_some()), gone, "{after:?}");
     }
 }
 
 #[test]
-fn what_was_told_to_go_and_lingers_is_cut_off() {
+fn a_connection_that_stays_after_it_was_asked_to_leave_is_cut_off() {
     let slots = slots(10);
-    let place = slots.sit();
-    place.answered();
+    let slot = slots.insert();
+    slot.answered();
     let now = Instant::now();
-    slots.look(now + IDLE);
-    assert_eq!(told(&place), Some(true));
-    slots.look(now + IDLE + LAST_BYTES);
-    assert_eq!(told(&place), None);
-    slots.look(now + IDLE + 2 * LAST_BYTES);
-    assert!(told(&place).is_some());
+    slots.check_limits(now + IDLE);
+    assert_eq!(told(&slot), Some(true));
+    slots.check_limits(now + IDLE + CLOSE_LIMIT);
+    assert_eq!(told(&slot), None);
+    slots.check_limits(now + IDLE + 2 * CLOSE_LIMIT);
+    assert!(told(&slot).is_some());
 }
 
 #[test]
-fn with_many_idle_an_answer_is_the_last_for_who_asked_but_once() {
+fn with_many_idle_connections_a_first_answer_closes_its_connection() {
     let slots = slots(10);
-    let held: Vec<Slot> = (0..6).map(|_| slots.sit()).collect();
+    let held: Vec<Slot> = (0..6).map(|_| slots.insert()).collect();
     assert_eq!([0, 1, 2, 3].map(|i| held[i].answered()), [false, false, false, true]);
-    // The first one asks again, and is kept for longer.
+    // The first connection sends another request, and is kept for longer.
     held[0].waiting();
     assert!(!held[0].answered());
     assert!(held[4].answered());
@@ -66,20 +66,20 @@
 }
 
 #[test]
-fn a_full_house_first_sends_those_away_that_never_had_an_answer() {
+fn with_all_slots_taken_connections_that_never_had_an_answer_leave_first() {
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build().unwrap();
     runtime.block_on(async {
         let slots = slots(4);
-        let mut open_ones = vec![slots.sit()];
-        let idle = slots.sit();
+        let mut open_ones = vec![slots.insert()];
+        let idle = slots.insert();
         idle.answered();
-        let (silent, later) = (slots.sit(), slots.sit());
+        let (silent, later) = (slots.insert(), slots.insert());
         open_ones[0].waiting();
-        for victim in [silent, later, idle] {
-            // The place comes with the victim's end and with nobody else's; an open request takes it.
+        for leaving in [silent, later, idle] {
+            // Only the end of this connection frees a slot; the new connection holds it with an open request.
             let goes = async {
-                victim.told_to_leave().await;
-                drop(victim);
+                leaving.told_to_leave().await;
+                drop(leaving);
             };
             let (next, ()) = tokio::join!(slots.take(), goes);
             next.waiting();
@@ -90,20 +90,20 @@
 }
 
 #[test]
-fn a_connection_that_only_lingers_is_the_first_to_go_and_no_time_of_its_own_ends_it() {
+fn a_lingering_connection_leaves_first_and_is_subject_to_no_time_limit() {
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build().unwrap();
     runtime.block_on(async {
         let slots = slots(2);
-        let lingers = slots.sit();
+        let lingers = slots.insert();
         lingers.answered();
-        slots.look(Instant::now() + IDLE);
+        slots.check_limits(Instant::now() + IDLE);
         assert_eq!((told(&lingers), lingers.is_told()), (Some(true), true));
         lingers.lingers();
         assert!(!lingers.is_told());
-        slots.look(Instant::now() + 2 * IDLE);
+        slots.check_limits(Instant::now() + 2 * IDLE);
         assert_eq!(told(&lingers), None);
-        // One that never had an answer would go before an idle one.
-        let silent = slots.sit();
+        // A connection that never had an answer would leave before an idle one.
+        let silent = slots.insert();
         let goes = async {
             lingers.told_to_leave().await;
             drop(lingers);
--- a/src/net/source.rs
+++ b/src/net/source.rs
@@ -1,5 +1,5 @@
-//! What a client sends and an attempt passes on while it still comes: held until it is all there or as much as may be
-//! held, then let go of as it is sent.
+//! The body of a request that is forwarded while it still arrives: held until it is complete or the limit is
+//! reached, then released as an attempt sends it.
 
 use crate::replay_buffer::{Next, Over, ReplayBuffer};
 use bytes::Bytes;
@@ -10,20 +10,23 @@
 #[derive(Debug)]
 pub struct Source {
     state: Mutex<State>,
-    /// The memory for all requests.
+    /// The memory for the bodies of all requests, in bytes.
     memory: Arc<Semaphore>,
+    /// Notified when the body has grown or ended.
     more: Notify,
+    /// Notified when another piece may be read.
     room: Notify,
 }
 
 #[derive(Debug)]
 struct State {
     buffer: ReplayBuffer,
+    /// The permits for the bytes held.
     held: Option<OwnedSemaphorePermit>,
 }
 
 impl Source {
-    /// Holds `hold` bytes before it is bound to an attempt.
+    /// Creates a body of which up to `hold` bytes are held before it is bound to an attempt.
     pub fn new(hold: usize, memory: Arc<Semaphore>) -> Source {
         let state = Mutex::new(State { buffer: ReplayBuffer::new(hold), held: None });
         Source { state, memory, more: Notify::new(), room: Notify::new() }
@@ -33,7 +36,7 @@
         self.state.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    // ---- for the client's task ----
+    // For the task that reads from the client.
 
     /// Waits until another piece may be read from the client.
     pub async fn room(&self) {
@@ -46,7 +49,7 @@
         }
     }
 
-    /// False: more than may be held has come.
+    /// Adds a piece. Returns false once more has arrived than may be held.
     pub fn push(&self, piece: Bytes, bound: bool) -> bool {
         let mut state = self.state();
         if !bound {
@@ -64,40 +67,40 @@
         whole
     }
 
-    /// The body has ended.
+    /// Marks the end of the body.
     pub fn end(&self, over: Over) {
         self.state().buffer.end(over);
         self.more.notify_waiters();
     }
 
-    /// The client has reset the request, or gone.
+    /// Returns whether the client reset the request or left before the end of the body.
     pub fn cut(&self) -> bool {
         self.state().buffer.over() == Some(Over::Cut)
     }
 
-    /// Another piece may be read from the client.
+    /// Returns whether another piece may be read from the client.
     pub fn has_room(&self) -> bool {
         self.state().buffer.room()
     }
 
-    /// All of it has come, or nothing more will.
+    /// Returns whether the body is complete or was cut off.
     pub fn is_over(&self) -> bool {
         self.state().buffer.over().is_some()
     }
 
-    /// Bytes that are kept.
+    /// Returns the number of bytes held.
     pub fn bytes(&self) -> usize {
         self.state().buffer.bytes()
     }
 
-    /// Whether only one attempt can still send the body.
+    /// Returns whether only one attempt can still send the body.
     pub fn is_bound(&self) -> bool {
         self.state().buffer.is_bound()
     }
 
-    // ---- for attempts ----
+    // For attempts.
 
-    /// What this attempt sends next; waits while that is yet to come.
+    /// Waits for what this attempt, which has sent `sent` pieces, sends next.
     pub async fn next(&self, attempt: u32, sent: usize) -> Next {
         loop {
             let mut changed = std::pin::pin!(self.more.notified());
@@ -110,12 +113,13 @@
         }
     }
 
-    /// Whether the request is whole with so many pieces.
+    /// Returns whether the body is complete with `sent` pieces.
     pub fn whole_with(&self, attempt: u32, sent: usize) -> bool {
         self.state().buffer.next(attempt, sent) == Next::End(Over::Whole)
     }
 
-    /// Must have been granted by the core.
+    /// Binds the body to one attempt, so that pieces already sent can be released. The core must have granted
+    /// this.
     pub fn bind(&self, attempt: u32, sent: usize) {
         let mut state = self.state();
         state.buffer.bind(attempt, sent);
@@ -124,7 +128,7 @@
         self.room.notify_one();
     }
 
-    /// An attempt has sent so many bytes.
+    /// Records that an attempt has sent `sent` pieces, and releases them if the body is bound to it.
     pub fn sent(&self, attempt: u32, sent: usize) {
         if self.state().buffer.sent(attempt, sent) > 0 {
             self.room.notify_one();
