--- a/src/net/hot_restart.rs
+++ b/src/net/hot_restart.rs
@@ -1,6 +1,7 @@
-//! The two processes of one upgrade see each other by locks on files in `$TMPDIR`: the system lets go of a lock when
-//! its holder ends, however it ends. What those files hold is of no meaning, so that nothing in them can mislead. Beside
-//! them each has a file of the ids that it took (`idlog`), which the other one reads.
+//! Lets the two processes of an upgrade detect each other by locks on files in `$TMPDIR`. The kernel releases
+//! a lock when its holder ends, however it ends. The contents of the lock files are ignored, so that stale
+//! contents can't mislead. Each process also has a file of the request ids that it accepted (`idlog`), which
+//! the other process reads.
 
 use crate::core::{Handle, Input};
 use crate::event;
@@ -11,53 +12,55 @@
 use std::sync::Arc;
 use tokio::time::{Duration, Instant, sleep};
 
-/// A process that has only just come looks so often.
+/// How often a process that has just started checks for the other one.
 pub const SOON: Duration = Duration::from_millis(10);
-/// A look by the other one holds a lock for a moment.
-const AGAIN: Duration = Duration::from_millis(5);
-const TIMES: usize = 20;
+/// How long to wait before trying a lock again: a check by the other process holds the lock for a moment.
+const LOCK_RETRY_INTERVAL: Duration = Duration::from_millis(5);
+/// How often the locks are tried.
+const LOCK_ATTEMPTS: usize = 20;
 
-/// The files of one of the two.
-struct Place {
+/// The files of one of the two processes.
+struct ProcessFiles {
     lives: File,
     halved: File,
-    /// The ids that it takes (`idlog`).
+    /// The ids that the process accepted (`idlog`).
     ids: Arc<File>,
 }
 
-impl Place {
-    fn open(folder: &Path, head: &str, number: u32) -> io::Result<Place> {
+impl ProcessFiles {
+    fn open(folder: &Path, head: &str, number: u32) -> io::Result<ProcessFiles> {
         let open = |what: &str| {
             let path: PathBuf = folder.join(format!("pathbank.{head}.{number}.{what}"));
             OpenOptions::new().create(true).truncate(false).read(true).write(true).open(path)
         };
-        Ok(Place { lives: open("lives")?, halved: open("halved")?, ids: Arc::new(open("ids")?) })
+        Ok(ProcessFiles { lives: open("lives")?, halved: open("halved")?, ids: Arc::new(open("ids")?) })
     }
 }
 
+/// Returns whether another process holds the lock.
 fn held(file: &File) -> bool {
     match file.try_lock_shared() {
-        // Nobody has it; given back at once.
+        // No process holds the lock: release it at once.
         Ok(()) => file.unlock().is_err(),
         Err(_) => true,
     }
 }
 
-/// This process's place, and the other one's.
+/// The files of this process and of the other one.
 pub struct HotRestart {
-    ours: Place,
-    other: Place,
+    ours: ProcessFiles,
+    other: ProcessFiles,
     pair: Pair,
     said: bool,
 }
 
 impl HotRestart {
-    /// `None`: both places are taken, or the folder cannot be used.
+    /// Takes the files of one of the two processes; `None` if both are taken or the folder cannot be used.
     pub async fn join(folder: &Path, head: &str) -> Option<HotRestart> {
-        let places = (Place::open(folder, head, 0), Place::open(folder, head, 1));
+        let places = (ProcessFiles::open(folder, head, 0), ProcessFiles::open(folder, head, 1));
         let (Ok(first), Ok(second)) = places else { return None };
         let mut places = [Some(first), Some(second)];
-        for _ in 0..TIMES {
+        for _ in 0..LOCK_ATTEMPTS {
             for number in 0..2 {
                 let lock = places[number].as_ref().map(|place| place.lives.try_lock());
                 match lock {
@@ -69,12 +72,12 @@
                     _ => {}
                 }
             }
-            sleep(AGAIN).await;
+            sleep(LOCK_RETRY_INTERVAL).await;
         }
         None
     }
 
-    /// The files of the ids that this process takes, and the other one.
+    /// Returns the files of the ids accepted by this process and by the other one.
     pub fn ids(&self) -> (Arc<File>, Arc<File>) {
         (self.ours.ids.clone(), self.other.ids.clone())
     }
@@ -83,8 +86,9 @@
         Seen { lives: held(&self.other.lives), halved: held(&self.other.halved) }
     }
 
-    /// Says that it keeps to its half only after `tell` was told so, and takes more only after it has ceased to say it:
-    /// one that came meanwhile either sees that, or is seen.
+    /// Checks for the other process. Locks `halved` only after `tell` has limited this process to half of the
+    /// capacity, and lifts that limit only after the lock is released: a process that starts meanwhile either
+    /// sees that or is seen.
     pub fn look(&mut self, mut tell: impl FnMut(bool)) -> Stand {
         let mut stand = self.pair.look(now(), self.seen());
         if self.said && !stand.halved {
@@ -103,7 +107,7 @@
     Instant::now().into_std()
 }
 
-/// Looks for the other process for as long as the program runs; tells each change of the half before it is said.
+/// Checks for the other process for as long as the program runs, and passes each result to `tell`.
 pub async fn watch(mut restart: HotRestart, mut tell: impl FnMut(bool)) {
     loop {
         restart.look(&mut tell);
@@ -111,7 +115,7 @@
     }
 }
 
-/// Tells the core and the bounds of connections each change.
+/// Returns a function that passes each change to the core and to the limits of connections.
 pub fn teller(part: Part, handle: Handle) -> impl FnMut(bool) {
     let mut told = None;
     move |halved| {
--- a/src/net/hot_restart/tests.rs
+++ b/src/net/hot_restart/tests.rs
@@ -2,20 +2,20 @@
 use std::cell::Cell;
 
 #[test]
-fn two_processes_share_and_a_third_finds_no_place() {
+fn two_processes_share_the_capacity_and_a_third_cannot_join() {
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build().unwrap();
     let folder = std::env::temp_dir().join(format!("pathbank-twins-{}", std::process::id()));
     std::fs::create_dir_all(&folder).unwrap();
-    // Rubbish that somebody left means nothing.
+    // Stale contents of a lock file are ignored.
     std::fs::write(folder.join("pathbank.n0.0.lives"), b"\xff\0 rubbish").unwrap();
     let join = || runtime.block_on(HotRestart::join(&folder, "n0"));
     let (mut old, halved) = (join().unwrap(), Cell::new(None));
     let tell = |now| halved.set(Some(now));
     while !old.look(tell).accept {}
-    assert_eq!(halved.get(), Some(false), "alone it has all");
+    assert_eq!(halved.get(), Some(false), "a single process must have the whole capacity");
     let mut new = join().unwrap();
-    assert!(join().is_none(), "two are all that there can be");
-    assert!(!new.look(|_| {}).accept, "the old one has not said its half yet");
+    assert!(join().is_none(), "a third process must not join");
+    assert!(!new.look(|_| {}).accept, "the old process does not hold its `halved` lock yet");
     assert!(old.look(tell).halved);
     assert_eq!(halved.get(), Some(true));
     assert_eq!(new.look(|_| {}), Stand { accept: true, halved: true });
@@ -23,5 +23,5 @@
     while new.look(|_| {}).halved {}
     assert!(join().is_some());
     std::fs::remove_dir_all(&folder).unwrap();
-    assert!(join().is_none(), "no folder, no place");
+    assert!(join().is_none(), "joining must fail without the folder");
 }
--- a/src/net/ops.rs
+++ b/src/net/ops.rs
@@ -1,5 +1,5 @@
-//! The operators' line: one line in, one answer out, on a thread and a runtime of its own, so that an answer
-//! waits for no client's request.
+//! The operators' line: a TCP listener that answers one command per connection. It runs on a thread and a
+//! runtime of its own, so that no answer waits for client requests.
 
 use crate::event;
 use crate::figures::Figures;
@@ -15,41 +15,43 @@
 use tokio::task::JoinHandle;
 use tokio::time::{Duration, Instant, sleep, timeout};
 
-/// A line holds this much at most, its end included.
-const MOST_LINE: usize = 64;
-/// A caller has so long for its line, and so long to take the answer.
-const LINE_TIME: Duration = Duration::from_secs(5);
-const ANSWER_TIME: Duration = Duration::from_secs(2);
-/// What comes behind the line is read for so long after the answer, or a reset could overtake it.
-const LINGER: Duration = Duration::from_millis(200);
-/// The core notes that it runs every 0.1 s; silent for so long, it decides nothing.
-const CORE_SILENT: Duration = Duration::from_secs(1);
+/// The most bytes of a line, its end included.
+const MAX_LINE_BYTES: usize = 64;
+/// The time within which a caller must send its line.
+const LINE_TIMEOUT: Duration = Duration::from_secs(5);
+/// The time within which a caller must take the answer.
+const ANSWER_TIMEOUT: Duration = Duration::from_secs(2);
+/// How long bytes after the line are read once the answer is written; otherwise a reset could overtake the
+/// answer.
+const LINGER_TIME: Duration = Duration::from_millis(200);
+/// The core reports that it runs every 0.1 s; after this silence it is taken to decide nothing.
+const CORE_SILENCE_LIMIT: Duration = Duration::from_secs(1);
 
-/// A command of operators.
+/// An operator's command.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Command {
-    /// Whether the proxy serves.
+    /// Asks whether the proxy is ready to serve.
     Ready,
-    /// The metrics.
+    /// Asks for the metrics.
     Stats,
-    /// Begin to drain.
+    /// Starts draining.
     Drain,
-    /// Serve again.
+    /// Stops draining.
     Undrain,
-    /// The view of the fleet, or what is known of one head.
+    /// Asks for the view of the fleet, or of one host.
     Fleet(Option<u16>),
 }
 
-/// Why a line is no command.
+/// Why a line is not a valid command.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum BadLine {
     /// The line is empty.
     Empty,
     /// The line is too long.
     TooLong,
-    /// The line has no end.
+    /// The connection ended before the end of the line.
     NoEnd,
-    /// The line is no text.
+    /// The line is not valid UTF-8.
     NoText,
     /// There is no such command.
     Unknown,
@@ -68,10 +70,10 @@
 }
 
 impl Command {
-    /// What has come so far. `None`: the line goes on.
+    /// Parses the bytes received so far; `None` if the line is not complete.
     fn read(bytes: &[u8], ended: bool) -> Option<Result<Command, BadLine>> {
         let Some(end) = bytes.iter().position(|byte| *byte == b'\n') else {
-            return match bytes.len() >= MOST_LINE {
+            return match bytes.len() >= MAX_LINE_BYTES {
                 true => Some(Err(BadLine::TooLong)),
                 false => ended.then_some(Err(BadLine::NoEnd)),
             };
@@ -79,7 +81,7 @@
         let Ok(line) = std::str::from_utf8(&bytes[..end]) else { return Some(Err(BadLine::NoText)) };
         // Callers end their line with LF or with CR LF.
         Some(match line.strip_suffix('\r').unwrap_or(line) {
-            _ if end >= MOST_LINE => Err(BadLine::TooLong),
+            _ if end >= MAX_LINE_BYTES => Err(BadLine::TooLong),
             "READY" => Ok(Command::Ready),
             "STATS" => Ok(Command::Stats),
             "DRAIN" => Ok(Command::Drain),
@@ -94,14 +96,14 @@
     }
 }
 
-/// What the line reads and what it may do.
+/// The state that the commands read and change.
 #[derive(Clone)]
 pub struct Desk {
     /// The metrics.
     pub figures: Figures,
     /// The lifecycle.
     pub lifecycle: Lifecycle,
-    /// `None`: this head keeps no view, and the line knows no such command.
+    /// The view of the fleet; `None` if this host keeps none, which makes `FLEET` an unknown command.
     pub fleet: Option<Fleet>,
 }
 
@@ -131,14 +133,14 @@
         }
     }
 
-    /// Whether a request that came now would be decided on.
+    /// Checks whether a request that arrives now would be handled.
     fn ready(&self) -> Result<(), String> {
         let phase = self.lifecycle.phase();
         let faults = [
             (phase.ends, "the head is ending"),
             (!phase.up, "the head is draining"),
             (self.figures.known_nodes() == 0, "no brick is known yet"),
-            (self.figures.silent_for(Instant::now()) > CORE_SILENT, "the core does not run"),
+            (self.figures.silent_for(Instant::now()) > CORE_SILENCE_LIMIT, "the core does not run"),
         ];
         match faults.iter().find(|(fault, _)| *fault) {
             Some((_, reason)) => Err(reason.to_string()),
@@ -147,10 +149,16 @@
     }
 }
 
-/// Listens; the thread serves for as long as the program runs. `most` callers are there at once.
+/// Starts the listener on a thread that serves for as long as the program runs, at most `most` callers at
+/// once.
+///
+/// # Errors
+///
+/// Fails if the address cannot be bound or the thread cannot be started.
 pub fn start(address: SocketAddr, most: usize, desk: Desk) -> io::Result<SocketAddr> {
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build()?;
-    // Bound here, so that a bad address ends the program; on the runtime only within its own thread.
+    // Bound here, so that a bad address ends the program. The listener is registered with the runtime on its
+    // thread.
     let listener = std::net::TcpListener::bind(address)?;
     listener.set_nonblocking(true)?;
     let bound = listener.local_addr()?;
@@ -169,9 +177,9 @@
     loop {
         match listener.accept().await {
             Ok((stream, _)) => {
-                let _ = stream.set_nodelay(true); // one that cannot be set is broken, and tells so when it is read
+                let _ = stream.set_nodelay(true); // a socket that rejects the option fails when it is read
                 callers.retain(|caller| !caller.is_finished());
-                // The oldest has had the most time to say its line.
+                // The oldest caller has had the most time to send its line.
                 while callers.len() >= most {
                     callers.pop_front().into_iter().for_each(|caller| caller.abort());
                 }
@@ -186,22 +194,23 @@
 }
 
 async fn call(mut stream: TcpStream, desk: Desk) {
-    // Whatever goes wrong on the way, the caller sees its connection closed, and calls again.
-    let Ok(Some(command)) = timeout(LINE_TIME, line(&mut stream)).await else { return };
+    // On any failure the caller sees its connection closed, and can call again.
+    let Ok(Some(command)) = timeout(LINE_TIMEOUT, line(&mut stream)).await else { return };
     let answer = desk.answer(command);
     let told = async {
         stream.write_all(answer.as_bytes()).await?;
         stream.shutdown().await
     };
-    if let Ok(Ok(())) = timeout(ANSWER_TIME, told).await {
-        let mut rest = [0; MOST_LINE];
-        let _ = timeout(LINGER, async { while matches!(stream.read(&mut rest).await, Ok(1..)) {} }).await;
+    if let Ok(Ok(())) = timeout(ANSWER_TIMEOUT, told).await {
+        let mut rest = [0; MAX_LINE_BYTES];
+        let _ =
+            timeout(LINGER_TIME, async { while matches!(stream.read(&mut rest).await, Ok(1..)) {} }).await;
     }
 }
 
-/// `None`: the caller has gone without a byte.
+/// Reads the line; `None` if the caller left without sending a byte.
 async fn line(stream: &mut TcpStream) -> Option<Result<Command, BadLine>> {
-    let (mut bytes, mut used) = ([0; MOST_LINE], 0);
+    let (mut bytes, mut used) = ([0; MAX_LINE_BYTES], 0);
     loop {
         let read = stream.read(&mut bytes[used..]).await.ok()?;
         used += read;
--- a/src/net/ops/tests.rs
+++ b/src/net/ops/tests.rs
@@ -1,8 +1,8 @@
 use super::*;
 
 #[test]
-fn a_line_is_one_command_or_a_reason() {
-    let long = [b'x'; MOST_LINE];
+fn a_line_parses_to_one_command_or_an_error() {
+    let long = [b'x'; MAX_LINE_BYTES];
     for (bytes, ended, wanted) in [
         (&b"READY\n"[..], false, Some(Ok(Command::Ready))),
         (b"STATS\n", false, Some(Ok(Command::Stats))),
@@ -26,7 +26,7 @@
 }
 
 #[test]
-fn ready_says_what_is_missing_and_a_drain_is_told_at_once() {
+fn ready_names_what_is_missing_and_a_drain_takes_effect_at_once() {
     let (lifecycle, phase) = Lifecycle::new(Duration::from_secs(1));
     let desk = Desk { figures: Figures::default(), lifecycle, fleet: None };
     let ask = |line: &[u8]| desk.answer(Command::read(line, true).unwrap());
@@ -48,7 +48,7 @@
 }
 
 #[test]
-fn callers_who_never_finish_do_not_keep_out_the_next() {
+fn callers_that_never_finish_their_line_do_not_block_the_next() {
     use std::io::{Read, Write};
     let (lifecycle, _phase) = Lifecycle::new(Duration::from_secs(1));
     let desk = Desk { figures: Figures::default(), lifecycle, fleet: None };
@@ -61,6 +61,6 @@
     let mut answer = String::new();
     caller.read_to_string(&mut answer).unwrap();
     assert!(answer.ends_with("END\n"), "{answer}");
-    // The oldest of the slow ones has lost its place.
+    // The connection of the oldest slow caller was closed.
     assert!(!matches!(slow[0].read(&mut [0]), Ok(1..)));
 }
