--- a/src/net/peers.rs
+++ b/src/net/peers.rs
@@ -1,4 +1,5 @@
-//! Datagrams between heads: carries out what `peers` allows, and passes on what is heard to the core.
+//! Datagrams between hosts: sends what the limits in `peers` permit, and passes received messages to the
+//! core.
 
 use crate::core::{Handle, Input, Message, PeerSender};
 use crate::event;
@@ -12,10 +13,10 @@
 use tokio::sync::{mpsc, watch};
 use tokio::time::{Duration, Instant, interval, sleep_until};
 
-/// How often what was turned away is told, where anything was.
-const SUM_UP: Duration = Duration::from_secs(60);
-/// A system that gives nothing but errors is not asked without end.
-const AGAIN: Duration = Duration::from_millis(100);
+/// How often the counts are logged, if any datagram was rejected since.
+const REPORT_INTERVAL: Duration = Duration::from_secs(60);
+/// The pause after a failed receive, so that repeated errors cause no busy loop.
+const ERROR_PAUSE: Duration = Duration::from_millis(100);
 
 /// The socket for messages between hosts.
 pub struct Talk {
@@ -25,23 +26,31 @@
     fleet: Option<Fleet>,
 }
 
-/// Without a view of the fleet there is nothing to wait for.
-const NEVER: Duration = Duration::from_secs(86_400);
+/// The wait for the next tick without a view of the fleet, which never has one.
+const NO_TICK: Duration = Duration::from_secs(86_400);
 
 impl Talk {
-    /// Binds the socket.
+    /// Binds the socket at `listen`.
+    ///
+    /// # Errors
+    ///
+    /// Fails if the address cannot be bound.
     pub async fn open(listen: SocketAddr, peers: Peers) -> io::Result<(Talk, PeerSender)> {
         let socket = UdpSocket::bind(listen).await?;
         let (peer_sender, messages) = PeerSender::new();
         Ok((Talk { socket, peers, messages, fleet: None }, peer_sender))
     }
 
-    /// Where it is bound.
+    /// Returns the address of the socket.
+    ///
+    /// # Errors
+    ///
+    /// Fails if the kernel does not report the address.
     pub fn address(&self) -> io::Result<SocketAddr> {
         self.socket.local_addr()
     }
 
-    /// From here on the view of the fleet is kept by these datagrams.
+    /// From now on carries the gossip of the fleet's view in these datagrams.
     pub fn keep(&mut self, fleet: Fleet) {
         self.fleet = Some(fleet);
     }
@@ -51,11 +60,11 @@
             Ok(targets) => {
                 for target in targets {
                     if let Err(problem) = self.socket.try_send_to(bytes, target) {
-                        debug!("to {target}: {problem}");
+                        debug!("sending a datagram to {target} failed: {problem}");
                     }
                 }
             }
-            Err(turned) => debug!("a message to {to:?} is not sent: {turned:?}"),
+            Err(turned) => debug!("message to {to:?} not sent: {turned:?}"),
         }
     }
 
@@ -73,13 +82,13 @@
         }
     }
 
-    /// For as long as the program runs. With its end the head leaves the view.
+    /// Sends and receives for as long as the program runs. When the program ends, this host leaves the view.
     pub async fn run(mut self, handle: Handle, mut phase: watch::Receiver<Phase>) {
-        // One byte more than any may have: what is longer shows.
+        // One byte more than the limit, so that a longer datagram is recognized.
         let mut buffer = [0; MOST_BYTES + 1];
-        let (mut sums, mut told, mut left) = (interval(SUM_UP), Counts::default(), false);
+        let (mut sums, mut told, mut left) = (interval(REPORT_INTERVAL), Counts::default(), false);
         loop {
-            let next = self.fleet.as_ref().map_or_else(|| Instant::now() + NEVER, Fleet::next);
+            let next = self.fleet.as_ref().map_or_else(|| Instant::now() + NO_TICK, Fleet::next);
             tokio::select! {
                 message = self.messages.recv() => {
                     let Some(Message { to, bytes }) = message else { return };
@@ -100,11 +109,11 @@
                 got = self.socket.recv_from(&mut buffer) => match got {
                     Ok((length, from)) => match self.peers.hear(Instant::now().into_std(), from, length) {
                         Ok(from) => self.heard(from, &buffer[..length], &handle),
-                        Err(turned) => debug!("{length} bytes from {from} are not heard: {turned:?}"),
+                        Err(turned) => debug!("datagram of {length} bytes from {from} rejected: {turned:?}"),
                     },
                     Err(problem) => {
-                        debug!("datagrams: {problem}");
-                        tokio::time::sleep(AGAIN).await;
+                        debug!("receiving a datagram failed: {problem}");
+                        tokio::time::sleep(ERROR_PAUSE).await;
                     }
                 },
                 _ = sums.tick() => {
--- a/src/net/peers/tests.rs
+++ b/src/net/peers/tests.rs
@@ -4,7 +4,7 @@
 use crate::interface::Settings;
 
 #[test]
-fn what_heads_say_arrives_and_what_others_say_does_not() {
+fn datagrams_from_hosts_reach_the_core_and_those_from_strangers_do_not() {
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build().unwrap();
     runtime.block_on(async {
         let any: SocketAddr = "127.0.0.1:0".parse().unwrap();
@@ -26,7 +26,7 @@
         for wanted in [&b"said"[..], &[9; 256]] {
             match inputs.recv().await {
                 Some(Input::Peer { from: 1, bytes }) => assert_eq!(bytes, wanted),
-                _ => panic!("something else was passed on"),
+                _ => panic!("another input than the host's datagram was passed on"),
             }
         }
         peer_sender.say(None, vec![1, 2, 3]);
