--- a/src/attempt_end.rs
+++ b/src/attempt_end.rs
@@ -1,37 +1,37 @@
-//! Every way in which a connection or an attempt can end, and what the module is told of it.
+//! The ways in which an attempt can end, and the result that the policy gets for each.
 
 use crate::interface::AttemptResult;
 
 /// How an attempt ended, as the connection saw it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum AttemptEnd {
-    /// A whole good answer.
+    /// A complete, successful answer arrived.
     Answered,
-    /// The node said that it failed, or answered in a way that promises nothing.
+    /// The node answered with an error, or with an answer that doesn't say whether the request ran.
     ErrorAnswer,
-    /// The node said that the request never ran.
+    /// The node answered that the request did not run.
     TurnedAway,
-    /// No connection came up: refused, unreachable, or not in time.
+    /// No connection was established: refused, unreachable, or not in time.
     NoConnection,
     /// The connection broke before the request's last byte was written to it.
     BrokeUnsent,
-    /// The connection broke after that, or inside the answer.
+    /// The connection broke after the last byte was written, or inside the answer.
     Broke,
-    /// The answer is longer than any may be, or no answer of the protocol.
+    /// The answer is longer than the limit, or violates the protocol.
     BadAnswer,
-    /// The head stopped waiting.
+    /// The time-out of the attempt or the deadline of the request passed.
     TimedOut,
-    /// The module called the attempt off.
+    /// The attempt was cancelled.
     CalledOff,
-    /// Given up before a byte of it was written: its node leaves, its request is over, or it is too late for
-    /// it.
+    /// The attempt was cancelled before a byte was written: the node leaves, the request is over, or the time
+    /// for the attempt has passed.
     Unsent,
-    /// Never started: the request is over, has had its attempts, or the node is unknown.
+    /// The attempt never started: the request is over or has used all its attempts, or the node is unknown.
     NotStarted,
 }
 
 impl AttemptEnd {
-    /// The only place that says what an end means to the module.
+    /// Returns the result that the policy gets.
     pub fn result(self) -> AttemptResult {
         match self {
             AttemptEnd::Answered => AttemptResult::Served,
--- a/src/core/agreement.rs
+++ b/src/core/agreement.rs
@@ -1,4 +1,4 @@
-//! What the heads agree on, looked at before each event to the module and before each act.
+//! The agreed documents, read before each event for the policy and before each start of an attempt.
 
 use super::Core;
 use super::open::OpenRequest;
@@ -10,27 +10,29 @@
 use crate::interface::*;
 use std::sync::{Arc, Mutex, PoisonError};
 
-/// By which the core acts on what the heads agree on.
+/// What the core needs to act by the agreed documents.
 #[derive(Debug)]
 pub struct Agreed {
     /// The rules that follow from the agreed documents.
     pub rules: Rules,
-    /// What this head knows, as it is at this moment.
+    /// This host's current view of the documents and of the lease.
     pub view: Arc<Mutex<LeaseView>>,
     /// The clock by which leases are measured.
     pub pace: Pace,
 }
 
 impl Agreed {
+    /// Returns the current view.
     pub(super) fn view(&self) -> LeaseView {
         self.view.lock().unwrap_or_else(PoisonError::into_inner).clone()
     }
 }
 
-/// From the look at the rules to the act: beyond this it is told.
-const LATE_ACT: Micros = 100_000;
+/// Time from the check of the rules to the start of an attempt beyond which an event is logged, microseconds.
+const LATE_START: Micros = 100_000;
 
-fn name_of(level: LeaseLevel) -> &'static str {
+/// Returns the name of a lease level in events.
+fn lease_level_name(level: LeaseLevel) -> &'static str {
     match level {
         LeaseLevel::NoLease => "bottom",
         LeaseLevel::LongLease => "loose",
@@ -39,19 +41,20 @@
 }
 
 impl Core {
-    /// Looks at what the heads agree on, and under which lease: what has changed the module is told before
-    /// all else.
+    /// Reads the agreed documents and the lease. Returns the events for the policy that result from a change;
+    /// the policy gets them before any other event.
     pub(super) fn apply_agreement(&mut self) -> Vec<Event> {
         let Some(agreed) = &mut self.agreed else { return Vec::new() };
         let view = agreed.view();
-        let Some(reading) = agreed.rules.refresh(agreed.pace.now(), &view) else { return Vec::new() };
-        let RulesChange { level, was, revised } = reading;
+        let Some(change) = agreed.rules.refresh(agreed.pace.now(), &view) else { return Vec::new() };
+        let RulesChange { level, was, revised } = change;
         let state = agreed.rules.state();
         let (read, prepared, active) = (state.applied(), state.prepared(), state.active());
         let ignored = agreed.rules.ignored().join(" ");
-        let (level, was, revised) = (name_of(level), name_of(was), if revised { "yes" } else { "no" });
+        let (level, was, revised) =
+            (lease_level_name(level), lease_level_name(was), if revised { "yes" } else { "no" });
         event!(READING, level, was, revised, read, prepared, active, ignored);
-        if !reading.affects_module() {
+        if !change.affects_module() {
             return Vec::new();
         }
         self.settings = agreed.rules.settings();
@@ -72,30 +75,31 @@
         events
     }
 
+    /// Reads the agreed documents and passes changes to the policy at once.
     pub(super) fn refresh_agreement(&mut self) {
         for event in self.apply_agreement() {
             let nodes = matches!(event, Event::Nodes { .. });
-            self.tell(event);
+            self.dispatch(event);
             if nodes {
-                self.drop_where_left();
+                self.drop_unsent_at_unready_nodes();
             }
         }
     }
 
-    /// The look at the act itself: `None` where the attempt may not start, as things stand now; otherwise
-    /// when it was.
+    /// Checks the agreed rules right before an attempt starts. Returns the time of the check, or `None` if
+    /// the attempt may not start now.
     pub(super) fn may_start(&self, open: &OpenRequest, attempt: u32, node: NodeId) -> Option<Micros> {
         let Some(agreed) = &self.agreed else { return Some(0) };
         let (now, node) = (agreed.pace.now(), self.nodes.get(&node)?);
-        let fresh = agreed.rules.is_current(now, &agreed.view());
+        let current = agreed.rules.is_current(now, &agreed.view());
         let rules = open
             .rules
             .unwrap_or(AdmittedRules { attempts: 0, repeats: crate::agree::document::Repeats::Never });
-        (fresh && agreed.rules.allows(open.class, rules, attempt, open.ran, &node.id)).then_some(now)
+        (current && agreed.rules.allows(open.class, rules, attempt, open.ran, &node.id)).then_some(now)
     }
 
-    /// An attempt has been started by the agreed rules: how long after the look at them, and for rehearsals
-    /// what they were.
+    /// Logs the start of an attempt under the agreed rules: a late start always, and at debug level the rules
+    /// that allowed it, which rehearsals check.
     pub(super) fn record_start(
         &self,
         request: RequestId,
@@ -106,11 +110,11 @@
     ) {
         let Some(agreed) = &self.agreed else { return };
         let late_us = agreed.pace.now().saturating_sub(checked_at);
-        if late_us > LATE_ACT {
+        if late_us > LATE_START {
             event!(LATE_ACT, late_us, request);
         }
         if log::log_enabled!(log::Level::Debug) {
-            let (state, level) = (agreed.rules.state(), name_of(agreed.rules.level()));
+            let (state, level) = (agreed.rules.state(), lease_level_name(agreed.rules.level()));
             let (read, active, at_us) = (state.applied(), state.active(), self.clock.now());
             let node = self.nodes.get(&node).map_or("", |node| node.id.as_str());
             let (class, attempts) = (class as u64, agreed.rules.attempts(class));
--- a/src/core/attempt.rs
+++ b/src/core/attempt.rs
@@ -14,7 +14,7 @@
 use tokio::sync::oneshot;
 use tokio::time::Instant;
 
-/// How an attempt ended.
+/// The result of an attempt.
 #[derive(Debug)]
 pub struct Report {
     /// How it ended.
@@ -33,29 +33,31 @@
     }
 }
 
-/// Told by the backend as soon as a byte of the attempt may be on the wire, and when its last one is.
+/// How much of an attempt's request is written. The backend marks when a byte may have been sent and when the
+/// last byte has been written.
 #[derive(Debug, Default)]
 pub struct WriteState {
     pub(super) started: AtomicBool,
     pub(super) refused: AtomicBool,
     pub(super) completed_at: OnceLock<Instant>,
-    pub(super) client: Client,
+    pub(super) client: ClientState,
     pub(super) class: usize,
     pub(super) figures: Figures,
 }
 
-/// Whoever asked for an attempt.
+/// The source of an attempt, which knows whether the client has left.
 #[derive(Default)]
-pub(super) struct Client(pub(super) Option<Arc<dyn AttemptSource>>);
+pub(super) struct ClientState(pub(super) Option<Arc<dyn AttemptSource>>);
 
-impl fmt::Debug for Client {
+impl fmt::Debug for ClientState {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         f.write_str("a client")
     }
 }
 
 impl WriteState {
-    /// Asked right before the first byte: false where the client has gone, and nothing may be written.
+    /// Whether writing may start; called right before the first byte. False if the client has left: then
+    /// nothing may be written.
     pub fn may_start_writing(&self) -> bool {
         if self.client.0.as_ref().is_some_and(|work| work.client_left()) {
             self.refused.store(true, Ordering::Relaxed);
@@ -68,17 +70,17 @@
         self.refused.load(Ordering::Relaxed)
     }
 
-    /// A byte of the attempt may be on the wire.
+    /// Marks that a byte of the attempt may have been sent.
     pub fn mark_started(&self) {
         self.started.store(true, Ordering::Relaxed);
     }
 
-    /// Whether a byte of the attempt may be on the wire.
+    /// Whether a byte of the attempt may have been sent.
     pub fn has_started(&self) -> bool {
         self.started.load(Ordering::Relaxed)
     }
 
-    /// The last byte is written: the attempt is counted, once.
+    /// Marks that the last byte is written, and counts the attempt in the metrics once.
     pub fn mark_complete(&self) {
         if self.completed_at.set(Instant::now()).is_ok() {
             self.figures.count(self.class, Count::Tries);
@@ -86,21 +88,21 @@
     }
 }
 
-/// One attempt to carry a request out at a node.
+/// What an attempt to run a request at a node needs.
 #[derive(Debug)]
 pub struct AttemptContext {
     /// The node's `host:port`.
     pub address: String,
     /// The deadline.
     pub answer_by: Instant,
-    /// How much of it is written.
+    /// How much of the request is written.
     pub write_state: Arc<WriteState>,
-    /// Binds the request to it.
+    /// Binds the request to this attempt.
     pub binder: AnswerBinder,
 }
 
-/// By which an attempt makes the request its own before it passes on the first part of an answer, or before
-/// it lets go of what another attempt would have to send.
+/// Binds a request to one attempt. An attempt does so before it forwards the first part of an answer, or
+/// before it releases request data that another attempt would have to send.
 #[derive(Debug)]
 pub struct AnswerBinder {
     pub(super) handle: Handle,
@@ -114,16 +116,17 @@
         self.attempt
     }
 
-    /// True: no other attempt is out or will follow, and this one may speak to the client. False: it is over,
-    /// or another attempt was first.
+    /// Binds the request to this attempt. True: no other attempt is in flight or will follow, and this one
+    /// may send to the client. False: the attempt or the request has ended, or another attempt was first.
     pub async fn bind(&self) -> bool {
         let (granted, answer) = oneshot::channel();
         self.handle.send(Input::Bind { id: self.id, attempt: self.attempt, granted });
         answer.await.unwrap_or(false)
     }
 
-    /// The same, with an answer that is good as far as it goes and longer than can be held: it counts as the
-    /// node's from here on, whatever becomes of the rest, and has no time-out any more.
+    /// Binds the request like [`AnswerBinder::bind`], for an answer that is successful so far and too long to
+    /// buffer. The policy counts it as served from here on, whatever happens to the rest, and the deadline no
+    /// longer applies.
     pub async fn begin_answer(&self, load: Load, used: Option<f64>) -> bool {
         let (granted, answer) = oneshot::channel();
         self.handle.send(Input::AnswerBegan { id: self.id, attempt: self.attempt, load, used, granted });
@@ -134,27 +137,31 @@
 /// A running attempt.
 pub type Attempt = Pin<Box<dyn Future<Output = Report> + Send>>;
 
-/// What a front wants done: starts attempts at nodes. Dropping the future gives the attempt up; a request of
-/// which no byte was written by then is never written.
+/// Starts the attempts of a front's request. Dropping an attempt's future cancels it; if no byte of the
+/// request was written by then, none is written afterwards.
 pub trait AttemptSource: Send + Sync {
     /// Starts an attempt.
     fn attempt(&self, context: AttemptContext) -> Attempt;
 
-    /// Whether the client has gone, asked of its connection in this very moment: the word of that may still
-    /// be on its way.
+    /// Whether the client has left, read from its connection at the time of the call: the event loop may not
+    /// yet have been notified.
     fn client_left(&self) -> bool {
         false
     }
 }
 
-/// Gives an attempt up that is not written whole by then. Looked at before each of its steps, so that none of
-/// them writes later, however late its turn comes.
-pub(super) async fn written_by(work: Attempt, write_state: Arc<WriteState>, by: Option<Instant>) -> Report {
+/// Ends an attempt whose request is not written completely by the given time. The time is checked before each
+/// poll, so that no poll writes after it, however late the task is scheduled.
+pub(super) async fn cancel_unless_written_by(
+    work: Attempt,
+    write_state: Arc<WriteState>,
+    by: Option<Instant>,
+) -> Report {
     let Some(by) = by else { return work.await };
-    let (mut work, mut over) = (work, std::pin::pin!(tokio::time::sleep_until(by)));
+    let (mut work, mut expired) = (work, std::pin::pin!(tokio::time::sleep_until(by)));
     std::future::poll_fn(|cx| {
-        let whole = write_state.completed_at.get().is_some();
-        if !whole && (over.as_mut().poll(cx).is_ready() || Instant::now() >= by) {
+        let complete = write_state.completed_at.get().is_some();
+        if !complete && (expired.as_mut().poll(cx).is_ready() || Instant::now() >= by) {
             let end = if write_state.has_started() { AttemptEnd::CalledOff } else { AttemptEnd::Unsent };
             return Poll::Ready(end.into());
         }
--- a/src/core/handle.rs
+++ b/src/core/handle.rs
@@ -1,4 +1,5 @@
-//! The channel into the core's event loop: how fronts and discovery submit requests and updates, and how answers come back.
+//! The channel into the core's event loop: fronts and discovery submit requests and updates through it, and
+//! requests receive their final answers from it.
 
 #[cfg(test)]
 use super::attempt::{AnswerBinder, AttemptContext};
@@ -44,10 +45,11 @@
     pub body_time: Option<Duration>,
 }
 
-/// What a client's time leaves for its request: what is kept back for the ways in and out is a part of it at
-/// most, or clients that wait for as long as that would never be served.
+/// Returns the time that remains of a client's wait after the margin for the transfer of the request and of
+/// its answer. The margin is limited to a tenth of the wait; otherwise a client with a wait as short as the
+/// margin would never be served.
 pub fn less_margin(wait: Duration, margin: Duration) -> Duration {
-    wait - margin.min(wait / MARGIN_PART)
+    wait - margin.min(wait / MARGIN_DIVISOR)
 }
 
 /// The final answer to a request.
@@ -55,7 +57,8 @@
 pub enum Answer {
     /// The node's answer.
     Served(Bytes),
-    /// Refused: the request did not run, or running it again does no harm. The client may retry after that time.
+    /// Refused: the request did not run, or it is harmless to run it again. The client may retry after this
+    /// time.
     Refused(Duration),
     /// Failed: the request may have run.
     Failed,
@@ -122,7 +125,8 @@
         /// The entries that came with it.
         nodes: Vec<ListedNode>,
     },
-    /// New settings. Numbers of classes and plans keep their meaning; open requests keep the rules under which they came.
+    /// New settings. Numbers of classes and plans keep their meaning; open requests keep the rules under
+    /// which they were admitted.
     Settings {
         /// The settings.
         settings: Box<Settings>,
@@ -160,7 +164,7 @@
 #[derive(Clone, Debug)]
 pub struct Handle {
     pub(super) queue: mpsc::UnboundedSender<Input>,
-    pub(super) last: Arc<AtomicU64>,
+    pub(super) last_id: Arc<AtomicU64>,
     pub(super) open: Arc<AtomicUsize>,
     pub(super) max_open: usize,
     pub(super) no_room: Arc<AtomicU64>,
@@ -192,8 +196,8 @@
             return None;
         }
         self.open.fetch_add(1, Ordering::Relaxed);
-        // Not the client's own id: the module's tokens for timers share these numbers.
-        let id = self.last.fetch_add(1, Ordering::Relaxed) + 1;
+        // The client's own id is not used: the policy's timer tokens come from the same range of numbers.
+        let id = self.last_id.fetch_add(1, Ordering::Relaxed) + 1;
         let (answer, pending) = oneshot::channel();
         self.send(Input::Request { id, arrival, work, answer });
         let open = self.figures.taken();
@@ -225,8 +229,8 @@
         AttemptContext { address, answer_by: Instant::now() + wait, write_state: Arc::default(), binder }
     }
 
-    /// The same core with a bound of its own on open requests, for a front whose requests hold no descriptor
-    /// each.
+    /// Returns a handle to the same core with a separate limit on open requests, for a front whose requests
+    /// don't use a file descriptor each.
     pub fn with_room_for(&self, max_open: usize) -> Handle {
         Handle { open: Arc::default(), max_open, no_room: Arc::default(), ..self.clone() }
     }
@@ -255,7 +259,7 @@
     /// Queues a message without waiting; it is dropped when the queue is full.
     pub fn say(&self, to: Option<u32>, bytes: Vec<u8>) {
         if self.0.try_send(Message { to, bytes }).is_err() {
-            debug!("a message to other heads found no room");
+            debug!("message to peers dropped: the send queue is full");
         }
     }
 }
@@ -313,8 +317,8 @@
     }
 }
 
-/// The margin is at most this part of a client's time.
-const MARGIN_PART: u32 = 10;
+/// Divisor of a client's wait that gives the largest margin.
+const MARGIN_DIVISOR: u32 = 10;
 
-/// Messages to other hosts that may be queued.
+/// Maximum number of queued messages to other hosts.
 const MAX_QUEUED_MESSAGES: usize = 64;
--- a/src/core/mod.rs
+++ b/src/core/mod.rs
@@ -1,5 +1,6 @@
-//! One task owns the module, its timers and the open requests; all else reaches it through a queue. It deals
-//! in requests, attempts and outcomes, whatever wire they come by.
+//! The event loop. One task owns the scheduling policy, its timers and the open requests; other tasks reach
+//! it through a queue. It handles requests, attempts and outcomes independently of the protocol that carries
+//! them.
 
 mod agreement;
 mod attempt;
@@ -32,25 +33,29 @@
 use tokio::sync::mpsc;
 use tokio::time::{Duration, Instant};
 
-/// A probe is answered beside the queue, or tells that the queue is long; later it tells nothing.
+/// Time-out of a probe. A node answers a probe without queueing it, or the latency shows that its queue is
+/// long; an answer after this time carries no information.
 const PROBE_TIMEOUT: Duration = Duration::from_secs(1);
-/// The module's view of nodes is copied into the figures so often at most, and so often where nothing
-/// happens.
+/// Minimum interval at which the policy's counts of nodes are copied into the metrics, microseconds.
 const METRICS_MIN_INTERVAL: Micros = 50_000;
+/// Interval of that copy when no event arrives, microseconds.
 const METRICS_MAX_INTERVAL: Micros = 100_000;
-/// Longer than any request is open.
-const DAY: Micros = 86_400_000_000;
-/// How often requests that were not served are summed up.
+/// One day in microseconds; no request is open for that long.
+const ONE_DAY: Micros = 86_400_000_000;
+/// Interval between summaries of the requests that were not served, microseconds.
 const SUMMARY_INTERVAL: Micros = 10_000_000;
 
+/// What the event loop does when a timer fires.
 enum TimerEvent {
+    /// A timer of the policy, with the policy's token.
     Timer(u64),
+    /// The deadline of a request.
     Deadline(RequestId),
-    /// The list of nodes may be rested on no longer.
+    /// The node list is too old to start attempts from.
     Overdue,
 }
 
-/// The event loop and all that it owns.
+/// The event loop and the state that it owns.
 pub struct Core {
     policy: Policy,
     settings: Settings,
@@ -65,31 +70,31 @@
     zones: Vec<String>,
     known: Vec<NodeEntry>,
     timers: Wheel<TimerEvent>,
-    /// Events that follow from the module's own actions; told after those are all carried out.
+    /// Events that result from the policy's own actions; dispatched after all of these actions.
     events: VecDeque<Event>,
-    /// The module is being told, further up the stack.
+    /// A call of `dispatch` further up the stack is running.
     dispatching: bool,
-    /// Room for its actions, used again.
+    /// Reused buffer for the policy's actions.
     actions: Vec<Action>,
     request_log: Option<Telling>,
-    /// How other heads are told something, and how a node is probed, where the settings allow it.
+    /// Sends messages to peers and starts probes; `None` where the settings forbid it.
     peer_sender: Option<PeerSender>,
     probes: Option<Box<dyn AttemptSource>>,
     pressure: Pressure,
     result_counts: ResultCounts,
     figures: Figures,
-    /// Somebody reads the figures: those that are copied are copied again and again, last at this time.
+    /// When the counts of nodes were last copied into the metrics; `None`: nobody reads the metrics.
     metrics_copied_at: Option<Micros>,
-    /// What the module was told of this process's part of the head.
-    part: f64,
+    /// The share of the host's capacity that the policy may use.
+    capacity_share: f64,
     agreed: Option<Agreed>,
-    /// When the list is overdue, and since when it has been.
+    /// The timer for the time at which the node list becomes overdue, and since when it has been overdue.
     list_timer: Option<Key>,
     overdue_since: Option<Micros>,
 }
 
 impl Core {
-    /// A core, and the receiver of its requests to subscribe to the node list.
+    /// Creates a core, and the receiver of its requests to subscribe to the node list.
     pub fn new(
         settings: Settings,
         seed: u64,
@@ -98,10 +103,10 @@
     ) -> (Core, mpsc::UnboundedReceiver<()>) {
         let (queue, inputs) = mpsc::unbounded_channel();
         let (subscribe, wanted) = mpsc::unbounded_channel();
-        let (last, open, no_room, figures) =
+        let (last_id, open, no_room, figures) =
             (Arc::default(), Arc::default(), Arc::default(), Figures::default());
-        let (part, counted) = (Part::default(), figures.clone());
-        let handle = Handle { queue, last, open, max_open, no_room, figures: counted, part };
+        let (part, handle_figures) = (Part::default(), figures.clone());
+        let handle = Handle { queue, last_id, open, max_open, no_room, figures: handle_figures, part };
         let policy = Policy::new(settings.clone(), seed);
         let core = Core {
             policy,
@@ -127,7 +132,7 @@
             result_counts: ResultCounts::default(),
             figures,
             metrics_copied_at: None,
-            part: 1.0,
+            capacity_share: 1.0,
             agreed: None,
             list_timer: None,
             overdue_since: None,
@@ -135,34 +140,34 @@
         (core, wanted)
     }
 
-    /// A handle to this core.
+    /// Returns a handle to this core.
     pub fn handle(&self) -> Handle {
         self.handle.clone()
     }
 
-    /// Tells requests at their ends, as events.
+    /// Sets which finished requests are reported as log events.
     pub fn set_request_log(&mut self, request_log: Telling) {
         self.request_log = Some(request_log);
     }
 
-    /// From here on other heads can be told something.
+    /// Sets the sender of messages to peers.
     pub fn set_peer_sender(&mut self, peer_sender: PeerSender) {
         self.peer_sender = Some(peer_sender);
     }
 
-    /// From here on nodes can be probed.
+    /// Sets the source of probes.
     pub fn set_probes(&mut self, probes: Box<dyn AttemptSource>) {
         self.probes = Some(probes);
     }
 
-    /// From here on the head acts by what the heads agree on, and before it knows of that, not at all.
+    /// Makes the host act by the agreed documents. Until it has read them, it starts no attempt.
     pub fn set_agreement(&mut self, agreed: Agreed) {
         self.settings = agreed.rules.settings();
         self.agreed = Some(agreed);
-        self.tell(Event::Settings(Box::new(self.settings.clone())));
+        self.dispatch(Event::Settings(Box::new(self.settings.clone())));
     }
 
-    /// Keeps the figures that are copied fresh, and says that it runs.
+    /// Enables the regular copy of node counts into the metrics, which also shows that the event loop runs.
     pub fn enable_metrics(&mut self) {
         self.metrics_copied_at = Some(0);
     }
@@ -177,26 +182,26 @@
         }
     }
 
-    /// Runs until all handles are dropped.
+    /// Runs the event loop until all handles are dropped.
     pub async fn run(mut self) {
         loop {
             self.copy_metrics();
             let copy = self.metrics_copied_at.map(|at| at.max(self.clock.now()) + METRICS_MAX_INTERVAL);
             let next = self.timers.next_due().into_iter().chain(copy).min().map(|at| self.clock.instant(at));
-            let asleep = async {
+            let sleep = async {
                 match next {
                     Some(at) => tokio::time::sleep_until(at).await,
                     None => std::future::pending().await,
                 }
             };
-            // What has come in goes first: an answer beats the time-out of its attempt.
+            // Queued input comes first: an answer takes precedence over the time-out of its attempt.
             tokio::select! {
                 biased;
                 input = self.inputs.recv() => match input {
                     Some(input) => self.on_input(input),
                     None => return,
                 },
-                () = asleep => {}
+                () = sleep => {}
             }
             while let Ok(input) = self.inputs.try_recv() {
                 self.on_input(input);
@@ -211,13 +216,13 @@
             Input::ClientLeft { id } => self.client_left(id),
             Input::Report { id, attempt, report } => self.outcome(id, attempt, report),
             Input::Bind { id, attempt, granted } => {
-                // Whoever asked may have been given up meanwhile; then nobody hears of it.
+                // The attempt may have been cancelled meanwhile; then there is no receiver.
                 let _ = granted.send(self.bind(id, attempt));
             }
             Input::AnswerBegan { id, attempt, load, used, granted } => {
-                let _ = granted.send(self.begin_answer(id, attempt, load, used)); // nobody hears of it, likewise
+                let _ = granted.send(self.begin_answer(id, attempt, load, used)); // as for Bind
             }
-            Input::BodyComplete { id } => self.whole(id),
+            Input::BodyComplete { id } => self.body_complete(id),
             Input::Nodes { news, nodes } => self.on_nodes(news, nodes),
             Input::Settings { settings, names } => {
                 self.figures.name_classes(&names.classes);
@@ -231,17 +236,17 @@
                     }
                     None => *settings,
                 };
-                self.tell(Event::Settings(Box::new(self.settings.clone())));
+                self.dispatch(Event::Settings(Box::new(self.settings.clone())));
             }
             Input::AgreementChanged => self.refresh_agreement(),
             Input::CapacityShare { halved } => {
-                self.part = if halved { 0.5 } else { 1.0 };
-                self.tell(Event::CapacityShare { share: self.part });
+                self.capacity_share = if halved { 0.5 } else { 1.0 };
+                self.dispatch(Event::CapacityShare { share: self.capacity_share });
             }
-            Input::Peer { from, bytes } => self.tell(Event::Peer { from, bytes }),
+            Input::Peer { from, bytes } => self.dispatch(Event::Peer { from, bytes }),
             Input::Probed { node, latency, report } => {
                 let (result, load) = (report.end.result(), report.load);
-                self.tell(Event::Probed { node, result, latency, load });
+                self.dispatch(Event::Probed { node, result, latency, load });
             }
             Input::Finish => {
                 let open: Vec<RequestId> = self.requests.keys().copied().collect();
@@ -250,25 +255,26 @@
         }
     }
 
-    /// Tells the module, carries out what it asks for, then tells it what followed from that.
-    fn tell(&mut self, event: Event) {
+    /// Passes an event to the policy and carries out its actions; then does the same with each event that
+    /// resulted.
+    fn dispatch(&mut self, event: Event) {
         self.events.push_back(event);
         if std::mem::replace(&mut self.dispatching, true) {
-            return; // the loop below, further up the stack, comes to it in turn
+            return; // the loop below, further up the stack, takes it in turn
         }
         let mut actions = std::mem::take(&mut self.actions);
         while let Some(event) = self.events.pop_front() {
-            let before = self.apply_agreement();
-            if !before.is_empty() {
+            let changes = self.apply_agreement();
+            if !changes.is_empty() {
                 self.events.push_front(event);
-                before.into_iter().rev().for_each(|event| self.events.push_front(event));
+                changes.into_iter().rev().for_each(|event| self.events.push_front(event));
                 continue;
             }
             let now = self.clock.now();
-            let done = catch_unwind(AssertUnwindSafe(|| self.policy.handle(now, event, &mut actions)));
-            if done.is_err() {
+            let result = catch_unwind(AssertUnwindSafe(|| self.policy.handle(now, event, &mut actions)));
+            if result.is_err() {
                 actions.clear();
-                self.restart_module();
+                self.restart_policy();
             }
             for action in actions.drain(..) {
                 self.carry_out(now, action);
@@ -277,14 +283,14 @@
         (self.actions, self.dispatching) = (actions, false);
     }
 
-    /// A module that panicked knows nothing for certain: all that it held fails, a new one starts from the
-    /// list.
-    fn restart_module(&mut self) {
+    /// Replaces the policy after a panic, since its state may be inconsistent. All open requests fail; the
+    /// new policy starts from the node list.
+    fn restart_policy(&mut self) {
         event!(MODULE_PANIC, open = self.requests.len());
         self.policy = Policy::new(self.settings.clone(), self.seed);
         self.events.clear();
         for (_, mut open) in std::mem::take(&mut self.requests) {
-            open.attempts.iter().flatten().for_each(|out| out.task.abort());
+            open.attempts.iter().flatten().for_each(|in_flight| in_flight.task.abort());
             if let Some(answer) = open.answer.take() {
                 let _ = answer.send(Answer::Failed);
                 self.result_counts.counts[Finish::Failed as usize] += 1;
@@ -292,15 +298,15 @@
             }
         }
         (self.timers, self.list_timer) = (Wheel::new(self.clock.now()), None);
-        self.nodes.values_mut().for_each(|node| node.out = 0);
-        self.events.push_back(Event::CapacityShare { share: self.part });
+        self.nodes.values_mut().for_each(|node| node.in_flight = 0);
+        self.events.push_back(Event::CapacityShare { share: self.capacity_share });
         self.events.push_back(Event::Nodes { update: ListUpdate::Cached, nodes: self.known.clone() });
     }
 
     fn carry_out(&mut self, now: Micros, action: Action) {
         match action {
             Action::Send { request, node, time_out, write_by } => {
-                self.start(now, request, node, time_out, write_by);
+                self.start_attempt(now, request, node, time_out, write_by);
             }
             Action::Refuse { request, retry_in } => {
                 self.answer(request, Answer::Refused(Duration::from_micros(retry_in)));
@@ -308,7 +314,7 @@
             Action::Fail { request } => self.answer(request, Answer::Failed),
             Action::Cancel { request, attempt } => self.stop_attempt(request, attempt, AttemptEnd::CalledOff),
             Action::Timer { after, token } => {
-                // The module never takes one back.
+                // The policy never cancels a timer.
                 self.timers.insert(now + after, TimerEvent::Timer(token));
             }
             Action::Subscribe => {
@@ -318,7 +324,7 @@
             Action::Probe { node } => self.probe(node),
             Action::SendToPeer { peer, bytes } => match &self.peer_sender {
                 Some(peer_sender) => peer_sender.say(peer, bytes),
-                None => debug!("there is nobody to tell"),
+                None => debug!("message to peers dropped: peer messaging is off"),
             },
         }
     }
--- a/src/core/nodes.rs
+++ b/src/core/nodes.rs
@@ -1,32 +1,37 @@
-//! Nodes as the list has them.
+//! The nodes of the node list, and whether the list is recent enough to start attempts.
 
-use super::{Core, DAY, TimerEvent};
+use super::{Core, ONE_DAY, TimerEvent};
 use crate::config::{ListedNode, ListedState, fnv};
 use crate::event;
 use crate::interface::*;
 use log::debug;
 use std::collections::{BTreeMap, BTreeSet};
 
+/// A storage node.
 pub(super) struct Node {
+    /// Its id in discovery.
     pub(super) id: String,
+    /// `host:port`.
     pub(super) address: String,
-    /// In service by the list; and not taken out by what the heads agree on.
+    /// The list has it in service.
     pub(super) listed: bool,
+    /// The list has it in service, and the agreed documents let it accept requests.
     pub(super) ready: bool,
-    /// Off the list: released, with its number, once nothing is out there that could still name it.
+    /// The list no longer has it. It is released, with its number, once it has no attempt in flight.
     pub(super) removed: bool,
-    pub(super) out: usize,
+    /// Attempts in flight.
+    pub(super) in_flight: usize,
 }
 
-/// Node ids are texts in discovery and numbers in the module: the same number at every head for the same
-/// text.
+/// Maps node ids of discovery, which are texts, to the policy's numbers. All hosts give the same text the
+/// same number.
 #[derive(Debug, Default)]
 pub(super) struct NodeIds {
     pub(super) texts: BTreeMap<NodeId, String>,
 }
 
 impl NodeIds {
-    /// Two texts of one hash: the later one takes the next free number.
+    /// Returns the number of a node id. If its hash is taken by another text, it gets the next free number.
     pub(super) fn of(&mut self, text: &str) -> NodeId {
         let mut id = fnv(text.as_bytes()) as NodeId;
         loop {
@@ -42,6 +47,7 @@
 }
 
 impl Core {
+    /// Applies an update of the node list.
     pub(super) fn on_nodes(&mut self, news: ListUpdate, listed: Vec<ListedNode>) {
         self.refresh_agreement();
         if matches!(
@@ -51,8 +57,8 @@
             if news == ListUpdate::TimedOut {
                 self.figures.silence();
             }
-            self.tell(Event::Nodes { update: news, nodes: Vec::new() });
-            return self.watch_list();
+            self.dispatch(Event::Nodes { update: news, nodes: Vec::new() });
+            return self.update_list_timer();
         }
         let mut entries = Vec::with_capacity(listed.len());
         for node in &listed {
@@ -62,7 +68,7 @@
                 self.zones.len() - 1
             });
             let state = match node.state {
-                ListedState::InService if self.takes(&node.id) => NodeState::Ready,
+                ListedState::InService if self.accepts_requests(&node.id) => NodeState::Ready,
                 ListedState::InService => NodeState::Draining,
                 ListedState::Terminating => NodeState::Draining,
                 ListedState::Terminated => NodeState::Gone,
@@ -71,41 +77,42 @@
             entries.push(NodeEntry { node: id, zone: zone as u16, shard: node.cell, state, started });
         }
         if matches!(news, ListUpdate::Full | ListUpdate::Cached) {
-            let off = |node: &mut Node| (node.listed, node.ready, node.removed) = (false, false, true);
-            self.nodes.values_mut().for_each(off);
+            let remove = |node: &mut Node| (node.listed, node.ready, node.removed) = (false, false, true);
+            self.nodes.values_mut().for_each(remove);
             self.known.clear();
         }
         for (entry, node) in entries.iter().zip(&listed) {
             let (ready, removed) = (entry.state == NodeState::Ready, entry.state == NodeState::Gone);
             event!(NODE, node = node.id, address = node.addr, number = entry.node, shard = entry.shard, state:? = entry.state);
-            let out = self.nodes.get(&entry.node).map_or(0, |known| known.out);
+            let in_flight = self.nodes.get(&entry.node).map_or(0, |known| known.in_flight);
             let (id, address) = (node.id.clone(), node.addr.clone());
             let listed = node.state == ListedState::InService;
-            self.nodes.insert(entry.node, Node { id, address, listed, ready, removed, out });
+            self.nodes.insert(entry.node, Node { id, address, listed, ready, removed, in_flight });
             self.known.retain(|known| known.node != entry.node);
             if !removed {
                 self.known.push(*entry);
             }
         }
-        self.tell(Event::Nodes { update: news, nodes: entries });
+        self.dispatch(Event::Nodes { update: news, nodes: entries });
         self.metrics_copied_at = self.metrics_copied_at.map(|_| 0);
-        self.drop_where_left();
+        self.drop_unsent_at_unready_nodes();
         self.release_nodes();
-        self.watch_list();
+        self.update_list_timer();
     }
 
-    /// Sees to it that nothing begins any more once the list may be rested on no longer.
-    pub(super) fn watch_list(&mut self) {
+    /// Sets the timer for the time at which the node list becomes overdue. When it is overdue, gives up the
+    /// attempts of which nothing has been written.
+    pub(super) fn update_list_timer(&mut self) {
         let until = self.policy.list_good_until();
         if let Some(key) = self.list_timer.take() {
             self.timers.remove(key);
         }
-        let (now, good) = (self.clock.now(), self.clock.now() < until);
-        if good && until < now + DAY {
+        let (now, usable) = (self.clock.now(), self.clock.now() < until);
+        if usable && until < now + ONE_DAY {
             self.list_timer = Some(self.timers.insert(until, TimerEvent::Overdue));
         }
         let since = self.overdue_since;
-        match (good, since) {
+        match (usable, since) {
             (true, Some(since)) => {
                 let overdue_ms = (now - since) / 1000;
                 event!(LIST_RENEWED, overdue_ms);
@@ -123,29 +130,31 @@
         }
     }
 
-    /// Nothing that was not begun begins at a node that takes none any more.
-    pub(super) fn drop_where_left(&mut self) {
+    /// Gives up attempts of which nothing has been written at nodes that accept no more requests.
+    pub(super) fn drop_unsent_at_unready_nodes(&mut self) {
         let unready: BTreeSet<NodeId> =
             self.nodes.iter().filter(|(_, n)| !n.ready).map(|(id, _)| *id).collect();
         let open: Vec<RequestId> = self.requests.keys().copied().collect();
         for id in open {
-            self.drop_unsent(id, |out| unready.contains(&out.node));
+            self.drop_unsent(id, |attempt| unready.contains(&attempt.node));
         }
     }
 
-    pub(super) fn takes(&self, node: &str) -> bool {
+    /// Whether the agreed documents let the node accept requests.
+    pub(super) fn accepts_requests(&self, node: &str) -> bool {
         self.agreed.as_ref().is_none_or(|agreed| agreed.rules.accepts_requests(node))
     }
 
+    /// Releases removed nodes that have no attempt in flight, with their numbers.
     pub(super) fn release_nodes(&mut self) {
         let ids = &mut self.ids;
         self.nodes.retain(|number, node| {
-            let stays = !node.removed || node.out > 0;
-            if !stays {
+            let keep = !node.removed || node.in_flight > 0;
+            if !keep {
                 debug!(node = node.id, number; "node released");
                 ids.texts.remove(number);
             }
-            stays
+            keep
         });
     }
 }
--- a/src/core/open.rs
+++ b/src/core/open.rs
@@ -1,4 +1,4 @@
-//! Open requests, their attempts that are out, and what is told at their ends.
+//! Open requests, their attempts in flight, and the records that are logged when they end.
 
 use super::attempt::{AttemptSource, WriteState};
 use super::handle::Answer;
@@ -11,6 +11,7 @@
 use tokio::sync::oneshot;
 use tokio::task::AbortHandle;
 
+/// An attempt in flight.
 pub(super) struct AttemptInFlight {
     pub(super) node: NodeId,
     pub(super) sent: Micros,
@@ -19,80 +20,91 @@
 }
 
 impl AttemptInFlight {
-    /// A node begins a request with its last byte: what a slow client takes to send it is no part of the
-    /// answer's time.
+    /// Returns the latency of the node. For a request whose body was still arriving, it is measured from the
+    /// request's last byte: a node starts the request then, and the client's time to send it does not count.
     pub(super) fn latency(&self, clock: Clock, body_time: bool) -> Micros {
         match self.write_state.completed_at.get().filter(|_| body_time) {
-            Some(whole) => micros(whole.elapsed()),
+            Some(completed_at) => micros(completed_at.elapsed()),
             None => clock.now().saturating_sub(self.sent),
         }
     }
 }
 
+/// A request that has no final answer yet, or has attempts in flight.
 pub(super) struct OpenRequest {
     pub(super) work: Arc<dyn AttemptSource>,
     pub(super) answer: Option<oneshot::Sender<Answer>>,
     pub(super) answer_by: Micros,
-    /// Each attempt by its number; `None` once its outcome is told.
+    /// Attempts by number; `None` once the policy has the outcome.
     pub(super) attempts: Vec<Option<AttemptInFlight>>,
-    /// The attempt that the request goes on with, whatever comes of it.
+    /// The attempt that the request is bound to: no other attempt follows.
     pub(super) bound: Option<u32>,
-    /// Where requests are told.
+    /// What is logged of the request at its end; `None`: requests are not logged.
     pub(super) record: Option<Box<RequestRecord>>,
-    /// `None`: its time does not run yet, or no longer.
+    /// The timer of its deadline; `None` while its body arrives and after its answer has begun.
     pub(super) deadline: Option<Key>,
-    /// Its time, where that begins with its last byte.
+    /// Time until the deadline, where that is counted from the last byte of the body.
     pub(super) body_time: Option<Micros>,
-    /// It was taken before its last byte came.
+    /// It was accepted before the last byte of its body arrived.
     pub(super) arrived_early: bool,
-    /// The module has its outcome, and the rest of the answer is being passed on.
-    pub(super) passing: bool,
+    /// The policy has the outcome, and the rest of the answer is being forwarded to the client.
+    pub(super) forwarding: bool,
     pub(super) class: usize,
     pub(super) max_attempts: u32,
-    /// The agreed rules that it came under.
+    /// The agreed rules under which it was admitted.
     pub(super) rules: Option<AdmittedRules>,
-    /// An attempt may have run.
+    /// A node may have run it.
     pub(super) ran: bool,
 }
 
-/// What is told of a request at its end.
+/// What is logged of a request at its end.
 pub(super) struct RequestRecord {
     pub(super) volume: VolumeId,
     pub(super) plan: usize,
     pub(super) class: usize,
     pub(super) units: f64,
     pub(super) arrived: Micros,
-    /// By their numbers, those that never started too.
-    pub(super) tried: Vec<Tried>,
+    /// Attempts by number, including those that never started.
+    pub(super) attempts: Vec<Tried>,
 }
 
-/// Requests by their ends, since when.
+/// Counts of ended requests since the last summary.
 #[derive(Default)]
 pub(super) struct ResultCounts {
+    /// By `Finish`.
     pub(super) counts: [u64; 4],
+    /// The total of requests rejected because too many were open, as of the last summary.
     pub(super) no_room: u64,
     pub(super) since: Micros,
 }
 
 impl OpenRequest {
+    /// Whether the request has its final answer, or its client has left.
     pub(super) fn over(&self) -> bool {
         self.answer.is_none()
     }
 
-    pub(super) fn note(&mut self, sent: Micros, attempt: u32, node: String, result: Option<AttemptResult>) {
+    /// Records the start of an attempt, and as not started the attempts before it that are missing.
+    pub(super) fn record_attempt(
+        &mut self,
+        sent: Micros,
+        attempt: u32,
+        node: String,
+        result: Option<AttemptResult>,
+    ) {
         let Some(record) = &mut self.record else { return };
-        let why = match record.tried.last() {
+        let why = match record.attempts.last() {
             None => Why::First,
             _ if self.attempts.iter().any(Option::is_some) => Why::Copy,
             Some(before) => Why::Another(before.result.unwrap_or(AttemptResult::NotSent)),
         };
-        record.tried.resize_with(attempt as usize, || Tried {
+        record.attempts.resize_with(attempt as usize, || Tried {
             node: String::new(),
             why,
             result: Some(AttemptResult::NotSent),
             sent,
             latency: 0,
         });
-        record.tried.push(Tried { node, why, result, sent, latency: 0 });
+        record.attempts.push(Tried { node, why, result, sent, latency: 0 });
     }
 }
--- a/src/core/tests.rs
+++ b/src/core/tests.rs
@@ -5,31 +5,31 @@
 use std::sync::atomic::{AtomicBool, AtomicUsize, Ordering};
 use tokio::sync::oneshot;
 
-/// Attempts that end as told, or never, and that note when they are dropped.
-struct Told {
+/// A source of attempts with a set end, or none, that report when they are dropped.
+struct ScriptedAttempts {
     end: Option<AttemptEnd>,
     panics: bool,
-    begins: bool,
+    starts_writing: bool,
     dropped: mpsc::UnboundedSender<()>,
 }
 
-struct Dropped(mpsc::UnboundedSender<()>);
+struct DropReport(mpsc::UnboundedSender<()>);
 
-impl Drop for Dropped {
+impl Drop for DropReport {
     fn drop(&mut self) {
         let _ = self.0.send(());
     }
 }
 
-impl AttemptSource for Told {
+impl AttemptSource for ScriptedAttempts {
     fn attempt(&self, context: AttemptContext) -> Attempt {
-        let (end, panics, dropped) = (self.end, self.panics, Dropped(self.dropped.clone()));
-        if self.begins {
+        let (end, panics, dropped) = (self.end, self.panics, DropReport(self.dropped.clone()));
+        if self.starts_writing {
             context.write_state.mark_started();
         }
         Box::pin(async move {
             let _dropped = dropped;
-            assert!(!panics, "the attempt was told to panic");
+            assert!(!panics, "the attempt panics as the test requires");
             match end {
                 Some(end) => end.into(),
                 None => std::future::pending().await,
@@ -38,11 +38,11 @@
     }
 }
 
-fn with_core<T>(play: impl AsyncFnOnce(Handle) -> T) -> T {
-    with_core_of(Settings::default(), nodes(ListedState::InService), play)
+fn with_core<T>(test: impl AsyncFnOnce(Handle) -> T) -> T {
+    with_core_of(Settings::default(), nodes(ListedState::InService), test)
 }
 
-fn with_core_of<T>(settings: Settings, list: Input, play: impl AsyncFnOnce(Handle) -> T) -> T {
+fn with_core_of<T>(settings: Settings, list: Input, test: impl AsyncFnOnce(Handle) -> T) -> T {
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build().unwrap();
     let class = Class { target: 5_000_000, deadline: 10_000_000, value: 1.0, ..Class::default() };
     let settings = Settings { hosts: 1, classes: vec![class], max_attempts: 3, ..settings };
@@ -51,17 +51,18 @@
         let handle = core.handle();
         tokio::spawn(core.run());
         handle.send(list);
-        // Only a test that would never end is ended by this.
-        tokio::time::timeout(Duration::from_secs(20), play(handle)).await.expect("stuck")
+        // Fails a test that would never end.
+        tokio::time::timeout(Duration::from_secs(20), test(handle))
+            .await
+            .expect("the test did not end within 20 s")
     })
 }
 
 #[test]
-fn a_short_wait_is_not_eaten_up_by_what_is_kept_back() {
+fn the_margin_is_at_most_a_tenth_of_the_wait() {
     let ms = Duration::from_millis;
-    for (wait, client_left) in [(3_000, 2_975), (400, 375), (250, 225), (100, 90), (30, 27), (10, 9), (0, 0)]
-    {
-        assert_eq!(less_margin(ms(wait), ms(25)), ms(client_left), "{wait}");
+    for (wait, remaining) in [(3_000, 2_975), (400, 375), (250, 225), (100, 90), (30, 27), (10, 9), (0, 0)] {
+        assert_eq!(less_margin(ms(wait), ms(25)), ms(remaining), "{wait}");
     }
 }
 
@@ -71,29 +72,31 @@
     Input::Nodes { news: ListUpdate::Changes, nodes: vec![node] }
 }
 
-/// As where a connection to a node is still coming up when the list becomes overdue.
+/// Such as an attempt whose connection is not yet established when the node list becomes overdue.
 #[test]
-fn what_has_not_begun_never_does_once_the_list_is_overdue() {
-    let asked =
+fn attempts_not_yet_written_are_dropped_when_the_node_list_becomes_overdue() {
+    let settings =
         Settings { must_subscribe: true, ask_within: 100_000, stop_within: 50_000, ..Settings::default() };
     let Input::Nodes { nodes: known, .. } = nodes(ListedState::InService) else { unreachable!() };
-    with_core_of(asked, Input::Nodes { news: ListUpdate::Cached, nodes: known }, async |handle| {
-        let (tell, mut dropped) = mpsc::unbounded_channel();
-        let (begun_tell, mut begun_dropped) = mpsc::unbounded_channel();
-        let work = |begins, dropped| Arc::new(Told { end: None, panics: false, begins, dropped });
-        let _begun = handle.submit(arrival(LONG), work(true, begun_tell)).unwrap();
-        let waits = handle.submit(arrival(Duration::from_secs(1)), work(false, tell)).unwrap();
-        dropped.recv().await.expect("the attempt was dropped");
-        assert!(matches!(waits.await, Answer::Refused(_)));
-        assert!(begun_dropped.try_recv().is_err(), "what has begun goes on");
-        assert!(dropped.try_recv().is_err(), "no other attempt was made");
+    with_core_of(settings, Input::Nodes { news: ListUpdate::Cached, nodes: known }, async |handle| {
+        let (unsent_tx, mut unsent_dropped) = mpsc::unbounded_channel();
+        let (started_tx, mut started_dropped) = mpsc::unbounded_channel();
+        let work = |starts_writing, dropped| {
+            Arc::new(ScriptedAttempts { end: None, panics: false, starts_writing, dropped })
+        };
+        let _started = handle.submit(arrival(LONG), work(true, started_tx)).unwrap();
+        let unsent = handle.submit(arrival(Duration::from_secs(1)), work(false, unsent_tx)).unwrap();
+        unsent_dropped.recv().await.expect("the attempt was dropped");
+        assert!(matches!(unsent.await, Answer::Refused(_)));
+        assert!(started_dropped.try_recv().is_err(), "the started attempt continues");
+        assert!(unsent_dropped.try_recv().is_err(), "no other attempt was made");
     });
 }
 
-/// Tells the address that it was started at.
-struct Addressed(mpsc::UnboundedSender<String>);
+/// Reports the address of each attempt and answers at once.
+struct AddressReport(mpsc::UnboundedSender<String>);
 
-impl AttemptSource for Addressed {
+impl AttemptSource for AddressReport {
     fn attempt(&self, context: AttemptContext) -> Attempt {
         let _ = self.0.send(context.address);
         Box::pin(async { AttemptEnd::Answered.into() })
@@ -101,9 +104,9 @@
 }
 
 #[test]
-fn a_node_under_a_new_address_without_a_new_start_is_reached_there_alone() {
+fn attempts_use_the_latest_address_of_a_node_that_did_not_restart() {
     with_core(async |handle| {
-        let (tell, mut dispatching) = mpsc::unbounded_channel();
+        let (address_tx, mut addresses) = mpsc::unbounded_channel();
         for (news, address) in [
             (ListUpdate::Changes, "127.0.0.1:2"),
             (ListUpdate::Full, "127.0.0.1:3"),
@@ -112,11 +115,11 @@
             let Input::Nodes { mut nodes, .. } = nodes(ListedState::InService) else { unreachable!() };
             nodes[0].addr = address.to_string();
             handle.send(Input::Nodes { news, nodes });
-            let pending = handle.submit(arrival(LONG), Arc::new(Addressed(tell.clone()))).unwrap();
+            let pending = handle.submit(arrival(LONG), Arc::new(AddressReport(address_tx.clone()))).unwrap();
             assert!(matches!(pending.await, Answer::Served(_)), "{news:?}");
-            assert_eq!(dispatching.recv().await.as_deref(), Some(address), "{news:?}");
+            assert_eq!(addresses.recv().await.as_deref(), Some(address), "{news:?}");
         }
-        assert!(dispatching.try_recv().is_err(), "one attempt each");
+        assert!(addresses.try_recv().is_err(), "one attempt each");
     });
 }
 
@@ -139,20 +142,20 @@
 
 const LONG: Duration = Duration::from_secs(3600);
 
-/// The answer to a request whose attempts end so.
+/// Returns the answer to a request whose attempts end as given.
 fn answer_to(end: Option<AttemptEnd>, panics: bool, wait: Duration) -> Answer {
     with_core(async |handle| {
         let (dropped, _kept) = mpsc::unbounded_channel();
-        let work = Arc::new(Told { end, panics, begins: true, dropped });
+        let work = Arc::new(ScriptedAttempts { end, panics, starts_writing: true, dropped });
         handle.submit(arrival(wait), work).unwrap().await
     })
 }
 
 #[test]
-fn every_request_gets_its_one_answer_whatever_becomes_of_its_attempt() {
+fn every_request_gets_exactly_one_answer_however_its_attempt_ends() {
     let served = Answer::Served(Bytes::new());
     assert_eq!(answer_to(Some(AttemptEnd::Answered), false, LONG), served);
-    // The class forbids a repeat: what may have run fails.
+    // The class forbids retries: a request that may have run fails.
     assert_eq!(answer_to(Some(AttemptEnd::Broke), false, LONG), Answer::Failed);
     assert_eq!(answer_to(None, true, LONG), Answer::Failed);
     assert_eq!(answer_to(None, false, Duration::from_millis(50)), Answer::Failed);
@@ -160,11 +163,12 @@
 }
 
 #[test]
-fn an_attempt_that_nothing_was_written_of_goes_with_its_client_or_its_node() {
+fn an_attempt_of_which_nothing_was_written_is_dropped_when_its_client_or_node_leaves() {
     for node_leaves in [false, true] {
         with_core(async |handle| {
             let (dropped, mut drops) = mpsc::unbounded_channel();
-            let work = Arc::new(Told { end: None, panics: false, begins: false, dropped });
+            let work =
+                Arc::new(ScriptedAttempts { end: None, panics: false, starts_writing: false, dropped });
             let pending = handle.submit(arrival(LONG), work).unwrap();
             tokio::task::yield_now().await;
             if node_leaves {
@@ -172,43 +176,43 @@
                 assert_eq!(drops.recv().await, Some(()), "dropped while its client still waits");
             }
             drop(pending);
-            // Once the request is forgotten nothing holds its work, so that no further attempt can follow.
+            // The channel closes when the core has removed the request, so no further attempt can follow.
             while drops.recv().await.is_some() {}
             assert_eq!(handle.open(), 0);
         });
     }
 }
 
-/// A node begins with a request's last byte: of a client that has gone, what is not whole by then goes no
-/// further.
+/// A node starts a request with its last byte: if the client leaves before that byte is written, the attempt
+/// is dropped.
 #[test]
-fn an_attempt_that_is_not_written_whole_goes_with_its_client_and_one_that_is_goes_on() {
+fn only_an_attempt_that_is_not_written_completely_is_dropped_when_its_client_leaves() {
     for whole in [false, true] {
         with_core(async |handle| {
             let (dropped, mut drops) = mpsc::unbounded_channel();
-            let work = Arc::new(HalfWritten { whole, dropped });
+            let work = Arc::new(SilentAttempt { whole, dropped });
             let pending = handle.submit(arrival(LONG), work).unwrap();
             tokio::task::yield_now().await;
             drop(pending);
-            // What follows is decided behind the word that its client has gone.
-            let (tell, mut dispatching) = mpsc::unbounded_channel();
-            let next = handle.submit(arrival(LONG), Arc::new(Addressed(tell))).unwrap();
+            // The next request is handled after the event that the client left.
+            let (address_tx, mut addresses) = mpsc::unbounded_channel();
+            let next = handle.submit(arrival(LONG), Arc::new(AddressReport(address_tx))).unwrap();
             assert!(matches!(next.await, Answer::Served(_)));
-            assert!(dispatching.recv().await.is_some());
+            assert!(addresses.recv().await.is_some());
             assert_eq!(drops.try_recv().is_ok(), !whole);
         });
     }
 }
 
-/// Writes some, or all, and hears nothing.
-struct HalfWritten {
+/// Writes a part of the request or all of it, and gets no answer.
+struct SilentAttempt {
     whole: bool,
     dropped: mpsc::UnboundedSender<()>,
 }
 
-impl AttemptSource for HalfWritten {
+impl AttemptSource for SilentAttempt {
     fn attempt(&self, context: AttemptContext) -> Attempt {
-        let dropped = Dropped(self.dropped.clone());
+        let dropped = DropReport(self.dropped.clone());
         context.write_state.mark_started();
         if self.whole {
             context.write_state.mark_complete();
@@ -220,10 +224,11 @@
     }
 }
 
-/// Breaks at once, then answers behind the window for repeats, with so much written by then.
-struct Late {
+/// The first attempt breaks at once. The second writes as much as `written` says and answers after the retry
+/// window.
+struct SlowRetry {
     written: Written,
-    tried: AtomicBool,
+    attempted: AtomicBool,
 }
 
 #[derive(Clone, Copy, Debug)]
@@ -235,9 +240,9 @@
 
 const WINDOW: Duration = Duration::from_secs(1);
 
-impl AttemptSource for Late {
+impl AttemptSource for SlowRetry {
     fn attempt(&self, context: AttemptContext) -> Attempt {
-        let (written, again) = (self.written, self.tried.swap(true, Ordering::Relaxed));
+        let (written, again) = (self.written, self.attempted.swap(true, Ordering::Relaxed));
         Box::pin(async move {
             if !again {
                 context.write_state.mark_started();
@@ -256,9 +261,10 @@
     }
 }
 
-/// As where a repeat's connection comes up so late that its node would carry it out once more.
+/// If the connection of a retry were established after the window, the node would no longer recognize the
+/// retry and would run the request a second time.
 #[test]
-fn a_repeat_that_is_not_written_within_its_window_never_is() {
+fn a_retry_that_is_not_written_within_its_window_is_never_written() {
     for written in [Written::Nothing, Written::Some, Written::All] {
         let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build().unwrap();
         let answer = runtime.block_on(async {
@@ -276,7 +282,7 @@
             let handle = core.handle();
             tokio::spawn(core.run());
             handle.send(nodes(ListedState::InService));
-            let work = Arc::new(Late { written, tried: AtomicBool::new(false) });
+            let work = Arc::new(SlowRetry { written, attempted: AtomicBool::new(false) });
             handle.submit(arrival(LONG), work).unwrap().await
         });
         let served = answer == Answer::Served(Bytes::new());
@@ -285,11 +291,12 @@
 }
 
 #[test]
-fn beyond_the_bound_on_open_requests_nothing_is_taken() {
+fn requests_beyond_the_limit_on_open_requests_are_rejected() {
     with_core(async |handle| {
         let (dropped, _kept) = mpsc::unbounded_channel();
         let submit = || {
-            let work = Told { end: None, panics: false, begins: true, dropped: dropped.clone() };
+            let work =
+                ScriptedAttempts { end: None, panics: false, starts_writing: true, dropped: dropped.clone() };
             handle.submit(arrival(LONG), Arc::new(work))
         };
         let mut held: Vec<_> = (0..10).map(|_| submit().unwrap()).collect();
@@ -300,7 +307,7 @@
 }
 
 #[test]
-fn a_node_that_is_gone_is_released_with_its_number_once_nothing_is_out_there() {
+fn a_removed_node_is_released_with_its_number_once_it_has_no_attempt_in_flight() {
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build().unwrap();
     runtime.block_on(async {
         let class = Class { deadline: 10_000_000, value: 1.0, ..Class::default() };
@@ -311,14 +318,14 @@
             ListedNode { id, addr, zone: "a".into(), cell: 0, state, started_ms: 0 }
         };
         let (dropped, _kept) = mpsc::unbounded_channel();
-        let work = Arc::new(Told { end: None, panics: false, begins: true, dropped });
+        let work = Arc::new(ScriptedAttempts { end: None, panics: false, starts_writing: true, dropped });
         core.on_input(Input::Nodes { news: ListUpdate::Full, nodes: vec![node(0, ListedState::InService)] });
         core.request(1, arrival(LONG), work, oneshot::channel().0);
         for i in 1..100 {
             let nodes = vec![node(i - 1, ListedState::Terminated), node(i, ListedState::InService)];
             core.on_input(Input::Nodes { news: ListUpdate::Changes, nodes });
         }
-        // The first one still has an attempt out, the last one is in service.
+        // The first node still has an attempt in flight, the last one is in service.
         let held = |core: &Core| (core.nodes.len(), core.ids.texts.len(), core.known.len());
         assert_eq!(held(&core), (2, 2, 1));
         core.on_input(Input::Report { id: 1, attempt: 0, report: AttemptEnd::Broke.into() });
@@ -329,11 +336,11 @@
 }
 
 #[test]
-fn what_the_module_asks_of_nodes_and_says_to_heads_is_carried_out() {
+fn the_policys_probes_and_messages_to_peers_are_sent() {
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build().unwrap();
     runtime.block_on(async {
         for probing in [true, false] {
-            // Heads of a crowd: each sees too little of a node by itself.
+            // With 40 hosts each one alone sees too little of a node.
             let class = Class { target: 1_000_000, deadline: 10_000_000, value: 1.0, ..Class::default() };
             let settings = Settings {
                 hosts: 40,
@@ -345,27 +352,28 @@
                 ..Settings::default()
             };
             let (mut core, _wanted) = Core::new(settings, 7, 10, Clock::start());
-            let ((peer_sender, mut said), (tell, mut probed)) =
+            let ((peer_sender, mut messages), (address_tx, mut probed)) =
                 (PeerSender::new(), mpsc::unbounded_channel());
             core.set_peer_sender(peer_sender);
-            core.set_probes(Box::new(Addressed(tell)));
+            core.set_probes(Box::new(AddressReport(address_tx)));
             core.on_input(nodes(ListedState::InService));
             let (dropped, _kept) = mpsc::unbounded_channel();
-            let work = Arc::new(Told { end: None, panics: false, begins: true, dropped });
+            let work = Arc::new(ScriptedAttempts { end: None, panics: false, starts_writing: true, dropped });
             core.request(1, arrival(LONG), work, oneshot::channel().0);
             if probing {
                 assert_eq!(probed.try_recv().as_deref(), Ok("127.0.0.1:1"));
                 let Some(Input::Probed { node, report, .. }) = core.inputs.recv().await else {
-                    panic!("a probe tells its end")
+                    panic!("a probe reports its result")
                 };
                 core.on_input(Input::Probed { node, latency: 1, report });
                 assert!(probed.try_recv().is_err(), "one is enough");
             } else {
                 assert!(probed.try_recv().is_err(), "the settings forbid it");
                 core.on_input(Input::Report { id: 1, attempt: 0, report: AttemptEnd::TurnedAway.into() });
-                let Message { to, bytes } = said.try_recv().unwrap();
+                let Message { to, bytes } = messages.try_recv().unwrap();
                 assert_eq!(to, None);
-                // It is heard as it was said; cut, repeated and foreign ones change nothing that shows.
+                // The message is accepted as it was sent; truncated, repeated and foreign ones have no
+                // visible effect.
                 for bytes in [&bytes[..], &bytes, &bytes[..2], &[], &[0xff; 256]] {
                     core.on_input(Input::Peer { from: 3, bytes: bytes.to_vec() });
                 }
@@ -375,7 +383,7 @@
 }
 
 #[test]
-fn a_request_that_is_bound_to_its_attempt_goes_nowhere_else() {
+fn a_request_bound_to_an_attempt_gets_no_other_attempt() {
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build().unwrap();
     runtime.block_on(async {
         let class = Class { deadline: 10_000_000, value: 1.0, repeats: Repeats::Safe, ..Class::default() };
@@ -383,8 +391,13 @@
         let (mut core, _wanted) = Core::new(settings, 7, 10, Clock::start());
         let (dropped, _kept) = mpsc::unbounded_channel();
         core.on_input(nodes(ListedState::InService));
-        for (id, binds) in [(1, false), (2, true)] {
-            let work = Arc::new(Told { end: None, panics: false, begins: true, dropped: dropped.clone() });
+        for (id, bind_first) in [(1, false), (2, true)] {
+            let work = Arc::new(ScriptedAttempts {
+                end: None,
+                panics: false,
+                starts_writing: true,
+                dropped: dropped.clone(),
+            });
             let (answer, mut answered) = oneshot::channel();
             core.request(id, arrival(LONG), work, answer);
             let mut bind = |attempt| {
@@ -392,16 +405,16 @@
                 core.on_input(Input::Bind { id, attempt, granted });
                 answer.try_recv().unwrap()
             };
-            if binds {
-                assert!(bind(0) && bind(0), "the same one may ask again");
+            if bind_first {
+                assert!(bind(0) && bind(0), "the same attempt may bind again");
                 assert!(!bind(1), "there is no such attempt");
             }
             core.on_input(Input::Report { id, attempt: 0, report: AttemptEnd::Broke.into() });
-            // Its class allows a repeat, but some of the answer may be out.
-            assert_eq!(answered.try_recv().is_ok(), binds);
+            // The class allows a retry, but a part of the answer may have been sent to the client.
+            assert_eq!(answered.try_recv().is_ok(), bind_first);
             let (granted, mut answer) = oneshot::channel();
             core.on_input(Input::Bind { id, attempt: 0, granted });
-            assert!(!answer.try_recv().unwrap(), "an attempt that has ended binds nothing");
+            assert!(!answer.try_recv().unwrap(), "an attempt that has ended cannot bind");
             core.on_input(Input::ClientLeft { id });
         }
     });
@@ -418,36 +431,36 @@
     assert_eq!((ids.of("s-2"), ids.of("s-5be2a07c")), (moved, first));
 }
 
-/// A client that goes at a stated point of its request, of which no word comes to the core. `tries` says what
-/// its attempts did: how many were made, and how many wrote.
+/// A client that leaves at a given point of its request while the core is not notified. Counts the attempts
+/// that are made, and those that write.
 #[derive(Default)]
-struct Goes {
+struct LeavingClient {
     client_left: Arc<AtomicBool>,
-    /// Its attempts, which wait for their connection until this says go on.
-    up: Arc<tokio::sync::Notify>,
-    made: Arc<AtomicUsize>,
-    wrote: Arc<AtomicUsize>,
-    /// The end of every attempt but the last, which is good.
+    /// Notified when the connection that an attempt waits for is established.
+    connected: Arc<tokio::sync::Notify>,
+    attempts: Arc<AtomicUsize>,
+    written: Arc<AtomicUsize>,
+    /// Number of attempts that fail before one succeeds.
     fails: usize,
 }
 
-impl AttemptSource for Goes {
+impl AttemptSource for LeavingClient {
     fn attempt(&self, context: AttemptContext) -> Attempt {
-        let before = self.made.fetch_add(1, Ordering::Relaxed);
-        let (up, wrote, fails, client_left) =
-            (self.up.clone(), self.wrote.clone(), before < self.fails, self.client_left.clone());
+        let before = self.attempts.fetch_add(1, Ordering::Relaxed);
+        let (connected, written, fails, client_left) =
+            (self.connected.clone(), self.written.clone(), before < self.fails, self.client_left.clone());
         Box::pin(async move {
             if fails {
-                // It goes between this attempt and the next.
+                // The client leaves between this attempt and the next.
                 client_left.store(true, Ordering::Relaxed);
                 return AttemptEnd::NoConnection.into();
             }
-            up.notified().await;
+            connected.notified().await;
             if !context.write_state.may_start_writing() {
                 return AttemptEnd::BrokeUnsent.into();
             }
             context.write_state.mark_started();
-            wrote.fetch_add(1, Ordering::Relaxed);
+            written.fetch_add(1, Ordering::Relaxed);
             AttemptEnd::Answered.into()
         })
     }
@@ -458,45 +471,45 @@
 }
 
 #[test]
-fn a_client_that_has_gone_is_sent_nowhere_though_the_core_has_not_heard_of_it() {
-    for (when, fails, made) in [
-        ("before its request is decided on", 0, 1),
+fn a_request_is_not_written_after_its_client_left_though_the_core_is_not_notified() {
+    for (when, fails, attempts) in [
+        ("before the policy decides", 0, 1),
         ("while an attempt connects", 0, 1),
-        ("between two", 1, 2),
+        ("between two attempts", 1, 2),
     ] {
         with_core(async |handle| {
-            let work = Arc::new(Goes { fails, ..Goes::default() });
+            let work = Arc::new(LeavingClient { fails, ..LeavingClient::default() });
             let (early, between) = (when.starts_with("before"), fails > 0);
             work.client_left.store(early, Ordering::Relaxed);
             if early || between {
-                work.up.notify_one();
+                work.connected.notify_one();
             }
             let pending = handle.submit(arrival(LONG), work.clone()).unwrap();
             if !early && !between {
-                while work.made.load(Ordering::Relaxed) == 0 {
+                while work.attempts.load(Ordering::Relaxed) == 0 {
                     tokio::task::yield_now().await;
                 }
-                // Its connection comes up in the turn in which the client goes.
+                // The connection is established in the same turn in which the client leaves.
                 work.client_left.store(true, Ordering::Relaxed);
-                work.up.notify_one();
+                work.connected.notify_one();
             }
-            assert_eq!(pending.await, Answer::Failed, "{when}: nobody hears the answer");
-            // What follows is decided behind everything that was on its way.
-            let next = Arc::new(Goes::default());
+            assert_eq!(pending.await, Answer::Failed, "{when}: the client does not get the answer");
+            // The next request is handled after all events that were queued.
+            let next = Arc::new(LeavingClient::default());
             let pending = handle.submit(arrival(LONG), next.clone()).unwrap();
-            next.up.notify_one();
+            next.connected.notify_one();
             assert!(matches!(pending.await, Answer::Served(_)), "{when}");
-            let seen = (work.made.load(Ordering::Relaxed), work.wrote.load(Ordering::Relaxed));
-            assert_eq!(seen, (made, 0), "{when}");
+            let seen = (work.attempts.load(Ordering::Relaxed), work.written.load(Ordering::Relaxed));
+            assert_eq!(seen, (attempts, 0), "{when}");
             assert_eq!(handle.open(), 0, "{when}");
         });
     }
 }
 
-/// Both are there when the core has its turn: its attempt's answer, and its time-out or the end of its
-/// client's time.
+/// The attempt's answer and its time-out, or the client's deadline, are both pending when the event loop
+/// runs.
 #[test]
-fn an_answer_and_a_time_out_in_one_turn_are_one_answer_the_nodes_own() {
+fn an_answer_takes_precedence_over_a_time_out_in_the_same_turn() {
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build().unwrap();
     for (answers, late) in [(true, false), (true, true), (false, true)] {
         let got = runtime.block_on(async {
@@ -505,7 +518,7 @@
                 Settings { hosts: 1, classes: vec![class], max_attempts: 3, ..Settings::default() };
             let (mut core, _wanted) = Core::new(settings, 7, 10, Clock::start());
             let (dropped, _kept) = mpsc::unbounded_channel();
-            let work = Arc::new(Told { end: None, panics: false, begins: true, dropped });
+            let work = Arc::new(ScriptedAttempts { end: None, panics: false, starts_writing: true, dropped });
             let (answer, answered) = oneshot::channel();
             core.on_input(nodes(ListedState::InService));
             let wait = Duration::from_millis(if late { 20 } else { 3_600_000 });
@@ -516,11 +529,15 @@
             if answers {
                 core.handle().send(Input::Report { id: 1, attempt: 0, report: AttemptEnd::Answered.into() });
             }
-            // A second word on the same attempt changes nothing, nor does one on an attempt that never was.
+            // A second report of the same attempt has no effect, nor has one of an attempt that does not
+            // exist.
             core.handle().send(Input::Report { id: 1, attempt: 0, report: AttemptEnd::TimedOut.into() });
             core.handle().send(Input::Report { id: 1, attempt: 1, report: AttemptEnd::Answered.into() });
             let running = tokio::spawn(core.run());
-            let got = tokio::time::timeout(Duration::from_secs(20), answered).await.expect("stuck").unwrap();
+            let got = tokio::time::timeout(Duration::from_secs(20), answered)
+                .await
+                .expect("no answer within 20 s")
+                .unwrap();
             running.abort();
             got
         });
