--- a/src/events/pressure/tests.rs
+++ b/src/events/pressure/tests.rs
@@ -1,7 +1,7 @@
 use super::*;
 
 #[test]
-fn levels_are_entered_at_once_and_left_late() {
+fn higher_levels_are_entered_at_once_and_left_after_the_minimum_time() {
     let mut pressure = Pressure::default();
     let ms = 1_000;
     for (now, open, wanted) in [
@@ -22,7 +22,7 @@
 }
 
 #[test]
-fn a_load_about_a_bound_does_not_make_it_swing() {
+fn a_load_around_a_threshold_does_not_make_the_level_alternate() {
     let (mut pressure, mut changes) = (Pressure::default(), 0);
     let mut random = fastrand::Rng::with_seed(5);
     for tick in 0..300_000u64 {
--- a/src/events/requests.rs
+++ b/src/events/requests.rs
@@ -1,42 +1,52 @@
-//! What is told of requests: which of them, and by which names.
+//! Which requests are logged as events, and the names in these events.
 
 use crate::interface::{AttemptResult, Micros, VolumeId};
 use std::fmt;
 
-/// How many requests of a kind stand behind one that is told, for those that were served in time at their
-/// first attempt. 0: none of them is told. All others always are.
+/// Sampling of the requests that were served in time at their first attempt; all other requests are logged.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Sampling {
+    /// One in so many is logged; 0: none.
     pub one_in: u32,
-    /// For a plan and class of its own.
+    /// Exceptions for single plans and classes.
     pub kinds: Vec<Kind>,
 }
 
+/// The sampling of the requests of one plan, of one class or of one plan and class.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Kind {
+    /// The plan's number; `None`: any.
     pub plan: Option<usize>,
+    /// The class's number; `None`: any.
     pub class: Option<usize>,
+    /// One in so many is logged; 0: none.
     pub one_in: u32,
 }
 
 impl Sampling {
-    /// The last kind that fits decides.
+    /// Returns the rate for a plan and class: that of the last matching kind, or the general one.
     fn one_in(&self, plan: usize, class: usize) -> u32 {
-        let fits =
+        let matches =
             |kind: &&Kind| kind.plan.is_none_or(|p| p == plan) && kind.class.is_none_or(|c| c == class);
-        self.kinds.iter().rev().find(fits).map_or(self.one_in, |kind| kind.one_in)
+        self.kinds.iter().rev().find(matches).map_or(self.one_in, |kind| kind.one_in)
     }
 }
 
+/// How a request ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Finish {
+    /// A node answered it.
     Served,
+    /// It was refused: a retry is harmless.
     Refused,
+    /// It failed and may have run.
     Failed,
+    /// The client left before the answer.
     Left,
 }
 
 impl Finish {
+    /// Returns the name in events.
     pub fn name(self) -> &'static str {
         match self {
             Finish::Served => "served",
@@ -47,22 +57,26 @@
     }
 }
 
-/// Names for the module's numbers, and what is told.
+/// Decides which requests are logged, and maps the numbers of plans and classes to names.
 #[derive(Clone, Debug, Default)]
 pub struct Telling {
+    /// The names of plans by number.
     pub plans: Vec<String>,
+    /// The names of classes by number.
     pub classes: Vec<String>,
+    /// How many of the requests served in time are logged.
     pub sampling: Sampling,
-    /// Served requests so far, by plan and class: every n-th is told, so that any n of them have one.
+    /// The number of served requests so far, by plan and class; every n-th of them is logged.
     seen: Vec<u32>,
 }
 
 impl Telling {
+    /// Creates a log filter that has seen no requests.
     pub fn new(plans: Vec<String>, classes: Vec<String>, sampling: Sampling) -> Telling {
         Telling { plans, classes, sampling, seen: Vec::new() }
     }
 
-    /// Whether it is told, as one in how many.
+    /// Returns how many requests this one represents in the log; `None`: it is not logged.
     pub fn told(
         &mut self,
         plan: usize,
@@ -74,29 +88,30 @@
         if finish != Finish::Served || attempts > 1 || late {
             return Some(1);
         }
-        // A class has another number for each of its rules, and is sampled by the first one.
+        // A class has a number for each version of its rules; all of them are sampled under the first one.
         let class = self.classes.iter().position(|name| name == self.class(class)).unwrap_or(class);
         let one_in = self.sampling.one_in(plan, class);
-        let place = plan * self.classes.len().max(class + 1) + class;
-        if self.seen.len() <= place {
-            self.seen.resize(place + 1, 0);
+        let index = plan * self.classes.len().max(class + 1) + class;
+        if self.seen.len() <= index {
+            self.seen.resize(index + 1, 0);
         }
-        let seen = &mut self.seen[place];
+        let seen = &mut self.seen[index];
         *seen = seen.wrapping_add(1);
         (one_in > 0 && seen.is_multiple_of(one_in)).then_some(one_in)
     }
 
+    /// Returns the name of a plan, or `-`.
     pub fn plan(&self, plan: usize) -> &str {
         self.plans.get(plan).map_or("-", String::as_str)
     }
 
-    /// Classes that a front added of its own have no name in the settings.
+    /// Returns the name of a class, or `-`: classes that a front adds have no name in the settings.
     pub fn class(&self, class: usize) -> &str {
         self.classes.get(class).filter(|name| !name.is_empty()).map_or("-", String::as_str)
     }
 }
 
-/// An app store as the platform writes it.
+/// Formats a volume's number as the platform does.
 pub struct Volume(pub VolumeId);
 
 impl fmt::Display for Volume {
@@ -108,10 +123,11 @@
 /// Why an attempt was made.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Why {
+    /// The first attempt.
     First,
-    /// After one that ended so.
+    /// A retry after an attempt with this result.
     Another(AttemptResult),
-    /// While another is out.
+    /// A hedged request: another attempt is in flight.
     Copy,
 }
 
@@ -125,6 +141,7 @@
     }
 }
 
+/// Returns the name of an attempt's result in events.
 pub fn result_name(result: AttemptResult) -> &'static str {
     match result {
         AttemptResult::Served => "served",
@@ -138,13 +155,18 @@
     }
 }
 
-/// An attempt as it is told with its request.
+/// An attempt, as it is logged with its request.
 #[derive(Clone, Debug)]
 pub struct Tried {
+    /// The node's id; empty: the attempt never started.
     pub node: String,
+    /// Why it was made.
     pub why: Why,
+    /// How it ended; `None`: it is in flight.
     pub result: Option<AttemptResult>,
+    /// When it started.
     pub sent: Micros,
+    /// How long it took, microseconds.
     pub latency: Micros,
 }
 
--- a/src/events/requests/tests.rs
+++ b/src/events/requests/tests.rs
@@ -1,7 +1,7 @@
 use super::*;
 
 #[test]
-fn all_that_went_wrong_is_told_and_of_the_rest_one_in_so_many() {
+fn requests_with_problems_are_always_logged_and_the_others_sampled() {
     let kinds = vec![
         Kind { plan: Some(1), class: None, one_in: 4 },
         Kind { plan: Some(1), class: Some(0), one_in: 0 },
