--- a/src/figures.rs
+++ b/src/figures.rs
@@ -1,4 +1,5 @@
-//! The figures that operators read: counted where things end, once, from 0 at the program's start.
+//! The metrics that operators read. Each request and attempt is counted once, when it ends; counts start at 0
+//! with the process.
 
 use std::fmt::Write;
 use std::sync::atomic::{AtomicU64, AtomicUsize, Ordering};
@@ -14,24 +15,26 @@
     Dropped,
     /// Failed.
     BadGateway,
-    /// Attempts written whole to nodes.
+    /// Attempts written completely to a node.
     Tries,
 }
 
-/// The ends of requests, as their label says them.
+/// The outcomes of requests with the values of their label.
 const OUTCOMES: [(Count, &str); 3] =
     [(Count::Passed, "passed"), (Count::Dropped, "dropped"), (Count::BadGateway, "bad_gateway")];
 
+/// The counts of the classes.
 #[derive(Debug, Default)]
 struct Classes {
-    /// In the order in which their names were first heard; none ever goes.
+    /// Name and counts of each class, in the order in which the names first appeared; rows are never removed.
     rows: Vec<(String, [u64; 4])>,
-    /// The row of each class number.
+    /// The row of each class number; `usize::MAX`: none.
     row_of: Vec<usize>,
 }
 
+/// The metrics of the process.
 #[derive(Debug, Default)]
-struct All {
+struct Metrics {
     classes: Mutex<Classes>,
     in_progress: AtomicUsize,
     known: AtomicUsize,
@@ -41,24 +44,26 @@
     silences: AtomicU64,
     overdue: AtomicU64,
     overdue_ms: AtomicU64,
-    /// When the core last said that it runs.
-    beat: Mutex<Option<Instant>>,
+    /// When the event loop last reported.
+    reported_at: Mutex<Option<Instant>>,
 }
 
-/// One registry, whoever holds it.
+/// A handle to the metrics; all clones share them.
 #[derive(Clone, Debug, Default)]
-pub struct Figures(Arc<All>);
+pub struct Figures(Arc<Metrics>);
 
 impl Figures {
+    /// Locks the counts of the classes.
     fn classes(&self) -> MutexGuard<'_, Classes> {
         self.0.classes.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// The names of the class numbers. A name that was there before keeps what it counted, under any number.
+    /// Sets the names of the class numbers. A name that is already known keeps its counts, whatever its
+    /// number.
     pub fn name_classes(&self, names: &[String]) {
         let mut classes = self.classes();
         let Classes { rows, row_of } = &mut *classes;
-        // A front's own class has no name, and counts nowhere.
+        // A class that a front adds has no name and is not counted.
         let row = |name: &String| {
             if name.is_empty() {
                 return usize::MAX;
@@ -71,7 +76,7 @@
         *row_of = names.iter().map(row).collect();
     }
 
-    /// A class without a name (another front's own) is counted nowhere.
+    /// Counts an event of a class. A class without a name, which a front added, is not counted.
     pub fn count(&self, class: usize, what: Count) {
         let mut classes = self.classes();
         let row = classes.row_of.get(class).copied().unwrap_or(usize::MAX);
@@ -80,57 +85,58 @@
         }
     }
 
-    /// A request is taken; it counts as in progress until the value is dropped.
+    /// Counts a request as in progress until the returned value is dropped.
     pub fn taken(&self) -> InProgress {
         self.0.in_progress.fetch_add(1, Ordering::Relaxed);
         InProgress(self.clone())
     }
 
-    /// Open requests.
+    /// The number of open requests.
     pub fn in_progress(&self) -> usize {
         self.0.in_progress.load(Ordering::Relaxed)
     }
 
-    /// Nodes on the list, and those of them that are avoided now.
+    /// Sets the number of nodes on the list, and the number of those that are skipped now.
     pub fn set_storage_nodes(&self, known: usize, skipped: usize) {
         self.0.known.store(known, Ordering::Relaxed);
         self.0.skipped.store(skipped, Ordering::Relaxed);
     }
 
-    /// Nodes on the list.
+    /// The number of nodes on the list.
     pub fn known_nodes(&self) -> usize {
         self.0.known.load(Ordering::Relaxed)
     }
 
-    /// A configuration was read again.
+    /// Counts a reload of the configuration, by whether it was accepted.
     pub fn loaded(&self, taken: bool) {
         let count = if taken { &self.0.loads } else { &self.0.load_errors };
         count.fetch_add(1, Ordering::Relaxed);
     }
 
-    /// A watch on the list of nodes has fallen silent.
+    /// Counts that a watch on the node list became silent.
     pub fn silence(&self) {
         self.0.silences.fetch_add(1, Ordering::Relaxed);
     }
 
-    /// The list is overdue now, or has been for so many milliseconds and is good again.
+    /// Sets whether the node list is overdue. `Some`: it is up to date again after that many milliseconds;
+    /// `None`: it is overdue.
     pub fn list(&self, good_after_ms: Option<u64>) {
         self.0.overdue.store(u64::from(good_after_ms.is_none()), Ordering::Relaxed);
         self.0.overdue_ms.fetch_add(good_after_ms.unwrap_or(0), Ordering::Relaxed);
     }
 
-    /// The core runs, and has told its figures.
+    /// Records that the event loop runs and has updated its metrics.
     pub fn beat(&self, now: Instant) {
-        *self.0.beat.lock().unwrap_or_else(PoisonError::into_inner) = Some(now);
+        *self.0.reported_at.lock().unwrap_or_else(PoisonError::into_inner) = Some(now);
     }
 
-    /// How long the core's event loop has not reported.
+    /// Returns the time since the event loop last reported.
     pub fn silent_for(&self, now: Instant) -> Duration {
-        let beat = *self.0.beat.lock().unwrap_or_else(PoisonError::into_inner);
-        beat.map_or(Duration::MAX, |beat| now.saturating_duration_since(beat))
+        let reported_at = *self.0.reported_at.lock().unwrap_or_else(PoisonError::into_inner);
+        reported_at.map_or(Duration::MAX, |at| now.saturating_duration_since(at))
     }
 
-    /// One figure a line.
+    /// Returns the metrics as text, one per line.
     pub fn text(&self) -> String {
         let mut text = String::new();
         let mut line = |name: &str, labels: &str, value: u64| {
@@ -145,16 +151,16 @@
             }
             line("upstream_tries", &format!("{{category=\"{name}\"}}"), counts[Count::Tries as usize]);
         }
-        let all = &self.0;
+        let metrics = &self.0;
         for (name, value) in [
-            ("in_progress", all.in_progress.load(Ordering::Relaxed) as u64),
-            ("known_bricks", all.known.load(Ordering::Relaxed) as u64),
-            ("skipped_bricks", all.skipped.load(Ordering::Relaxed) as u64),
-            ("loads", all.loads.load(Ordering::Relaxed)),
-            ("load_errors", all.load_errors.load(Ordering::Relaxed)),
-            ("list_silences", all.silences.load(Ordering::Relaxed)),
-            ("list_overdue", all.overdue.load(Ordering::Relaxed)),
-            ("list_overdue_ms", all.overdue_ms.load(Ordering::Relaxed)),
+            ("in_progress", metrics.in_progress.load(Ordering::Relaxed) as u64),
+            ("known_bricks", metrics.known.load(Ordering::Relaxed) as u64),
+            ("skipped_bricks", metrics.skipped.load(Ordering::Relaxed) as u64),
+            ("loads", metrics.loads.load(Ordering::Relaxed)),
+            ("load_errors", metrics.load_errors.load(Ordering::Relaxed)),
+            ("list_silences", metrics.silences.load(Ordering::Relaxed)),
+            ("list_overdue", metrics.overdue.load(Ordering::Relaxed)),
+            ("list_overdue_ms", metrics.overdue_ms.load(Ordering::Relaxed)),
         ] {
             line(name, "", value);
         }
--- a/src/figures/tests.rs
+++ b/src/figures/tests.rs
@@ -5,7 +5,7 @@
 }
 
 #[test]
-fn each_figure_has_its_line_and_counts_what_it_says() {
+fn each_metric_has_its_line_and_its_count() {
     let figures = Figures::default();
     figures.name_classes(&names(&["read", "write"]));
     for (class, what) in [
@@ -44,11 +44,11 @@
 }
 
 #[test]
-fn a_class_that_goes_and_comes_back_keeps_its_count() {
+fn a_class_keeps_its_counts_when_its_number_changes() {
     let figures = Figures::default();
     figures.name_classes(&names(&["a", "b"]));
     figures.count(1, Count::Passed);
-    // `a` has new rules under number 2; `b` has gone, but what is open there still ends; `c` is new.
+    // `a` has new rules under number 2; `b` was removed, but its open requests still end; `c` is new.
     figures.name_classes(&names(&["a", "b", "a", "c"]));
     for class in [0, 1, 2, 3] {
         figures.count(class, Count::Passed);
--- a/src/handover.rs
+++ b/src/handover.rs
@@ -1,68 +1,78 @@
-//! Two processes of one head, while one takes over from the other: what each may use, and when the new one may begin.
-//! Decides from what is seen of the other; knows no files.
+//! Handover between two processes of one host during an upgrade: the share of the host's limits that each
+//! process may use, and when the new process may accept connections. Decides from the observed state of the
+//! other process and does no I/O.
 //!
-//! To everybody outside they are one head. While both live each keeps to half of what is the head's, and the new one
-//! begins only once the old one has said that it does so. What a store of a limit held is not handed over: the old one
-//! goes on with no more than half of it, and the new one begins with nothing.
+//! For clients and peers, both processes are one host. While both run, each uses half of the host's limits;
+//! the new process accepts connections only after the old one has announced that it does so. The tokens of a
+//! rate limit are not handed over: the old process keeps at most half of them, and the new one starts with
+//! none.
 
 use std::sync::Arc;
 use std::sync::atomic::{AtomicBool, Ordering};
 use std::time::{Duration, Instant};
 
-/// The other process looks every `LOOK`; one that has not answered after this hangs, or is another program's. What it
-/// spends is then not known, and the new one goes on with its half.
-const NO_WORD: Duration = Duration::from_secs(3);
-/// How often each looks for the other.
+/// Time after which the new process accepts connections although the other has not announced the half share.
+/// The other process checks every `LOOK`, so it hangs or is another program; what it uses is unknown, and the
+/// new process keeps to its half.
+const UNRESPONSIVE_AFTER: Duration = Duration::from_secs(3);
+/// Interval at which each process checks for the other.
 pub const LOOK: Duration = Duration::from_millis(50);
-/// A look may come while the other one is being looked at: it is gone only when it was not seen so often in a row.
-const GONE: u32 = 2;
+/// Number of consecutive checks that must miss the other process before it counts as ended. A single check
+/// may miss it while it makes a check itself.
+const MISSES_UNTIL_ENDED: u32 = 2;
 
-/// What is seen of the other process.
+/// The observed state of the other process.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Seen {
     /// It runs.
     pub lives: bool,
-    /// It says that it keeps to its half.
+    /// It announces that it uses half of the limits.
     pub halved: bool,
 }
 
+/// The state of this process in the handover.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum State {
-    /// Another one lives and may still spend all; nothing is accepted.
+    /// Another process may run and use all of the limits; this one accepts no connections.
     Arriving,
+    /// Both processes run, each with half of the limits.
     Together,
+    /// Only this process runs, with all of the limits.
     Alone,
 }
 
-/// What this process does from here on.
+/// What this process may do until the next check.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Stand {
     /// This process may accept connections.
     pub accept: bool,
-    /// It keeps to half, and says so.
+    /// It uses half of the limits and announces this.
     pub halved: bool,
 }
 
-/// Two processes of one host during an upgrade, as one of them sees the other.
+/// Two processes of one host during an upgrade, from the view of one of them.
 #[derive(Debug)]
 pub struct Pair {
     state: State,
-    since: Instant,
+    started_at: Instant,
+    /// Consecutive checks that did not find the other process.
     missed: u32,
 }
 
 impl Pair {
-    /// A process that has just started.
+    /// Creates the state of a process that has just started.
     pub fn new(now: Instant) -> Pair {
-        Pair { state: State::Arriving, since: now, missed: 0 }
+        Pair { state: State::Arriving, started_at: now, missed: 0 }
     }
 
-    /// What follows from how the other process is seen now.
+    /// Updates the state from a check of the other process, and returns what this process may do.
     pub fn look(&mut self, now: Instant, other: Seen) -> Stand {
         self.missed = if other.lives { 0 } else { self.missed + 1 };
         self.state = match self.state {
-            _ if self.missed >= GONE => State::Alone,
-            State::Arriving if other.lives && other.halved || now >= self.since + NO_WORD => State::Together,
+            _ if self.missed >= MISSES_UNTIL_ENDED => State::Alone,
+            State::Arriving if other.lives && other.halved || now >= self.started_at + UNRESPONSIVE_AFTER => {
+                State::Together
+            }
             State::Alone if other.lives => State::Together,
             state => state,
         };
@@ -70,7 +80,7 @@
     }
 }
 
-/// The part of its bounds that this process may use: all of them, or half.
+/// The share of its limits that this process may use: all or half. Clones share the setting.
 #[derive(Clone, Debug, Default)]
 pub struct Part(Arc<AtomicBool>);
 
@@ -80,7 +90,7 @@
         self.0.store(halved, Ordering::Relaxed);
     }
 
-    /// This process's share of a limit.
+    /// Returns this process's share of a limit; at least 1 while halved.
     pub fn of(&self, bound: usize) -> usize {
         if self.0.load(Ordering::Relaxed) { (bound / 2).max(1) } else { bound }
     }
--- a/src/life.rs
+++ b/src/life.rs
@@ -1,38 +1,40 @@
-//! What the program is doing: serving, draining and back, ending. Decides which phase that is at any time and
-//! when the next one begins; knows nothing of sockets, tasks or signals.
+//! The lifecycle of the process: serving, draining, serving again, stopping. Decides the current phase and
+//! when the next one begins, without sockets, tasks or signals.
 
 use std::fmt;
 use std::time::{Duration, Instant};
 
-/// In a drain the front still sends new connections for 0.2 s after it heard that the head says no, and asks
-/// every 0.1 s.
-const KEEP_ON: Duration = Duration::from_millis(500);
-/// From then on idle connections are closed, and nobody new stays: 4 s after the call nothing of the last 2 s
-/// is there.
-const EMPTY: Duration = Duration::from_millis(1_700);
-/// After SIGTERM: new connections keep coming for up to 0.4 s.
-const ACCEPT_ON: Duration = Duration::from_millis(600);
-/// SIGKILL comes no sooner than the longest deadline, 3 s at most, and 0.7 s: be gone well before.
-const LONGEST: Duration = Duration::from_secs(3);
-const LAST_ANSWERS: Duration = Duration::from_millis(500);
-/// So long before the last answers connections begin to close: until then their clients go on using them, and
-/// have nowhere else to go.
-const CLOSE: Duration = Duration::from_millis(250);
-
-/// What fronts go by.
+/// Time from the start of a drain during which connections stay open after an answer. The load balancer
+/// checks `/up` every 0.1 s and still sends new connections for 0.2 s after the first negative answer.
+const KEEP_CONNECTIONS: Duration = Duration::from_millis(500);
+/// Time from the start of a drain after which idle connections are closed and no new one stays open. 4 s
+/// after the operator's call there must be no connection or request that came within the last 2 s.
+const CLOSE_IDLE_AFTER: Duration = Duration::from_millis(1_700);
+/// Time after SIGTERM during which connections are accepted; new ones arrive for up to 0.4 s.
+const ACCEPT_AFTER_TERM: Duration = Duration::from_millis(600);
+/// Upper limit of the longest deadline in the time to stop. SIGKILL comes no earlier than the longest
+/// deadline, 3 s at most, plus 0.7 s; the process must end well before.
+const MAX_DEADLINE: Duration = Duration::from_secs(3);
+/// Time after the longest deadline at which the requests that are still open fail.
+const FINAL_ANSWERS: Duration = Duration::from_millis(500);
+/// Time before the final answers at which connections begin to close. They stay open until then, because the
+/// clients still use them and have no other host to connect to.
+const CLOSE_BEFORE_END: Duration = Duration::from_millis(250);
+
+/// What the fronts may do.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Phase {
-    /// `/up` says yes.
+    /// `/up` answers positively.
     pub up: bool,
-    /// New connections are taken.
+    /// New connections are accepted.
     pub accept: bool,
-    /// Each answer is its connection's last.
+    /// Each connection is closed after its next answer.
     pub last: bool,
     /// Idle connections are closed.
     pub close: bool,
-    /// The program ends.
+    /// The process is stopping.
     pub ends: bool,
-    /// Another process takes what comes from here on.
+    /// Another process accepts the connections from now on.
     pub handed_over: bool,
 }
 
@@ -40,14 +42,21 @@
 pub const SERVING: Phase =
     Phase { up: true, accept: true, last: false, close: false, ends: false, handed_over: false };
 
+/// What the process does, and since when.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum Doing {
+enum Activity {
     Serving,
-    Draining { since: Instant },
-    AttemptResult { since: Instant, shared: bool },
+    Draining {
+        since: Instant,
+    },
+    /// `shared`: another process listens on the same socket.
+    Stopping {
+        since: Instant,
+        shared: bool,
+    },
 }
 
-/// Why a call is turned down.
+/// Error: the process is stopping and rejects the call.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Ends;
 
@@ -60,62 +69,71 @@
 /// A process's lifecycle: serving, draining, ending.
 #[derive(Debug)]
 pub struct Life {
-    doing: Doing,
+    activity: Activity,
     longest: Duration,
 }
 
 impl Life {
-    /// `longest`: what a class's client waits at most.
+    /// Creates the lifecycle of a serving process. `longest` is the longest deadline of any class.
     pub fn new(longest: Duration) -> Life {
-        Life { doing: Doing::Serving, longest }
+        Life { activity: Activity::Serving, longest }
     }
 
-    /// The longest deadline of a request, which bounds how long draining takes.
+    /// Sets the longest deadline of any class, which limits how long stopping takes.
     pub fn set_longest(&mut self, longest: Duration) {
         self.longest = longest;
     }
 
-    /// A drain begins; one that has begun goes on.
+    /// Starts a drain; a running drain continues.
+    ///
+    /// # Errors
+    /// The process is stopping.
     pub fn drain(&mut self, now: Instant) -> Result<(), Ends> {
-        match self.doing {
-            Doing::Serving => self.doing = Doing::Draining { since: now },
-            Doing::Draining { .. } => {}
-            Doing::AttemptResult { .. } => return Err(Ends),
+        match self.activity {
+            Activity::Serving => self.activity = Activity::Draining { since: now },
+            Activity::Draining { .. } => {}
+            Activity::Stopping { .. } => return Err(Ends),
         }
         Ok(())
     }
 
-    /// The drain is over, however far it has come; without one there is nothing to do.
+    /// Ends a drain at any stage; without one it does nothing.
+    ///
+    /// # Errors
+    /// The process is stopping.
     pub fn undrain(&mut self) -> Result<(), Ends> {
-        match self.doing {
-            Doing::AttemptResult { .. } => return Err(Ends),
-            _ => self.doing = Doing::Serving,
+        match self.activity {
+            Activity::Stopping { .. } => return Err(Ends),
+            _ => self.activity = Activity::Serving,
         }
         Ok(())
     }
 
-    /// The program ends. `shared`: another process listens on the same socket, so that nobody is left at the
-    /// door.
+    /// Starts to stop the process. `shared`: another process listens on the same socket and accepts the new
+    /// connections.
     pub fn end(&mut self, now: Instant, shared: bool) {
-        if !matches!(self.doing, Doing::AttemptResult { .. }) {
-            self.doing = Doing::AttemptResult { since: now, shared };
+        if !matches!(self.activity, Activity::Stopping { .. }) {
+            self.activity = Activity::Stopping { since: now, shared };
         }
     }
 
-    /// What is allowed now.
+    /// Returns the phase at the given time.
     pub fn phase(&self, now: Instant) -> Phase {
-        match self.doing {
-            Doing::Serving => SERVING,
-            Doing::Draining { since } => {
-                Phase { up: false, last: now >= since + KEEP_ON, close: now >= since + EMPTY, ..SERVING }
-            }
-            Doing::AttemptResult { since, shared } => {
-                let closing = now + CLOSE >= self.last_answers(since);
+        match self.activity {
+            Activity::Serving => SERVING,
+            Activity::Draining { since } => Phase {
+                up: false,
+                last: now >= since + KEEP_CONNECTIONS,
+                close: now >= since + CLOSE_IDLE_AFTER,
+                ..SERVING
+            },
+            Activity::Stopping { since, shared } => {
+                let closing = now + CLOSE_BEFORE_END >= self.final_answers_at(since);
                 Phase {
                     up: !shared,
-                    accept: !shared && now < since + ACCEPT_ON && !closing,
+                    accept: !shared && now < since + ACCEPT_AFTER_TERM && !closing,
                     last: shared || closing,
-                    // Its client comes back to the other process at once.
+                    // The client can reconnect to the other process at once.
                     close: shared || closing,
                     ends: true,
                     handed_over: shared,
@@ -124,28 +142,29 @@
         }
     }
 
-    /// When the phase changes by itself, if it does.
+    /// Returns the time of the next change of the phase without a call, if there is one.
     pub fn next_change(&self, now: Instant) -> Option<Instant> {
-        let times = match self.doing {
-            Doing::Serving => [None, None],
-            Doing::Draining { since } => [Some(since + KEEP_ON), Some(since + EMPTY)],
-            Doing::AttemptResult { since, .. } => {
-                [Some(since + ACCEPT_ON), self.last_answers(since).checked_sub(CLOSE)]
+        let times = match self.activity {
+            Activity::Serving => [None, None],
+            Activity::Draining { since } => [Some(since + KEEP_CONNECTIONS), Some(since + CLOSE_IDLE_AFTER)],
+            Activity::Stopping { since, .. } => {
+                [Some(since + ACCEPT_AFTER_TERM), self.final_answers_at(since).checked_sub(CLOSE_BEFORE_END)]
             }
         };
         times.into_iter().flatten().filter(|at| *at > now).min()
     }
 
-    /// While the program ends: when what is still open has to fail.
+    /// Returns the time at which the requests that are still open must fail; `None` unless the process is
+    /// stopping.
     pub fn last(&self) -> Option<Instant> {
-        match self.doing {
-            Doing::AttemptResult { since, .. } => Some(self.last_answers(since)),
+        match self.activity {
+            Activity::Stopping { since, .. } => Some(self.final_answers_at(since)),
             _ => None,
         }
     }
 
-    fn last_answers(&self, since: Instant) -> Instant {
-        since + self.longest.min(LONGEST) + LAST_ANSWERS
+    fn final_answers_at(&self, since: Instant) -> Instant {
+        since + self.longest.min(MAX_DEADLINE) + FINAL_ANSWERS
     }
 }
 
--- a/src/life/tests.rs
+++ b/src/life/tests.rs
@@ -2,32 +2,37 @@
 
 const MS: Duration = Duration::from_millis(1);
 
-/// up, accept, last, close, ends
+/// Returns `up`, `accept`, `last`, `close` and `ends`.
 fn flags(phase: Phase) -> [bool; 5] {
     [phase.up, phase.accept, phase.last, phase.close, phase.ends]
 }
 
-fn word(flags: [bool; 5]) -> String {
+/// Formats each set flag as its letter of `ualce`.
+fn letters(flags: [bool; 5]) -> String {
     let letter = |(on, letter): (bool, char)| if on { letter } else { '-' };
     flags.into_iter().zip("ualce".chars()).map(letter).collect()
 }
 
 #[test]
-fn every_call_in_every_state_brings_its_phases() {
-    // Calls and looks by the millisecond; D drain, U undrain, T SIGTERM, S SIGTERM with the socket shared.
+fn each_call_in_each_state_leads_to_the_expected_phases() {
+    // Calls and checks by the millisecond; D drain, U undrain, T SIGTERM, S SIGTERM with a shared socket, !
+    // an error.
     for (name, steps) in [
         ("a drain", &[(0, "D", "-a---"), (499, "", "-a---"), (500, "", "-al--"), (1_700, "", "-alc-")][..]),
         ("stays drained", &[(0, "D", "-a---"), (60_000, "", "-alc-")]),
-        ("back at once", &[(0, "D", "-a---"), (1, "U", "ua---"), (9_000, "", "ua---")]),
-        ("back half way", &[(0, "D", "-a---"), (1_000, "U", "ua---")]),
-        ("twice", &[(0, "D", "-a---"), (400, "D", "-a---"), (500, "", "-al--")]),
-        ("again", &[(0, "D", "-a---"), (2_000, "U", "ua---"), (2_001, "D", "-a---"), (2_400, "", "-a---")]),
-        ("without a drain", &[(0, "U", "ua---")]),
-        ("the end", &[(0, "T", "ua--e"), (600, "", "u---e"), (3_249, "", "u---e"), (3_250, "", "u-lce")]),
-        ("the end twice", &[(0, "T", "ua--e"), (600, "T", "u---e"), (3_250, "T", "u-lce")]),
-        ("the end in a drain", &[(0, "D", "-a---"), (600, "T", "ua--e"), (1_200, "", "u---e")]),
-        ("no way back", &[(0, "T", "ua--e"), (1, "U!", "ua--e"), (2, "D!", "ua--e")]),
-        ("a shared end", &[(0, "S", "--lce"), (3_250, "", "--lce")]),
+        ("drain ended at once", &[(0, "D", "-a---"), (1, "U", "ua---"), (9_000, "", "ua---")]),
+        ("drain ended half way", &[(0, "D", "-a---"), (1_000, "U", "ua---")]),
+        ("drain called twice", &[(0, "D", "-a---"), (400, "D", "-a---"), (500, "", "-al--")]),
+        (
+            "second drain",
+            &[(0, "D", "-a---"), (2_000, "U", "ua---"), (2_001, "D", "-a---"), (2_400, "", "-a---")],
+        ),
+        ("undrain without a drain", &[(0, "U", "ua---")]),
+        ("stop", &[(0, "T", "ua--e"), (600, "", "u---e"), (3_249, "", "u---e"), (3_250, "", "u-lce")]),
+        ("stop called twice", &[(0, "T", "ua--e"), (600, "T", "u---e"), (3_250, "T", "u-lce")]),
+        ("stop during a drain", &[(0, "D", "-a---"), (600, "T", "ua--e"), (1_200, "", "u---e")]),
+        ("a stop cannot be undone", &[(0, "T", "ua--e"), (1, "U!", "ua--e"), (2, "D!", "ua--e")]),
+        ("stop with a shared socket", &[(0, "S", "--lce"), (3_250, "", "--lce")]),
     ] {
         let (start, mut life) = (Instant::now(), Life::new(Duration::from_secs(5)));
         for (at, call, wanted) in steps {
@@ -42,13 +47,13 @@
                 _ => Ok(()),
             };
             assert_eq!(done.is_err(), call.ends_with('!'), "{name} at {at}");
-            assert_eq!(word(flags(life.phase(now))), *wanted, "{name} at {at}");
+            assert_eq!(letters(flags(life.phase(now))), *wanted, "{name} at {at}");
         }
     }
 }
 
 #[test]
-fn each_change_is_announced_and_nothing_else() {
+fn next_change_announces_each_change_of_the_phase() {
     for call in ["D", "T", "S"] {
         let (start, mut life) = (Instant::now(), Life::new(Duration::from_secs(1)));
         match call {
@@ -58,7 +63,11 @@
         let (mut now, mut seen) = (start, life.phase(start));
         while let Some(next) = life.next_change(now) {
             assert!(next > now);
-            assert_eq!(life.phase(next - MS / 1000), seen, "{call}: nothing changes unannounced");
+            assert_eq!(
+                life.phase(next - MS / 1000),
+                seen,
+                "{call}: the phase changed before the announced time"
+            );
             (now, seen) = (next, life.phase(next));
         }
         assert_eq!(life.phase(now + Duration::from_secs(60)), seen, "{call}");
@@ -66,10 +75,10 @@
 }
 
 #[test]
-fn four_seconds_after_a_drain_nothing_of_the_last_two_can_be_there() {
-    assert!(EMPTY < Duration::from_secs(2));
+fn a_drain_closes_idle_connections_within_two_seconds() {
+    assert!(CLOSE_IDLE_AFTER < Duration::from_secs(2));
     let (start, mut life) = (Instant::now(), Life::new(Duration::from_secs(5)));
     life.drain(start).unwrap();
     assert!(life.phase(start + Duration::from_secs(2)).close);
-    assert_eq!(life.last(), None, "what was taken before is not cut off");
+    assert_eq!(life.last(), None, "a drain sets no time at which open requests fail");
 }
--- a/src/logbook.rs
+++ b/src/logbook.rs
@@ -1,5 +1,5 @@
-//! Reads what a head has told: filters lines, follows one request through its attempts, and sums up requests. No I/O:
-//! lines come in, reports go out.
+//! Analyzes a host's event log: filters lines, follows one request through its attempts, and summarizes
+//! requests. Does no I/O.
 
 use crate::syslog::Severity;
 use crate::syslog::parse::{Malformed, Message, parse};
@@ -7,63 +7,75 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::fmt::{self, Write};
 
-/// One condition on a message: a field of the head or a parameter of any element, and what its value must be.
+/// A condition on a message: a field of the header or a parameter of any element, and what its value must be.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Condition {
+    /// The name of the field or parameter, or `ELEMENT.PARAMETER`.
     pub name: String,
-    pub is: Is,
+    /// How the values are compared.
+    pub operator: Operator,
+    /// The value to compare with.
     pub value: String,
 }
 
+/// How a condition compares values.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Is {
+pub enum Operator {
+    /// The values are equal.
     Equal,
+    /// The values differ, or the message has none.
     Unequal,
+    /// The message's value contains the other.
     Containing,
-    /// As numbers.
+    /// The message's value is a number that is not less than the other.
     AtLeast,
+    /// The message's value is a number that is not greater than the other.
     AtMost,
 }
 
+/// Error: the text is not a condition.
 #[derive(Debug, PartialEq, Eq)]
-pub struct NoCondition(String);
+pub struct InvalidCondition(String);
 
-impl fmt::Display for NoCondition {
+impl fmt::Display for InvalidCondition {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         write!(
             f,
-            "{:?} is no condition: NAME=VALUE, NAME!=VALUE, NAME~PART, NAME>=N or NAME<=N is due",
+            "invalid condition {:?}: expected NAME=VALUE, NAME!=VALUE, NAME~PART, NAME>=N or NAME<=N",
             self.0
         )
     }
 }
 
-impl std::error::Error for NoCondition {}
+impl std::error::Error for InvalidCondition {}
 
 impl std::str::FromStr for Condition {
-    type Err = NoCondition;
+    type Err = InvalidCondition;
 
-    fn from_str(text: &str) -> Result<Condition, NoCondition> {
+    fn from_str(text: &str) -> Result<Condition, InvalidCondition> {
         let signs = [
-            ("!=", Is::Unequal),
-            (">=", Is::AtLeast),
-            ("<=", Is::AtMost),
-            ("~", Is::Containing),
-            ("=", Is::Equal),
+            ("!=", Operator::Unequal),
+            (">=", Operator::AtLeast),
+            ("<=", Operator::AtMost),
+            ("~", Operator::Containing),
+            ("=", Operator::Equal),
         ];
-        // The first sign in the text, the longer one where two begin at the same place.
-        let first = signs.iter().filter_map(|(sign, is)| Some((text.find(sign)?, *sign, *is)));
-        let (at, sign, is) =
-            first.min_by_key(|(at, sign, _)| (*at, 2 - sign.len())).ok_or(NoCondition(text.into()))?;
+        // The first sign in the text, or the longer one where two begin at the same position.
+        let first = signs.iter().filter_map(|(sign, operator)| Some((text.find(sign)?, *sign, *operator)));
+        let (at, sign, operator) =
+            first.min_by_key(|(at, sign, _)| (*at, 2 - sign.len())).ok_or(InvalidCondition(text.into()))?;
         let (name, value) = (&text[..at], &text[at + sign.len()..]);
-        if name.is_empty() || matches!(is, Is::AtLeast | Is::AtMost) && value.parse::<f64>().is_err() {
-            return Err(NoCondition(text.into()));
+        if name.is_empty()
+            || matches!(operator, Operator::AtLeast | Operator::AtMost) && value.parse::<f64>().is_err()
+        {
+            return Err(InvalidCondition(text.into()));
         }
-        Ok(Condition { name: name.into(), is, value: value.into() })
+        Ok(Condition { name: name.into(), operator, value: value.into() })
     }
 }
 
 impl Condition {
+    /// Whether a message meets the condition.
     pub fn fits(&self, message: &Message) -> bool {
         let value = match self.name.as_str() {
             "msgid" => message.id.map(Into::into),
@@ -79,13 +91,13 @@
             },
         };
         let number = |text: &str| text.parse::<f64>().ok();
-        match (self.is, value) {
-            (Is::Unequal, value) => value.is_none_or(|value| value != self.value),
+        match (self.operator, value) {
+            (Operator::Unequal, value) => value.is_none_or(|value| value != self.value),
             (_, None) => false,
-            (Is::Equal, Some(value)) => value == self.value,
-            (Is::Containing, Some(value)) => value.contains(&self.value),
-            (is, Some(value)) => match (number(&value), number(&self.value)) {
-                (Some(value), Some(bound)) if is == Is::AtLeast => value >= bound,
+            (Operator::Equal, Some(value)) => value == self.value,
+            (Operator::Containing, Some(value)) => value.contains(&self.value),
+            (operator, Some(value)) => match (number(&value), number(&self.value)) {
+                (Some(value), Some(bound)) if operator == Operator::AtLeast => value >= bound,
                 (Some(value), Some(bound)) => value <= bound,
                 _ => false,
             },
@@ -93,7 +105,10 @@
     }
 }
 
-/// The message in a line: whole, or with what a collector's file or octet counting puts in front.
+/// Parses the message in a line, with or without the length that octet counting puts in front.
+///
+/// # Errors
+/// The message is malformed; the position is counted in the whole line.
 pub fn message(line: &[u8]) -> Result<Message<'_>, Malformed> {
     let digits = line.iter().take_while(|byte| byte.is_ascii_digit()).count();
     let counted = digits > 0 && line.get(digits) == Some(&b' ') && line.get(digits + 1) == Some(&b'<');
@@ -101,14 +116,16 @@
     parse(&line[start..]).map_err(|error| Malformed { at: error.at + start, ..error })
 }
 
-/// Passes each line once, however often collectors got it: by host, process and sequence id.
+/// Finds lines that several collectors received, by host, process and sequence id.
 #[derive(Debug, Default)]
 pub struct Once {
     seen: BTreeMap<String, BTreeSet<u64>>,
+    /// The number of repeated lines.
     pub repeats: u64,
 }
 
 impl Once {
+    /// Whether a message is seen for the first time. Messages without a sequence id always are.
     pub fn first(&mut self, message: &Message) -> bool {
         let sequence = message.parameter("meta", "sequenceId").and_then(|value| value.parse().ok());
         let Some(sequence) = sequence else { return true };
@@ -118,7 +135,7 @@
         first
     }
 
-    /// Sequence ids that are missing between the first and the last of each process.
+    /// Returns the number of sequence ids that are missing between the first and the last of each process.
     pub fn gaps(&self) -> u64 {
         let gap = |ids: &BTreeSet<u64>| match (ids.first(), ids.last()) {
             (Some(first), Some(last)) => last - first + 1 - ids.len() as u64,
@@ -128,10 +145,10 @@
     }
 }
 
-/// Requests of one kind, summed up.
+/// The summary of the requests or attempts of one kind.
 #[derive(Debug)]
-struct Sum {
-    /// By outcome, each as many as it stands for.
+struct KindSummary {
+    /// Counts by outcome; a sampled request counts as many times as it represents.
     outcomes: BTreeMap<String, u64>,
     attempts: u64,
     late: u64,
@@ -140,26 +157,28 @@
     held: Histogram<u64>,
 }
 
+/// Creates a histogram of times from 1 us to one hour, with three significant digits.
 fn histogram() -> Option<Histogram<u64>> {
     Histogram::new_with_bounds(1, 3_600_000_000, 3).ok()
 }
 
-/// What requests are summed up by.
+/// The key by which requests or attempts are summarized.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, clap::ValueEnum)]
 pub enum By {
     Volume,
     Plan,
     Class,
     Outcome,
-    /// Attempts, by the node that they went to.
+    /// Attempts, by node.
     Node,
-    /// Attempts, by how they ended.
+    /// Attempts, by result.
     Ending,
-    /// Attempts, by why they were made.
+    /// Attempts, by the reason for which they were made.
     Why,
 }
 
 impl By {
+    /// Returns the name of the event parameter.
     fn name(self) -> &'static str {
         match self {
             By::Volume => "volume",
@@ -172,22 +191,26 @@
         }
     }
 
+    /// Whether attempts are summarized instead of requests.
     fn of_attempts(self) -> bool {
         matches!(self, By::Node | By::Ending | By::Why)
     }
 }
 
+/// The summaries of requests or attempts; displayed as a table.
 #[derive(Debug)]
 pub struct Sums {
     by: By,
-    kinds: BTreeMap<String, Sum>,
+    kinds: BTreeMap<String, KindSummary>,
 }
 
 impl Sums {
+    /// Creates empty summaries.
     pub fn new(by: By) -> Sums {
         Sums { by, kinds: BTreeMap::new() }
     }
 
+    /// Adds a message if it is of the summarized event.
     pub fn add(&mut self, message: &Message) {
         let wanted = if self.by.of_attempts() { "ATTEMPT" } else { "REQUEST" };
         if message.id != Some(wanted) {
@@ -199,27 +222,28 @@
         let Some(sum) = (match self.kinds.get_mut(&kind) {
             Some(sum) => Some(sum),
             None => histogram().zip(histogram()).map(|(total, held)| {
-                let empty = Sum { outcomes: BTreeMap::new(), attempts: 0, late: 0, units: 0.0, total, held };
+                let empty =
+                    KindSummary { outcomes: BTreeMap::new(), attempts: 0, late: 0, units: 0.0, total, held };
                 self.kinds.entry(kind).or_insert(empty)
             }),
         }) else {
             return;
         };
-        // One that was told stands for so many.
-        let stands_for = number("one_in").max(1);
+        // A logged request may represent several.
+        let represented = number("one_in").max(1);
         let outcome = get(if self.by.of_attempts() { "ending" } else { "outcome" });
-        *sum.outcomes.entry(outcome.to_string()).or_default() += stands_for;
-        sum.attempts += number("attempts") * stands_for;
-        sum.late += u64::from(get("late") == "yes") * stands_for;
-        sum.units += get("units").parse::<f64>().unwrap_or(0.0) * stands_for as f64;
+        *sum.outcomes.entry(outcome.to_string()).or_default() += represented;
+        sum.attempts += number("attempts") * represented;
+        sum.late += u64::from(get("late") == "yes") * represented;
+        sum.units += get("units").parse::<f64>().unwrap_or(0.0) * represented as f64;
         let (held, out) = if self.by.of_attempts() {
             (0, number("took_us"))
         } else {
             (number("held_us"), number("out_us"))
         };
-        // Within the bounds that were asked for, this cannot fail.
-        sum.total.saturating_record_n((held + out).max(1), stands_for);
-        sum.held.saturating_record_n(held.max(1), stands_for);
+        // Values outside the bounds of the histogram are saturated.
+        sum.total.saturating_record_n((held + out).max(1), represented);
+        sum.held.saturating_record_n(held.max(1), represented);
     }
 }
 
@@ -235,7 +259,7 @@
             for (outcome, count) in &sum.outcomes {
                 write!(ends, " {outcome}={count}")?;
             }
-            let Sum { total, held, late, .. } = sum;
+            let KindSummary { total, held, late, .. } = sum;
             writeln!(
                 f,
                 "{kind:<24} {:>9} {:>9.2} {:>9.2} {:>9.2} {:>9.2} {late:>9} {ends}",
@@ -250,7 +274,7 @@
     }
 }
 
-/// One request's way, from its lines.
+/// Formats a message about a request or an attempt as a line; `None` for other messages.
 pub fn follow(message: &Message) -> Option<String> {
     let get = |name: &str| message.any(name).map_or("-", |value| value);
     let ms = |name: &str| get(name).parse::<f64>().map_or("-".into(), |us| format!("{:.2} ms", us / 1000.0));
@@ -280,7 +304,7 @@
     }
 }
 
-/// Severities from the gravest down to this one.
+/// Whether a message is at least as severe as `least`.
 pub fn as_grave_as(message: &Message, least: Severity) -> bool {
     message.severity <= least
 }
--- a/src/logbook/tests.rs
+++ b/src/logbook/tests.rs
@@ -4,7 +4,7 @@
 const ATTEMPT: &str = r#"<30>1 2026-12-01T00:00:00.5Z n3 pathbank 7 ATTEMPT [request@32473 request="5" volume="00" attempt="1" why="another after full" node="s-1" ending="served" took_us="2000"][meta sequenceId="3"]"#;
 
 #[test]
-fn conditions_are_read_and_hold_of_heads_and_parameters() {
+fn conditions_are_parsed_and_match_header_fields_and_parameters() {
     let message = message(REQUEST.as_bytes()).unwrap();
     for (text, fits) in [
         ("plan=starter", true),
@@ -33,7 +33,7 @@
 }
 
 #[test]
-fn lines_with_a_count_in_front_are_read_and_faults_are_told_where_they_stand() {
+fn lines_with_a_length_in_front_are_parsed_and_errors_have_their_position() {
     let counted = format!("{} {REQUEST}", REQUEST.len());
     assert_eq!(message(counted.as_bytes()).unwrap().id, Some("REQUEST"));
     assert_eq!(message(b"12 <30>2 - - - - - -").unwrap_err().at, 7);
@@ -41,7 +41,7 @@
 }
 
 #[test]
-fn requests_are_followed_and_summed_up_as_many_as_they_stand_for() {
+fn requests_are_followed_and_counted_as_many_times_as_they_represent() {
     let (request, attempt) = (message(REQUEST.as_bytes()).unwrap(), message(ATTEMPT.as_bytes()).unwrap());
     let told = follow(&attempt).unwrap();
     assert!(told.ends_with("attempt 1 at s-1: another after full, ended served after 2.00 ms"), "{told}");
@@ -64,7 +64,7 @@
 }
 
 #[test]
-fn a_line_counts_once_and_what_is_missing_is_counted() {
+fn repeated_lines_are_found_and_missing_ones_counted() {
     let mut once = Once::default();
     let (request, attempt) = (message(REQUEST.as_bytes()).unwrap(), message(ATTEMPT.as_bytes()).unwrap());
     assert_eq!([&request, &attempt, &request].map(|m| once.first(m)), [true, true, false]);
--- a/src/replay_buffer.rs
+++ b/src/replay_buffer.rs
@@ -1,19 +1,20 @@
-//! What is held of a call's request so that it can be sent again. A request is held from its first byte until it is
-//! all there or as much as may be; from then on it can only go on at one attempt, to which it must be bound first:
-//! what that attempt has sent is dropped, and no other can follow.
+//! Buffers the body of a call's request so that another attempt can send it again. The body is kept from its
+//! first byte until it is complete or reaches the limit. A body over the limit can only be sent by one
+//! attempt, to which the call must be bound first: what that attempt has sent is dropped, and no other
+//! attempt can follow.
 
 use bytes::Bytes;
 use std::collections::VecDeque;
 
-/// Beyond what is held, so much may wait for the attempt to send it.
+/// Maximum number of bytes that wait for a bound attempt to send them.
 pub const WINDOW: usize = 16 * 1024;
 
 /// How a request's stream ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Over {
-    /// All of it has arrived.
+    /// It is complete.
     Whole,
-    /// The client reset it or went: there is nothing more to do for it.
+    /// The client reset the stream or left: no more data will come.
     Cut,
 }
 
@@ -22,13 +23,13 @@
 pub enum Next {
     /// These bytes.
     Piece(Bytes),
-    /// More will come.
+    /// Nothing now; more data will come.
     Wait,
-    /// Nothing more can be taken from the client before the call is bound to this attempt.
+    /// Nothing: no more data can be read from the client before the call is bound to this attempt.
     Bind,
     /// Nothing more: the body has ended this way.
     End(Over),
-    /// The call is bound to another attempt, or what this one would begin with is no longer held.
+    /// Nothing: the call is bound to another attempt, or the data that this one needs was dropped.
     Lost,
 }
 
@@ -36,25 +37,29 @@
 #[derive(Debug)]
 pub struct ReplayBuffer {
     pieces: VecDeque<Bytes>,
-    /// Pieces dropped in front of those.
+    /// Number of pieces dropped before the first one in `pieces`.
     dropped: usize,
+    /// Bytes in `pieces`.
     bytes: usize,
-    most: usize,
-    /// No memory was left for another piece.
-    pinched: bool,
+    /// Limit on `bytes` while the call is not bound.
+    max_bytes: usize,
+    /// The memory for all calls is exhausted: no more may be buffered.
+    memory_exhausted: bool,
+    /// How the body ended.
     over: Option<Over>,
+    /// The attempt to which the call is bound.
     bound: Option<u32>,
 }
 
 impl ReplayBuffer {
-    /// An empty buffer of at most so many bytes.
-    pub fn new(most: usize) -> ReplayBuffer {
+    /// Creates an empty buffer that keeps at most `max_bytes` bytes.
+    pub fn new(max_bytes: usize) -> ReplayBuffer {
         ReplayBuffer {
             pieces: VecDeque::new(),
             dropped: 0,
             bytes: 0,
-            most,
-            pinched: false,
+            max_bytes,
+            memory_exhausted: false,
             over: None,
             bound: None,
         }
@@ -64,12 +69,12 @@
     pub fn room(&self) -> bool {
         self.over.is_none()
             && match self.bound {
-                None => self.bytes < self.most && !self.pinched,
+                None => self.bytes < self.max_bytes && !self.memory_exhausted,
                 Some(_) => self.bytes < WINDOW,
             }
     }
 
-    /// A piece that was read although it may go beyond the bound by itself: one piece at most does.
+    /// Adds a piece. At most one piece exceeds the limit, since none is read after that.
     pub fn push(&mut self, piece: Bytes) {
         if !piece.is_empty() {
             self.bytes += piece.len();
@@ -77,12 +82,12 @@
         }
     }
 
-    /// The memory for all calls is used up.
+    /// Marks that the memory for all calls is exhausted.
     pub fn pinch(&mut self) {
-        self.pinched = true;
+        self.memory_exhausted = true;
     }
 
-    /// The body has ended.
+    /// Marks the end of the body; later ends are ignored.
     pub fn end(&mut self, over: Over) {
         self.over.get_or_insert(over);
     }
@@ -97,17 +102,17 @@
         self.bound.is_some()
     }
 
-    /// Bytes that are kept.
+    /// The number of bytes in the buffer.
     pub fn bytes(&self) -> usize {
         self.bytes
     }
 
-    /// More has come, or will, than can be sent again.
+    /// Whether the body exceeds what can be kept for another attempt.
     pub fn outgrown(&self) -> bool {
         self.over.is_none() && self.bound.is_none() && !self.room()
     }
 
-    /// What the attempt that has sent `sent` pieces sends next.
+    /// Returns what an attempt that has sent `sent` pieces sends next.
     pub fn next(&self, attempt: u32, sent: usize) -> Next {
         if sent < self.dropped || self.bound.is_some_and(|bound| bound != attempt) {
             return Next::Lost;
@@ -122,17 +127,18 @@
         }
     }
 
-    /// The call goes on at this attempt only. Returns the bytes that need not be held any more.
+    /// Binds the call to an attempt that has sent `sent` pieces. Returns the number of bytes dropped.
     pub fn bind(&mut self, attempt: u32, sent: usize) -> usize {
         self.bound = Some(attempt);
         self.drop_sent(sent)
     }
 
-    /// The attempt has sent so many pieces. Returns the bytes that need not be held any more.
+    /// Records that an attempt has sent `sent` pieces. Returns the number of bytes dropped.
     pub fn sent(&mut self, attempt: u32, sent: usize) -> usize {
         if self.bound == Some(attempt) { self.drop_sent(sent) } else { 0 }
     }
 
+    /// Drops the first `sent` pieces of the body.
     fn drop_sent(&mut self, sent: usize) -> usize {
         let before = self.bytes;
         while self.dropped < sent {
--- a/src/replay_buffer/tests.rs
+++ b/src/replay_buffer/tests.rs
@@ -5,7 +5,7 @@
 }
 
 #[test]
-fn all_that_is_held_can_be_sent_by_one_attempt_after_another() {
+fn a_body_within_the_limit_can_be_sent_by_several_attempts() {
     let mut buffer = ReplayBuffer::new(100);
     buffer.push(piece(40));
     buffer.push(Bytes::new());
@@ -14,7 +14,7 @@
         assert_eq!(buffer.next(attempt, 0), Next::Piece(piece(40)));
         assert_eq!(buffer.next(attempt, 1), Next::Piece(piece(30)));
         assert_eq!(buffer.next(attempt, 2), Next::Wait);
-        assert_eq!(buffer.sent(attempt, 2), 0, "not bound, nothing is dropped");
+        assert_eq!(buffer.sent(attempt, 2), 0, "nothing is dropped while the call is not bound");
     }
     buffer.end(Over::Whole);
     buffer.end(Over::Cut);
@@ -23,23 +23,23 @@
 }
 
 #[test]
-fn what_outgrows_its_bound_goes_on_at_one_attempt_only() {
-    for pinched in [false, true] {
+fn a_body_over_the_limit_can_only_be_sent_by_one_attempt() {
+    for exhausted in [false, true] {
         let mut buffer = ReplayBuffer::new(100);
         buffer.push(piece(60));
         assert!(buffer.room());
-        if pinched {
+        if exhausted {
             buffer.pinch();
         } else {
             buffer.push(piece(60));
         }
         assert!(!buffer.room() && buffer.outgrown());
-        let sent = if pinched { 1 } else { 2 };
+        let sent = if exhausted { 1 } else { 2 };
         assert_eq!(buffer.next(0, sent), Next::Bind);
         assert_eq!(buffer.bind(0, sent), 60 * sent);
         assert!(buffer.room() && buffer.bytes() == 0);
         assert_eq!(buffer.next(1, 0), Next::Lost);
-        assert_eq!(buffer.next(1, sent), Next::Lost, "another attempt, whatever it has sent");
+        assert_eq!(buffer.next(1, sent), Next::Lost, "another attempt gets nothing, whatever it has sent");
         buffer.push(piece(WINDOW));
         assert!(!buffer.room() && !buffer.outgrown());
         assert_eq!(buffer.next(0, sent), Next::Piece(piece(WINDOW)));
@@ -52,7 +52,7 @@
 }
 
 #[test]
-fn a_call_bound_early_keeps_what_its_attempt_has_yet_to_send() {
+fn a_call_bound_early_keeps_the_data_that_its_attempt_has_not_sent() {
     let mut buffer = ReplayBuffer::new(1000);
     (1..=3).for_each(|length| buffer.push(piece(length)));
     assert_eq!(buffer.bind(4, 1), 1);
--- a/src/staleness.rs
+++ b/src/staleness.rs
@@ -1,113 +1,132 @@
-//! Until when a host may rest on its list of nodes: one small value, told what came and when. It knows no
-//! clock and no sockets, and decides nothing; the module asks it.
+//! Computes until when a host may use its node list, from the updates that arrived and their times. It has no
+//! clock and does no I/O; the policy reads the result.
 
 use crate::interface::{ListUpdate, Micros, Settings};
 
-/// While nothing changes a watch says so this often.
+/// Interval of heartbeats on a watch without changes, microseconds.
 pub const BEAT: Micros = 2_000_000;
-/// A change counts as told so long after discovery had it and could be reached, whatever fell silent, failed,
-/// was refused or given up; and so long after discovery has moved.
+/// Time after which a host counts as informed of a change, microseconds. It runs from the moment at which
+/// discovery had the change and was reachable, whether the watch became silent or calls failed, were refused
+/// or were given up.
 pub const TOLD: Micros = 6_000_000;
+/// The same time where discovery has moved to another address, counted from the move, microseconds.
 const TOLD_MOVED: Micros = 4_000_000;
-/// Discovery works through its calls in turn, each in about `CALL_TAKES` (7.2 s for 300 hosts, as measured),
-/// and fails those that wait for `CALL_WAITS`.
+/// Time that discovery takes for one call, microseconds. It serves calls one after the other: 300 hosts take
+/// 7.2 s.
 pub const CALL_TAKES: Micros = 24_000;
+/// Time after which discovery fails a waiting call, microseconds.
 const CALL_WAITS: Micros = 2_000_000;
-/// The part of the time in which sends have to end that is kept back: for a turn on a busy core, and the way
-/// out.
-const KEPT: f64 = 0.2;
+/// Fraction of the time for stopping sends that is reserved for the scheduling delay of a busy event loop and
+/// for the transfer.
+const RESERVED: f64 = 0.2;
 
-/// Hosts draw their calls over the time in which their list is still good. While what is left in the queue at
-/// its end takes less than a call may wait, one that fails does so because discovery is down; of more hosts
-/// that cannot be said.
+/// Whether a failed call shows that discovery is down. Hosts spread their calls at random over the time in
+/// which their lists are still usable. If discovery works off the calls that remain then before a call waits
+/// too long, a call fails only because discovery is down. With more hosts, a call may also fail because it
+/// waited too long.
 fn failed_when_down(hosts: u32) -> bool {
     CALL_TAKES * u64::from(hosts) < TOLD + CALL_WAITS
 }
 
+/// The state of the watch on the node list.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-enum Stand {
-    /// Whoever tells of the list tells nothing of a watch.
+enum WatchState {
+    /// The source of the list reports nothing of a watch.
     #[default]
-    Untold,
-    /// A watch stands.
+    Unknown,
+    /// A watch is established.
     Watched,
-    /// Its connection stands, but nothing comes; what it misses is on its way to count as told.
+    /// Its connection is open, but nothing arrives: the time after which its missed changes count as told
+    /// runs.
     Silent,
-    /// There is none: it ended in order, or the host has just started.
+    /// There is no watch: it was closed, or the host has just started.
     Ended,
 }
 
 /// Until when the node list may be used.
 #[derive(Clone, Debug, Default)]
 pub struct Staleness {
-    stand: Stand,
-    /// The watch tells its beat, so that its silence is seen.
-    beats: bool,
-    /// When the list was last known to be whole: by a line, by a beat, by the host's start.
-    heard: Micros,
-    /// The last call that failed; and the last that failed because discovery could not be reached.
-    asked: Micros,
-    down: Micros,
-    called: Micros,
+    watch: WatchState,
+    /// The watch sends heartbeats, so that its silence is detected.
+    has_heartbeat: bool,
+    /// When the list was last known to be complete: by an update, by a heartbeat, or by the host's start.
+    complete_at: Micros,
+    /// When the last call that failed was made.
+    failed_call: Micros,
+    /// When the last call that failed because discovery was unreachable was made.
+    unreachable_call: Micros,
+    /// When the last call was made.
+    last_call: Micros,
+    /// When discovery moved to another address.
     moved: Option<Micros>,
 }
 
 impl Staleness {
-    /// Something came of the node list.
+    /// Applies an update of the node list.
     pub fn note(&mut self, now: Micros, news: ListUpdate, settings: &Settings) {
         match news {
-            ListUpdate::Heartbeat if self.stand == Stand::Silent => {}
-            ListUpdate::Heartbeat => (self.stand, self.heard, self.beats) = (Stand::Watched, now, true),
+            ListUpdate::Heartbeat if self.watch == WatchState::Silent => {}
+            ListUpdate::Heartbeat => {
+                (self.watch, self.complete_at, self.has_heartbeat) = (WatchState::Watched, now, true)
+            }
             ListUpdate::Subscribed => {
-                *self = Staleness { stand: Stand::Watched, beats: true, heard: now, ..Staleness::default() };
+                *self = Staleness {
+                    watch: WatchState::Watched,
+                    has_heartbeat: true,
+                    complete_at: now,
+                    ..Staleness::default()
+                };
             }
             ListUpdate::Changes | ListUpdate::Full => {
-                (self.heard, self.stand) = (now, Stand::Watched);
+                (self.complete_at, self.watch) = (now, WatchState::Watched);
             }
             ListUpdate::Cached if settings.must_subscribe => {
-                *self = Staleness { stand: Stand::Ended, heard: now, ..Staleness::default() };
+                *self = Staleness { watch: WatchState::Ended, complete_at: now, ..Staleness::default() };
             }
             ListUpdate::Cached => *self = Staleness::default(),
-            // So is a call without an answer: it may be a watch at the other end. What was missed before it
-            // counts too.
-            ListUpdate::TimedOut => self.stand = Stand::Silent,
-            // What the first of several places had is not told later for the second.
+            // A call without an answer counts as a silent watch too, since discovery may have established
+            // one. Changes that were missed before it count as well.
+            ListUpdate::TimedOut => self.watch = WatchState::Silent,
+            // After several moves, the time runs from the first: its missed changes don't wait for the second
+            // move.
             ListUpdate::Moved => self.moved = self.moved.or(Some(now)),
-            // A call that fails tells nothing of what a silent watch missed. Where lists are pushed, an agent
-            // that gives no answer at once has none: it learns nothing while discovery is down.
-            ListUpdate::Failed if self.stand == Stand::Silent && settings.must_subscribe => {}
+            // A failed call doesn't show what a silent watch missed. Where lists are pushed, an agent that
+            // does not answer at once has no list: it learns nothing while discovery is down.
+            ListUpdate::Failed if self.watch == WatchState::Silent && settings.must_subscribe => {}
             ListUpdate::Failed if settings.must_subscribe => {
-                (self.stand, self.asked) = (Stand::Ended, self.called);
+                (self.watch, self.failed_call) = (WatchState::Ended, self.last_call);
                 if failed_when_down(settings.hosts) {
-                    self.down = self.called;
+                    self.unreachable_call = self.last_call;
                 }
             }
-            ListUpdate::Failed => (self.stand, self.asked, self.moved) = (Stand::Ended, now, None),
+            ListUpdate::Failed => (self.watch, self.failed_call, self.moved) = (WatchState::Ended, now, None),
         }
     }
 
-    /// The host asks for its list, at that time.
+    /// Records that the host calls discovery for its list at the given time.
     pub fn call(&mut self, at: Micros) {
-        self.called = at;
+        self.last_call = at;
     }
 
-    /// From then on a change may count as told that this host has not heard of, and the time is up in which
-    /// sends to the node that it is about have to end.
+    /// Returns the time until which the list may be used. After it, there may be a change that counts as told
+    /// although this host did not receive it, and whose time for stopping sends to the node has passed.
     pub fn good_until(&self, settings: &Settings) -> Micros {
-        let told = match self.stand {
-            Stand::Untold => Micros::MAX,
-            Stand::Watched if !self.beats => Micros::MAX,
-            Stand::Watched | Stand::Silent => self.heard.max(self.down).saturating_add(TOLD),
-            Stand::Ended if settings.must_subscribe && settings.ask_within == 0 => Micros::MAX,
-            Stand::Ended if settings.must_subscribe => {
-                let by_settings = self.heard.max(self.asked).saturating_add(settings.ask_within);
-                by_settings.min(self.heard.max(self.down).saturating_add(TOLD))
+        let told = match self.watch {
+            WatchState::Unknown => Micros::MAX,
+            WatchState::Watched if !self.has_heartbeat => Micros::MAX,
+            WatchState::Watched | WatchState::Silent => {
+                self.complete_at.max(self.unreachable_call).saturating_add(TOLD)
+            }
+            WatchState::Ended if settings.must_subscribe && settings.ask_within == 0 => Micros::MAX,
+            WatchState::Ended if settings.must_subscribe => {
+                let by_settings = self.complete_at.max(self.failed_call).saturating_add(settings.ask_within);
+                by_settings.min(self.complete_at.max(self.unreachable_call).saturating_add(TOLD))
             }
-            Stand::Ended => self.heard.max(self.asked),
+            WatchState::Ended => self.complete_at.max(self.failed_call),
         };
         let moved = self.moved.map_or(Micros::MAX, |at| at.saturating_add(TOLD_MOVED));
-        let left = ((1.0 - KEPT) * settings.stop_within as f64) as Micros;
-        if settings.stop_within == 0 { Micros::MAX } else { told.min(moved).saturating_add(left) }
+        let stop_time = ((1.0 - RESERVED) * settings.stop_within as f64) as Micros;
+        if settings.stop_within == 0 { Micros::MAX } else { told.min(moved).saturating_add(stop_time) }
     }
 }
 
