--- a/tests/leaving.rs
+++ b/tests/leaving.rs
@@ -1,5 +1,5 @@
-//! Heads, each with a module of its own, and discovery, in virtual time: from the moment when a node's
-//! leaving counts as told to a head, by whatever way, no attempt begins there later than the settings allow.
+//! Simulates hosts, each with its own policy, and discovery in virtual time. After the moment at which a host
+//! counts as informed that a node leaves, no attempt may start there later than the settings allow.
 
 #![allow(clippy::unwrap_used, clippy::expect_used, reason = "a test fails by a panic")]
 
@@ -11,47 +11,55 @@
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BinaryHeap, VecDeque};
 
+/// Time in which sends to a leaving node have to stop.
 const STOP: Micros = S;
+/// Time after a failed call until a change counts as told.
 const ASK_WITHIN: Micros = 10 * S;
-/// Discovery fails what waited longer.
-const PATIENCE: Micros = 2 * S;
-const BEAT: Micros = 2 * S;
-/// By `net::discovery`: a watch is silent after this, and a call without an answer.
+/// Time after which discovery fails a waiting call.
+const MAX_CALL_WAIT: Micros = 2 * S;
+/// Interval of heartbeats.
+const HEARTBEAT: Micros = 2 * S;
+/// Time after which `net::discovery` regards a watch as silent.
 const SILENCE: Micros = 2_500 * MS;
+/// Time after which `net::discovery` gives up a call without an answer.
 const UNANSWERED: Micros = 3 * S;
-/// When what happens to all at once does so.
-const COMMON: Micros = 30 * S;
+/// When the fault that affects all hosts at once occurs.
+const FAULT_AT: Micros = 30 * S;
 
+/// A fault that affects all hosts.
 #[derive(Clone, Copy, Debug, PartialEq)]
 enum Trouble {
-    /// All watches fall silent; and some seconds after the start, when calls are out.
+    /// All watches become silent.
     Silent,
+    /// All watches become silent soon after the start, while calls are open.
     SilentEarly,
-    /// All watches end.
+    /// All watches are closed.
     Ended,
-    /// Discovery is down for 8 s, or for so long that calls back off as far as they do.
+    /// Discovery is down for 8 s.
     Down,
+    /// Discovery is down for so long that the back-off of calls reaches its maximum.
     DownLong,
-    /// All heads start anew, from a list that is 3 s old.
+    /// All hosts restart, from a list that is 3 s old.
     Restart,
-    /// Discovery moves, and heads are told so one after the other.
+    /// Discovery moves to another address, and the hosts learn of it one after the other.
     Moved,
 }
 
-/// What is broken on purpose.
+/// A deliberate fault of the implementation, which the checks must find.
 #[derive(Clone, Copy, Debug, PartialEq)]
 enum Break {
     None,
-    SilenceUnseen,
+    SilenceUndetected,
     LateDraw,
-    NoLookAtTheFirstByte,
-    FailedCallIsNews,
+    NoCheckBeforeFirstByte,
+    FailedCallIsUpdate,
     StaleLine,
-    UnansweredIsNews,
+    UnansweredCallIsUpdate,
 }
 
+/// An event of the simulation, with the number of its host.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-enum Ev {
+enum SimEvent {
     Timer(usize, u64),
     Served(usize, u64),
     Refused(usize),
@@ -68,18 +76,20 @@
     Back,
 }
 
-struct Head {
+/// A simulated host.
+struct Host {
     policy: Policy,
-    /// The watch's number, when a byte last came, and since when it is silent; likewise a call that is out.
+    /// The number of the watch, when a byte last arrived on it, and the number of an open call.
     watch: Option<u64>,
     last: Micros,
     calling: Option<u64>,
     moving: bool,
-    /// By the rules of the platform: what is silent since when, the last call, and what was heard.
+    /// By the rules of the platform: since when the watch is silent, when discovery moved, the last call, and
+    /// whether the host was informed that the node leaves.
     silent: Option<Micros>,
     moved: Option<Micros>,
     called: Micros,
-    heard: bool,
+    informed: bool,
     serial: u64,
     out: BTreeMap<(u64, u32), (NodeId, bool)>,
     renewed: Micros,
@@ -87,10 +97,11 @@
     overdue_for: Micros,
 }
 
+/// The simulated hosts and discovery.
 struct World {
     now: Micros,
-    heads: Vec<Head>,
-    due: BinaryHeap<Reverse<(Micros, u64, Ev)>>,
+    hosts: Vec<Host>,
+    due: BinaryHeap<Reverse<(Micros, u64, SimEvent)>>,
     order: u64,
     pushed: bool,
     per_call: Micros,
@@ -109,10 +120,10 @@
 }
 
 impl World {
-    fn new(heads: u32, pushed: bool, per_call: Micros, trouble: Trouble, broken: Break) -> World {
+    fn new(hosts: u32, pushed: bool, per_call: Micros, trouble: Trouble, broken: Break) -> World {
         let mut world = World {
             now: 0,
-            heads: Vec::new(),
+            hosts: Vec::new(),
             due: BinaryHeap::new(),
             order: 0,
             pushed,
@@ -130,14 +141,14 @@
             calls: BTreeMap::new(),
             failed: 0,
         };
-        for number in 0..heads {
-            let head = world.head(heads, number, 1);
-            world.heads.push(head);
+        for number in 0..hosts {
+            let host = world.host(hosts, number, 1);
+            world.hosts.push(host);
         }
         world
     }
 
-    fn head(&self, hosts: u32, position: u32, life: u64) -> Head {
+    fn host(&self, hosts: u32, position: u32, life: u64) -> Host {
         let settings = Settings {
             hosts,
             position,
@@ -148,7 +159,7 @@
             ..settings(vec![Class { deadline: 400 * MS, target: 200 * MS, ..class(Repeats::Safe) }])
         };
         let seed = u64::from(position + 1).wrapping_mul(0x9e37_79b9_7f4a_7c15) ^ life;
-        Head {
+        Host {
             policy: Policy::new(settings, seed),
             watch: None,
             last: 0,
@@ -157,7 +168,7 @@
             silent: None,
             moved: None,
             called: self.now,
-            heard: false,
+            informed: false,
             serial: life << 32,
             out: BTreeMap::new(),
             renewed: 0,
@@ -166,7 +177,7 @@
         }
     }
 
-    fn at(&mut self, after: Micros, ev: Ev) {
+    fn at(&mut self, after: Micros, ev: SimEvent) {
         self.order += 1;
         self.due.push(Reverse((self.now + after, self.order, ev)));
     }
@@ -176,55 +187,55 @@
         vec![NodeEntry { state, ..node(10, 1) }, node(11, 2)]
     }
 
-    fn tell(&mut self, n: usize, event: Event) {
+    fn dispatch(&mut self, n: usize, event: Event) {
         let mut actions = Vec::new();
-        self.heads[n].policy.handle(self.now, event, &mut actions);
+        self.hosts[n].policy.handle(self.now, event, &mut actions);
         for action in actions {
             match action {
                 Action::Timer { after, token } => {
                     let late = self.broken == Break::LateDraw && token == u64::MAX - 1;
-                    self.at(if late { 5 * S + 3 * after } else { after }, Ev::Timer(n, token));
+                    self.at(if late { 5 * S + 3 * after } else { after }, SimEvent::Timer(n, token));
                 }
                 Action::Subscribe => self.call(n),
                 Action::Send { request, node, .. } => {
-                    let attempt = self.heads[n].out.keys().filter(|(id, _)| *id == request).count() as u32;
-                    self.heads[n].out.insert((request, attempt), (node, false));
-                    // One connection in three comes up late.
+                    let attempt = self.hosts[n].out.keys().filter(|(id, _)| *id == request).count() as u32;
+                    self.hosts[n].out.insert((request, attempt), (node, false));
+                    // One connection in three is established late.
                     let late = if request % 3 == 0 { 900 * MS } else { MS };
-                    self.at(late, Ev::Begin(n, request, attempt, node));
+                    self.at(late, SimEvent::Begin(n, request, attempt, node));
                 }
                 _ => {}
             }
         }
-        let until = self.heads[n].policy.list_good_until();
+        let until = self.hosts[n].policy.list_good_until();
         if until > self.now && until < 3_600 * S {
-            self.at(until - self.now, Ev::Overdue(n));
+            self.at(until - self.now, SimEvent::Overdue(n));
         }
-        let (now, head) = (self.now, &mut self.heads[n]);
-        match (now < until, head.overdue) {
-            (true, Some(since)) => (head.overdue, head.overdue_for) = (None, head.overdue_for + now - since),
-            (false, None) => head.overdue = Some(now),
+        let (now, host) = (self.now, &mut self.hosts[n]);
+        match (now < until, host.overdue) {
+            (true, Some(since)) => (host.overdue, host.overdue_for) = (None, host.overdue_for + now - since),
+            (false, None) => host.overdue = Some(now),
             _ => {}
         }
     }
 
     fn news(&mut self, n: usize, news: ListUpdate, nodes: Vec<NodeEntry>) {
-        self.tell(n, Event::Nodes { update: news, nodes });
+        self.dispatch(n, Event::Nodes { update: news, nodes });
         if matches!(news, ListUpdate::Full | ListUpdate::Changes) {
-            self.drop_unbegun(n, |head, node| node == 10 && head.heard);
+            self.drop_unstarted(n, |host, node| node == 10 && host.informed);
         }
     }
 
-    /// The core drops what has not begun, with the news and when the list is overdue.
-    fn drop_unbegun(&mut self, n: usize, which: impl Fn(&Head, NodeId) -> bool) {
-        if self.broken == Break::NoLookAtTheFirstByte {
+    /// Drops attempts that have not started, as the core does on updates and when the list becomes overdue.
+    fn drop_unstarted(&mut self, n: usize, which: impl Fn(&Host, NodeId) -> bool) {
+        if self.broken == Break::NoCheckBeforeFirstByte {
             return;
         }
-        let head = &self.heads[n];
-        let unbegun = head.out.iter().filter(|(_, (node, begun))| !begun && which(head, *node));
-        let unbegun: Vec<_> = unbegun.map(|(key, (node, _))| (*key, *node)).collect();
-        for ((request, attempt), node) in unbegun {
-            self.heads[n].out.remove(&(request, attempt));
+        let host = &self.hosts[n];
+        let unstarted = host.out.iter().filter(|(_, (node, started))| !started && which(host, *node));
+        let unstarted: Vec<_> = unstarted.map(|(key, (node, _))| (*key, *node)).collect();
+        for ((request, attempt), node) in unstarted {
+            self.hosts[n].out.remove(&(request, attempt));
             self.outcome(n, request, attempt, node, AttemptResult::ConnectFailed);
         }
     }
@@ -232,24 +243,24 @@
     fn outcome(&mut self, n: usize, request: u64, attempt: u32, node: NodeId, result: AttemptResult) {
         let (over, load) = (result == AttemptResult::Served, Load::default());
         let done = Outcome { request, attempt, node, result, latency: 20 * MS, over, used: None, load };
-        self.tell(n, Event::Outcome(done));
+        self.dispatch(n, Event::Outcome(done));
     }
 
     fn call(&mut self, n: usize) {
         let (number, now) = (self.order, self.now);
-        let head = &mut self.heads[n];
-        if head.calling.is_some() || head.watch.is_some() && !head.moving {
+        let host = &mut self.hosts[n];
+        if host.calling.is_some() || host.watch.is_some() && !host.moving {
             return;
         }
-        (head.calling, head.called) = (Some(number), now);
+        (host.calling, host.called) = (Some(number), now);
         *self.calls.entry(now / S).or_default() += 1;
         match (self.pushed, self.down) {
-            (true, false) => self.at(MS, Ev::Served(n, number)),
-            (true, true) => self.at(4 * STOP / 10, Ev::Refused(n)),
-            (false, true) => self.at(MS, Ev::Refused(n)),
+            (true, false) => self.at(MS, SimEvent::Served(n, number)),
+            (true, true) => self.at(4 * STOP / 10, SimEvent::Refused(n)),
+            (false, true) => self.at(MS, SimEvent::Refused(n)),
             (false, false) => {
                 self.queue.push_back((n, number, now));
-                self.at(UNANSWERED, Ev::Gone(n, number));
+                self.at(UNANSWERED, SimEvent::Gone(n, number));
                 self.turn();
             }
         }
@@ -257,14 +268,14 @@
 
     fn turn(&mut self) {
         while let Some((n, number, since)) = self.queue.front().copied().filter(|_| !self.busy) {
-            let late = self.now > since + PATIENCE;
+            let late = self.now > since + MAX_CALL_WAIT;
             if late && !self.late_costs {
                 self.queue.pop_front();
-                self.at(0, Ev::Refused(n));
+                self.at(0, SimEvent::Refused(n));
                 continue;
             }
             self.busy = true;
-            self.at(self.per_call, Ev::Served(n, number));
+            self.at(self.per_call, SimEvent::Served(n, number));
         }
     }
 
@@ -273,62 +284,65 @@
             self.busy = false;
             let since = self.queue.pop_front().map_or(0, |(.., since)| since);
             self.turn();
-            if self.now > since + PATIENCE + self.per_call {
+            if self.now > since + MAX_CALL_WAIT + self.per_call {
                 return self.refused(n);
             }
         }
-        if self.heads[n].calling != Some(number) {
+        if self.hosts[n].calling != Some(number) {
             return;
         }
         if self.silent_now {
-            // The answer to a call that was out is a watch too, and falls silent with the others.
-            self.heads[n].silent = Some(self.now);
+            // The answer to an open call establishes a watch too, which becomes silent with the others.
+            self.hosts[n].silent = Some(self.now);
             return;
         }
         let (now, drained) = (self.now, self.drained.is_some());
-        let head = &mut self.heads[n];
-        (head.calling, head.watch, head.last, head.moving) = (None, Some(number), now, false);
-        (head.silent, head.moved, head.heard, head.renewed) = (None, None, drained, now);
+        let host = &mut self.hosts[n];
+        (host.calling, host.watch, host.last, host.moving) = (None, Some(number), now, false);
+        (host.silent, host.moved, host.informed, host.renewed) = (None, None, drained, now);
         let list = self.list();
         self.news(n, ListUpdate::Full, list);
         if self.broken == Break::StaleLine {
             self.news(n, ListUpdate::Changes, vec![node(10, 1)]);
         }
         self.news(n, ListUpdate::Subscribed, Vec::new());
-        self.at(BEAT, Ev::Beat(n, number));
-        self.at(SILENCE, Ev::Quiet(n, number));
+        self.at(HEARTBEAT, SimEvent::Beat(n, number));
+        self.at(SILENCE, SimEvent::Quiet(n, number));
     }
 
     fn refused(&mut self, n: usize) {
-        if self.heads[n].calling.take().is_none() {
+        if self.hosts[n].calling.take().is_none() {
             return;
         }
         self.failed += 1;
-        let news =
-            if self.broken == Break::FailedCallIsNews { ListUpdate::Subscribed } else { ListUpdate::Failed };
+        let news = if self.broken == Break::FailedCallIsUpdate {
+            ListUpdate::Subscribed
+        } else {
+            ListUpdate::Failed
+        };
         self.news(n, news, Vec::new());
         if self.pushed {
-            self.heads[n].silent = None;
-            self.at(STOP / 10, Ev::Timer(n, u64::MAX - 1));
+            self.hosts[n].silent = None;
+            self.at(STOP / 10, SimEvent::Timer(n, u64::MAX - 1));
         }
     }
 
-    /// When the node's leaving counts as told to the head, by the platform's pages.
+    /// Returns when the host counts as informed that the node leaves, by the rules of the platform.
     fn told(&self, n: usize) -> Option<Micros> {
-        let (made, head) = (self.drained?, &self.heads[n]);
+        let (made, host) = (self.drained?, &self.hosts[n]);
         if self.pushed && self.down {
-            return None; // the agent learns nothing, and what it gets at the return counts then
+            return None; // the agent learns nothing; what it gets when discovery returns counts then
         }
-        let silent = head.silent.map(|since| made.max(since + 6 * S).max(self.back));
-        let moved = head.moved.map(|since| made.max(since + 4 * S));
+        let silent = host.silent.map(|since| made.max(since + 6 * S).max(self.back));
+        let moved = host.moved.map(|since| made.max(since + 4 * S));
         let unwatched = match self.pushed {
             true => made.max(self.back),
-            // Whatever failed, was refused or given up: 6 s after discovery had it and could be reached.
+            // Whatever failed, was refused or given up: 6 s after discovery had the change and was reachable.
             false if self.down => Micros::MAX,
-            false => (made.max(head.called).max(self.back) + ASK_WITHIN).min(made.max(self.back) + 6 * S),
+            false => (made.max(host.called).max(self.back) + ASK_WITHIN).min(made.max(self.back) + 6 * S),
         };
-        let stands = head.watch.is_some() && head.silent.is_none() && head.moved.is_none();
-        let rest = match (head.heard, stands) {
+        let stands = host.watch.is_some() && host.silent.is_none() && host.moved.is_none();
+        let rest = match (host.informed, stands) {
             (true, _) | (_, true) => made,
             _ if self.pushed && (silent.is_some() || moved.is_some()) => Micros::MAX,
             _ => unwatched,
@@ -337,128 +351,130 @@
     }
 
     fn run(&mut self, drain: Micros) -> &mut World {
-        let all = 0..self.heads.len();
+        let all = 0..self.hosts.len();
         for n in all.clone() {
             self.news(n, ListUpdate::Cached, vec![node(10, 1), node(11, 2)]);
             if self.pushed {
                 self.call(n);
             }
         }
-        let common = if self.trouble == Trouble::SilentEarly { S } else { COMMON };
-        self.at(common, Ev::Trouble(0));
-        self.at(drain, Ev::Drain);
+        let fault_at = if self.trouble == Trouble::SilentEarly { S } else { FAULT_AT };
+        self.at(fault_at, SimEvent::Trouble(0));
+        self.at(drain, SimEvent::Drain);
         for n in all {
-            self.at(drain.min(common) + (n as u64 * 7_919) % 500_000, Ev::Ask(n));
+            self.at(drain.min(fault_at) + (n as u64 * 7_919) % 500_000, SimEvent::Ask(n));
         }
-        let end = common + 40 * S;
+        let end = fault_at + 40 * S;
         while let Some(Reverse((at, _, ev))) = self.due.pop().filter(|Reverse((at, ..))| *at < end) {
             self.now = at;
-            self.step(ev, common);
+            self.step(ev, fault_at);
         }
         self
     }
 
-    fn step(&mut self, ev: Ev, common: Micros) {
+    fn step(&mut self, ev: SimEvent, fault_at: Micros) {
         match ev {
-            Ev::Timer(n, token) if self.pushed && token == u64::MAX - 1 => self.call(n),
-            Ev::Timer(n, token) => self.tell(n, Event::Timer { token }),
-            Ev::Served(n, number) => self.served(n, number),
-            Ev::Refused(n) => self.refused(n),
-            Ev::Gone(n, number) if self.heads[n].calling == Some(number) => {
-                self.heads[n].calling = None;
-                let ignored = self.broken == Break::UnansweredIsNews;
+            SimEvent::Timer(n, token) if self.pushed && token == u64::MAX - 1 => self.call(n),
+            SimEvent::Timer(n, token) => self.dispatch(n, Event::Timer { token }),
+            SimEvent::Served(n, number) => self.served(n, number),
+            SimEvent::Refused(n) => self.refused(n),
+            SimEvent::Gone(n, number) if self.hosts[n].calling == Some(number) => {
+                self.hosts[n].calling = None;
+                let ignored = self.broken == Break::UnansweredCallIsUpdate;
                 self.news(n, if ignored { ListUpdate::Subscribed } else { ListUpdate::TimedOut }, Vec::new());
             }
-            Ev::Beat(n, number)
-                if self.heads[n].watch == Some(number)
-                    && (self.heads[n].silent.is_none() || self.broken == Break::SilenceUnseen) =>
+            SimEvent::Beat(n, number)
+                if self.hosts[n].watch == Some(number)
+                    && (self.hosts[n].silent.is_none() || self.broken == Break::SilenceUndetected) =>
             {
-                self.heads[n].last = self.now;
+                self.hosts[n].last = self.now;
                 self.news(n, ListUpdate::Heartbeat, Vec::new());
-                self.at(BEAT, Ev::Beat(n, number));
-                self.at(SILENCE, Ev::Quiet(n, number));
+                self.at(HEARTBEAT, SimEvent::Beat(n, number));
+                self.at(SILENCE, SimEvent::Quiet(n, number));
             }
-            Ev::Quiet(n, number) if self.heads[n].watch == Some(number) => {
-                if self.now < self.heads[n].last + SILENCE {
+            SimEvent::Quiet(n, number) if self.hosts[n].watch == Some(number) => {
+                if self.now < self.hosts[n].last + SILENCE {
                     return;
                 }
-                self.heads[n].watch = None;
+                self.hosts[n].watch = None;
                 self.news(n, ListUpdate::TimedOut, Vec::new());
                 if self.pushed {
                     self.call(n);
                 }
             }
-            Ev::Ask(n) => {
-                let (now, head) = (self.now, &mut self.heads[n]);
-                head.serial += 1;
-                let id = head.serial;
-                self.tell(n, Event::Request(request(id)));
-                if now < common + if self.trouble == Trouble::DownLong { 39 * S } else { 20 * S } {
-                    self.at(450 * MS, Ev::Ask(n));
+            SimEvent::Ask(n) => {
+                let (now, host) = (self.now, &mut self.hosts[n]);
+                host.serial += 1;
+                let id = host.serial;
+                self.dispatch(n, Event::Request(request(id)));
+                if now < fault_at + if self.trouble == Trouble::DownLong { 39 * S } else { 20 * S } {
+                    self.at(450 * MS, SimEvent::Ask(n));
                 }
             }
-            Ev::Begin(n, request, attempt, node) if self.heads[n].out.contains_key(&(request, attempt)) => {
-                self.heads[n].out.insert((request, attempt), (node, true));
+            SimEvent::Begin(n, request, attempt, node)
+                if self.hosts[n].out.contains_key(&(request, attempt)) =>
+            {
+                self.hosts[n].out.insert((request, attempt), (node, true));
                 let late = self.told(n).is_some_and(|told| self.now > told.saturating_add(STOP + 50 * MS));
                 self.wrong += usize::from(node == 10 && late);
-                self.at(20 * MS, Ev::Answer(n, request, attempt));
+                self.at(20 * MS, SimEvent::Answer(n, request, attempt));
             }
-            Ev::Answer(n, request, attempt) => {
-                if let Some((node, _)) = self.heads[n].out.remove(&(request, attempt)) {
+            SimEvent::Answer(n, request, attempt) => {
+                if let Some((node, _)) = self.hosts[n].out.remove(&(request, attempt)) {
                     self.outcome(n, request, attempt, node, AttemptResult::Served);
                 }
             }
-            Ev::Overdue(n) if self.heads[n].policy.list_good_until() <= self.now => {
-                self.drop_unbegun(n, |_, _| true);
-                let head = &mut self.heads[n];
-                head.overdue.get_or_insert(self.now);
+            SimEvent::Overdue(n) if self.hosts[n].policy.list_good_until() <= self.now => {
+                self.drop_unstarted(n, |_, _| true);
+                let host = &mut self.hosts[n];
+                host.overdue.get_or_insert(self.now);
             }
-            Ev::Trouble(from) => self.strike(from),
-            Ev::OldGone(n, number) if self.heads[n].watch == Some(number) => {
-                self.heads[n].watch = None;
+            SimEvent::Trouble(from) => self.apply_trouble(from),
+            SimEvent::OldGone(n, number) if self.hosts[n].watch == Some(number) => {
+                self.hosts[n].watch = None;
                 self.news(n, ListUpdate::Failed, Vec::new());
             }
-            Ev::Drain => {
+            SimEvent::Drain => {
                 self.drained = Some(self.now);
-                for n in 0..self.heads.len() {
-                    if self.heads[n].watch.is_some() && self.heads[n].silent.is_none() {
-                        self.heads[n].heard = true;
+                for n in 0..self.hosts.len() {
+                    if self.hosts[n].watch.is_some() && self.hosts[n].silent.is_none() {
+                        self.hosts[n].informed = true;
                         let change = self.list()[..1].to_vec();
                         self.news(n, ListUpdate::Changes, change);
                     }
                 }
             }
-            Ev::Back => (self.down, self.back) = (false, self.now),
+            SimEvent::Back => (self.down, self.back) = (false, self.now),
             _ => {}
         }
     }
 
-    fn strike(&mut self, from: usize) {
-        let (now, all) = (self.now, 0..self.heads.len());
+    fn apply_trouble(&mut self, from: usize) {
+        let (now, all) = (self.now, 0..self.hosts.len());
         match self.trouble {
             Trouble::Silent | Trouble::SilentEarly => {
                 self.silent_now = self.trouble == Trouble::SilentEarly && from == 0;
                 if self.silent_now {
-                    self.at(S, Ev::Trouble(1));
+                    self.at(S, SimEvent::Trouble(1));
                 }
-                for head in self.heads.iter_mut().filter(|_| from == 0) {
-                    head.silent = head.watch.map(|_| now);
+                for host in self.hosts.iter_mut().filter(|_| from == 0) {
+                    host.silent = host.watch.map(|_| now);
                 }
             }
             Trouble::Ended => all.for_each(|n| self.end(n)),
             Trouble::Down | Trouble::DownLong => {
                 (self.down, self.busy) = (true, false);
-                self.at(if self.trouble == Trouble::Down { 8 * S } else { 25 * S }, Ev::Back);
+                self.at(if self.trouble == Trouble::Down { 8 * S } else { 25 * S }, SimEvent::Back);
                 for (n, ..) in std::mem::take(&mut self.queue) {
                     self.refused(n);
                 }
-                all.for_each(|n| if self.pushed { self.heads[n].silent = Some(now) } else { self.end(n) });
+                all.for_each(|n| if self.pushed { self.hosts[n].silent = Some(now) } else { self.end(n) });
             }
             Trouble::Restart => {
                 for n in all.clone() {
-                    let mut head = self.head(all.len() as u32, n as u32, 2);
-                    head.serial = 2 << 32;
-                    self.heads[n] = head;
+                    let mut host = self.host(all.len() as u32, n as u32, 2);
+                    host.serial = 2 << 32;
+                    self.hosts[n] = host;
                     self.news(n, ListUpdate::Cached, vec![node(10, 1), node(11, 2)]);
                     if self.pushed {
                         self.news(n, ListUpdate::Failed, Vec::new());
@@ -468,39 +484,39 @@
             }
             Trouble::Moved => {
                 let each = 4 * S / all.len() as u64;
-                let head = &mut self.heads[from];
-                (head.moving, head.moved) = (true, Some(now));
-                if let Some(number) = head.watch {
-                    self.at(1_500 * MS, Ev::OldGone(from, number));
+                let host = &mut self.hosts[from];
+                (host.moving, host.moved) = (true, Some(now));
+                if let Some(number) = host.watch {
+                    self.at(1_500 * MS, SimEvent::OldGone(from, number));
                 }
                 self.news(from, ListUpdate::Moved, Vec::new());
                 if self.pushed {
                     self.call(from);
                 }
                 if from + 1 < all.len() {
-                    self.at(each, Ev::Trouble(from + 1));
+                    self.at(each, SimEvent::Trouble(from + 1));
                 }
             }
         }
     }
 
     fn end(&mut self, n: usize) {
-        if self.heads[n].watch.take().is_some() {
+        if self.hosts[n].watch.take().is_some() {
             self.news(n, ListUpdate::Failed, Vec::new());
             if self.pushed {
-                self.at(STOP / 10, Ev::Timer(n, u64::MAX - 1));
+                self.at(STOP / 10, SimEvent::Timer(n, u64::MAX - 1));
             }
         }
     }
 
-    /// When the last head had its list after what struck all, how many calls came in the fullest second, how
-    /// many failed, and for how long heads gave no work, in the mean.
-    fn figures(&self, common: Micros) -> (Micros, usize, usize, Micros) {
-        let still = |head: &Head| head.overdue_for + head.overdue.map_or(0, |since| self.now - since);
-        let last = self.heads.iter().map(|head| head.renewed).max().unwrap_or(0).saturating_sub(common);
-        let peak = self.calls.iter().filter(|(at, _)| **at >= common / S).map(|(_, calls)| *calls).max();
-        let overdue: Micros = self.heads.iter().map(still).sum();
-        (last, peak.unwrap_or(0), self.failed, overdue / self.heads.len() as u64)
+    /// Returns the time from the fault until the last host had its list, the most calls in one second, the
+    /// number of failed calls, and the mean time for which hosts started no attempts.
+    fn figures(&self, fault_at: Micros) -> (Micros, usize, usize, Micros) {
+        let still = |host: &Host| host.overdue_for + host.overdue.map_or(0, |since| self.now - since);
+        let last = self.hosts.iter().map(|host| host.renewed).max().unwrap_or(0).saturating_sub(fault_at);
+        let peak = self.calls.iter().filter(|(at, _)| **at >= fault_at / S).map(|(_, calls)| *calls).max();
+        let overdue: Micros = self.hosts.iter().map(still).sum();
+        (last, peak.unwrap_or(0), self.failed, overdue / self.hosts.len() as u64)
     }
 }
 
@@ -529,17 +545,17 @@
     Trouble::Moved,
 ];
 
-fn played(heads: u32, pushed: bool, trouble: Trouble, offset: i64, broken: Break) -> World {
-    let common = if trouble == Trouble::SilentEarly { S } else { COMMON };
-    // Discovery serves all heads in 7.2 s, as was seen of 300.
-    let mut world = World::new(heads, pushed, 24 * MS, trouble, broken);
-    world.run(common.saturating_add_signed(offset * MS as i64));
+fn simulate(hosts: u32, pushed: bool, trouble: Trouble, offset: i64, broken: Break) -> World {
+    let fault_at = if trouble == Trouble::SilentEarly { S } else { FAULT_AT };
+    // Discovery serves 300 hosts in 7.2 s.
+    let mut world = World::new(hosts, pushed, 24 * MS, trouble, broken);
+    world.run(fault_at.saturating_add_signed(offset * MS as i64));
     world
 }
 
 #[test]
-fn nothing_begins_at_a_leaving_node_too_long_after_that_counts_as_told() {
-    for (heads, offsets) in [
+fn no_attempt_starts_at_a_leaving_node_later_than_the_settings_allow() {
+    for (hosts, offsets) in [
         (1, &[-700, 400, 2_000, 4_100, 7_000, 9_000, 25_100][..]),
         (5, &[400, 4_100, 8_500, 11_000, 25_100, 26_000]),
         (30, &[8_100, 25_100]),
@@ -548,21 +564,21 @@
     ] {
         for pushed in [false, true] {
             for trouble in ALL {
-                if trouble == Trouble::DownLong && heads > 30 {
-                    continue; // it shows how far calls back off, and takes long
+                if trouble == Trouble::DownLong && hosts > 30 {
+                    continue; // shows the maximum back-off of calls, and takes long
                 }
                 let mut worst = (0, 0, 0, 0);
                 for offset in offsets.iter().copied() {
-                    let world = played(heads, pushed, trouble, offset, Break::None);
-                    let what = format!("{heads} heads, pushed {pushed}, {trouble:?}, {offset} ms");
+                    let world = simulate(hosts, pushed, trouble, offset, Break::None);
+                    let what = format!("{hosts} hosts, pushed {pushed}, {trouble:?}, {offset} ms");
                     assert_eq!(world.wrong, 0, "{what}");
-                    worst = worst.max(world.figures(COMMON));
-                    let unheard = world.heads.iter().filter(|head| !head.heard).count();
-                    assert_eq!(unheard, 0, "{what}: without the list 30 s later");
+                    worst = worst.max(world.figures(FAULT_AT));
+                    let uninformed = world.hosts.iter().filter(|host| !host.informed).count();
+                    assert_eq!(uninformed, 0, "{what}: hosts without the list 30 s later");
                 }
                 let (last, peak, failed, overdue) = worst;
                 println!(
-                    "{heads:5} heads {} {trouble:?}: the last list after {} ms, {peak} calls in a second, {failed} \
+                    "{hosts:5} hosts {} {trouble:?}: the last list after {} ms, {peak} calls in a second, {failed} \
                      failed, no work for {} ms",
                     if pushed { "pushed" } else { "asked" },
                     last / MS,
@@ -574,35 +590,38 @@
 }
 
 #[test]
-fn it_holds_for_a_thousand_heads_that_discovery_cannot_serve_in_time() {
+fn the_limit_holds_for_a_thousand_hosts_that_discovery_cannot_serve_in_time() {
     for (trouble, late_costs) in [(Trouble::Silent, false), (Trouble::Silent, true), (Trouble::Moved, false)]
     {
         let mut world = World::new(1024, false, 24 * MS, trouble, Break::None);
         world.late_costs = late_costs;
-        world.run(COMMON + 400 * MS);
-        let figures = world.figures(COMMON);
+        world.run(FAULT_AT + 400 * MS);
+        let figures = world.figures(FAULT_AT);
         assert_eq!(world.wrong, 0);
-        println!("1024 heads {trouble:?}, late calls cost {late_costs}: {figures:?}");
+        println!("1024 hosts {trouble:?}, late calls cost {late_costs}: {figures:?}");
     }
 }
 
 #[test]
-fn each_deliberate_break_is_caught() {
-    for (broken, trouble, heads) in [
-        (Break::SilenceUnseen, Trouble::Silent, 350),
-        (Break::NoLookAtTheFirstByte, Trouble::Silent, 350),
-        (Break::FailedCallIsNews, Trouble::Down, 100),
+fn each_deliberate_fault_is_found() {
+    for (broken, trouble, hosts) in [
+        (Break::SilenceUndetected, Trouble::Silent, 350),
+        (Break::NoCheckBeforeFirstByte, Trouble::Silent, 350),
+        (Break::FailedCallIsUpdate, Trouble::Down, 100),
         (Break::StaleLine, Trouble::Silent, 350),
-        (Break::UnansweredIsNews, Trouble::SilentEarly, 350),
+        (Break::UnansweredCallIsUpdate, Trouble::SilentEarly, 350),
     ] {
-        let caught = [400, 2_000, 4_100].map(|offset| {
-            let world = played(heads, false, trouble, offset, broken);
-            world.wrong + world.heads.iter().filter(|head| !head.heard).count()
+        let found = [400, 2_000, 4_100].map(|offset| {
+            let world = simulate(hosts, false, trouble, offset, broken);
+            world.wrong + world.hosts.iter().filter(|host| !host.informed).count()
         });
-        assert!(caught.iter().sum::<usize>() > 0, "{broken:?} was not caught");
+        assert!(found.iter().sum::<usize>() > 0, "{broken:?} was not found");
     }
-    // A draw that is too wide breaks no rule: heads stand still for as long.
-    let still = |broken| played(350, false, Trouble::Silent, 400, broken).figures(COMMON).3;
-    let (kept, late) = (still(Break::None), still(Break::LateDraw));
-    assert!(late > 2 * kept.max(S), "no work for {kept} us, and with a draw that is too wide for {late} us");
+    // Calls that are spread over too long a time break no rule, but hosts start no attempts meanwhile.
+    let idle_time = |broken| simulate(350, false, Trouble::Silent, 400, broken).figures(FAULT_AT).3;
+    let (kept, late) = (idle_time(Break::None), idle_time(Break::LateDraw));
+    assert!(
+        late > 2 * kept.max(S),
+        "no attempts for {kept} us, and with calls spread too widely for {late} us"
+    );
 }
--- a/tests/logbook.rs
+++ b/tests/logbook.rs
@@ -1,4 +1,4 @@
-//! `pathbank-log` as a program: what it prints and how it exits.
+//! Runs `pathbank-log` and checks its output and exit codes.
 
 #![allow(clippy::unwrap_used, clippy::expect_used, reason = "a test fails by a panic")]
 
@@ -16,38 +16,38 @@
     "\n",
 );
 
-/// The exit code, standard output and standard error.
+/// Runs `pathbank-log`; returns the exit code, standard output and standard error.
 fn run(arguments: &[&str], input: &str) -> (Option<i32>, String, String) {
     let mut command = Command::new(env!("CARGO_BIN_EXE_pathbank-log"));
     command.args(arguments).stdin(Stdio::piped()).stdout(Stdio::piped()).stderr(Stdio::piped());
     let mut child = command.spawn().unwrap();
     let mut stdin = child.stdin.take().unwrap();
-    // It may end before it has read all, where its arguments are no good.
+    // With invalid arguments the program may end before it has read all input.
     let _ = stdin.write_all(input.as_bytes());
     drop(stdin);
-    let output = child.wait_with_output().unwrap();
+    let result = child.wait_with_output().unwrap();
     let text = |bytes: Vec<u8>| String::from_utf8(bytes).unwrap();
-    (output.status.code(), text(output.stdout), text(output.stderr))
+    (result.status.code(), text(result.stdout), text(result.stderr))
 }
 
 #[test]
-fn lines_are_shown_followed_and_summed_up() {
+fn lines_are_shown_followed_and_summarized() {
     let count = |arguments: &[&str]| run(arguments, LINES).1.lines().count();
     assert_eq!(count(&["show"]), 4);
     assert_eq!(count(&["show", "-s", "warning"]), 1);
     assert_eq!(count(&["show", "--where", "msgid=ATTEMPT", "--where", "took_us>=2000"]), 1);
-    let (code, told, _) = run(&["follow", "5"], LINES);
-    assert_eq!((code, told.lines().count()), (Some(0), 3));
-    assert!(told.lines().nth(1).unwrap().contains("attempt 1 at s-2: another after error"), "{told}");
+    let (code, output, _) = run(&["follow", "5"], LINES);
+    assert_eq!((code, output.lines().count()), (Some(0), 3));
+    assert!(output.lines().nth(1).unwrap().contains("attempt 1 at s-2: another after error"), "{output}");
     let (_, table, _) = run(&["sum", "node"], LINES);
     let rows: Vec<&str> = table.lines().skip(1).filter_map(|row| row.split_whitespace().next()).collect();
     assert_eq!(rows, ["s-1", "s-2"]);
 }
 
 #[test]
-fn faults_are_told_by_line_and_byte_and_by_the_exit_code() {
-    let (code, told, _) = run(&["check"], &format!("{LINES}{LINES}"));
-    assert_eq!((code, told.as_str()), (Some(0), "4 lines, 0 malformed, 4 repeated, 1 missing\n"));
+fn malformed_lines_are_reported_with_their_position_and_by_the_exit_code() {
+    let (code, output, _) = run(&["check"], &format!("{LINES}{LINES}"));
+    assert_eq!((code, output.as_str()), (Some(0), "4 lines, 0 malformed, 4 repeated, 1 missing\n"));
     let (code, _, errors) = run(&["check"], &format!("{LINES}<30>2 - - - - - -\n"));
     assert_eq!(code, Some(1));
     assert!(errors.contains("standard input, line 5, byte 4: version 1 is due"), "{errors}");
