--- a/src/staleness.rs
+++ b/src/staleness.rs
@@ -5,9 +5,9 @@
 
 /// Interval of heartbeats on a watch without changes, microseconds.
 pub const BEAT: Micros = 2_000_000;
-/// Time after which a host counts as informed of a change, microseconds. It runs from the moment at which
-/// discovery had the change and was reachable, whether the watch became silent or calls failed, were refused
-/// or were given up.
+/// Time after which a change counts as told, which means that the platform expects the host to know it,
+/// microseconds. The time runs from the moment at which discovery had the change and was reachable, whether
+/// the watch became silent or calls failed, were refused or were given up.
 pub const TOLD: Micros = 6_000_000;
 /// The same time where discovery has moved to another address, counted from the move, microseconds.
 const TOLD_MOVED: Micros = 4_000_000;
@@ -21,9 +21,9 @@
 const RESERVED: f64 = 0.2;
 
 /// Whether a failed call shows that discovery is down. Hosts spread their calls at random over the time in
-/// which their lists are still usable. If discovery works off the calls that remain then before a call waits
-/// too long, a call fails only because discovery is down. With more hosts, a call may also fail because it
-/// waited too long.
+/// which their lists are still usable. If discovery can serve the calls that remain at its end before one of
+/// them waits too long, a call fails only because discovery is down. With more hosts, a call may also fail
+/// because it waited too long.
 fn failed_when_down(hosts: u32) -> bool {
     CALL_TAKES * u64::from(hosts) < TOLD + CALL_WAITS
 }
@@ -36,8 +36,8 @@
     Unknown,
     /// A watch is established.
     Watched,
-    /// Its connection is open, but nothing arrives: the time after which its missed changes count as told
-    /// runs.
+    /// The connection of the watch is open, but nothing arrives: the changes that it misses count as told
+    /// after `TOLD`.
     Silent,
     /// There is no watch: it was closed, or the host has just started.
     Ended,
