--- a/crates/fair-queue/src/lib.rs
+++ b/crates/fair-queue/src/lib.rs
@@ -1,11 +1,11 @@
 //! Fair queueing over flows that share servers, after MQFQ-Sticky.
 //!
 //! Each flow has one virtual time and one queue per server. A server with a free slot takes the longest queue
-//! among the active flows that are not throttled, with ties to fewest in flight, and of that queue the oldest
-//! request. The request's estimated size is added to its flow's virtual time. A flow more than the overrun
-//! ahead of the global virtual time (the lowest among active flows) is throttled; a server that finds only
-//! throttled work serves the flow with the lowest virtual time. A flow that comes back from being idle takes
-//! the larger of its own and the global virtual time.
+//! among the active flows that are not throttled, and of that queue the oldest request; ties go to the flow
+//! with the fewest requests in flight. The request's estimated size is added to its flow's virtual time. A
+//! flow whose virtual time is more than the overrun ahead of the global virtual time (the lowest among active
+//! flows) is throttled. If a server has requests of throttled flows only, it serves the flow with the lowest
+//! virtual time. A flow that becomes active again takes the larger of its own and the global virtual time.
 //!
 //! ```
 //! use pathbank_fair_queue::{FairQueue, Settings};
@@ -42,7 +42,7 @@
     }
 }
 
-/// An idle flow is kept for this long, and until the global virtual time has reached its own.
+/// How long an idle flow is kept at least. It is also kept until the global virtual time has reached its own.
 const IDLE_FLOW_RETENTION_MS: Millis = 120_000;
 
 #[derive(Clone, Debug)]
@@ -56,7 +56,7 @@
     state: FlowState,
     /// Queued requests by their order of arrival.
     requests: BTreeMap<(u64, R), QueuedRequest<S>>,
-    /// How many of them each server has.
+    /// The number of queued requests at each server.
     queue_lengths: BTreeMap<S, usize>,
 }
 
@@ -90,7 +90,7 @@
 }
 
 impl<F: Ord + Clone, S: Ord + Clone, R: Ord + Copy> FairQueue<F, S, R> {
-    /// An empty queue.
+    /// Creates an empty queue.
     pub fn new(settings: Settings) -> FairQueue<F, S, R> {
         FairQueue {
             settings,
@@ -149,7 +149,8 @@
         self.take_where(now, server, |_| true)
     }
 
-    /// [`FairQueue::take`] among eligible requests: some may not use a server's last slots.
+    /// Like [`FairQueue::take`], but takes an eligible request only: the caller may reserve a server's last
+    /// slots for some requests.
     pub fn take_where(&mut self, now: Millis, server: &S, eligible: impl Fn(R) -> bool) -> Option<R> {
         self.advance(now);
         let horizon = self.global_virtual_time + self.settings.overrun_sizes * self.largest_size;
@@ -179,7 +180,7 @@
         Some(Candidate { flow: name, virtual_time, length, in_flight, oldest })
     }
 
-    /// A request of a flow is no longer in flight.
+    /// Records that a request of a flow is no longer in flight.
     pub fn complete(&mut self, flow: &F) {
         if let Some(flow) = self.flows.get_mut(flow) {
             flow.state.completed();
@@ -213,7 +214,7 @@
         self.global_virtual_time
     }
 
-    /// The virtual time of a flow that is known.
+    /// The virtual time of a flow; `None`: the flow is not known.
     pub fn virtual_time(&self, flow: &F) -> Option<f64> {
         self.flows.get(flow).map(|flow| flow.state.virtual_time)
     }
@@ -229,7 +230,7 @@
         });
     }
 
-    /// The global virtual time is the lowest among active flows, and never decreases.
+    /// Raises the global virtual time to the lowest virtual time among active flows. It never decreases.
     fn advance(&mut self, now: Millis) {
         let anticipation = self.settings.anticipation;
         let states = self.flows.values().map(|flow| &flow.state);
--- a/crates/fair-queue/tests/design.rs
+++ b/crates/fair-queue/tests/scheduling.rs
@@ -1,4 +1,4 @@
-//! The rules of MQFQ-Sticky, one by one.
+//! Tests of the scheduling rules of MQFQ-Sticky.
 
 #![allow(clippy::unwrap_used, clippy::expect_used, reason = "a test fails by a panic")]
 
@@ -18,12 +18,12 @@
 }
 
 #[test]
-fn the_longest_queue_at_the_server_goes_first_with_its_oldest_request() {
+fn a_server_takes_the_oldest_request_of_its_longest_queue() {
     let mut queue = queue();
     push(&mut queue, 0, "a", SERVER, &[1], 1.0);
     push(&mut queue, 0, "b", SERVER, &[2, 3], 1.0);
     push(&mut queue, 0, "c", OTHER, &[4, 5, 6], 1.0);
-    assert_eq!(queue.take(0, &SERVER), Some(2), "the queue there counts, not the flow's queues elsewhere");
+    assert_eq!(queue.take(0, &SERVER), Some(2), "flow c's queue is at the other server");
 }
 
 #[test]
@@ -32,18 +32,22 @@
     push(&mut queue, 0, "a", SERVER, &[1, 2], 1.0);
     push(&mut queue, 0, "b", SERVER, &[3], 1.0);
     assert_eq!(queue.take(0, &SERVER), Some(1));
-    assert_eq!(queue.take(0, &SERVER), Some(3), "both wait with one; a has one in flight");
+    assert_eq!(queue.take(0, &SERVER), Some(3), "equal queues, but flow a has one in flight");
     queue.complete(&"a");
     assert_eq!(queue.take(0, &SERVER), Some(2));
 }
 
 #[test]
-fn the_estimated_size_is_charged_and_a_flow_too_far_ahead_is_throttled() {
+fn the_size_is_added_to_the_virtual_time_and_a_flow_too_far_ahead_is_throttled() {
     let mut queue = queue();
     push(&mut queue, 0, "greedy", SERVER, &[1, 2, 3, 4, 5, 6], 1.0);
     push(&mut queue, 0, "modest", SERVER, &[10], 1.0);
     let taken: Vec<u64> = (0..4).filter_map(|_| queue.take(0, &SERVER)).collect();
-    assert_eq!(taken, [1, 2, 3, 10], "after three sizes it is more than T = 2 ahead of the modest flow");
+    assert_eq!(
+        taken,
+        [1, 2, 3, 10],
+        "after three requests of size 1 the greedy flow is more than T = 2 ahead"
+    );
     assert_eq!(queue.virtual_time(&"greedy"), Some(3.0));
     assert_eq!(queue.virtual_time(&"modest"), Some(1.0));
 }
@@ -57,7 +61,7 @@
     assert_eq!(
         taken,
         [1, 2, 3, 4, 5],
-        "throttled by a flow whose work is elsewhere, and served all the same"
+        "the other flow's request is at another server, so the throttled flow is served"
     );
 }
 
@@ -70,7 +74,10 @@
     (0..3).for_each(|_| assert!(queue.take(5_000, &SERVER).is_some()));
     push(&mut queue, 5_000, "idle", SERVER, &[6], 1.0);
     let (back, global) = (queue.virtual_time(&"idle").unwrap(), queue.global_virtual_time());
-    assert!(back >= global.min(31.0) && back > 1.0, "back at {back}, global {global}");
+    assert!(
+        back >= global.min(31.0) && back > 1.0,
+        "virtual time of the reactivated flow: {back}, global: {global}"
+    );
 }
 
 #[test]
@@ -81,10 +88,13 @@
     push(&mut queue, 10, "other", SERVER, &[2, 3], 5.0);
     assert!(queue.take(10, &SERVER).is_some());
     assert!(queue.take(500, &SERVER).is_some());
-    assert!(queue.global_virtual_time() <= 1.0, "before its second arrival it stays active for a second");
+    assert!(
+        queue.global_virtual_time() <= 1.0,
+        "the emptied flow is active for 1 s, as it has no inter-arrival time"
+    );
     push(&mut queue, 1_500, "other", SERVER, &[4], 5.0);
     assert!(queue.take(1_500, &SERVER).is_some());
-    assert!(queue.global_virtual_time() > 1.0, "then it does not");
+    assert!(queue.global_virtual_time() > 1.0, "the emptied flow is no longer active after 1 s");
 }
 
 #[test]
@@ -96,12 +106,12 @@
     assert!(!queue.remove(0, 1));
     queue.reassign(2, OTHER);
     assert_eq!(queue.take(0, &SERVER), None);
-    assert_eq!(queue.take(0, &OTHER), Some(2), "older than 3");
+    assert_eq!(queue.take(0, &OTHER), Some(2), "request 2 arrived before request 3");
     assert_eq!(queue.queued_at(&OTHER), 1);
     assert_eq!(queue.len(), 1);
 }
 
-// ---- the parts that other schedulers use ----
+// ---- the public parts: `choose` and `FlowState` ----
 
 fn candidate(flow: u8, virtual_time: f64, length: usize, in_flight: usize, oldest: u64) -> Candidate<u8> {
     Candidate { flow, virtual_time, length, in_flight, oldest }
@@ -119,7 +129,7 @@
 }
 
 #[test]
-fn a_throttled_flow_is_skipped_unless_all_are() {
+fn a_throttled_flow_is_skipped_unless_all_flows_are_throttled() {
     let one = [candidate(1, 6.0, 9, 0, 1), candidate(2, 5.0, 1, 0, 2)];
     assert_eq!(choose(&one, 5.0), Some(2));
     let all = [candidate(1, 8.0, 9, 0, 1), candidate(2, 6.0, 1, 0, 2)];
@@ -129,22 +139,25 @@
 #[test]
 fn an_emptied_flow_stays_active_for_multiples_of_its_interarrival_time() {
     let anticipation = Anticipation { gaps: 2.0, first: 1_000 };
-    assert!(!FlowState::default().is_active(1, anticipation), "nothing ever came");
+    assert!(!FlowState::default().is_active(1, anticipation), "no request has arrived");
     let mut flow = FlowState::first_arrival(100, 7.0);
     flow.enqueued();
     flow.dequeued(110);
     assert!(flow.is_active(1_109, anticipation) && !flow.is_active(1_110, anticipation));
     flow.arrive(300, 50.0, anticipation);
-    assert_eq!(flow.virtual_time, 7.0, "it was active still");
+    assert_eq!(flow.virtual_time, 7.0, "the flow was still active");
     flow.enqueued();
     flow.dispatched(3.0);
     flow.dequeued(300);
     assert_eq!((flow.virtual_time, flow.in_flight), (10.0, 1));
-    assert!(flow.is_active(699, anticipation) && !flow.is_active(700, anticipation), "two gaps of 200");
+    assert!(
+        flow.is_active(699, anticipation) && !flow.is_active(700, anticipation),
+        "two inter-arrival times of 200"
+    );
     flow.completed();
     assert_eq!(flow.in_flight, 0);
     flow.arrive(900, 50.0, anticipation);
-    assert_eq!(flow.virtual_time, 50.0, "it comes back at the global virtual time");
+    assert_eq!(flow.virtual_time, 50.0, "the flow was idle and takes the global virtual time");
 }
 
 #[test]
@@ -153,10 +166,10 @@
     [(1, "a"), (2, "a"), (3, "a"), (4, "b")]
         .into_iter()
         .for_each(|(id, flow)| queue.push(0, flow, 1, id, 1.0));
-    // The oldest of the longest queue has to leave the slot to others: the next one of that queue goes.
+    // The oldest request of the longest queue is not eligible, so the next one of that queue is taken.
     assert_eq!(queue.take_where(0, &1, |id| id != 1), Some(2));
-    // A queue with nothing eligible is passed over.
+    // A queue without an eligible request is skipped.
     assert_eq!(queue.take_where(0, &1, |id| id == 4), Some(4));
     assert_eq!(queue.take_where(0, &1, |_| false), None);
-    assert_eq!(queue.take(0, &1), Some(1), "once it is eligible it is the oldest still");
+    assert_eq!(queue.take(0, &1), Some(1), "request 1 is still the oldest once it is eligible");
 }
