--- a/crates/router/src/core_choice.rs
+++ b/crates/router/src/core_choice.rs
@@ -8,12 +8,12 @@
 use pathbank_protocol::message::CoreStatus;
 use std::collections::BTreeMap;
 
-/// An announced configuration that has not arrived within this time is fetched, and again after the same
-/// time.
+/// An announced configuration that does not arrive within this time is fetched. The first repetition follows
+/// after the same time.
 const FETCH_TIMEOUT_MS: Millis = 200;
-/// From then on the time-out doubles, at most this often.
+/// For further repetitions the time-out doubles, at most this often.
 const MAX_FETCH_BACKOFF_DOUBLINGS: u32 = 3;
-/// Time-out while the subscribed core has the configuration: it is about to send it.
+/// The time-out while the subscribed core has the configuration: that core is about to send it.
 const DELIVERY_TIMEOUT_MS: Millis = 1_500;
 /// A subscribed core that has not been current for this long is replaced by one that has been.
 const FAILOVER_TIMEOUT_MS: Millis = 300;
@@ -24,14 +24,14 @@
 /// Names a core by its address.
 pub type CoreAddress = std::net::SocketAddr;
 
-/// A message that is due to a core.
+/// A message that the edge has to send to a core.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum CoreAction {
     /// Subscribe to its updates.
     Subscribe(CoreAddress),
     /// Unsubscribe.
     Unsubscribe(CoreAddress),
-    /// Fetch what is newer than the configuration in force here.
+    /// Fetch the changes since the configuration in force here.
     Fetch(CoreAddress),
 }
 
@@ -50,12 +50,12 @@
 /// A configuration that was announced and has not arrived.
 #[derive(Clone, Copy, Debug)]
 struct MissingConfiguration {
-    /// The log entry of the configuration in force.
+    /// The index of the log entry of the configuration in force.
     known_index: u64,
     /// When it was announced, or fetched last.
     since: Millis,
-    /// How often it was fetched.
-    asked: u32,
+    /// The number of fetches so far.
+    fetches: u32,
 }
 
 /// The cores to which this edge is connected.
@@ -64,7 +64,7 @@
     zone: String,
     seed: u64,
     cores: BTreeMap<CoreAddress, Core>,
-    /// Since when a core is connected and none is chosen.
+    /// When the first core connected; `None` once a core is chosen.
     selecting_since: Option<Millis>,
     subscribed: Option<CoreAddress>,
     missing: Option<MissingConfiguration>,
@@ -95,7 +95,7 @@
         self.cores.insert(address, core);
     }
 
-    /// The connection to a core has ended.
+    /// Removes a core whose connection has ended.
     pub fn disconnected(&mut self, address: CoreAddress) {
         self.cores.remove(&address);
         if self.subscribed == Some(address) {
@@ -108,7 +108,8 @@
         self.subscribed
     }
 
-    /// The leader by the latest status of a current core; `None`: not known, or not connected.
+    /// The leader that the latest status of a current core names; `None`: the leader is not known, or the
+    /// edge is not connected to it.
     pub fn leader(&self) -> Option<CoreAddress> {
         let current = self.cores.values().filter(|core| core.current && !core.leader.is_empty());
         let leader = current.max_by_key(|core| core.updated_at)?.leader.parse().ok()?;
@@ -120,7 +121,8 @@
         self.cores.values().map(|core| core.edges).max().unwrap_or(0)
     }
 
-    /// Messages that are due now. `known_index`: the log entry of the configuration in force here; 0: none.
+    /// The messages that are due now. `known_index`: the index of the log entry of the configuration in force
+    /// here; 0: none.
     pub fn actions(&mut self, now: Millis, known_index: u64) -> Vec<CoreAction> {
         let mut actions = Vec::new();
         self.choose(now, &mut actions);
@@ -138,8 +140,8 @@
         actions.push(CoreAction::Subscribe(best));
     }
 
-    /// Whether the edge should keep its subscription. After a restart of all cores they become current one
-    /// after the other; if edges moved at once, all would move to the first one.
+    /// Whether the edge should keep its subscription. After a restart, the cores become current one after the
+    /// other; if edges did not wait, all of them would move to the first current core.
     fn is_well_served(&self, now: Millis) -> bool {
         let is_settled = |core: &Core| now >= core.status_since + FAILOVER_TIMEOUT_MS;
         let Some(core) = self.subscribed.and_then(|address| self.cores.get(&address)) else { return false };
@@ -165,27 +167,27 @@
             self.missing = None;
             return;
         }
-        let fresh = MissingConfiguration { known_index, since: now, asked: 0 };
+        let fresh = MissingConfiguration { known_index, since: now, fetches: 0 };
         let missing = self.missing.filter(|missing| missing.known_index == known_index).unwrap_or(fresh);
         self.missing = Some(missing);
         if now < missing.since + self.fetch_wait(&missing) {
             return;
         }
-        // Edges that lack it spread over the cores.
+        // The edges that lack the configuration spread their fetches over the cores.
         let draw = |address: &CoreAddress| {
-            unit_draw(self.seed.wrapping_add(missing.asked.into()), &address.to_string())
+            unit_draw(self.seed.wrapping_add(missing.fetches.into()), &address.to_string())
         };
         let newer = self.cores.iter().filter(|(_, core)| is_newer(core)).map(|(address, _)| *address);
         let chosen = newer.max_by(|one, other| draw(one).total_cmp(&draw(other)));
         actions.extend(chosen.map(CoreAction::Fetch));
-        self.missing = Some(MissingConfiguration { since: now, asked: missing.asked + 1, ..missing });
+        self.missing = Some(MissingConfiguration { since: now, fetches: missing.fetches + 1, ..missing });
     }
 
     fn fetch_wait(&self, missing: &MissingConfiguration) -> Millis {
         let subscribed = self.subscribed.and_then(|address| self.cores.get(&address));
         let is_delivery_expected =
             subscribed.is_some_and(|core| core.configuration_index > missing.known_index);
-        let wait = FETCH_TIMEOUT_MS << missing.asked.saturating_sub(1).min(MAX_FETCH_BACKOFF_DOUBLINGS);
+        let wait = FETCH_TIMEOUT_MS << missing.fetches.saturating_sub(1).min(MAX_FETCH_BACKOFF_DOUBLINGS);
         if is_delivery_expected { wait.max(DELIVERY_TIMEOUT_MS) } else { wait }
     }
 }
--- a/crates/router/src/dispatcher.rs
+++ b/crates/router/src/dispatcher.rs
@@ -1,9 +1,9 @@
 //! Dispatch: which request goes to which model server next.
 //!
-//! On its arrival a request is queued at one model server, the one that should answer it first. When that
+//! On its arrival a request is queued for one model server, the one that should answer it first. When that
 //! server has a free slot, the fair queue decides which of its requests is sent. A request for a model that
-//! is resident nowhere waits until it is. A request that cannot be served in time is rejected early, with a
-//! time to retry.
+//! is resident nowhere waits until the model is resident. A request that cannot be served in time is rejected
+//! early, with a time to retry.
 //!
 //! `load_shedding` decides rejections, `assignment` and `cost` the model server, `evacuations` which streams
 //! move before their server ends, `demand` what is reported to the leader.
@@ -31,7 +31,7 @@
 use prefix_cache::PrefixCache;
 use std::collections::{BTreeMap, BTreeSet};
 
-/// A request that waits is assigned anew at this interval.
+/// The interval at which a waiting request is assigned to a model server again.
 const REQUEUE_INTERVAL_MS: Millis = 40;
 
 /// The flow of a request in the fair queue: its backend and model.
@@ -84,7 +84,7 @@
         self.pending.len()
     }
 
-    /// A request that was not sent to a model server yet, with what it waits for.
+    /// A request that was not sent to a model server yet, and a text that says what the request waits for.
     pub fn queued(&self, id: RequestId) -> Option<(&Offer, &'static str)> {
         let pending = self.pending.get(&id)?;
         let waits_for = match pending.stage {
@@ -95,8 +95,8 @@
         Some((&pending.offer, waits_for))
     }
 
-    /// Takes a request. `first`: it has just arrived; otherwise this is a further attempt, after a model
-    /// server did not run it.
+    /// Takes a request. `first`: the request has just arrived; otherwise this is a further attempt after a
+    /// model server did not run the request.
     pub fn offer(&mut self, now: Millis, offer: Offer, first: bool) -> Vec<Action> {
         if first {
             self.record_demand(now, &offer);
@@ -115,8 +115,8 @@
         self.dispatch(now)
     }
 
-    /// A model server began to answer a request. `is_success`: the prompt was prefilled; a failure may come
-    /// without that.
+    /// Records that a model server began to answer a request. `is_success`: the answer shows that the prompt
+    /// was prefilled; a failure does not.
     pub fn response_started(&mut self, now: Millis, id: RequestId, is_success: bool) {
         let Some(pending) = self.pending.get_mut(&id) else { return };
         let Stage::Sent(instance) = &pending.stage else { return };
@@ -127,13 +127,13 @@
         }
     }
 
-    /// A model server's answer reported its load: requests running and queued there.
+    /// Takes a model server's load from its answer: requests running and queued there.
     pub fn observe_load(&mut self, now: Millis, instance: &str, running: u32, waiting: u32) {
         self.servers.observe_load(now, instance, running, waiting);
     }
 
-    /// A request's stream is complete. `pace_ms`: the time between its events while nothing else held them
-    /// up.
+    /// Records the pace of a complete stream. `pace_ms`: the time between its events while nothing else
+    /// delayed them.
     pub fn observe_decode_pace(&mut self, now: Millis, id: RequestId, pace_ms: f64) {
         let Some(pending) = self.pending.get(&id) else { return };
         if let Stage::Sent(instance) = &pending.stage {
@@ -141,17 +141,17 @@
         }
     }
 
-    /// The leader reported the loads of model servers over all edges.
+    /// Takes the leader's report of the loads of model servers over all edges.
     pub fn observe_total_loads(&mut self, now: Millis, loads: &[ModelServerLoad]) {
         loads.iter().for_each(|load| self.servers.observe_total_load(now, load));
     }
 
-    /// The leader reported which models are being loaded.
+    /// Takes the leader's report of the models that are being loaded.
     pub fn set_expected_models(&mut self, now: Millis, models: Vec<ExpectedModel>) {
         self.model_eta.set_expected_models(now, models);
     }
 
-    /// A core reported model servers.
+    /// Takes a core's report of model servers.
     pub fn update_servers(&mut self, now: Millis, update: ModelServerUpdate) -> Vec<Action> {
         let closed = self.servers.update(now, update);
         let stranded = self.pending.iter().filter(|(_, pending)| match &pending.stage {
@@ -167,7 +167,7 @@
         actions
     }
 
-    /// Advances time.
+    /// Advances time: assigns, sends, rejects and moves the requests that are due.
     pub fn tick(&mut self, now: Millis) -> Vec<Action> {
         let waiting = self.pending.iter().filter(|(_, pending)| pending.is_waiting());
         let waiting: Vec<RequestId> = waiting
@@ -186,7 +186,7 @@
         actions
     }
 
-    /// When [`Dispatcher::tick`] has to be called next; `None`: not until something else happens.
+    /// When [`Dispatcher::tick`] has to be called next; `None`: not before the next call of another method.
     pub fn next_tick(&self, now: Millis) -> Option<Millis> {
         let waits = |pending: &PendingRequest| {
             pending.is_waiting() || matches!(pending.evacuation, Evacuation::Planned(_))
@@ -194,7 +194,7 @@
         self.pending.values().any(waits).then_some(now + REQUEUE_INTERVAL_MS)
     }
 
-    // ---- stages: changed by these two functions alone ----
+    // ---- only these two functions change the stage of a request ----
 
     fn set_stage(&mut self, now: Millis, id: RequestId, stage: Stage) {
         let Some(pending) = self.pending.get_mut(&id) else { return };
@@ -226,7 +226,7 @@
         }
     }
 
-    // ---- free slots take queued requests ----
+    // ---- queued requests are sent to free slots ----
 
     fn dispatch(&mut self, now: Millis) -> Vec<Action> {
         let mut actions = Vec::new();
--- a/crates/router/src/dispatcher/assignment.rs
+++ b/crates/router/src/dispatcher/assignment.rs
@@ -1,4 +1,4 @@
-//! At which model server a request is queued.
+//! Chooses the model server for which a request is queued.
 
 use super::{Dispatcher, Offer, RequestId, Stage};
 use crate::Millis;
@@ -13,7 +13,7 @@
             Some(instance) => Stage::Queued(instance),
             None => Stage::Unassigned,
         };
-        // A load brings in the newest version, which is of no use to a request that expects an older one.
+        // A load brings in the newest version, which cannot serve a request that expects an older version.
         let offer = &pending.offer;
         let is_loaded = || self.servers.with_model(now, &offer.backend, &offer.name).next().is_some();
         let other_version = offer.version.is_some() && is_loaded();
--- a/crates/router/src/dispatcher/cost.rs
+++ b/crates/router/src/dispatcher/cost.rs
@@ -1,4 +1,4 @@
-//! The cost of an answer from each model server, in milliseconds until it begins.
+//! The cost of an answer from each model server, in milliseconds until the answer begins.
 
 use super::{Dispatcher, Offer};
 use crate::Millis;
@@ -6,19 +6,21 @@
 use crate::model_servers::{Instance, KnownModelServer};
 use pathbank_protocol::message::AdmissionOption;
 
-/// Weight of the prefill backlog: it delays every stream at the model server, not this request alone.
+/// Weight of the prefill backlog, which delays every stream at the model server and not this request alone.
 const BACKLOG_WEIGHT: u64 = 4;
-/// Cost of a model server with all slots taken, as a fraction of the slot time; less in proportion.
+/// Cost of a model server with all slots taken, as a fraction of the slot time. With fewer slots taken the
+/// cost is proportionally lower.
 const FULL_COST_FRACTION: f64 = 0.33;
 /// Cost of another zone, as a fraction of the latency target: traffic between zones costs more, and a link
 /// may fail.
 const CROSS_ZONE_COST_FRACTION: f64 = 0.03;
-/// Cost of a model server that fails every request, in latency targets; less in proportion. It is avoided,
-/// never excluded.
+/// Cost of a model server that fails every request, in latency targets. With a lower error rate the cost is
+/// proportionally lower. The server is avoided, never excluded.
 const ERROR_COST_TARGETS: f64 = 3.0;
-/// Streams stall while a model server prefills a prompt. Beyond this fraction of the target gap
+/// Streams stall while a model server prefills a prompt. A stall costs something only if it is longer than
+/// this fraction of the target gap.
 const STALL_GAP_FRACTION: f64 = 0.75;
-/// each stream there, up to this many, counts as one more late request.
+/// Each stalled stream at the model server, up to this many, costs as much as one more late request.
 const MAX_STALLED_STREAMS: f64 = 4.0;
 /// Random tie-break between equal model servers, milliseconds.
 const TIE_BREAK_MS: f64 = 3.0;
@@ -48,8 +50,8 @@
         options
     }
 
-    /// The cost of an answer from a model server, as milliseconds until it begins, by what this edge alone
-    /// knows.
+    /// The cost of an answer from a model server, in milliseconds until the answer begins, as far as this
+    /// edge knows on its own.
     pub(super) fn cost(
         &self,
         now: Millis,
@@ -76,7 +78,7 @@
         offer.input_tokens.saturating_sub(cached)
     }
 
-    /// The cost of a model server beside prefill, milliseconds.
+    /// The cost of a model server in addition to prefill, milliseconds.
     fn extra_cost(&self, now: Millis, offer: &Offer, instance: &Instance, known: &KnownModelServer) -> f64 {
         let queued = self.queue.queued_at(instance) as f64 / f64::from(known.server.capacity.max(1));
         let occupancy = known.occupancy(now) + queued;
--- a/crates/router/src/dispatcher/demand.rs
+++ b/crates/router/src/dispatcher/demand.rs
@@ -12,7 +12,7 @@
         std::mem::take(&mut self.urgent)
     }
 
-    /// Demand since the last call, and the load of each model server.
+    /// Returns the demand since the last call, and the load of each model server.
     pub fn take_report(&mut self) -> (Vec<ModelDemand>, Vec<ModelServerLoad>) {
         self.record_unassigned_demand();
         let demand = std::mem::take(&mut self.demand).into_values().collect();
@@ -29,6 +29,7 @@
         self.demand.entry((offer.backend.clone(), offer.name.clone())).or_insert_with(fresh)
     }
 
+    /// Records the demand of a request that has just arrived.
     pub(super) fn record_demand(&mut self, now: Millis, offer: &Offer) {
         if offer.name.model.is_empty() {
             return;
@@ -62,7 +63,7 @@
         self.demand_of(&pending.offer).slot_time_ms += slot_time_ms;
     }
 
-    /// Requests that were reported before and still wait count as waiting in each report.
+    /// Counts requests that were reported before and still wait as waiting in this report, too.
     fn record_unassigned_demand(&mut self) {
         let waits = |pending: &&PendingRequest| pending.reported && pending.stage == Stage::Unassigned;
         let offers: Vec<Offer> =
@@ -73,6 +74,7 @@
         }
     }
 
+    /// Records a request that waits for a model that is resident nowhere.
     pub(super) fn record_unassigned(&mut self, now: Millis, id: RequestId) {
         let lacks_adapter_only =
             self.pending.get(&id).is_some_and(|pending| self.lacks_adapter_only(now, &pending.offer));
--- a/crates/router/src/dispatcher/evacuations.rs
+++ b/crates/router/src/dispatcher/evacuations.rs
@@ -1,4 +1,4 @@
-//! Moves streams away from model servers that announced their end.
+//! Moves streams away from model servers that announced when they end.
 
 use super::{Action, Dispatcher, Evacuation, PendingRequest, Stage};
 use crate::Millis;
@@ -7,8 +7,8 @@
 use crate::model_servers::{Instance, KnownModelServer};
 
 impl Dispatcher {
-    /// Plans when each stream at a model server moves, if the server announced its end. Streams that have a
-    /// time keep it.
+    /// Plans when each stream at a model server moves, if the server announced when it ends. Streams that are
+    /// planned already keep their time.
     pub(super) fn plan_evacuation(&mut self, now: Millis, instance: &Instance) {
         let Some(ends_at) = self.servers.get(instance).and_then(KnownModelServer::ends_at) else { return };
         let is_there = |pending: &PendingRequest| matches!(&pending.stage, Stage::Sent(at) if at == instance);
--- a/crates/router/src/dispatcher/model_eta.rs
+++ b/crates/router/src/dispatcher/model_eta.rs
@@ -1,5 +1,5 @@
-//! When a model that is resident nowhere can be expected: by the leader's report of loads in progress, or by
-//! how long earlier ones took.
+//! Estimates when a model that is resident nowhere will be resident: from the leader's report of loads in
+//! progress, or from the time that earlier loads took.
 
 use crate::Millis;
 use crate::prompt::ModelName;
@@ -7,20 +7,22 @@
 use pathbank_protocol::message::ExpectedModel;
 use std::collections::BTreeMap;
 
-/// Time from a request for a model that is resident nowhere until it is, beyond the load itself,
+/// Time from a request for a model that is resident nowhere until the model is resident, less the load time,
 /// milliseconds.
 const LOAD_OVERHEAD_MS: Prior = Prior { initial: 400.0, min: 20.0, max: 20_000.0 };
-/// The same for an adapter of a resident model: its load is short.
+/// Time from a request for an adapter of a resident model until the adapter is resident, including its load,
+/// which is short; milliseconds.
 const ADAPTER_LOAD_MS: Prior = Prior { initial: 150.0, min: 10.0, max: 10_000.0 };
-/// Load time of a model where the configuration gives none.
+/// Load time of a model for which the configuration has none.
 const DEFAULT_LOAD_MS: Millis = 900;
 /// Delay between the end of a load and its report.
 const REPORT_DELAY_MS: Millis = 60;
-/// An overdue load is expected within this time, and is forgotten after the retention.
+/// An overdue load is expected to end within this time.
 const OVERDUE_ETA_MS: Millis = 400;
+/// An overdue load is forgotten after this time.
 const OVERDUE_RETENTION_MS: Millis = 3_000;
 
-/// Loads in progress, and how long earlier misses took.
+/// The loads in progress, and how long requests waited for earlier loads.
 #[derive(Clone, Debug, Default)]
 pub struct ModelEta {
     /// When each model should be resident, by backend and model.
@@ -35,12 +37,13 @@
         for model in models {
             let ready_at = now + Millis::from(model.ready_in_ms) + REPORT_DELAY_MS;
             let known = self.expected.entry((model.backend, model.model)).or_insert(ready_at);
-            // Of several loads the earliest counts, as long as it is not overdue.
+            // The earliest of several loads counts, unless it is overdue.
             *known = if *known > now { ready_at.min(*known) } else { ready_at };
         }
     }
 
-    /// A request that waited for its model can be sent, `waited` milliseconds after it arrived.
+    /// Records that a request for a model that was not resident can be sent, `waited` milliseconds after it
+    /// arrived.
     pub fn observe_miss(
         &mut self,
         now: Millis,
--- a/crates/router/src/dispatcher/offer.rs
+++ b/crates/router/src/dispatcher/offer.rs
@@ -1,4 +1,4 @@
-//! What the dispatcher needs to know of a request, and what it decides.
+//! A request as the dispatcher sees it, and the dispatcher's decisions.
 
 use crate::model_servers::Instance;
 use crate::prompt::{ModelName, PromptPart};
@@ -7,14 +7,14 @@
 use pathbank_control::urgency::Urgency;
 use std::collections::BTreeSet;
 
-/// A request, as the dispatcher needs to know it.
+/// A request with the facts that the dispatcher needs.
 #[derive(Clone, Debug)]
 pub struct Offer {
     /// The request.
     pub id: RequestId,
     /// The backend that its route chose.
     pub backend: String,
-    /// The model it asks for.
+    /// The model that the request names.
     pub name: ModelName,
     /// Its size: prompt tokens and ten times the output tokens, as announced by the client.
     pub size: u64,
@@ -34,17 +34,17 @@
     pub target_gap_ms: Millis,
     /// Load time of its model, milliseconds; `None`: not known.
     pub load_ms: Option<Millis>,
-    /// The client was rejected before; it retries only a few times more.
+    /// Whether the request was rejected before; its client retries only a few times more.
     pub previously_rejected: bool,
     /// The model server that the leader chose, if its answer came in time.
     pub granted: Option<Instance>,
-    /// Model servers that must not get it (again).
+    /// Model servers that must not get the request (again).
     pub excluded: BTreeSet<Instance>,
-    /// A stream that another model server may resume.
+    /// Whether the answer is a stream that another model server may resume.
     pub resumable: bool,
     /// Its urgency class among the requests of its backend; 0: the most urgent.
     pub urgency: Urgency,
-    /// The version of the weights that has to answer; `None`: any.
+    /// The version of the model's weights that has to answer; `None`: any version.
     pub version: Option<u64>,
 }
 
--- a/crates/router/src/dispatcher/pending.rs
+++ b/crates/router/src/dispatcher/pending.rs
@@ -4,23 +4,23 @@
 use crate::Millis;
 use crate::model_servers::Instance;
 
-/// Where a request is.
+/// The stage of a request on its way to a model server.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub(super) enum Stage {
-    /// The model that it asks for is resident at no model server.
+    /// The model that the request names is resident at no model server.
     Unassigned,
-    /// It waits for a slot of a model server.
+    /// The request waits for a slot of a model server.
     Queued(Instance),
-    /// It was sent to a model server.
+    /// The request was sent to a model server.
     Sent(Instance),
 }
 
-/// Whether a request moves to another model server before its own ends.
+/// Whether a request moves to another model server before the one that runs it ends.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum Evacuation {
-    /// Its model server has not announced an end.
+    /// No move is planned.
     NotPlanned,
-    /// It moves at this time.
+    /// The request moves at this time.
     Planned(Millis),
     /// The edge was asked to move it.
     Notified,
@@ -33,17 +33,18 @@
     pub(super) stage: Stage,
     /// When it entered its stage.
     pub(super) since: Millis,
-    /// It was reported to the cores as waiting for its model.
+    /// Whether the request was reported to the cores as waiting for its model.
     pub(super) reported: bool,
-    /// When that was reported, its model was resident somewhere without the adapter.
+    /// Whether the model was resident somewhere without the adapter when the request was reported.
     pub(super) lacks_adapter_only: bool,
-    /// Tokens that its model server has to prefill, where no other prompt of this edge was queued before it there.
+    /// Tokens that its model server has to prefill; `None`: the server had other requests to prefill or no
+    /// free slot when the request was sent, or the answer has begun.
     pub(super) uncontended_tokens: Option<u64>,
     pub(super) evacuation: Evacuation,
 }
 
 impl PendingRequest {
-    /// A request that is assigned to no model server yet.
+    /// Creates a request that is not assigned to a model server yet.
     pub(super) fn new(now: Millis, offer: Offer) -> PendingRequest {
         PendingRequest {
             offer,
@@ -56,7 +57,7 @@
         }
     }
 
-    /// Whether it was not sent to a model server yet.
+    /// Whether the request was not sent to a model server yet.
     pub(super) fn is_waiting(&self) -> bool {
         !matches!(self.stage, Stage::Sent(_))
     }
--- a/crates/router/src/dispatcher/prefix_cache.rs
+++ b/crates/router/src/dispatcher/prefix_cache.rs
@@ -1,14 +1,14 @@
-//! The prefix caches of model servers, as far as this edge filled them: which parts of prompts need no
-//! prefill.
+//! The contents of the model servers' prefix caches, as far as this edge's requests filled them: the parts of
+//! prompts that need no prefill.
 
 use crate::Millis;
 use crate::model_servers::Instance;
 use crate::prompt::{ModelName, PromptPart};
 use std::collections::HashMap;
 
-/// A part that was not sent for this long is taken to be evicted.
+/// A part that was not sent for this long is assumed to be evicted.
 const PREFIX_TTL_MS: Millis = 60_000;
-/// The limit of parts; beyond it, all older than a quarter of the TTL are removed.
+/// The limit of parts. Above it, all parts that were not sent for a quarter of the TTL are removed.
 const MAX_PARTS: usize = 20_000;
 /// The interval at which expired parts are removed.
 const TIDY_INTERVAL_MS: Millis = 5_000;
@@ -28,7 +28,7 @@
 }
 
 impl PrefixCache {
-    /// A prompt was sent to a model server.
+    /// Records that a prompt was sent to a model server.
     pub fn record(&mut self, now: Millis, instance: &Instance, name: &ModelName, parts: &[PromptPart]) {
         for part in parts {
             self.sent.insert(key(instance, name, part), now);
--- a/crates/router/src/engine_estimates.rs
+++ b/crates/router/src/engine_estimates.rs
@@ -12,10 +12,10 @@
 const DECODE_PACE_MS: Prior = Prior { initial: 40.0, min: 0.5, max: 10_000.0 };
 /// For how long an answer occupies a slot, milliseconds.
 const SLOT_TIME_MS: Prior = Prior { initial: 1_500.0, min: 1.0, max: 120_000.0 };
-/// For shorter prompts the time to the first token is mostly overhead, not prefill.
+/// Shorter prompts are not measured: their time to the first token is mostly overhead, not prefill.
 const MIN_PREFILL_TOKENS: u64 = 256;
 
-/// The prefill of a prompt that no other prompt of this edge was queued before.
+/// The prefill of a prompt that had no other prompt of this edge before it in the model server's queue.
 #[derive(Clone, Copy, Debug)]
 pub struct PrefillSample<'a> {
     /// The model server.
@@ -24,20 +24,20 @@
     pub model: &'a str,
     /// Tokens that had to be prefilled.
     pub tokens: u64,
-    /// Time from sending to the begin of the answer, milliseconds.
+    /// Time from sending the request to the start of the answer, milliseconds.
     pub took_ms: Millis,
 }
 
 /// Estimates by model and by model server.
 #[derive(Clone, Debug)]
 pub struct EngineEstimates {
-    /// By model.
+    /// Prefill rate by model.
     prefill_rate: EstimateTable<String>,
-    /// By model.
+    /// Decode pace by model.
     decode_pace: EstimateTable<String>,
-    /// By model server, relative to others. Derived from the decode pace, which depends on little else.
+    /// Speed by model server, relative to others. Derived from the decode pace, which depends on little else.
     server_factor: EstimateTable<Instance>,
-    /// By model.
+    /// Slot time by model.
     slot_time: EstimateTable<String>,
 }
 
@@ -63,8 +63,8 @@
         self.prefill_rate.record(now, &sample.model.to_owned(), normalized);
     }
 
-    /// Records the pace of a complete stream: milliseconds between its events while nothing else held them
-    /// up.
+    /// Records the pace of a complete stream: milliseconds between its events while nothing else delayed
+    /// them.
     pub fn observe_decode_pace(&mut self, now: Millis, instance: &Instance, model: &str, pace_ms: f64) {
         if self.decode_pace.is_known(model) {
             self.server_factor.record(now, instance, self.decode_pace.value(now, model) / pace_ms);
--- a/crates/router/src/evacuation.rs
+++ b/crates/router/src/evacuation.rs
@@ -1,10 +1,10 @@
 //! Evacuation: streams move away from a model server that ends at short notice.
 //!
 //! A model server that reports `draining` with `remaining_ms` ends after that time, whatever it runs. Streams
-//! that another model server can resume move before, in the order of their deadlines and evenly over the
-//! remaining time: a model server that prefills many prompts at once stalls all its streams. Other requests
-//! stay and share the free slots. Without `remaining_ms` nothing moves: the model server completes what it
-//! has.
+//! that another model server can resume move before that, in the order of their deadlines and spread evenly
+//! over the remaining time: a model server that prefills many prompts at once stalls all its streams. Other
+//! requests stay and share the free slots. Without `remaining_ms` no stream moves: the model server completes
+//! its requests.
 
 use crate::{Millis, RequestId};
 use std::collections::BTreeMap;
@@ -14,7 +14,7 @@
 /// A stream that should complete this long before the model server ends does not move.
 const COMPLETION_MARGIN_MS: f64 = 150.0;
 
-/// A stream at a model server that announced its end.
+/// A stream at a model server that announced when it ends.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Stream {
     /// The request.
@@ -23,8 +23,8 @@
     pub deadline: Millis,
 }
 
-/// Plans when each stream moves. `draw`: from 0 to 1, differs by edge, so that edges do not move streams at
-/// the same moments.
+/// Plans when each stream moves. `draw`: a number from 0 to 1 that differs by edge, so that edges do not move
+/// streams at the same moments.
 pub fn plan(
     now: Millis,
     ends_at: Millis,
--- a/crates/router/src/events.rs
+++ b/crates/router/src/events.rs
@@ -1,7 +1,7 @@
-//! The events of a stream (`text/event-stream`), so that a broken stream can be resumed after its last
+//! Tracks the events of a stream (`text/event-stream`), so that a broken stream can be resumed after its last
 //! complete event.
 
-/// Tracks one stream. Only complete events are passed on.
+/// Tracks the events of one stream. Only complete events are passed on to the client.
 #[derive(Clone, Debug, Default)]
 pub struct EventTracker {
     partial: Vec<u8>,
@@ -9,7 +9,7 @@
     events: u64,
 }
 
-/// The limit of buffered bytes; an event that is longer is passed on as it arrives.
+/// The limit of buffered bytes. A longer event is passed on before it is complete.
 const MAX_EVENT_BYTES: usize = 64 * 1024;
 
 impl EventTracker {
@@ -35,12 +35,12 @@
         std::mem::take(&mut self.partial)
     }
 
-    /// The stream broke: drops the buffered bytes, because the next model server sends that event in full.
+    /// Drops the buffered bytes after the stream broke: the next model server sends that event in full.
     pub fn broke(&mut self) {
         self.partial.clear();
     }
 
-    /// Events with an id that were passed on.
+    /// The number of events with an id that were passed on.
     pub fn events(&self) -> u64 {
         self.events
     }
@@ -51,13 +51,14 @@
     }
 }
 
+/// The offset after the last complete event, which an empty line ends.
 fn end_of_last_event(bytes: &[u8]) -> Option<usize> {
     let bare = bytes.windows(2).rposition(|pair| pair == b"\n\n").map(|at| at + 2);
     let with_returns = bytes.windows(4).rposition(|four| four == b"\r\n\r\n").map(|at| at + 4);
     bare.max(with_returns)
 }
 
-/// X
+/// The versions of the model that the `versions:` lines of events name.
 pub fn versions(events: &[u8]) -> impl Iterator<Item = u64> {
     let lines = events.split(|byte| *byte == b'\n').filter_map(|line| line.strip_prefix(b"versions:"));
     lines.filter_map(|number| std::str::from_utf8(number).ok()?.trim().parse().ok())
--- a/crates/router/src/lib.rs
+++ b/crates/router/src/lib.rs
@@ -1,15 +1,16 @@
-//! The decisions of an edge, without I/O, clock or randomness: callers pass the time and carry out what is decided.
+//! The decisions of an edge, without I/O, clock or randomness: the caller passes the time and carries the
+//! decisions out.
 //!
 //! * [`model_servers`]: the model servers that this edge knows, with ejection of those that fail.
 //! * [`core_choice`]: to which core the edge is subscribed, and which core leads.
 //! * [`dispatcher`]: which request goes to which model server next; load shedding.
-//! * [`evacuation`]: when streams move away from a model server that announced its end.
-//! * [`engine_estimates`]: speed of prefill, pace of decode and slot time, estimated from this edge's requests.
+//! * [`evacuation`]: when streams move away from a model server that announced when it ends.
+//! * [`engine_estimates`]: prefill rate, decode pace and slot time, estimated from this edge's requests.
 //! * [`prompt`]: the headers that name a request's model and prompt.
 //! * [`request_log`]: the steps of recent requests, for operators.
 //! * [`retry_budget`]: how many requests may be sent again.
 //! * [`usage`]: requests by tenant and window.
-//! * [`wall_clock`]: the system's wall clock, from the cores' clocks.
+//! * [`wall_clock`]: the system's wall clock, derived from the cores' clocks.
 //! * [`events`]: the events of a stream, so that another model server can resume it.
 
 pub mod core_choice;
@@ -25,7 +26,7 @@
 pub mod usage;
 pub mod wall_clock;
 
-/// Milliseconds of a steady clock that the caller supplies.
+/// Milliseconds of a monotonic clock that the caller supplies.
 pub type Millis = u64;
 /// Names one client request at this edge.
 pub type RequestId = u64;
--- a/crates/router/src/model_servers.rs
+++ b/crates/router/src/model_servers.rs
@@ -1,4 +1,5 @@
-//! The model servers that this edge knows: merged from the reports of all cores, with what its own requests show.
+//! The model servers that this edge knows: the merged reports of all cores, and the outcomes of the edge's
+//! own requests.
 
 mod circuit_breaker;
 mod error_rate;
@@ -15,7 +16,7 @@
 use pathbank_protocol::message::{ModelServer, ModelServerLoad, ModelServerState, ModelServerUpdate};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// A model server that no complete list names any more is kept for this long.
+/// A model server that the complete lists no longer name is kept for this long.
 const UNLISTED_RETENTION_MS: Millis = 10_000;
 /// A removed model server is remembered for this long, so that late reports do not bring it back.
 const REMOVED_RETENTION_MS: Millis = 120_000;
@@ -54,7 +55,8 @@
         }
         for server in update.servers {
             let instance = server.instance.clone();
-            // A server whose heartbeats timed out comes back with the same sequence; one that announced its end does not.
+            // A server whose heartbeats timed out may return with the same sequence. A server that announced
+            // its end has a higher one by then and does not return.
             if self.removed.get(&instance).is_some_and(|removed| server.sequence < removed.sequence) {
                 continue;
             }
@@ -83,7 +85,7 @@
         closed
     }
 
-    /// Removes other incarnations at a model server's address: a new one has taken it over.
+    /// Removes other incarnations at a model server's address, which a new incarnation has taken over.
     fn displace(&mut self, now: Millis, server: &ModelServer) -> Vec<Instance> {
         let known = |instance| self.known.get(instance).map(|known| known.server.clone());
         let displaced: Vec<ModelServer> = self.addresses.at(&server.address).filter_map(known).collect();
@@ -95,8 +97,8 @@
         instances
     }
 
-    /// Marks model servers that a complete list does not name; [`ModelServerTable::tidy`] removes them later, unless a
-    /// report names them again. A core that has just started knows few model servers yet.
+    /// Marks model servers that a complete list does not name. [`ModelServerTable::tidy`] removes them later,
+    /// unless a report names them again: a core that has just started knows few model servers yet.
     fn mark_unlisted(&mut self, now: Millis, update: &ModelServerUpdate) {
         let listed: BTreeSet<&str> = update.servers.iter().map(|server| server.instance.as_str()).collect();
         for (instance, known) in &mut self.known {
@@ -159,21 +161,21 @@
             .any(|known| known.server.backend == backend && known.server.state == ModelServerState::Ready)
     }
 
-    /// A request of this edge was sent to a model server.
+    /// Records that a request of this edge was sent to a model server.
     pub fn request_sent(&mut self, instance: &str, request: u64, prompt_tokens: u64) {
         if let Some(known) = self.known.get_mut(instance) {
             known.request_sent(request, prompt_tokens);
         }
     }
 
-    /// A model server has prefilled a request's prompt, or will not any more.
+    /// Records that a model server has prefilled a request's prompt, or will not prefill it any more.
     pub fn response_started(&mut self, instance: &str, request: u64) {
         if let Some(known) = self.known.get_mut(instance) {
             known.response_started(request);
         }
     }
 
-    /// A request of this edge ended at a model server.
+    /// Records that a request of this edge ended at a model server.
     pub fn request_ended(&mut self, now: Millis, instance: &str, name: &ModelName, outcome: AttemptOutcome) {
         let jitter = unit_draw(self.seed ^ now, instance);
         if let Some(known) = self.known.get_mut(instance) {
@@ -206,7 +208,7 @@
         }
     }
 
-    /// Takes a model server's load as its answer reports it: requests running and queued, this edge's included.
+    /// Takes a model server's load from its answer: requests running and queued, including this edge's.
     pub fn observe_load(&mut self, now: Millis, instance: &str, running: u32, waiting: u32) {
         if let Some(known) = self.known.get_mut(instance) {
             known.observe_load(now, running, waiting);
--- a/crates/router/src/model_servers/circuit_breaker.rs
+++ b/crates/router/src/model_servers/circuit_breaker.rs
@@ -1,19 +1,21 @@
-//! When a model server is ejected: not used for a time, which grows with each failure in a row.
+//! The circuit breaker of a model server. A model server that fails is ejected: it gets no requests for a
+//! time that grows with each consecutive failure.
 
 use crate::Millis;
 
-/// The first ejection; it doubles with each further failure up to [`MAX_EJECTION_MS`].
+/// Duration of the first ejection. It doubles with each further failure up to [`MAX_EJECTION_MS`].
 const BASE_EJECTION_MS: Millis = 250;
 const MAX_EJECTION_MS: Millis = 5_000;
-/// Doublings after which the ejection is not computed any longer; it is at its maximum by then.
+/// The limit of doublings: the ejection is at its maximum by then.
 const MAX_DOUBLINGS: u32 = 5;
-/// Ejections are longer or shorter by up to this fraction, so that edges do not retry at the same moment.
+/// Ejections are longer or shorter by up to this fraction, so that edges do not return at the same moment.
 const EJECTION_JITTER: f64 = 0.3;
 /// Back-off from a model server that rejected a request because it is full.
 const FULL_BACKOFF_MS: Millis = 60;
 /// Failed requests in a row after which a model server is ejected.
 const CONSECUTIVE_FAILURES_TO_EJECT: u32 = 2;
-/// Misdirected requests in a row after which a model server is ejected: another incarnation may be at its address.
+/// Misdirected requests in a row after which a model server is ejected: another incarnation may be at its
+/// address.
 const CONSECUTIVE_MISDIRECTED_TO_EJECT: u32 = 3;
 
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
@@ -21,7 +23,7 @@
     /// Requests pass as long as there are slots.
     #[default]
     Closed,
-    /// It was ejected: one request at a time is let through, until one is answered.
+    /// The model server was ejected. One request at a time passes, until one is answered.
     HalfOpen,
 }
 
@@ -32,7 +34,7 @@
     circuit: Circuit,
     /// Failures in a row.
     failures: u32,
-    /// Answers in a row that the server is another one or does not hold the model.
+    /// Misdirected requests in a row: the server is another incarnation, or does not hold the model.
     misdirected: u32,
 }
 
@@ -52,17 +54,18 @@
         self.circuit == Circuit::HalfOpen
     }
 
-    /// A request was answered.
+    /// Records that a request was answered.
     pub(super) fn on_success(&mut self) {
         (self.failures, self.misdirected, self.circuit) = (0, 0, Circuit::Closed);
     }
 
-    /// A request was rejected because the server is full.
+    /// Records that a request was rejected because the server is full.
     pub(super) fn on_full(&mut self, now: Millis) {
         self.ejected_until = self.ejected_until.max(now + FULL_BACKOFF_MS);
     }
 
-    /// A request reached another incarnation, or a server without the model. `jitter`: from 0 to 1.
+    /// Records that a request reached another incarnation, or a server without the model. `jitter`: from 0 to
+    /// 1.
     pub(super) fn on_misdirected(&mut self, now: Millis, jitter: f64) {
         self.misdirected += 1;
         if self.misdirected >= CONSECUTIVE_MISDIRECTED_TO_EJECT {
@@ -70,7 +73,7 @@
         }
     }
 
-    /// A request failed without an answer. `jitter`: from 0 to 1.
+    /// Records that a request failed without an answer. `jitter`: from 0 to 1.
     pub(super) fn on_failure(&mut self, now: Millis, jitter: f64) {
         self.failures += 1;
         if self.failures >= CONSECUTIVE_FAILURES_TO_EJECT {
--- a/crates/router/src/model_servers/known.rs
+++ b/crates/router/src/model_servers/known.rs
@@ -1,4 +1,4 @@
-//! What this edge knows of one model server.
+//! One model server as this edge knows it.
 
 use super::circuit_breaker::CircuitBreaker;
 use super::error_rate::ErrorRate;
@@ -9,26 +9,27 @@
 use pathbank_protocol::message::{ModelServer, ModelServerLoad, ModelServerState};
 use std::collections::BTreeMap;
 
-/// How a request that was rejected counts in the error rate, where a failure counts 1.
+/// The weight of a rejected request in the error rate; a failed request counts 1.
 const REJECTED_ERROR: f64 = 0.3;
-/// A load report counts for this long; its weight falls linearly.
+/// A load report counts for this long; its weight falls linearly to 0.
 const LOAD_TTL_MS: Millis = 1_000;
-/// A model that the server said it does not hold is not requested there for this long.
+/// After a server said that it does not hold a model, requests for the model avoid the server for this long.
 const MISSING_MODEL_TTL_MS: Millis = 800;
 /// The error rate over all edges, as the leader reported it, counts for this long.
 const TOTAL_ERROR_RATE_TTL_MS: Millis = 3_000;
 
-/// A model server: what cores report of it, and what this edge's own requests show.
+/// A model server: the reports of cores, and the outcomes of this edge's own requests.
 #[derive(Clone, Debug)]
 pub struct KnownModelServer {
     /// The last report of a core.
     pub server: ModelServer,
     /// Requests of this edge in flight there.
     pub in_flight: u32,
-    /// Prompt tokens of this edge's requests that it has not begun to answer, by request.
+    /// Prompt tokens of this edge's requests that the server has not begun to answer, by request.
     prefill_backlog: BTreeMap<u64, u64>,
-    /// Requests of other edges, by the last load report, and the time of that.
+    /// Requests of other edges in flight there, by the last load report.
     others_in_flight: f64,
+    /// When the last load report came.
     load_at: Millis,
     breaker: CircuitBreaker,
     errors: ErrorRate,
@@ -37,7 +38,7 @@
     /// The error rate over all edges as the leader reported it, and when.
     total_error_rate: f64,
     total_error_rate_at: Millis,
-    /// Models that it said it does not hold, with the time until which that counts.
+    /// Models that the server said it does not hold, and until when requests for them avoid it.
     missing_models: BTreeMap<ModelName, Millis>,
     /// Since when the subscribed core's complete list does not name it.
     pub(super) unlisted_since: Option<Millis>,
@@ -75,7 +76,7 @@
         (self.server, self.unlisted_since) = (server, None);
     }
 
-    /// When it ends, whatever it runs; `None`: it did not announce that.
+    /// When the server ends, whatever it runs; `None`: it has not announced an end.
     pub fn ends_at(&self) -> Option<Millis> {
         self.ends_at
     }
@@ -86,7 +87,7 @@
         self.others_in_flight * (1.0 - age).max(0.0)
     }
 
-    /// Prompt tokens of this edge's requests that it has still to prefill.
+    /// Prompt tokens of this edge's requests that the server has still to prefill.
     pub fn prefill_backlog_tokens(&self) -> u64 {
         self.prefill_backlog.values().sum()
     }
@@ -107,7 +108,8 @@
         self.accepts_requests(now) && self.in_flight < self.limit(now)
     }
 
-    /// Whether it has a free slot for a request of an urgency class: the last slots are reserved for the most urgent.
+    /// Whether it has a free slot for a request of an urgency class: the last slots are reserved for the most
+    /// urgent requests.
     pub fn has_slot_for(&self, now: Millis, urgency: Urgency) -> bool {
         let taken = f64::from(self.in_flight) + self.others_in_flight(now);
         self.has_slot(now)
@@ -142,7 +144,8 @@
         version.is_none_or(|version| resident().is_some_and(|resident| resident.version == version))
     }
 
-    /// The recent error rate of this edge's requests there, 0 to 1; it decays, so that the server is used again.
+    /// The recent error rate of this edge's requests there, 0 to 1. It decays over time, so that the server
+    /// is used again.
     pub fn local_error_rate(&self, now: Millis) -> f64 {
         self.errors.value(now)
     }
@@ -162,7 +165,7 @@
         self.prefill_backlog.remove(&request);
     }
 
-    /// A request of this edge ended there. `jitter`: from 0 to 1.
+    /// Records that a request of this edge ended there. `jitter`: from 0 to 1.
     pub(super) fn request_ended(
         &mut self,
         now: Millis,
--- a/crates/router/src/model_servers/outcome.rs
+++ b/crates/router/src/model_servers/outcome.rs
@@ -1,17 +1,18 @@
 //! How requests end at a model server.
 
-/// How a request to a model server ended, as far as the model server is concerned.
+/// How a request to a model server ended, from the model server's point of view.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum AttemptOutcome {
-    /// It answered.
+    /// The model server answered.
     Answered,
-    /// It rejected the request because it is full, or because the request timed out in its queue.
+    /// The model server rejected the request because it is full, or because the request timed out in its
+    /// queue.
     Full,
-    /// It answered with an error of its own.
+    /// The model server answered with an error of its own.
     ServerError,
-    /// It does not hold what was asked for, or is another incarnation.
+    /// The model server does not hold the model, or is another incarnation.
     Misdirected,
-    /// No connection, a reset, or no answer.
+    /// The connection failed or was reset, or no answer came.
     Failed,
     /// The client disconnected, or the edge cancelled the request.
     Abandoned,
--- a/crates/router/src/prompt.rs
+++ b/crates/router/src/prompt.rs
@@ -1,6 +1,6 @@
 //! The request headers that name the model and describe the prompt.
 
-/// `X-Pathbank-Model`: a model, and after a slash an adapter of it.
+/// The value of `X-Pathbank-Model`: a model, optionally with an adapter after a slash.
 #[derive(Clone, Debug, Default, PartialEq, Eq, PartialOrd, Ord)]
 pub struct ModelName {
     /// The model; empty: the request names none.
@@ -17,7 +17,7 @@
     }
 }
 
-/// `X-Pathbank-Token-Count`: prompt tokens and the limit of output tokens.
+/// The value of `X-Pathbank-Token-Count`: prompt tokens and the limit of output tokens.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct TokenCount {
     /// Prompt tokens.
@@ -26,7 +26,7 @@
     pub output: u64,
 }
 
-/// Weight of an output token, in prompt tokens (the value of a generation by the users' rules).
+/// Weight of an output token in prompt tokens. The users value a generation by the same weights.
 const OUTPUT_WEIGHT: u64 = 10;
 
 impl TokenCount {
@@ -36,7 +36,7 @@
         Some(TokenCount { input: input.trim().parse().ok()?, output: output.trim().parse().ok()? })
     }
 
-    /// The size: prompt tokens and weighted output tokens.
+    /// The size of a request: its prompt tokens plus its weighted output tokens.
     pub fn size(self) -> u64 {
         self.input + OUTPUT_WEIGHT * self.output
     }
@@ -45,7 +45,7 @@
 /// One part of a prompt.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct PromptPart {
-    /// Identifies the part: the same in every prompt that has it at this position.
+    /// Identifies the part: all prompts with this part at this position have the same id.
     pub id: u64,
     /// Its tokens.
     pub tokens: u64,
--- a/crates/router/src/request_log.rs
+++ b/crates/router/src/request_log.rs
@@ -1,11 +1,11 @@
-//! The steps of recent requests at this edge, for operators. Bounded by count: the oldest request is dropped
-//! first.
+//! The steps of recent requests at this edge, for operators. The log holds a limited number of requests and
+//! drops the oldest one first.
 
 use crate::Millis;
 use pathbank_control::result_code::ResultCode;
 use std::collections::{HashMap, VecDeque};
 
-/// The limit of requests.
+/// The limit of requests in the log.
 pub const MAX_REQUESTS: usize = 256;
 /// The limit of steps of one request; later ones are dropped.
 const MAX_STEPS: usize = 24;
@@ -13,30 +13,30 @@
 /// A step of a request.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Step {
-    /// It was received completely and has a route.
+    /// The edge has received the complete request and found its route.
     Accepted {
         /// The route's name.
         route: String,
         /// The backend that the route chose.
         backend: String,
-        /// The model, with an adapter behind a slash; empty: none.
+        /// The model, with an adapter after a slash; empty: the request names no model.
         model: String,
     },
-    /// The edge rejected it; it did not run.
+    /// The edge rejected the request; it did not run.
     Refused {
         /// The reason.
         code: ResultCode,
     },
-    /// It was sent to a model server.
+    /// The request was sent to a model server.
     Sent {
         /// The model server's incarnation.
         instance: String,
     },
-    /// The model server did not run it.
+    /// The model server did not run the request.
     NotRun,
     /// The connection to the model server broke; the request may have run.
     Broken,
-    /// It timed out; it may have run.
+    /// The request timed out; it may have run.
     TimedOut,
     /// The model server began to answer.
     Answered {
@@ -93,7 +93,7 @@
         self.by_id.insert(id.to_owned(), LoggedRequest { arrived: now, steps });
     }
 
-    /// The steps of a request, oldest first; `None`: the request is not known any more.
+    /// The steps of a request, oldest first; `None`: the log does not hold the request (any more).
     pub fn steps(&self, id: &str) -> Option<&[TimedStep]> {
         self.by_id.get(id).map(|logged| logged.steps.as_slice())
     }
--- a/crates/router/src/retry_budget.rs
+++ b/crates/router/src/retry_budget.rs
@@ -1,29 +1,30 @@
-//! The retry budget: how many requests this edge may send again, so that all edges together keep to a
-//! backend's limit.
+//! The retry budget: how many requests this edge may retry, so that all edges together keep to a backend's
+//! limit.
 //!
-//! The limit over all edges in a window is `slack` and `ratio` for each request. An edge takes an equal share
-//! of the slack as a token bucket that refills over a window, and the ratio for its own requests.
+//! In a window, all edges together may retry `slack` requests plus `ratio` times the number of requests. Each
+//! edge has a token bucket for each backend. An equal share of the slack refills the bucket over a window,
+//! and each request of the edge adds `ratio` tokens.
 
 use crate::Millis;
 use std::collections::BTreeMap;
 
-/// The fractions of slack and ratio that are used; the rest covers windows that overlap two refills.
+/// The fractions of slack and ratio that are used. The rest covers windows that overlap two refills.
 const SLACK_FRACTION: f64 = 0.4;
 const RATIO_FRACTION: f64 = 0.6;
-/// Beside the share of the slack, a bucket holds up to this fraction of what the ratio allows for the
-/// requests of one window: the requests of a lost model server are retried all at once. In any window an edge
-/// thus retries at most `RATIO_FRACTION + RATIO_BURST_FRACTION` of the ratio and twice `SLACK_FRACTION` of
-/// its share of the slack.
+/// Beside the share of the slack, a bucket holds up to this fraction of the retries that the ratio allows for
+/// the requests of one window, because the requests of a lost model server are all retried at once. In any
+/// window an edge thus retries at most `RATIO_FRACTION + RATIO_BURST_FRACTION` of the ratio and twice
+/// `SLACK_FRACTION` of its share of the slack.
 const RATIO_BURST_FRACTION: f64 = 0.3;
 
-/// The limits over all edges.
+/// The limits for all edges together.
 #[derive(Clone, Copy, Debug)]
 pub struct RetryBudgetLimits {
-    /// Retries for each request.
+    /// The number of retries that each request allows.
     pub ratio: f64,
-    /// Further retries in a window.
+    /// The number of further retries in a window.
     pub slack: f64,
-    /// The window, milliseconds.
+    /// The length of the window, milliseconds.
     pub window: Millis,
 }
 
@@ -31,7 +32,7 @@
 struct TokenBucket {
     level: f64,
     refilled_at: Millis,
-    /// Requests of about one window: a decaying count.
+    /// The number of requests in about one window: a count that decays over time.
     recent: f64,
 }
 
@@ -44,7 +45,7 @@
 }
 
 impl RetryBudget {
-    /// Buckets start empty: an edge does not know what was sent before it started.
+    /// Creates a budget with empty buckets: the edge does not know the retries from before its start.
     pub fn new(limits: RetryBudgetLimits) -> RetryBudget {
         RetryBudget { limits, edges: u32::MAX, buckets: BTreeMap::new() }
     }
@@ -54,7 +55,7 @@
         self.edges = edges.max(1);
     }
 
-    /// Records a client's request for a backend.
+    /// Records a client's request for a backend, which adds tokens to the backend's bucket.
     pub fn record_request(&mut self, now: Millis, backend: &str) {
         let earned = RATIO_FRACTION * self.limits.ratio;
         let (burst, share) = (RATIO_BURST_FRACTION * self.limits.ratio, self.slack_share());
@@ -64,7 +65,7 @@
         bucket.level = (bucket.level + earned).min(capacity.max(bucket.level));
     }
 
-    /// Spends one retry; returns whether the budget allows it.
+    /// Spends a token for one retry. Returns whether the budget allows the retry.
     pub fn try_spend(&mut self, now: Millis, backend: &str) -> bool {
         let bucket = self.bucket(now, backend);
         let allowed = bucket.level >= 1.0;
@@ -85,7 +86,7 @@
         let bucket = self.buckets.entry(backend.to_owned()).or_insert(fresh);
         let passed = now.saturating_sub(bucket.refilled_at) as f64 / window;
         bucket.recent *= (-passed).exp();
-        // Tokens earned by requests expire with the requests.
+        // Tokens that requests added expire as the count of recent requests decays.
         bucket.level = (bucket.level + share * passed).min(share.max(1.0) + burst * bucket.recent);
         bucket.refilled_at = now;
         bucket
--- a/crates/router/src/usage.rs
+++ b/crates/router/src/usage.rs
@@ -1,12 +1,12 @@
-//! Usage: requests that began, by tenant and window of wall-clock time.
+//! Usage: counts of requests that began to run, by tenant and window of wall-clock time.
 
 use pathbank_protocol::message::UsageWindow;
 use std::collections::{BTreeMap, BTreeSet};
 
-/// The number of windows that are kept; older ones are sealed by then.
+/// The number of windows that are kept. Older windows are sealed by then.
 const RETAINED_WINDOWS: u64 = 6;
 
-/// This edge's counts.
+/// This edge's counts of requests.
 #[derive(Clone, Debug)]
 pub struct UsageCounter {
     window_ms: u64,
@@ -16,7 +16,7 @@
 }
 
 impl UsageCounter {
-    /// `window_ms`: the length of a window, milliseconds.
+    /// Creates empty counts. `window_ms`: the length of a window, milliseconds.
     pub fn new(window_ms: u64) -> UsageCounter {
         UsageCounter { window_ms: window_ms.max(1), windows: BTreeMap::new(), changed: BTreeSet::new() }
     }
--- a/crates/router/tests/core_choice.rs
+++ b/crates/router/tests/core_choice.rs
@@ -1,4 +1,4 @@
-//! The subscription of an edge to a core, over changes of leaders, partitions and restarts.
+//! Tests of an edge's choice of a core, through changes of leaders, partitions and restarts.
 
 #![allow(clippy::unwrap_used, clippy::expect_used, reason = "a test fails by a panic")]
 
@@ -45,7 +45,7 @@
 }
 
 #[test]
-fn leaves_a_partitioned_core_after_the_time_out() {
+fn unsubscribes_from_a_partitioned_core_after_the_time_out() {
     let mut choice = three_cores();
     choice.actions(0, 4);
     choice.update_status(500, core(2), &status("z2", 2, 4, false));
@@ -54,7 +54,7 @@
     let actions = choice.actions(800, 4);
     assert_eq!(actions.len(), 2);
     assert_eq!(actions[0], CoreAction::Unsubscribe(core(2)));
-    assert_eq!(choice.leader(), Some(core(1)), "its word about the leader does not count");
+    assert_eq!(choice.leader(), Some(core(1)), "the status of a core that is not current does not count");
 }
 
 #[test]
@@ -66,7 +66,11 @@
     assert!(choice.actions(250, 4).is_empty());
     assert_eq!(choice.actions(300, 4), [CoreAction::Fetch(core(3))]);
     assert!(choice.actions(400, 4).is_empty());
-    assert_eq!(choice.actions(500, 4), [CoreAction::Fetch(core(3))], "again while it lacks");
+    assert_eq!(
+        choice.actions(500, 4),
+        [CoreAction::Fetch(core(3))],
+        "the fetch is repeated until the configuration arrives"
+    );
     assert!(choice.actions(800, 5).is_empty());
 }
 
@@ -76,16 +80,16 @@
     choice.update_status(0, core(1), &status("z1", 1, 0, false));
     assert_eq!(choice.actions(0, 0), [CoreAction::Subscribe(core(1))]);
     choice.update_status(400, core(2), &status("z2", 2, 0, false));
-    assert!(choice.actions(900, 0).is_empty(), "no use in another one that knows as little");
+    assert!(choice.actions(900, 0).is_empty(), "no other core is current either");
     choice.update_status(1_000, core(2), &status("z2", 2, 1, true));
-    assert!(choice.actions(1_299, 0).is_empty(), "its own one may be as far in a moment");
+    assert!(choice.actions(1_299, 0).is_empty(), "the subscribed core may become current in a moment");
     choice.update_status(1_250, core(1), &status("z1", 1, 0, false));
     assert_eq!(choice.actions(1_300, 0).len(), 2);
 }
 
-// After all were killed, the first core that was current again was asked for everything by 288 of 295 edges
-// in one moment. Its list of 3,008 model servers for each went before its heartbeats, and the others deposed
-// it. They were current 20 to 70 ms after it.
+// After all cores were killed, 288 of 295 edges subscribed at once to the first core that was current again.
+// Its lists of 3,008 model servers for each edge delayed its heartbeats, so the other cores elected another
+// leader. The other cores were current 20 to 70 ms after the first one.
 #[test]
 fn edges_do_not_all_move_to_the_first_current_core() {
     let mut choice = CoreChoice::new("z1".into(), 7);
@@ -101,8 +105,8 @@
     assert!(choice.actions(2_000, 1).is_empty());
 }
 
-// After all were killed, edges listened to whichever core they reached first: 138, 113, 44 and none at the
-// last two.
+// After all cores were killed, edges subscribed to the core that they reached first: three cores had 138, 113
+// and 44 edges, and the other two had none.
 #[test]
 fn waits_briefly_for_a_core_of_its_own_zone() {
     let mut choice = CoreChoice::new("z2".into(), 7);
@@ -123,18 +127,18 @@
     assert_eq!(
         choice.actions(1_061, 4),
         [CoreAction::Subscribe(core(2))],
-        "one that was lost is replaced at once"
+        "a lost core is replaced at once by a connected one"
     );
     choice.disconnected(core(2));
     choice.update_status(2_000, core(2), &status("z2", 1, 4, true));
     assert!(
         choice.actions(2_000, 4).is_empty(),
-        "all were lost: the first to be reached again is not the only one"
+        "after all cores were lost, the edge waits for a core of its zone"
     );
 }
 
-// 82 edges that came back at once were sent 193 whole configurations: each asked another core again every 0.2
-// s while the one that it listened to was sending.
+// 82 edges that reconnected at once were sent 193 complete configurations: each edge fetched from another
+// core every 0.2 s while the subscribed core was sending the configuration.
 #[test]
 fn does_not_fetch_what_the_subscribed_core_is_sending() {
     let mut choice = three_cores();
@@ -142,7 +146,10 @@
     for now in (100..1_500).step_by(100) {
         assert!(choice.actions(now, 0).is_empty(), "at {now}");
     }
-    assert!(matches!(choice.actions(1_500, 0)[..], [CoreAction::Fetch(_)]), "but not for ever");
+    assert!(
+        matches!(choice.actions(1_500, 0)[..], [CoreAction::Fetch(_)]),
+        "the edge fetches after the delivery time-out"
+    );
 }
 
 #[test]
@@ -150,22 +157,26 @@
     let mut choice = three_cores();
     choice.actions(0, 4);
     choice.update_status(0, core(3), &status("z3", 1, 5, true));
-    let mut asked = Vec::new();
+    let mut fetches = Vec::new();
     for now in (0..=10_000).step_by(100) {
         choice.update_status(now, core(2), &status("z2", 1, 4, true));
         if !choice.actions(now, 4).is_empty() {
-            asked.push(now);
+            fetches.push(now);
         }
     }
-    assert_eq!(asked, [200, 400, 800, 1_600, 3_200, 4_800, 6_400, 8_000, 9_600]);
+    assert_eq!(fetches, [200, 400, 800, 1_600, 3_200, 4_800, 6_400, 8_000, 9_600]);
     choice.update_status(10_000, core(3), &status("z3", 1, 7, true));
     assert!(choice.actions(10_100, 6).is_empty());
-    assert_eq!(choice.actions(10_300, 6), [CoreAction::Fetch(core(3))], "after news it begins anew");
+    assert_eq!(
+        choice.actions(10_300, 6),
+        [CoreAction::Fetch(core(3))],
+        "a new configuration starts with the first time-out again"
+    );
 }
 
 #[test]
 fn fetches_of_many_edges_spread_over_the_cores() {
-    let mut asked = std::collections::BTreeMap::<CoreAddress, usize>::new();
+    let mut fetches = std::collections::BTreeMap::<CoreAddress, usize>::new();
     for seed in 0..200 {
         let mut choice = CoreChoice::new("z1".into(), seed);
         choice.update_status(0, core(1), &status("z1", 1, 4, true));
@@ -174,7 +185,7 @@
         choice.actions(0, 4);
         let actions = choice.actions(200, 4);
         let [CoreAction::Fetch(core)] = actions[..] else { panic!("{actions:?}") };
-        *asked.entry(core).or_default() += 1;
+        *fetches.entry(core).or_default() += 1;
     }
-    assert!(asked.len() == 3 && asked.values().all(|edges| *edges > 40), "{asked:?}");
+    assert!(fetches.len() == 3 && fetches.values().all(|edges| *edges > 40), "{fetches:?}");
 }
--- a/crates/router/tests/dispatch.rs
+++ b/crates/router/tests/dispatch.rs
@@ -1,4 +1,4 @@
-//! The dispatcher of one edge.
+//! Tests of the dispatcher of one edge.
 
 #![allow(clippy::unwrap_used, clippy::expect_used, reason = "a test fails by a panic")]
 
@@ -53,28 +53,28 @@
     }
 }
 
-struct Story {
+struct Scenario {
     dispatcher: Dispatcher,
     now: u64,
 }
 
-impl Story {
-    fn given(servers: Vec<ModelServer>) -> Story {
-        let mut story = Story { dispatcher: Dispatcher::new("here".into(), 7), now: 1_000 };
-        story.update_servers(servers);
-        story
+impl Scenario {
+    fn new(servers: Vec<ModelServer>) -> Scenario {
+        let mut scenario = Scenario { dispatcher: Dispatcher::new("here".into(), 7), now: 1_000 };
+        scenario.update_servers(servers);
+        scenario
     }
 
     fn update_servers(&mut self, servers: Vec<ModelServer>) -> Vec<Action> {
         self.dispatcher.update_servers(self.now, ModelServerUpdate { complete: true, servers })
     }
 
-    fn asked(&mut self, id: u64, model: &str) -> Vec<Action> {
+    fn request(&mut self, id: u64, model: &str) -> Vec<Action> {
         let offer = offer(id, model, self.now);
         self.dispatcher.offer(self.now, offer, true)
     }
 
-    fn after(&mut self, milliseconds: u64) -> Vec<Action> {
+    fn advance(&mut self, milliseconds: u64) -> Vec<Action> {
         let mut actions = Vec::new();
         for _ in 0..milliseconds / 20 {
             self.now += 20;
@@ -83,7 +83,7 @@
         actions
     }
 
-    fn ended(&mut self, id: u64, outcome: AttemptOutcome) -> Vec<Action> {
+    fn finish(&mut self, id: u64, outcome: AttemptOutcome) -> Vec<Action> {
         self.dispatcher.finish(self.now, id, outcome)
     }
 }
@@ -96,111 +96,115 @@
     actions.iter().filter_map(send).collect()
 }
 
-fn refused(actions: &[Action]) -> Vec<(u64, ResultCode, u64)> {
-    let refuse = |action: &Action| match action {
+fn rejected(actions: &[Action]) -> Vec<(u64, ResultCode, u64)> {
+    let reject = |action: &Action| match action {
         Action::Reject { id, code, retry_after } => Some((*id, *code, *retry_after)),
         Action::Send { .. } | Action::Evacuate { .. } => None,
     };
-    actions.iter().filter_map(refuse).collect()
+    actions.iter().filter_map(reject).collect()
 }
 
 #[test]
 fn sends_a_request_to_a_server_with_its_model() {
-    let mut story = Story::given(vec![server("i-1", &["a"]), server("i-2", &["b"])]);
-    assert_eq!(sent(&story.asked(1, "b")), [(1, "i-2".into())]);
-    assert_eq!(sent(&story.asked(2, "a/a1")), [(2, "i-1".into())]);
-    assert_eq!(story.asked(3, "a/a9"), [], "that adapter is nowhere");
+    let mut scenario = Scenario::new(vec![server("i-1", &["a"]), server("i-2", &["b"])]);
+    assert_eq!(sent(&scenario.request(1, "b")), [(1, "i-2".into())]);
+    assert_eq!(sent(&scenario.request(2, "a/a1")), [(2, "i-1".into())]);
+    assert_eq!(scenario.request(3, "a/a9"), [], "no model server holds that adapter");
 }
 
 #[test]
-fn in_flight_requests_keep_to_the_slots_of_a_server() {
-    let mut story = Story::given(vec![server("i-1", &["a"])]);
-    let first: Vec<_> = (1..=4).flat_map(|id| sent(&story.asked(id, "a"))).collect();
+fn requests_in_flight_do_not_exceed_the_slots_of_a_server() {
+    let mut scenario = Scenario::new(vec![server("i-1", &["a"])]);
+    let first: Vec<_> = (1..=4).flat_map(|id| sent(&scenario.request(id, "a"))).collect();
     assert_eq!(first.len(), 2);
-    assert_eq!(sent(&story.ended(1, AttemptOutcome::Answered)), [(3, "i-1".into())]);
-    assert_eq!(sent(&story.ended(2, AttemptOutcome::Answered)), [(4, "i-1".into())]);
+    assert_eq!(sent(&scenario.finish(1, AttemptOutcome::Answered)), [(3, "i-1".into())]);
+    assert_eq!(sent(&scenario.finish(2, AttemptOutcome::Answered)), [(4, "i-1".into())]);
 }
 
 #[test]
-fn slots_in_use_by_other_edges_are_not_taken() {
-    let mut story = Story::given(vec![server("i-1", &["a"])]);
-    story.asked(1, "a");
-    story.dispatcher.observe_load(story.now, "i-1", 2, 0);
-    assert!(sent(&story.asked(2, "a")).is_empty());
-    assert_eq!(sent(&story.after(1_500)).len(), 0, "refused before that word is old");
+fn slots_in_use_by_other_edges_are_not_used() {
+    let mut scenario = Scenario::new(vec![server("i-1", &["a"])]);
+    scenario.request(1, "a");
+    scenario.dispatcher.observe_load(scenario.now, "i-1", 2, 0);
+    assert!(sent(&scenario.request(2, "a")).is_empty());
+    assert_eq!(
+        sent(&scenario.advance(1_500)).len(),
+        0,
+        "the request is rejected before the load report expires"
+    );
 }
 
 #[test]
 fn a_freed_slot_takes_the_longest_queue() {
-    let mut story = Story::given(vec![server("i-1", &["a", "b"])]);
+    let mut scenario = Scenario::new(vec![server("i-1", &["a", "b"])]);
     [(1, "a"), (2, "a"), (3, "a"), (4, "b"), (5, "b")]
         .iter()
-        .for_each(|(id, model)| drop(story.asked(*id, model)));
-    assert_eq!(sent(&story.ended(1, AttemptOutcome::Answered)), [(4, "i-1".into())]);
+        .for_each(|(id, model)| drop(scenario.request(*id, model)));
+    assert_eq!(sent(&scenario.finish(1, AttemptOutcome::Answered)), [(4, "i-1".into())]);
 }
 
 #[test]
-fn a_prefill_backlog_diverts_the_next_prompt() {
-    let mut story = Story::given(vec![server("i-1", &["a"]), server("i-2", &["a"])]);
-    let first = sent(&story.asked(1, "a"))[0].1.clone();
-    let second = sent(&story.asked(2, "a"))[0].1.clone();
+fn the_next_prompt_avoids_a_server_with_a_prefill_backlog() {
+    let mut scenario = Scenario::new(vec![server("i-1", &["a"]), server("i-2", &["a"])]);
+    let first = sent(&scenario.request(1, "a"))[0].1.clone();
+    let second = sent(&scenario.request(2, "a"))[0].1.clone();
     assert_ne!(first, second);
 }
 
 #[test]
 fn a_prompt_goes_to_the_server_with_its_prefix_cached() {
-    let mut story = Story::given(vec![server("i-1", &["a"]), server("i-2", &["a"])]);
-    let mut shared = offer(1, "a", story.now);
+    let mut scenario = Scenario::new(vec![server("i-1", &["a"]), server("i-2", &["a"])]);
+    let mut shared = offer(1, "a", scenario.now);
     shared.parts = vec![PromptPart { id: 7, tokens: 900 }];
-    let assigned = sent(&story.dispatcher.offer(story.now, shared.clone(), true))[0].1.clone();
-    story.ended(1, AttemptOutcome::Answered);
+    let assigned = sent(&scenario.dispatcher.offer(scenario.now, shared.clone(), true))[0].1.clone();
+    scenario.finish(1, AttemptOutcome::Answered);
     for id in 2..12 {
         shared.id = id;
-        assert_eq!(sent(&story.dispatcher.offer(story.now, shared.clone(), true))[0].1, assigned);
-        story.ended(id, AttemptOutcome::Answered);
+        assert_eq!(sent(&scenario.dispatcher.offer(scenario.now, shared.clone(), true))[0].1, assigned);
+        scenario.finish(id, AttemptOutcome::Answered);
     }
 }
 
 #[test_case(ModelServerState::Draining; "draining")]
 #[test_case(ModelServerState::Removed; "removed")]
-fn a_draining_server_gets_no_request_and_its_queue_moves(state: ModelServerState) {
-    let mut story = Story::given(vec![server("i-1", &["a"])]);
-    (1..=3).for_each(|id| drop(story.asked(id, "a")));
+fn a_closed_server_gets_no_request_and_its_queue_moves(state: ModelServerState) {
+    let mut scenario = Scenario::new(vec![server("i-1", &["a"])]);
+    (1..=3).for_each(|id| drop(scenario.request(id, "a")));
     let leaving = ModelServer { state, sequence: 2, ..server("i-1", &["a"]) };
-    assert!(sent(&story.update_servers(vec![leaving])).is_empty());
-    assert!(sent(&story.ended(1, AttemptOutcome::Answered)).is_empty());
-    assert_eq!(sent(&story.update_servers(vec![server("i-2", &["a"])])), [(3, "i-2".into())]);
+    assert!(sent(&scenario.update_servers(vec![leaving])).is_empty());
+    assert!(sent(&scenario.finish(1, AttemptOutcome::Answered)).is_empty());
+    assert_eq!(sent(&scenario.update_servers(vec![server("i-2", &["a"])])), [(3, "i-2".into())]);
     assert!(
-        sent(&story.update_servers(vec![server("i-1", &["a"])])).is_empty(),
-        "an older word changes nothing"
+        sent(&scenario.update_servers(vec![server("i-1", &["a"])])).is_empty(),
+        "an outdated report changes nothing"
     );
 }
 
 #[test]
 fn a_request_for_an_absent_model_is_reported_and_sent_once_loaded() {
-    let mut story = Story::given(vec![server("i-1", &["b"])]);
-    story.asked(1, "a");
-    assert!(story.dispatcher.take_urgent_demand());
-    let (demand, _) = story.dispatcher.take_report();
+    let mut scenario = Scenario::new(vec![server("i-1", &["b"])]);
+    scenario.request(1, "a");
+    assert!(scenario.dispatcher.take_urgent_demand());
+    let (demand, _) = scenario.dispatcher.take_report();
     assert_eq!((demand[0].model.as_str(), demand[0].arrived, demand[0].waiting), ("a", 1, 1));
-    story.after(100);
-    assert!(!story.dispatcher.take_urgent_demand());
-    let (demand, _) = story.dispatcher.take_report();
-    assert_eq!((demand[0].arrived, demand[0].waiting), (0, 1), "no new demand, and it still waits");
+    scenario.advance(100);
+    assert!(!scenario.dispatcher.take_urgent_demand());
+    let (demand, _) = scenario.dispatcher.take_report();
+    assert_eq!((demand[0].arrived, demand[0].waiting), (0, 1), "no new demand, but the request still waits");
     let loaded = ModelServer { sequence: 2, ..server("i-1", &["a", "b"]) };
-    assert_eq!(sent(&story.update_servers(vec![loaded])), [(1, "i-1".into())]);
+    assert_eq!(sent(&scenario.update_servers(vec![loaded])), [(1, "i-1".into())]);
 }
 
 #[test]
 fn a_request_is_rejected_early_when_a_load_can_serve_its_retry() {
-    let mut story = Story::given(vec![server("i-1", &["b"])]);
-    story.asked(1, "a");
-    assert!(story.after(150).is_empty());
-    let refusals = refused(&story.after(60));
+    let mut scenario = Scenario::new(vec![server("i-1", &["b"])]);
+    scenario.request(1, "a");
+    assert!(scenario.advance(150).is_empty());
+    let rejections = rejected(&scenario.advance(60));
     assert_eq!(
-        refusals,
+        rejections,
         [(1, ResultCode::NoModelServer, 800 + 400 - 161)],
-        "what is left of load and overhead, before a quarter of the objective"
+        "the rest of load time and overhead, told before a quarter of the latency target has passed"
     );
 }
 
@@ -208,196 +212,210 @@
     vec![ExpectedModel { backend: "llm".into(), model: model.into(), ready_in_ms }]
 }
 
-/// Requests whose objective is longer than a load were sent away with the time of a whole load, came back
-/// after it, and earned half of what they would have earned by waiting.
+/// Requests whose latency target was longer than a load were rejected with the time of a complete load. They
+/// were retried after it, and their answers had half the value of answers to requests that wait.
 #[test]
 fn a_request_waits_for_a_load_within_its_latency_target() {
-    let mut story = Story::given(vec![server("i-1", &["b"])]);
-    let patient = Offer { target_latency_ms: 4_000, ..offer(1, "a", story.now) };
-    story.dispatcher.offer(story.now, patient, true);
-    story.dispatcher.set_expected_models(story.now, expected("a", 2_000));
-    assert!(story.after(2_500).is_empty());
+    let mut scenario = Scenario::new(vec![server("i-1", &["b"])]);
+    let long_target = Offer { target_latency_ms: 4_000, ..offer(1, "a", scenario.now) };
+    scenario.dispatcher.offer(scenario.now, long_target, true);
+    scenario.dispatcher.set_expected_models(scenario.now, expected("a", 2_000));
+    assert!(scenario.advance(2_500).is_empty());
     let loaded = ModelServer { sequence: 2, ..server("i-1", &["a", "b"]) };
-    assert_eq!(sent(&story.update_servers(vec![loaded])).len(), 1);
+    assert_eq!(sent(&scenario.update_servers(vec![loaded])).len(), 1);
 }
 
 #[test]
-fn retry_after_follows_the_leaders_load() {
-    let mut story = Story::given(vec![server("i-1", &["b"])]);
-    story.asked(1, "a");
-    story.dispatcher.set_expected_models(story.now, expected("a", 2_400));
-    let refusals = refused(&story.after(170));
-    assert_eq!(refusals.len(), 1);
-    let (_, code, retry_after) = refusals[0];
+fn retry_after_is_the_remaining_time_of_the_reported_load() {
+    let mut scenario = Scenario::new(vec![server("i-1", &["b"])]);
+    scenario.request(1, "a");
+    scenario.dispatcher.set_expected_models(scenario.now, expected("a", 2_400));
+    let rejections = rejected(&scenario.advance(170));
+    assert_eq!(rejections.len(), 1);
+    let (_, code, retry_after) = rejections[0];
     assert_eq!(code, ResultCode::NoModelServer);
     assert!((2_200..=2_400).contains(&retry_after), "{retry_after}");
 }
 
-/// Clients leave a stream that is silent for long. Requests for a model on its way were held until their
-/// clients had gone, with nothing gained by either.
+/// Clients disconnect from a stream without events. Requests for a model that was being loaded used to wait
+/// until their clients had disconnected, without use to anyone.
 #[test]
 fn a_request_that_would_be_abandoned_before_the_load_is_rejected_at_once() {
-    let mut story = Story::given(vec![server("i-1", &["b"])]);
+    let mut scenario = Scenario::new(vec![server("i-1", &["b"])]);
     let previously_rejected =
-        Offer { previously_rejected: true, abandon_at: story.now + 2_000, ..offer(1, "a", story.now) };
-    story.dispatcher.offer(story.now, previously_rejected, true);
-    story.dispatcher.set_expected_models(story.now, expected("a", 5_000));
-    assert_eq!(refused(&story.after(170)).len(), 1);
+        Offer { previously_rejected: true, abandon_at: scenario.now + 2_000, ..offer(1, "a", scenario.now) };
+    scenario.dispatcher.offer(scenario.now, previously_rejected, true);
+    scenario.dispatcher.set_expected_models(scenario.now, expected("a", 5_000));
+    assert_eq!(rejected(&scenario.advance(170)).len(), 1);
 }
 
 #[test]
-fn a_retried_request_waits_until_it_is_hopeless() {
-    let mut story = Story::given(vec![server("i-1", &["b"])]);
-    let previously_rejected = Offer { previously_rejected: true, ..offer(1, "a", story.now) };
-    story.dispatcher.offer(story.now, previously_rejected, true);
-    assert!(story.after(9_000).is_empty());
-    assert_eq!(refused(&story.after(800)).len(), 1);
+fn a_request_that_was_rejected_before_waits_until_little_time_remains() {
+    let mut scenario = Scenario::new(vec![server("i-1", &["b"])]);
+    let previously_rejected = Offer { previously_rejected: true, ..offer(1, "a", scenario.now) };
+    scenario.dispatcher.offer(scenario.now, previously_rejected, true);
+    assert!(scenario.advance(9_000).is_empty());
+    assert_eq!(rejected(&scenario.advance(800)).len(), 1);
 }
 
 #[test]
 fn retry_after_is_short_while_a_backend_has_no_server() {
-    let mut story = Story::given(Vec::new());
-    story.asked(1, "a");
-    assert_eq!(refused(&story.after(260)), [(1, ResultCode::NoModelServer, 1_000)]);
+    let mut scenario = Scenario::new(Vec::new());
+    scenario.request(1, "a");
+    assert_eq!(rejected(&scenario.advance(260)), [(1, ResultCode::NoModelServer, 1_000)]);
 }
 
 #[test]
 fn shutdown_rejects_requests_that_were_not_sent() {
-    let mut story = Story::given(vec![server("i-1", &["a"])]);
-    (1..=3).for_each(|id| drop(story.asked(id, "a")));
-    story.asked(4, "nowhere");
-    let refusals = refused(&story.dispatcher.reject_queued(story.now, 50));
-    assert_eq!(refusals, [(3, ResultCode::Stopping, 50), (4, ResultCode::Stopping, 50)]);
-    assert_eq!(story.dispatcher.pending_requests(), 2);
+    let mut scenario = Scenario::new(vec![server("i-1", &["a"])]);
+    (1..=3).for_each(|id| drop(scenario.request(id, "a")));
+    scenario.request(4, "nowhere");
+    let rejections = rejected(&scenario.dispatcher.reject_queued(scenario.now, 50));
+    assert_eq!(rejections, [(3, ResultCode::Stopping, 50), (4, ResultCode::Stopping, 50)]);
+    assert_eq!(scenario.dispatcher.pending_requests(), 2);
 }
 
 #[test]
 fn an_unreachable_server_is_ejected_and_used_again() {
-    let mut story = Story::given(vec![server("i-1", &["a"])]);
+    let mut scenario = Scenario::new(vec![server("i-1", &["a"])]);
     for id in 1..=2 {
-        assert_eq!(sent(&story.asked(id, "a")).len(), 1);
-        story.ended(id, AttemptOutcome::Failed);
+        assert_eq!(sent(&scenario.request(id, "a")).len(), 1);
+        scenario.finish(id, AttemptOutcome::Failed);
     }
-    assert!(sent(&story.asked(3, "a")).is_empty(), "after two failures in a row");
-    story.now += 160;
-    assert!(sent(&story.dispatcher.tick(story.now)).is_empty(), "no rest is that short");
-    // A quarter of a second, longer or shorter by up to three tenths at each edge.
-    story.now += 170;
-    assert_eq!(sent(&story.dispatcher.tick(story.now)).len(), 1, "once the rest is over");
+    assert!(sent(&scenario.request(3, "a")).is_empty(), "the server is ejected after two failures in a row");
+    scenario.now += 160;
+    assert!(
+        sent(&scenario.dispatcher.tick(scenario.now)).is_empty(),
+        "the ejection takes longer than 160 ms"
+    );
+    // The ejection takes 250 ms, longer or shorter by up to three tenths at each edge.
+    scenario.now += 170;
+    assert_eq!(sent(&scenario.dispatcher.tick(scenario.now)).len(), 1, "the ejection has ended");
 }
 
 #[test]
-fn a_server_without_the_model_is_avoided_for_it() {
-    let mut story = Story::given(vec![server("i-1", &["a"]), server("i-2", &["a"])]);
-    let first = sent(&story.asked(1, "a"))[0].1.clone();
-    story.ended(1, AttemptOutcome::Misdirected);
+fn requests_for_a_model_avoid_a_server_that_does_not_hold_it() {
+    let mut scenario = Scenario::new(vec![server("i-1", &["a"]), server("i-2", &["a"])]);
+    let first = sent(&scenario.request(1, "a"))[0].1.clone();
+    scenario.finish(1, AttemptOutcome::Misdirected);
     for id in 2..6 {
-        assert_ne!(sent(&story.asked(id, "a"))[0].1, first);
-        story.ended(id, AttemptOutcome::Answered);
+        assert_ne!(sent(&scenario.request(id, "a"))[0].1, first);
+        scenario.finish(id, AttemptOutcome::Answered);
     }
 }
 
 #[test]
 fn a_retry_goes_to_another_server() {
-    let mut story = Story::given(vec![server("i-1", &["a"]), server("i-2", &["a"])]);
-    let again = Offer { excluded: ["i-1".to_owned()].into(), ..offer(1, "a", story.now) };
-    assert_eq!(sent(&story.dispatcher.offer(story.now, again, false)), [(1, "i-2".into())]);
-    assert!(story.dispatcher.take_report().0.is_empty(), "and is no new demand");
+    let mut scenario = Scenario::new(vec![server("i-1", &["a"]), server("i-2", &["a"])]);
+    let retry = Offer { excluded: ["i-1".to_owned()].into(), ..offer(1, "a", scenario.now) };
+    assert_eq!(sent(&scenario.dispatcher.offer(scenario.now, retry, false)), [(1, "i-2".into())]);
+    assert!(scenario.dispatcher.take_report().0.is_empty(), "a retry is not new demand");
 }
 
 #[test]
 fn a_disconnected_client_cancels_its_request() {
-    let mut story = Story::given(vec![server("i-1", &["a"])]);
-    (1..=4).for_each(|id| drop(story.asked(id, "a")));
-    story.ended(3, AttemptOutcome::Abandoned);
-    assert_eq!(sent(&story.ended(1, AttemptOutcome::Answered)), [(4, "i-1".into())]);
+    let mut scenario = Scenario::new(vec![server("i-1", &["a"])]);
+    (1..=4).for_each(|id| drop(scenario.request(id, "a")));
+    scenario.finish(3, AttemptOutcome::Abandoned);
+    assert_eq!(sent(&scenario.finish(1, AttemptOutcome::Answered)), [(4, "i-1".into())]);
 }
 
 #[test]
 fn a_timed_out_server_returns_with_the_same_sequence() {
-    let mut story = Story::given(vec![server("i-1", &["a"])]);
-    story.update_servers(vec![ModelServer { state: ModelServerState::Removed, ..server("i-1", &["a"]) }]);
-    assert!(sent(&story.asked(1, "a")).is_empty());
-    assert_eq!(sent(&story.update_servers(vec![server("i-1", &["a"])])), [(1, "i-1".into())]);
-    story.update_servers(vec![ModelServer {
+    let mut scenario = Scenario::new(vec![server("i-1", &["a"])]);
+    scenario.update_servers(vec![ModelServer { state: ModelServerState::Removed, ..server("i-1", &["a"]) }]);
+    assert!(sent(&scenario.request(1, "a")).is_empty());
+    assert_eq!(sent(&scenario.update_servers(vec![server("i-1", &["a"])])), [(1, "i-1".into())]);
+    scenario.update_servers(vec![ModelServer {
         state: ModelServerState::Removed,
         sequence: 2,
         ..server("i-1", &["a"])
     }]);
-    story.update_servers(vec![server("i-1", &["a"])]);
-    assert!(sent(&story.asked(2, "a")).is_empty(), "what said that it ends does not");
+    scenario.update_servers(vec![server("i-1", &["a"])]);
+    assert!(sent(&scenario.request(2, "a")).is_empty(), "a server that announced its end does not return");
 }
 
 #[test]
 fn an_unlisted_server_is_removed_after_the_retention() {
-    let mut story = Story::given(vec![server("i-1", &["a"])]);
-    story.update_servers(Vec::new());
-    story.after(9_000);
-    assert_eq!(sent(&story.asked(1, "a")).len(), 1, "a core that has just started knows few model servers");
-    story.ended(1, AttemptOutcome::Answered);
-    story.after(1_100);
-    assert!(sent(&story.asked(2, "a")).is_empty());
+    let mut scenario = Scenario::new(vec![server("i-1", &["a"])]);
+    scenario.update_servers(Vec::new());
+    scenario.advance(9_000);
+    assert_eq!(
+        sent(&scenario.request(1, "a")).len(),
+        1,
+        "a core that has just started knows few model servers"
+    );
+    scenario.finish(1, AttemptOutcome::Answered);
+    scenario.advance(1_100);
+    assert!(sent(&scenario.request(2, "a")).is_empty());
 }
 
 #[test]
 fn a_new_incarnation_at_an_address_displaces_the_old_one() {
-    let mut story = Story::given(vec![server("i-1", &["a"])]);
-    (1..=3).for_each(|id| drop(story.asked(id, "a")));
+    let mut scenario = Scenario::new(vec![server("i-1", &["a"])]);
+    (1..=3).for_each(|id| drop(scenario.request(id, "a")));
     let address = server("i-1", &[]).address;
-    story.update_servers(vec![ModelServer { address, ..server("i-next", &[]) }]);
-    assert!(sent(&story.ended(1, AttemptOutcome::Failed)).is_empty(), "the old one gets nothing more");
-    story.update_servers(vec![server("i-1", &["a"])]);
-    assert!(sent(&story.asked(4, "a")).is_empty(), "nor by a late word");
+    scenario.update_servers(vec![ModelServer { address, ..server("i-next", &[]) }]);
+    assert!(
+        sent(&scenario.finish(1, AttemptOutcome::Failed)).is_empty(),
+        "the displaced incarnation gets no requests"
+    );
+    scenario.update_servers(vec![server("i-1", &["a"])]);
+    assert!(sent(&scenario.request(4, "a")).is_empty(), "a late report does not bring it back");
 }
 
 #[test]
 fn a_server_is_ejected_after_repeated_misdirected_requests() {
-    let mut story = Story::given(vec![server("i-1", &["a", "b", "c", "d"])]);
+    let mut scenario = Scenario::new(vec![server("i-1", &["a", "b", "c", "d"])]);
     for (id, model) in [(1, "a"), (2, "b"), (3, "c")] {
-        assert_eq!(sent(&story.asked(id, model)).len(), 1);
-        story.ended(id, AttemptOutcome::Misdirected);
+        assert_eq!(sent(&scenario.request(id, model)).len(), 1);
+        scenario.finish(id, AttemptOutcome::Misdirected);
     }
-    assert!(sent(&story.asked(4, "d")).is_empty());
+    assert!(sent(&scenario.request(4, "d")).is_empty());
 }
 
 #[test]
 fn a_server_with_errors_is_avoided_and_used_again_later() {
-    let mut story = Story::given(vec![server("i-1", &["a"]), server("i-2", &["a"])]);
-    let (mut id, mut at_grey) = (0, 0);
-    let mut round = |story: &mut Story, requests: u64| {
-        at_grey = 0;
+    let mut scenario = Scenario::new(vec![server("i-1", &["a"]), server("i-2", &["a"])]);
+    let (mut id, mut at_failing) = (0, 0);
+    let mut round = |scenario: &mut Scenario, requests: u64| {
+        at_failing = 0;
         for _ in 0..requests {
             id += 1;
-            let at = sent(&story.asked(id, "a"))[0].1.clone();
-            let grey = at == "i-1";
-            at_grey += u64::from(grey);
-            story.ended(
+            let at = sent(&scenario.request(id, "a"))[0].1.clone();
+            let is_failing = at == "i-1";
+            at_failing += u64::from(is_failing);
+            scenario.finish(
                 id,
-                if grey && id % 2 == 0 { AttemptOutcome::ServerError } else { AttemptOutcome::Answered },
+                if is_failing && id % 2 == 0 {
+                    AttemptOutcome::ServerError
+                } else {
+                    AttemptOutcome::Answered
+                },
             );
-            story.after(20);
+            scenario.advance(20);
         }
-        at_grey
+        at_failing
     };
-    round(&mut story, 100);
-    assert!(round(&mut story, 100) <= 20, "most go to the other one");
-    story.after(30_000);
+    round(&mut scenario, 100);
+    assert!(round(&mut scenario, 100) <= 20, "most requests go to the other server");
+    scenario.advance(30_000);
     let other_is_busy = ModelServer { capacity: 1, sequence: 2, ..server("i-2", &["a"]) };
-    story.update_servers(vec![other_is_busy]);
-    story.dispatcher.observe_load(story.now, "i-2", 1, 0);
-    assert_eq!(sent(&story.asked(900, "a"))[0].1, "i-1", "never shut out");
+    scenario.update_servers(vec![other_is_busy]);
+    scenario.dispatcher.observe_load(scenario.now, "i-2", 1, 0);
+    assert_eq!(sent(&scenario.request(900, "a"))[0].1, "i-1", "the server is never excluded");
 }
 
 #[test]
 fn requests_are_sent_even_if_all_servers_of_a_backend_fail() {
-    let mut story = Story::given(vec![server("i-1", &["a"]), server("i-2", &["a"])]);
+    let mut scenario = Scenario::new(vec![server("i-1", &["a"]), server("i-2", &["a"])]);
     for id in 1..40 {
-        assert_eq!(sent(&story.asked(id, "a")).len(), 1);
-        story.ended(id, AttemptOutcome::ServerError);
+        assert_eq!(sent(&scenario.request(id, "a")).len(), 1);
+        scenario.finish(id, AttemptOutcome::ServerError);
     }
 }
 
-// ---- where the leader lines prompts up ----
+// ---- grants: the leader chooses the model server ----
 
 fn granted(id: u64, instance: &str, now: u64) -> Offer {
     Offer { granted: Some(instance.into()), ..offer(id, "a", now) }
@@ -405,99 +423,100 @@
 
 #[test]
 fn a_request_goes_to_the_granted_server() {
-    let mut story = Story::given(vec![server("i-1", &["a"]), server("i-2", &["a"])]);
-    let now = story.now;
+    let mut scenario = Scenario::new(vec![server("i-1", &["a"]), server("i-2", &["a"])]);
+    let now = scenario.now;
     for (id, instance) in [(1, "i-1"), (2, "i-2"), (3, "i-1")] {
-        let actions = story.dispatcher.offer(now, granted(id, instance, now), true);
+        let actions = scenario.dispatcher.offer(now, granted(id, instance, now), true);
         assert_eq!(sent(&actions), [(id, instance.to_owned())]);
     }
 }
 
-#[test_case(&["b"], BTreeSet::new(); "it has lost the model meanwhile")]
-#[test_case(&["a"], BTreeSet::from(["i-1".to_owned()]); "the request was there before")]
+#[test_case(&["b"], BTreeSet::new(); "the server no longer holds the model")]
+#[test_case(&["a"], BTreeSet::from(["i-1".to_owned()]); "the server is excluded")]
 fn an_obsolete_grant_is_ignored(models: &[&str], excluded: BTreeSet<String>) {
-    let mut story = Story::given(vec![server("i-1", models), server("i-2", &["a"])]);
-    let now = story.now;
+    let mut scenario = Scenario::new(vec![server("i-1", models), server("i-2", &["a"])]);
+    let now = scenario.now;
     let offer = Offer { excluded, ..granted(1, "i-1", now) };
-    assert_eq!(sent(&story.dispatcher.offer(now, offer, true)), [(1, "i-2".into())]);
+    assert_eq!(sent(&scenario.dispatcher.offer(now, offer, true)), [(1, "i-2".into())]);
 }
 
 #[test]
-fn a_granted_server_without_a_free_slot_is_ignored() {
-    let mut story = Story::given(vec![server("i-1", &["a"]), server("i-2", &["a"])]);
-    let now = story.now;
-    (1..=2).for_each(|id| drop(story.dispatcher.offer(now, granted(id, "i-1", now), true)));
-    let actions = story.dispatcher.offer(now, granted(3, "i-1", now), true);
+fn a_grant_of_a_server_without_a_free_slot_is_ignored() {
+    let mut scenario = Scenario::new(vec![server("i-1", &["a"]), server("i-2", &["a"])]);
+    let now = scenario.now;
+    (1..=2).for_each(|id| drop(scenario.dispatcher.offer(now, granted(id, "i-1", now), true)));
+    let actions = scenario.dispatcher.offer(now, granted(3, "i-1", now), true);
     assert_eq!(sent(&actions), [(3, "i-2".into())]);
 }
 
 #[test]
 fn admission_options_are_servers_with_the_model_and_a_slot() {
-    let mut story = Story::given(vec![
+    let mut scenario = Scenario::new(vec![
         server("i-1", &["a"]),
         server("i-2", &["b"]),
         ModelServer { zone: "there".into(), ..server("i-3", &["a"]) },
     ]);
-    let asked = offer(9, "a", story.now);
-    let options = story.dispatcher.admission_options(story.now, &asked);
+    let request = offer(9, "a", scenario.now);
+    let options = scenario.dispatcher.admission_options(scenario.now, &request);
     let names: Vec<&str> = options.iter().map(|option| option.instance.as_str()).collect();
-    assert_eq!(names, ["i-1", "i-3"], "the nearer one first");
+    assert_eq!(names, ["i-1", "i-3"], "the server in the same zone comes first");
     assert!(options[0].prefill_ms > 0 && options[1].other_cost_ms > options[0].other_cost_ms);
-    let without_prompt = Offer { input_tokens: 0, ..asked.clone() };
-    assert!(story.dispatcher.admission_options(story.now, &without_prompt).is_empty());
-    (1..=2).for_each(|id| drop(story.dispatcher.offer(story.now, granted(id, "i-1", story.now), true)));
-    let options = story.dispatcher.admission_options(story.now, &asked);
-    assert_eq!(options.len(), 1, "i-1 has no slot left");
+    let without_prompt = Offer { input_tokens: 0, ..request.clone() };
+    assert!(scenario.dispatcher.admission_options(scenario.now, &without_prompt).is_empty());
+    (1..=2)
+        .for_each(|id| drop(scenario.dispatcher.offer(scenario.now, granted(id, "i-1", scenario.now), true)));
+    let options = scenario.dispatcher.admission_options(scenario.now, &request);
+    assert_eq!(options.len(), 1, "i-1 has no free slot");
 }
 
 #[test]
 fn a_cached_prefix_reduces_the_prefill_time() {
-    let mut story = Story::given(vec![server("i-1", &["a"]), server("i-2", &["a"])]);
+    let mut scenario = Scenario::new(vec![server("i-1", &["a"]), server("i-2", &["a"])]);
     let parts = vec![PromptPart { id: 7, tokens: 900 }];
-    let first = Offer { parts: parts.clone(), ..granted(1, "i-2", story.now) };
-    story.dispatcher.offer(story.now, first, true);
-    story.ended(1, AttemptOutcome::Answered);
-    let again = Offer { parts, ..offer(2, "a", story.now) };
-    let options = story.dispatcher.admission_options(story.now, &again);
-    let read =
+    let first = Offer { parts: parts.clone(), ..granted(1, "i-2", scenario.now) };
+    scenario.dispatcher.offer(scenario.now, first, true);
+    scenario.finish(1, AttemptOutcome::Answered);
+    let retry = Offer { parts, ..offer(2, "a", scenario.now) };
+    let options = scenario.dispatcher.admission_options(scenario.now, &retry);
+    let prefill_ms =
         |name: &str| options.iter().find(|option| option.instance == name).map(|option| option.prefill_ms);
-    assert!(read("i-2") < read("i-1"), "{options:?}");
+    assert!(prefill_ms("i-2") < prefill_ms("i-1"), "{options:?}");
 }
 
-// ---- what all edges together know of a model server ----
+// ---- loads and errors over all edges ----
 
-fn joint(instance: &str, error_permille: u16) -> ModelServerLoad {
+fn total_load(instance: &str, error_permille: u16) -> ModelServerLoad {
     ModelServerLoad { instance: instance.into(), error_permille, ..ModelServerLoad::default() }
 }
 
 #[test]
 fn errors_seen_by_other_edges_count_for_a_while() {
-    let mut story = Story::given(vec![server("i-1", &["a"]), server("i-2", &["a"])]);
-    let chosen = |story: &mut Story, id: u64| {
-        let instance = sent(&story.asked(id, "a"))[0].1.clone();
-        story.ended(id, AttemptOutcome::Answered);
+    let mut scenario = Scenario::new(vec![server("i-1", &["a"]), server("i-2", &["a"])]);
+    let chosen = |scenario: &mut Scenario, id: u64| {
+        let instance = sent(&scenario.request(id, "a"))[0].1.clone();
+        scenario.finish(id, AttemptOutcome::Answered);
         instance
     };
-    let first = chosen(&mut story, 1);
-    story.dispatcher.observe_total_loads(story.now, &[joint(&first, 600)]);
-    assert_ne!(chosen(&mut story, 2), first);
-    story.now += 10_000;
-    let later: BTreeSet<String> = (3..9).map(|id| chosen(&mut story, id)).collect();
-    assert!(later.contains(&first), "old word counts for nothing");
+    let first = chosen(&mut scenario, 1);
+    scenario.dispatcher.observe_total_loads(scenario.now, &[total_load(&first, 600)]);
+    assert_ne!(chosen(&mut scenario, 2), first);
+    scenario.now += 10_000;
+    let later: BTreeSet<String> = (3..9).map(|id| chosen(&mut scenario, id)).collect();
+    assert!(later.contains(&first), "the old report no longer counts");
 }
 
 #[test]
 fn outcomes_are_reported_once() {
-    let mut story = Story::given(vec![server("i-1", &["a"])]);
+    let mut scenario = Scenario::new(vec![server("i-1", &["a"])]);
     for (id, outcome) in
         [(1, AttemptOutcome::Answered), (2, AttemptOutcome::Failed), (3, AttemptOutcome::Abandoned)]
     {
-        story.asked(id, "a");
-        story.ended(id, outcome);
+        scenario.request(id, "a");
+        scenario.finish(id, outcome);
     }
-    let (_, loads) = story.dispatcher.take_report();
+    let (_, loads) = scenario.dispatcher.take_report();
     assert_eq!((loads.len(), loads[0].failed, loads[0].answered, loads[0].in_flight), (1, 1, 1, 0));
-    assert!(story.dispatcher.take_report().1.is_empty());
+    assert!(scenario.dispatcher.take_report().1.is_empty());
 }
 
 /// A model server that holds a model in a version.
@@ -508,20 +527,24 @@
 
 #[test]
 fn a_request_for_a_version_goes_to_no_other_version() {
-    let mut story = Story::given(vec![server_of_version("i-1", 1), server_of_version("i-2", 2)]);
+    let mut scenario = Scenario::new(vec![server_of_version("i-1", 1), server_of_version("i-2", 2)]);
     for id in 1..=2 {
-        let of_two = Offer { version: Some(2), ..offer(id, "a", story.now) };
-        assert_eq!(sent(&story.dispatcher.offer(story.now, of_two, true)), [(id, "i-2".into())]);
+        let with_version = Offer { version: Some(2), ..offer(id, "a", scenario.now) };
+        assert_eq!(sent(&scenario.dispatcher.offer(scenario.now, with_version, true)), [(id, "i-2".into())]);
     }
-    let granted = Offer { version: Some(2), granted: Some("i-1".into()), ..offer(3, "a", story.now) };
-    assert_eq!(sent(&story.dispatcher.offer(story.now, granted, true)), [], "also where the leader chose it");
-    assert_eq!(sent(&story.ended(1, AttemptOutcome::Answered)), [(3, "i-2".into())]);
+    let granted = Offer { version: Some(2), granted: Some("i-1".into()), ..offer(3, "a", scenario.now) };
+    assert_eq!(
+        sent(&scenario.dispatcher.offer(scenario.now, granted, true)),
+        [],
+        "the version is required of a granted server, too"
+    );
+    assert_eq!(sent(&scenario.finish(1, AttemptOutcome::Answered)), [(3, "i-2".into())]);
 }
 
 #[test]
 fn an_absent_version_is_not_reported_as_demand() {
-    let mut story = Story::given(vec![server_of_version("i-1", 2)]);
-    let of_one = Offer { version: Some(1), resumable: true, ..offer(1, "a", story.now) };
-    assert_eq!(story.dispatcher.offer(story.now, of_one, false), []);
-    assert!(!story.dispatcher.take_urgent_demand() && story.dispatcher.take_report().0.is_empty());
+    let mut scenario = Scenario::new(vec![server_of_version("i-1", 2)]);
+    let with_version = Offer { version: Some(1), resumable: true, ..offer(1, "a", scenario.now) };
+    assert_eq!(scenario.dispatcher.offer(scenario.now, with_version, false), []);
+    assert!(!scenario.dispatcher.take_urgent_demand() && scenario.dispatcher.take_report().0.is_empty());
 }
--- a/crates/router/tests/evacuation.rs
+++ b/crates/router/tests/evacuation.rs
@@ -1,4 +1,4 @@
-//! Evacuation of streams from a model server that ends at short notice.
+//! Tests of the evacuation of streams from a model server that ends at short notice.
 
 #![allow(clippy::unwrap_used, clippy::expect_used, reason = "a test fails by a panic")]
 
@@ -10,8 +10,8 @@
 use std::collections::BTreeSet;
 use test_case::test_case;
 
-const NOTICE: u64 = 2_000;
-const TICK: u64 = 20;
+const NOTICE_MS: u64 = 2_000;
+const TICK_MS: u64 = 20;
 
 fn server(instance: &str, state: ModelServerState, remaining_ms: u64, sequence: u64) -> ModelServer {
     ModelServer {
@@ -30,19 +30,19 @@
     }
 }
 
-struct Story {
+struct Scenario {
     dispatcher: Dispatcher,
     now: u64,
     moves: Vec<(u64, u64)>,
 }
 
-impl Story {
-    /// An edge with one model server, and streams there: the request, its deadline, whether another model
-    /// server may take it up.
-    fn given(streams: &[(u64, u64, bool)]) -> Story {
-        let mut story =
-            Story { dispatcher: Dispatcher::new("here".into(), 7), now: 1_000, moves: Vec::new() };
-        story.update_servers(server("i-1", ModelServerState::Ready, 0, 1));
+impl Scenario {
+    /// An edge with one model server that runs `streams`: each with its request, its deadline, and whether
+    /// another model server may resume it.
+    fn new(streams: &[(u64, u64, bool)]) -> Scenario {
+        let mut scenario =
+            Scenario { dispatcher: Dispatcher::new("here".into(), 7), now: 1_000, moves: Vec::new() };
+        scenario.update_servers(server("i-1", ModelServerState::Ready, 0, 1));
         for (id, deadline, resumable) in streams {
             let offer = Offer {
                 id: *id,
@@ -51,7 +51,7 @@
                 size: 1_500,
                 input_tokens: 1_000,
                 parts: Vec::new(),
-                arrived: story.now,
+                arrived: scenario.now,
                 deadline: *deadline,
                 abandon_at: *deadline,
                 target_latency_ms: 1_000,
@@ -64,111 +64,115 @@
                 urgency: 0,
                 version: None,
             };
-            let actions = story.dispatcher.offer(story.now, offer, true);
+            let actions = scenario.dispatcher.offer(scenario.now, offer, true);
             assert!(matches!(actions[..], [Action::Send { .. }]));
         }
-        story
+        scenario
     }
 
     fn update_servers(&mut self, server: ModelServer) {
         let update = ModelServerUpdate { complete: false, servers: vec![server] };
         let actions = self.dispatcher.update_servers(self.now, update);
-        self.note(actions);
+        self.record_moves(actions);
     }
 
-    fn after(&mut self, milliseconds: u64) {
-        for _ in 0..milliseconds / TICK {
-            self.now += TICK;
+    fn advance(&mut self, milliseconds: u64) {
+        for _ in 0..milliseconds / TICK_MS {
+            self.now += TICK_MS;
             let actions = self.dispatcher.tick(self.now);
-            self.note(actions);
+            self.record_moves(actions);
         }
     }
 
-    fn note(&mut self, actions: Vec<Action>) {
+    fn record_moves(&mut self, actions: Vec<Action>) {
         for action in actions {
             if let Action::Evacuate { id, ends_at } = action {
-                assert!(ends_at > self.now, "told before it is gone");
+                assert!(ends_at > self.now, "the edge is asked before the model server ends");
                 self.moves.push((id, self.now));
             }
         }
     }
 
-    fn moved(&self) -> Vec<u64> {
+    fn moved_requests(&self) -> Vec<u64> {
         self.moves.iter().map(|(id, _)| *id).collect()
     }
 }
 
 #[test]
 fn streams_move_before_the_server_ends_by_deadline() {
-    // Given three streams that may be taken up elsewhere, and one that may not.
-    let mut story = Story::given(&[(1, 9_000, true), (2, 5_000, true), (3, 7_000, false), (4, 6_000, true)]);
-    let noticed = story.now;
-    // When their model server says that it is gone in two seconds, then they leave by deadline, apart, and in
-    // time.
-    story.update_servers(server("i-1", ModelServerState::Draining, NOTICE, 2));
-    story.after(NOTICE);
-    assert_eq!(story.moved(), [2, 4, 1]);
-    let times: Vec<u64> = story.moves.iter().map(|(_, at)| at - noticed).collect();
+    // Three streams are resumable, and one is not.
+    let mut scenario =
+        Scenario::new(&[(1, 9_000, true), (2, 5_000, true), (3, 7_000, false), (4, 6_000, true)]);
+    let notice_at = scenario.now;
+    // The model server announces its end in two seconds. The resumable streams move in the order of their
+    // deadlines, one after the other, before the margin.
+    scenario.update_servers(server("i-1", ModelServerState::Draining, NOTICE_MS, 2));
+    scenario.advance(NOTICE_MS);
+    assert_eq!(scenario.moved_requests(), [2, 4, 1]);
+    let times: Vec<u64> = scenario.moves.iter().map(|(_, at)| at - notice_at).collect();
     assert!(times.windows(2).all(|pair| pair[1] > pair[0] + 200), "{times:?}");
-    assert!(times[2] <= NOTICE - EVACUATION_MARGIN_MS + TICK, "{times:?}");
+    assert!(times[2] <= NOTICE_MS - EVACUATION_MARGIN_MS + TICK_MS, "{times:?}");
 }
 
 #[test]
 fn a_draining_server_without_an_end_keeps_its_streams() {
-    let mut story = Story::given(&[(1, 9_000, true)]);
-    story.update_servers(server("i-1", ModelServerState::Draining, 0, 2));
-    story.after(8_000);
-    assert_eq!(story.moved(), [0; 0]);
+    let mut scenario = Scenario::new(&[(1, 9_000, true)]);
+    scenario.update_servers(server("i-1", ModelServerState::Draining, 0, 2));
+    scenario.advance(8_000);
+    assert_eq!(scenario.moved_requests(), [0; 0]);
 }
 
 #[test]
 fn a_stream_that_ended_is_not_moved() {
-    let mut story = Story::given(&[(1, 9_000, true), (2, 9_500, true)]);
-    story.update_servers(server("i-1", ModelServerState::Draining, NOTICE, 2));
-    story.dispatcher.finish(story.now, 1, AttemptOutcome::Answered);
-    story.after(NOTICE);
-    assert_eq!(story.moved(), [2]);
+    let mut scenario = Scenario::new(&[(1, 9_000, true), (2, 9_500, true)]);
+    scenario.update_servers(server("i-1", ModelServerState::Draining, NOTICE_MS, 2));
+    scenario.dispatcher.finish(scenario.now, 1, AttemptOutcome::Answered);
+    scenario.advance(NOTICE_MS);
+    assert_eq!(scenario.moved_requests(), [2]);
 }
 
 #[test]
 fn a_later_report_neither_moves_a_stream_again_nor_delays_it() {
-    let mut story = Story::given(&[(1, 9_000, true)]);
-    story.update_servers(server("i-1", ModelServerState::Draining, NOTICE, 2));
-    story.after(400);
-    story.update_servers(server("i-1", ModelServerState::Draining, NOTICE, 3));
-    story.after(NOTICE);
-    assert_eq!(story.moved(), [1]);
-    assert!(story.moves[0].1 <= 1_000 + NOTICE - EVACUATION_MARGIN_MS + TICK);
+    let mut scenario = Scenario::new(&[(1, 9_000, true)]);
+    scenario.update_servers(server("i-1", ModelServerState::Draining, NOTICE_MS, 2));
+    scenario.advance(400);
+    scenario.update_servers(server("i-1", ModelServerState::Draining, NOTICE_MS, 3));
+    scenario.advance(NOTICE_MS);
+    assert_eq!(scenario.moved_requests(), [1]);
+    assert!(scenario.moves[0].1 <= 1_000 + NOTICE_MS - EVACUATION_MARGIN_MS + TICK_MS);
 }
 
 #[test]
-fn a_late_notice_moves_all_streams_at_once() {
+fn all_streams_move_at_once_if_less_than_the_margin_remains() {
     let streams = [Stream { id: 1, deadline: 9_000 }, Stream { id: 2, deadline: 8_000 }];
-    let leaves = plan(1_000, 1_100, streams.to_vec(), 0.9);
-    assert_eq!((leaves[&1], leaves[&2]), (1_000, 1_000));
+    let move_times = plan(1_000, 1_100, streams.to_vec(), 0.9);
+    assert_eq!((move_times[&1], move_times[&2]), (1_000, 1_000));
 }
 
-#[test_case(0.0; "the first edge")]
-#[test_case(0.99; "the last edge")]
+#[test_case(0.0; "the lowest draw")]
+#[test_case(0.99; "the highest draw")]
 fn moves_spread_over_the_remaining_time(draw: f64) {
     let streams: Vec<Stream> = (0..10).map(|id| Stream { id, deadline: 9_000 - id }).collect();
-    let leaves = plan(1_000, 3_000, streams, draw);
-    assert_eq!(leaves.len(), 10);
-    assert!(leaves.values().all(|at| (1_000..=3_000 - EVACUATION_MARGIN_MS).contains(at)));
-    assert!(leaves[&9] < leaves[&0]);
+    let move_times = plan(1_000, 3_000, streams, draw);
+    assert_eq!(move_times.len(), 10);
+    assert!(move_times.values().all(|at| (1_000..=3_000 - EVACUATION_MARGIN_MS).contains(at)));
+    assert!(move_times[&9] < move_times[&0]);
 }
 
 #[test]
-fn completion_in_time_is_predicted_by_the_pace() {
+fn the_pace_of_a_stream_predicts_whether_it_completes_in_time() {
     let mut rate = EventRate::default();
-    assert_eq!(rate.expected(100), None, "nothing is known yet");
+    assert_eq!(rate.expected(100), None, "no stream is complete yet");
     (0..50).for_each(|_| rate.observe(100, 20));
     let expected = rate.expected(200).unwrap();
     assert!((39.0..41.0).contains(&expected));
-    // Ten events in 450 ms: thirty more take 1.5 s.
+    // The first ten events took 450 ms, so thirty more take 1.5 s.
     let progress = Progress { started_at: 1_000, events: 10, expected: Some(expected) };
     assert!(progress.completes_before(1_450, 1_450 + 1_700));
     assert!(!progress.completes_before(1_450, 1_450 + 1_600));
-    assert!(!Progress { expected: None, ..progress }.completes_before(1_450, 9_000), "unknown: it is moved");
-    assert!(!Progress { events: 1, ..progress }.completes_before(1_450, 9_000), "no pace yet");
+    assert!(
+        !Progress { expected: None, ..progress }.completes_before(1_450, 9_000),
+        "without an expected number of events the stream moves"
+    );
+    assert!(!Progress { events: 1, ..progress }.completes_before(1_450, 9_000), "one event gives no pace");
 }
--- a/crates/router/tests/events.rs
+++ b/crates/router/tests/events.rs
@@ -1,4 +1,4 @@
-//! The events of a stream as they pass.
+//! Tests of the tracking of a stream's events.
 
 #![allow(clippy::unwrap_used, clippy::expect_used, reason = "a test fails by a panic")]
 
@@ -10,7 +10,7 @@
 }
 
 #[test_case(1; "byte by byte")]
-#[test_case(7; "in sevens")]
+#[test_case(7; "seven bytes at a time")]
 #[test_case(1_000; "at once")]
 fn passes_complete_events_and_tracks_the_last_id(chunk_size: usize) {
     let mut tracker = EventTracker::default();
@@ -19,7 +19,7 @@
     assert_eq!(passed, b"id: 1\ndata: a\n\nid: 2\ndata: b\n\n");
     assert_eq!(tracker.last_id(), Some("2"));
     tracker.broke();
-    assert!(tracker.finish().is_empty(), "the next model server sends the third one whole");
+    assert!(tracker.finish().is_empty(), "the next model server sends the third event in full");
 }
 
 #[test]
--- a/crates/router/tests/prompt.rs
+++ b/crates/router/tests/prompt.rs
@@ -1,4 +1,4 @@
-//! Headers that name a model and describe a prompt.
+//! Tests of the headers that name a model and describe a prompt.
 
 #![allow(clippy::unwrap_used, clippy::expect_used, reason = "a test fails by a panic")]
 
@@ -7,13 +7,13 @@
 
 #[test_case("m", "m", ""; "a model")]
 #[test_case("m/a3", "m", "a3"; "an adapter")]
-#[test_case("", "", ""; "none")]
+#[test_case("", "", ""; "no model")]
 fn parses_a_model_and_its_adapter(value: &str, model: &str, adapter: &str) {
     assert_eq!(ModelName::parse(value), ModelName { model: model.into(), adapter: adapter.into() });
 }
 
 #[test]
-fn parses_prompt_parts_up_to_the_first_malformed_one() {
+fn parses_token_counts_and_prompt_parts_up_to_the_first_malformed_one() {
     assert_eq!(TokenCount::parse("1460,80"), Some(TokenCount { input: 1_460, output: 80 }));
     assert_eq!(TokenCount::parse("1460,80").unwrap().size(), 2_260);
     assert_eq!(TokenCount::parse("1460"), None);
--- a/crates/router/tests/request_log.rs
+++ b/crates/router/tests/request_log.rs
@@ -1,4 +1,4 @@
-//! The log of recent requests.
+//! Tests of the log of recent requests.
 
 #![allow(clippy::unwrap_used, clippy::expect_used, reason = "a test fails by a panic")]
 
--- a/crates/router/tests/usage.rs
+++ b/crates/router/tests/usage.rs
@@ -1,4 +1,4 @@
-//! Usage by tenant and window.
+//! Tests of the usage counts by tenant and window.
 
 #![allow(clippy::unwrap_used, clippy::expect_used, reason = "a test fails by a panic")]
 
@@ -18,5 +18,5 @@
     assert_eq!((windows[0].window, windows[0].counts.as_slice()), (1, &[("a".to_owned(), 1)][..]));
     assert_eq!(windows[1].counts, [("a".to_owned(), 1), ("b".to_owned(), 2)]);
     usage.record_start(100_000, "a");
-    assert_eq!(usage.windows().len(), 1, "old windows are sealed long ago");
+    assert_eq!(usage.windows().len(), 1, "windows that are sealed by then are dropped");
 }
