--- a/crates/control/src/address_index.rs
+++ b/crates/control/src/address_index.rs
@@ -1,4 +1,5 @@
-//! Which instances are known at each address, so that the first heartbeat of one is not compared with all others.
+//! An index of instances by address, so that the first heartbeat of an instance is not compared with all
+//! others.
 
 use std::collections::{BTreeMap, BTreeSet};
 
--- a/crates/control/src/admission.rs
+++ b/crates/control/src/admission.rs
@@ -1,13 +1,14 @@
 //! Joint admission over all edges: which model server prefills a prompt next, and when.
 //!
-//! During prefill all streams of a model server pause. One prompt delays a stream by a short pause; several at once, from
-//! edges that do not know of each other, slow it down. The leader therefore queues prompts: each is granted the model
-//! server where its answer would begin first, and the time at which the prompts before it are done there. A grant is
-//! advice: an edge that gets none in time decides by itself, and a new leader begins with empty queues.
+//! During prefill all streams of a model server pause. One prompt delays the streams by a short pause;
+//! several prompts at once, from edges that do not know of each other, slow the streams down. The leader
+//! therefore queues prompts: it grants each prompt the model server where the answer would begin first, and
+//! the time at which the prompts before it are prefilled there. A grant is advice: an edge that gets no grant
+//! in time decides by itself, and a new leader begins with empty queues.
 //!
-//! The leader also knows how many slots are occupied, by the edges' reports and its own grants since. A model server
-//! without free slots costs more, in any zone, so that demand spreads over zones by their free capacity. The last slots
-//! are reserved for urgent requests ([`crate::urgency`]).
+//! The leader also knows how many slots are occupied, by the edges' reports and its own grants since. A model
+//! server without free slots costs more, in any zone, so that demand spreads over zones by their free
+//! capacity. The last slots are reserved for urgent requests ([`crate::urgency`]).
 
 use crate::urgency::{Urgency, open_slots};
 use pathbank_coordination::types::Millis;
@@ -34,7 +35,7 @@
     capacity: f64,
     /// Requests in flight there, by the reports of all edges.
     reported: f64,
-    /// When grants were given that the reports may not include yet.
+    /// The times of grants that the edges' reports may not include yet.
     granted_at: VecDeque<Millis>,
 }
 
@@ -49,7 +50,7 @@
         }
     }
 
-    /// Slots that one more request of an urgency would lack; 0: there is one for it.
+    /// The slots that one more request of an urgency would lack; 0: there is a free slot for it.
     fn missing(&self, urgency: Urgency) -> f64 {
         if self.capacity == 0.0 {
             return 0.0;
@@ -61,14 +62,14 @@
 /// The leader's admission: queues and slots of model servers, by instance.
 #[derive(Clone, Debug, Default)]
 pub struct AdmissionController {
-    /// When each model server has prefilled what was granted there, milliseconds.
+    /// When each model server has prefilled the prompts that were granted there, milliseconds.
     free_at: HashMap<String, f64>,
     slots: HashMap<String, Slots>,
 }
 
 impl AdmissionController {
-    /// Sets the slots of the model servers that take requests, and the requests in flight there. Other model servers are
-    /// removed.
+    /// Sets the slots of the model servers that take requests, and the requests in flight there. Other model
+    /// servers are removed.
     pub fn update_slots(&mut self, ready: &[ModelServer], in_flight: &BTreeMap<String, u32>) {
         let mut known = std::mem::take(&mut self.slots);
         for server in ready {
--- a/crates/control/src/autoscaling.rs
+++ b/crates/control/src/autoscaling.rs
@@ -1,7 +1,8 @@
 //! How many model servers of a service run in each zone.
 //!
-//! Target tracking by the utilization of prefill time and of slots. More model servers are ordered at once, since they take
-//! time to start; fewer only after the load has been low for some time. What a zone does not get is ordered in the others.
+//! Target tracking by the utilization of prefill time and of slots. An increase is ordered at once, since
+//! model servers take time to start; a decrease only after the load has been low for some time. Model servers
+//! that one zone cannot start are ordered in the others.
 
 use crate::configuration::{Autoscaling, Backend};
 use crate::demand::DemandTable;
@@ -11,9 +12,9 @@
 
 /// The target utilization of a model server's time by prefill.
 const TARGET_PREFILL_UTILIZATION: f64 = 0.27;
-/// The target utilization of its slots.
+/// The target utilization of a model server's slots.
 const TARGET_SLOT_UTILIZATION: f64 = 0.45;
-/// The fraction of the demand that has to be known.
+/// The fraction of the demand that has to be known before anything is ordered.
 const MIN_KNOWN_FRACTION: f64 = 0.3;
 /// For how long a new leader orders nothing, milliseconds: edges report the demand of the time before.
 const WARMUP_MS: Millis = 2_000;
@@ -23,9 +24,10 @@
 const SPARE_FRACTION: f64 = 0.15;
 /// For how long the load has to be low before a decrease, milliseconds.
 const SCALE_DOWN_DELAY_MS: Millis = 8_000;
-/// So long after ordered model servers should have started, a zone that lacks them counts as short, milliseconds.
+/// A zone counts as short if it lacks ordered model servers this long after they should have started,
+/// milliseconds.
 const START_TIMEOUT_MS: Millis = 4_000;
-/// After this time an order without a clear answer is given again, milliseconds.
+/// An order without a clear answer is given again after this time, milliseconds.
 const RETRY_INTERVAL_MS: Millis = 1_500;
 
 /// An order to the platform: the number of model servers of a service in a zone.
@@ -42,9 +44,9 @@
 /// Whether the platform has accepted an order.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Delivery {
-    /// Given at this time, without a clear answer yet.
+    /// The order was given at this time, and has no clear answer yet.
     Pending(Millis),
-    /// Accepted at this time.
+    /// The order was accepted at this time.
     Accepted(Millis),
 }
 
@@ -99,7 +101,7 @@
         orders
     }
 
-    /// The platform has answered an order. One that it did not clearly accept is given again.
+    /// Records the platform's answer to an order. An order that it did not clearly accept is given again.
     pub fn record_answer(&mut self, now: Millis, order: &ScaleOrder, accepted: bool) {
         let service = self.services.get_mut(&order.backend);
         let Some(known) = service.and_then(|service| service.orders.get_mut(&order.zone)) else { return };
@@ -137,9 +139,9 @@
     zone: &'a str,
     /// Model servers that take requests there.
     present: u32,
-    /// Model servers that were ordered last; those present where nothing was ordered.
+    /// The model servers of the last order, or the present ones if nothing was ordered there.
     ordered: u32,
-    /// What was ordered there has not started in time.
+    /// Whether ordered model servers have not started in time.
     is_short: bool,
 }
 
@@ -215,7 +217,8 @@
     }
 }
 
-/// Spreads model servers evenly over the zones, within the bounds of each. What short zones lack goes to the others.
+/// Spreads model servers evenly over the zones, within the bounds of each. Model servers that short zones
+/// lack are added to the others.
 fn spread(wanted: f64, zones: &[ZoneStatus<'_>], bounds: &Autoscaling) -> BTreeMap<String, u32> {
     let (min, max) = (bounds.min_instances, bounds.max_instances.max(bounds.min_instances));
     let (short, able): (Vec<_>, Vec<_>) = zones.iter().partition(|zone| zone.is_short);
--- a/crates/control/src/change_log.rs
+++ b/crates/control/src/change_log.rs
@@ -1,32 +1,32 @@
-//! The operators' changes that were accepted, so that one that is sent again is acknowledged and not applied again.
+//! The operators' accepted changes, so that a repeated change is acknowledged and not applied again.
 
 use serde::{Deserialize, Serialize};
 use std::collections::{BTreeSet, VecDeque};
 
-/// Changes that are recorded, the newest ones; at 4,600 a day these are the changes of 42 hours.
+/// The limit of recorded changes. At 4,600 changes a day these are the changes of 42 hours.
 pub const MAX_RECORDED_CHANGES: usize = 8_192;
 
 /// A change that was accepted.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 struct AcceptedChange {
     digest: u128,
-    /// The version on which it built.
+    /// The version on which the change built.
     base: u64,
 }
 
 /// Whether a change that arrives was accepted before.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ChangeLookup {
-    /// It was accepted.
+    /// The change was accepted.
     Accepted,
-    /// It is not recorded, and would be if it had been accepted.
+    /// The change was not accepted: it would be recorded.
     Unknown,
-    /// It builds on a version whose changes are no longer recorded: it may have been accepted.
+    /// The change builds on a version whose changes are no longer recorded: it may have been accepted.
     Evicted,
 }
 
-/// The newest accepted changes by their digests. Bases rise from change to change, so that a base alone tells whether
-/// changes on it are still recorded.
+/// The newest accepted changes by their digests. Each change builds on a higher base than the one before, so
+/// the base alone shows whether changes on it are still recorded.
 #[derive(Clone, Debug, Default, Serialize, Deserialize)]
 #[serde(from = "StoredChangeLog", into = "StoredChangeLog")]
 pub struct ChangeLog {
@@ -37,7 +37,7 @@
     complete_from: u64,
 }
 
-/// The form in a snapshot.
+/// The form of the log in a snapshot.
 #[derive(Clone, Serialize, Deserialize)]
 struct StoredChangeLog {
     #[serde(rename = "taken")]
--- a/crates/control/src/checked_document.rs
+++ b/crates/control/src/checked_document.rs
@@ -1,5 +1,6 @@
-//! A valid configuration document. Of a change only the touched items are parsed and checked; what they are checked
-//! against (hosts and prefixes of routes, services that routes name, keys) is indexed beside the document.
+//! A valid configuration document. Only the items that a change touches are parsed and checked. An index
+//! beside the document holds the facts that they are checked against: hosts and prefixes of routes, services
+//! that routes name, keys.
 
 use crate::configuration::{Backend, Limits, Rejection, Route, Tenant};
 use crate::document::{Document, Field, Touched};
@@ -45,7 +46,7 @@
     ///
     /// # Errors
     ///
-    /// It is invalid, or its version is not greater than `above`.
+    /// The configuration is invalid, or its version is not greater than `above`.
     pub fn replaced(object: Map<String, Value>, above: u64) -> Result<CheckedDocument, Rejection> {
         let document = Document::from(object);
         let touched = document.all_items();
@@ -94,7 +95,7 @@
             true => self.backends.clone(),
             false => read_list(&after, BACKENDS)?.into(),
         };
-        // By their parsed names: a name that is written as a number is parsed as its text.
+        // Parsed names are compared: a name that is written as a number is parsed as its text.
         let has_backend = |name: &str| typed_backends.iter().any(|backend| backend.name == name);
         for route in &routes.added {
             check_route(route, has_backend)?;
@@ -147,9 +148,9 @@
 
 /// The items of one section that a change touches.
 struct TouchedItems<T> {
-    /// As they were before the change.
+    /// The items as they were before the change.
     removed: Vec<T>,
-    /// As they are after it. One that is replaced is in both.
+    /// The items as they are after the change. A replaced item is in both lists.
     added: Vec<T>,
 }
 
@@ -179,7 +180,7 @@
     }
 }
 
-/// Checks a route by itself.
+/// Checks a route on its own, without the other routes.
 fn check_route(route: &Route, has_backend: impl Fn(&str) -> bool) -> Result<(), Rejection> {
     let reject = |code, what: &str| Err(Rejection::new(code, format!("route {}: {what}", route.name)));
     if let Some(backend) = route.named_backends().find(|backend| !has_backend(backend)) {
--- a/crates/control/src/configuration.rs
+++ b/crates/control/src/configuration.rs
@@ -3,16 +3,16 @@
 use crate::result_code::ResultCode;
 use facet::Facet;
 
-/// How a route's requests may be repeated and answered.
+/// Whether a route's requests may be repeated, and how they are answered.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Facet)]
 #[repr(u8)]
 #[facet(rename_all = "snake_case")]
 pub enum RouteType {
-    /// Idempotent: may run more than once.
+    /// The requests are idempotent: they may run more than once.
     Idempotent,
-    /// Runs at most once per attempt.
+    /// The requests are not idempotent: each attempt runs at most once.
     NonIdempotent,
-    /// Answered by a stream of events.
+    /// The requests are answered by a stream of events.
     Streaming,
 }
 
@@ -21,9 +21,9 @@
 #[repr(u8)]
 #[facet(rename_all = "snake_case")]
 pub enum RouteVersion {
-    /// That of the step that is open, or of the last one that was sealed.
+    /// The version of the open step, or else of the last sealed step.
     Step,
-    /// That of the last step that was sealed.
+    /// The version of the last sealed step.
     Sealed,
 }
 
@@ -36,39 +36,39 @@
     pub hostname: String,
     /// The beginning of the paths that it serves, from slash to slash.
     pub path_prefix: String,
-    /// What its requests are.
+    /// The type of its requests.
     #[facet(rename = "type")]
     pub kind: RouteType,
     /// The time-out of a request, milliseconds.
     pub timeout_ms: f64,
-    /// The latency inside which an answer has its full value, milliseconds.
+    /// The latency target: an answer within this time has its full value, milliseconds.
     #[facet(default)]
     pub target_latency_ms: f64,
     /// The priority; 0 is the highest.
     #[facet(default)]
     pub priority: i64,
-    /// The one service.
+    /// The service, if there is only one.
     #[facet(default)]
     pub backend: Option<String>,
-    /// Or several, by weight.
+    /// The services and their weights, if there are several.
     #[facet(default)]
     pub traffic_split: Vec<Split>,
-    /// Attempts for one request.
+    /// The limit of attempts for one request.
     #[facet(default)]
     pub max_attempts: Option<u32>,
-    /// Requests need no key.
+    /// Whether requests need no key.
     #[facet(default)]
     pub public: bool,
-    /// Prompts share prefixes: requests prefer model servers that have them in their prefix cache.
+    /// Whether prompts share prefixes: requests prefer model servers that have the prefix in their cache.
     #[facet(default)]
     pub session_affinity: bool,
-    /// A broken stream may be resumed at another model server.
+    /// Whether a broken stream may be resumed at another model server.
     #[facet(default)]
     pub resumable: bool,
     /// The longest pause between events of a stream that is on time, milliseconds.
     #[facet(default, rename = "gap_aim_ms")]
     pub target_gap_ms: Option<f64>,
-    /// Which version of a model in training answers; left out: whichever the model server has loaded.
+    /// Which version of a model in training answers; `None`: the version that the model server has loaded.
     #[facet(default)]
     pub model_version: Option<RouteVersion>,
 }
@@ -95,7 +95,7 @@
 pub struct Backend {
     /// Its name.
     pub name: String,
-    /// Where its model servers answer health checks.
+    /// The path at which its model servers answer health checks.
     #[facet(default)]
     pub health_path: Option<String>,
     /// Connections that one model server accepts from all callers together.
@@ -109,7 +109,7 @@
     pub autoscaling: Option<Autoscaling>,
 }
 
-/// What a service's model servers can hold and do.
+/// The capacity of a service's model servers, and their models.
 #[derive(Clone, Debug, Facet)]
 pub struct Runtime {
     /// Requests that a model server runs at once.
@@ -124,10 +124,10 @@
     /// Memory of a model server for weights and adapters, megabytes.
     #[facet(default)]
     pub weights_mb: f64,
-    /// Adapters that a model server has loaded at most.
+    /// The limit of loaded adapters of a model server.
     #[facet(default)]
     pub max_adapters: u32,
-    /// Loads that the weight store permits over all model servers.
+    /// Loads a second that the weight store permits for all model servers together.
     #[facet(default)]
     pub loads_per_s: f64,
     /// Tokens in one event of a stream; 0: unknown.
@@ -148,7 +148,7 @@
     /// How many adapters there are; they are named a1, a2 and so on.
     #[facet(default)]
     pub adapters: u32,
-    /// The size of each, megabytes.
+    /// The size of each adapter, megabytes.
     #[facet(default)]
     pub adapter_mb: f64,
 }
@@ -156,33 +156,33 @@
 /// How many model servers of a service may run in each zone.
 #[derive(Clone, Debug, Facet)]
 pub struct Autoscaling {
-    /// At least.
+    /// The minimum.
     pub min_instances: u32,
-    /// At most.
+    /// The maximum.
     pub max_instances: u32,
-    /// Until a new one serves, seconds.
+    /// The time until a new model server serves, seconds.
     #[facet(default)]
     pub boot_s: f64,
 }
 
-/// What a client may send, and how long it may take.
+/// The limits of clients' requests and connections.
 #[derive(Clone, Debug, Default, Facet)]
 pub struct Limits {
-    /// Bytes of a request's head.
+    /// The limit of a request's head, bytes.
     #[facet(default)]
     pub max_header_bytes: Option<u64>,
-    /// Bytes of a request's body.
+    /// The limit of a request's body, bytes.
     #[facet(default)]
     pub max_body_bytes: Option<u64>,
-    /// Until the request head is complete, milliseconds.
+    /// The time-out until the request head is complete, milliseconds.
     #[facet(default)]
     pub header_timeout_ms: Option<f64>,
-    /// For how long a connection may be idle, milliseconds.
+    /// The time after which an idle connection is closed, milliseconds.
     #[facet(default)]
     pub idle_timeout_ms: Option<f64>,
 }
 
-/// Who may send requests.
+/// A tenant, which may send requests.
 #[derive(Clone, Debug, Facet)]
 pub struct Tenant {
     /// Its name, which goes to model servers with each request.
@@ -190,7 +190,7 @@
     /// Its keys.
     #[facet(default)]
     pub api_keys: Vec<String>,
-    /// Its priority, which counts before the route's; 0 is the highest.
+    /// Its priority, which takes precedence over the route's; 0 is the highest.
     #[facet(default)]
     pub priority: Option<i64>,
 }
@@ -201,7 +201,7 @@
 pub struct Rejection {
     /// The numbered result.
     pub code: ResultCode,
-    /// What is wrong, with the item's name.
+    /// The reason, with the name of the item.
     pub message: String,
 }
 
--- a/crates/control/src/demand.rs
+++ b/crates/control/src/demand.rs
@@ -8,9 +8,9 @@
 
 /// The time constant of the running means, milliseconds.
 const TIME_CONSTANT_MS: f64 = 4_000.0;
-/// The time constant of the mean that follows a rise sooner, milliseconds.
+/// The time constant of the mean that follows a rise faster, milliseconds.
 const SHORT_TIME_CONSTANT_MS: f64 = 1_000.0;
-/// For how long the shortest reported objective counts.
+/// For how long the shortest reported latency objective counts.
 const OBJECTIVE_TTL_MS: Millis = 30_000;
 /// For how long a report of waiting requests counts.
 const WAITING_TTL_MS: Millis = 1_500;
@@ -31,11 +31,11 @@
     pub adapter: String,
 }
 
-/// Sums of one key's demand, which decay from `updated_at` on.
+/// The sums of one key's demand, which decay from `updated_at` on.
 #[derive(Clone, Debug, Default)]
 struct Demand {
     requests: f64,
-    /// The same, with the short time constant.
+    /// Requests, with the short time constant.
     recent_requests: f64,
     prefill_ms: f64,
     slot_time_ms: f64,
@@ -44,7 +44,7 @@
     waiting: Timestamped<f64>,
     /// When the last request was reported; 0: never.
     last_request_at: Millis,
-    /// The shortest objective, milliseconds.
+    /// The shortest latency objective, milliseconds.
     objective_ms: Option<Timestamped<u32>>,
 }
 
@@ -112,19 +112,21 @@
         }
     }
 
-    /// The fraction of the demand that is not known yet: 1 before the first report, near 0 after some time constants.
+    /// The fraction of the demand that is not known yet: 1 before the first report, near 0 after some time
+    /// constants.
     pub fn unknown_fraction(&self, now: Millis) -> f64 {
         self.first_report_at.map_or(1.0, |first| decay(first, now, TIME_CONSTANT_MS))
     }
 
-    /// The fraction of the rates that is known once all edges have reported. What their reports cover of the time before
-    /// counts in full, as if it had just come.
+    /// The fraction of the rates that is known once all edges have reported. Demand from before the first
+    /// report that the reports cover counts in full, as if it had just come.
     pub fn known_fraction(&self, now: Millis) -> f64 {
         let not_covered = (1.0 - self.reported_span_ms as f64 / TIME_CONSTANT_MS).max(0.0);
         1.0 - self.unknown_fraction(now) * not_covered
     }
 
-    /// Requests a second for a key. A rise that chance does not explain counts before the mean has followed it.
+    /// Requests a second for a key. A rise that is too large for chance counts before the mean has followed
+    /// it.
     pub fn requests_per_s(&self, now: Millis, key: &ModelKey) -> f64 {
         let mean = self.mean_requests_per_s(now, key);
         let Some(demand) = self.by_key.get(key) else { return mean };
@@ -155,7 +157,7 @@
             .is_some_and(|demand| demand.last_request_at > 0 && now < demand.last_request_at + within)
     }
 
-    /// The shortest objective that was reported for a key, milliseconds; `None`: none was.
+    /// The shortest latency objective that was reported for a key, milliseconds; `None`: no report has one.
     pub fn objective_ms(&self, key: &ModelKey) -> Option<u32> {
         self.by_key.get(key)?.objective_ms.map(|objective| objective.value)
     }
@@ -177,7 +179,7 @@
         self.by_key.keys()
     }
 
-    /// Requests in flight at each model server, all edges together.
+    /// Requests in flight at each model server, over all edges.
     pub fn in_flight(&self, now: Millis) -> BTreeMap<String, u32> {
         let fresh = self.loads.values().filter_map(|loads| loads.fresh(now, LOAD_TTL_MS));
         let mut totals: BTreeMap<String, u32> = BTreeMap::new();
@@ -187,7 +189,8 @@
         totals
     }
 
-    /// The requests in flight as they are published to edges, with the fraction of failed requests at each outlier.
+    /// The requests in flight as they are published to edges, with the fraction of failed requests at each
+    /// outlier.
     pub fn joint_loads(&self, now: Millis, mut outliers: BTreeMap<String, f64>) -> Vec<ModelServerLoad> {
         let permille = |errors: f64| (errors * 1_000.0) as u16;
         let in_flight = self.in_flight(now).into_iter();
--- a/crates/control/src/directory.rs
+++ b/crates/control/src/directory.rs
@@ -13,8 +13,8 @@
 const REMOVED_RETENTION_MS: Millis = 60_000;
 /// For how long the leader's order status counts without being repeated.
 const ORDER_STATUS_TTL_MS: Millis = 8_000;
-/// A heartbeat may have been written this long before it arrives: one that arrives sooner after an order's end
-/// does not change the list of models.
+/// A heartbeat may have been written this long before it arrives: one that arrives sooner after an order's
+/// end does not change the list of models.
 const HEARTBEAT_STALENESS_MS: Millis = 600;
 /// The interval at which an unchanged model server is relayed to the other cores.
 const RELAY_INTERVAL_MS: Millis = 2_000;
@@ -24,9 +24,9 @@
     server: ModelServer,
     last_seen_at: Millis,
     last_relayed_at: Millis,
-    /// It deregistered itself, or another incarnation took its address: no heartbeat brings it back.
+    /// The server deregistered itself, or another incarnation took its address: no heartbeat brings it back.
     deregistered: bool,
-    /// What orders have unloaded; not to be used until the order's end is record.
+    /// Models and adapters that orders unload. They are not published until the end of the order is known.
     withheld: Vec<WithheldModel>,
     /// When `withheld` expires: never at the leader, which learns of the order's end.
     withheld_until: Millis,
@@ -34,10 +34,11 @@
     order_ended_at: Option<Millis>,
 }
 
-/// Models whose weights are on the disk of the machine at an address, because a model server there has held them.
+/// Models whose weights are on the disk of the machine at an address, because a model server there has held
+/// them.
 pub type CachedWeights = BTreeMap<String, BTreeSet<String>>;
 
-/// All model servers that one core knows, with what it knows of their machines' disks.
+/// All model servers that one core knows, and the models on their machines' disks.
 #[derive(Clone, Debug, Default)]
 pub struct Directory {
     cached_weights: CachedWeights,
@@ -46,14 +47,15 @@
     heartbeat_ms: Millis,
 }
 
-/// What a heartbeat changed, and who has to be notified.
+/// The changes by a heartbeat, and who has to be notified of them.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct HeartbeatOutcome {
-    /// Other incarnations at its address, which are removed by this.
+    /// Other incarnations at the server's address, which the heartbeat removed.
     pub displaced: Vec<ModelServer>,
-    /// Subscribed edges have to be notified.
+    /// Whether subscribed edges have to be notified.
     pub changed: bool,
-    /// The other cores have to be notified, by the core that received the heartbeat from the model server itself.
+    /// Whether the other cores have to be notified. Only the core that received the heartbeat from the model
+    /// server itself does this.
     pub relay: bool,
 }
 
@@ -102,8 +104,8 @@
         self.records.get(instance).map(|record| record.server.state)
     }
 
-    /// Applies a heartbeat that came from the model server itself or was relayed by another core. One that is not
-    /// newer than what is known, or comes after the deregistration, changes nothing.
+    /// Applies a heartbeat that came from the model server itself or was relayed by another core. A heartbeat
+    /// that is not newer than the last one, or comes after the deregistration, changes nothing.
     pub fn observe_heartbeat(&mut self, now: Millis, server: ModelServer) -> HeartbeatOutcome {
         self.record_cached_weights(&server.address, &server.models);
         let Some(record) = self.records.get(&server.instance) else { return self.insert_first(now, server) };
@@ -134,7 +136,7 @@
         HeartbeatOutcome { displaced: Vec::new(), changed, relay }
     }
 
-    /// Applies the first heartbeat of an instance, which removes any other one at its address.
+    /// Applies the first heartbeat of an instance, which removes any other instance at its address.
     fn insert_first(&mut self, now: Millis, server: ModelServer) -> HeartbeatOutcome {
         let displaced = match server.state {
             ModelServerState::Removed => Vec::new(),
@@ -185,8 +187,8 @@
         Some(record.published())
     }
 
-    /// Withholds a model from use before the order to unload it goes out. An empty adapter means the model with all
-    /// its adapters.
+    /// Withholds a model from use before the order to unload it goes out. An empty adapter means the model
+    /// with all its adapters.
     pub fn withhold(&mut self, instance: &str, model: &str, adapter: &str) -> Option<ModelServer> {
         let record = self.records.get_mut(instance)?;
         record.withheld.push(WithheldModel { model: model.to_owned(), adapter: adapter.to_owned() });
@@ -194,8 +196,8 @@
         Some(record.published())
     }
 
-    /// What the leader sends the other cores about its orders at a model server. `with_models`: the model server has
-    /// just reported its loaded models, and they go along.
+    /// The status of the leader's orders at a model server, for the other cores. `with_models`: includes the
+    /// loaded models, which the model server has just reported.
     pub fn order_status(&self, instance: &str, with_models: bool) -> Option<OrderStatus> {
         let record = self.records.get(instance)?;
         Some(OrderStatus {
@@ -206,13 +208,13 @@
         })
     }
 
-    /// Instances at which an order withholds something.
+    /// Instances at which an order withholds a model or an adapter.
     pub fn withholding(&self) -> impl Iterator<Item = &str> {
         let withholding = self.records.iter().filter(|(_, record)| !record.withheld.is_empty());
         withholding.map(|(instance, _)| instance.as_str())
     }
 
-    /// Applies the leader's order status. Returns the model server if that changed how edges see it.
+    /// Applies the leader's order status. Returns the model server if edges have to be told of a change.
     pub fn apply_order_status(&mut self, now: Millis, status: OrderStatus) -> Option<ModelServer> {
         let record = self.records.get_mut(&status.instance)?;
         let before = record.published();
@@ -225,7 +227,8 @@
         (before != after).then_some(after)
     }
 
-    /// Drops order status that has expired, and returns the model servers as they are without it.
+    /// Removes order status that has expired. Returns the model servers that had one, as edges should see
+    /// them now.
     pub fn expire_withheld(&mut self, now: Millis) -> Vec<ModelServer> {
         let has_expired =
             |record: &&mut ServerRecord| !record.withheld.is_empty() && now >= record.withheld_until;
@@ -236,15 +239,15 @@
         self.records.values_mut().filter(has_expired).map(release).collect()
     }
 
-    /// Ends what is withheld at a model server, once the end of its order is known.
+    /// Withholds nothing at a model server any more, because the end of its order is known.
     pub fn release(&mut self, instance: &str) -> Option<ModelServer> {
         let record = self.records.get_mut(instance)?;
         record.withheld.clear();
         Some(record.published())
     }
 
-    /// Restarts all heartbeat time-outs. A core that was partitioned from the others cannot tell which heartbeats it
-    /// missed.
+    /// Restarts all heartbeat time-outs. A core that was partitioned from the others cannot tell which
+    /// heartbeats it missed.
     pub fn reset_timeouts(&mut self, now: Millis) {
         for record in
             self.records.values_mut().filter(|record| record.server.state != ModelServerState::Removed)
@@ -253,8 +256,8 @@
         }
     }
 
-    /// Removes model servers whose heartbeats have timed out, and returns them. Only a core that is in touch with the
-    /// others may call it.
+    /// Removes model servers whose heartbeats have timed out, and returns them. Only a core that is in touch
+    /// with the others may call it.
     pub fn expire(&mut self, now: Millis) -> Vec<ModelServer> {
         let timeout_ms = (MAX_MISSED_HEARTBEATS * self.heartbeat_ms).max(MIN_HEARTBEAT_TIMEOUT_MS);
         let mut expired = Vec::new();
@@ -292,7 +295,7 @@
         }
     }
 
-    /// The model server as edges should see it: without what is withheld.
+    /// The model server as edges should see it: without withheld models and adapters.
     fn published(&self) -> ModelServer {
         let mut server = self.server.clone();
         for WithheldModel { model, adapter } in &self.withheld {
@@ -309,7 +312,7 @@
     }
 }
 
-/// Whether two heartbeats say the same but for their order and for times that run down.
+/// Whether two heartbeats differ only in their sequence and in remaining times.
 fn equal_but_for_times(one: &ModelServer, other: &ModelServer) -> bool {
     let mut one = one.clone();
     one.sequence = other.sequence;
--- a/crates/control/src/document.rs
+++ b/crates/control/src/document.rs
@@ -1,7 +1,7 @@
 //! The operators' configuration as the document that they sent, and changes to it.
 //!
-//! A document shares unchanged items with the one before it. A log of thousands of changes is applied again after a start,
-//! so that each may cost what it changes, not the size of the document.
+//! A document shares unchanged items with the one before it. After a start, a log of thousands of changes is
+//! applied again, so the cost of a change has to grow with the change and not with the document.
 
 use crate::configuration::Rejection;
 use crate::item_list::{ItemList, Position};
@@ -30,7 +30,7 @@
 pub enum Field {
     /// A list, whose items can be changed by name.
     List(ItemList),
-    /// Anything else, which is replaced as one value.
+    /// Any other value, which is replaced as a whole.
     Plain(Arc<Value>),
 }
 
@@ -99,7 +99,7 @@
         }
     }
 
-    /// A field that is no list.
+    /// A field that is not a list.
     pub fn plain(&self, name: &str) -> Option<&Value> {
         match self.field(name)? {
             Field::List(_) => None,
@@ -114,9 +114,9 @@
     }
 
     /// The document as JSON text.
-    #[expect(clippy::expect_used, reason = "a document holds nothing that JSON cannot")]
+    #[expect(clippy::expect_used, reason = "JSON can represent every value of a document")]
     pub fn to_json(&self) -> Vec<u8> {
-        serde_json::to_vec(self).expect("a document holds nothing that JSON cannot")
+        serde_json::to_vec(self).expect("JSON can represent every value of a document")
     }
 
     /// Every item of every list.
@@ -129,7 +129,7 @@
     ///
     /// # Errors
     ///
-    /// The update has no version, or its sections have another form than `delete` and `upsert` need.
+    /// The update has no version, or its `delete` or `upsert` section is malformed.
     pub fn updated(&self, update: &Value) -> Result<(Document, Touched), Rejection> {
         let mut document = self.clone();
         let mut touched = Touched::new();
@@ -158,7 +158,8 @@
         self.fields.insert_mut(name.to_owned(), Field::of(value));
     }
 
-    /// The list of that name, to be changed: an empty one where there is none; `None` where the field is no list.
+    /// A copy of a list, to be changed; empty if the document has no such field. `None`: the field is not a
+    /// list.
     fn take_list(&self, name: &str) -> Option<ItemList> {
         match self.field(name) {
             None => Some(ItemList::default()),
--- a/crates/control/src/document_history.rs
+++ b/crates/control/src/document_history.rs
@@ -1,14 +1,14 @@
-//! The latest documents by the log entries that brought them. An edge that has one of them gets the difference to the
-//! newest, also from a core that has just started.
+//! The latest documents, by the log entries that brought them. An edge that has one of these documents is
+//! sent only the difference to the newest one, even by a core that has just started.
 
 use crate::document::Document;
 use pathbank_coordination::types::Index;
 use std::collections::VecDeque;
 
-/// Documents that are kept at most.
+/// The limit of documents that are kept.
 const MAX_DOCUMENTS: usize = 256;
-/// Bytes of the changes that brought them, at most. Documents share what they have in common, so that each takes a
-/// small multiple of its change.
+/// The limit of bytes of the changes that brought the documents. Documents share unchanged items, so each
+/// takes a small multiple of its change.
 const MAX_CHANGE_BYTES: usize = 1024 * 1024;
 
 #[derive(Clone, Debug)]
@@ -26,8 +26,8 @@
 }
 
 impl DocumentHistory {
-    /// Adds a document that came into force by a change of that many bytes. One that is not newer than the newest
-    /// changes nothing.
+    /// Adds a document that came into force by a change of `bytes` bytes. A document that is not newer than
+    /// the newest one is ignored.
     pub fn record(&mut self, index: Index, document: &Document, bytes: usize) {
         if self.revisions.back().is_some_and(|newest| index <= newest.index) {
             return;
--- a/crates/control/src/document_index.rs
+++ b/crates/control/src/document_index.rs
@@ -1,22 +1,22 @@
-//! An index of a document's items, against which a change is checked: hosts and prefixes of routes, services that routes
-//! name, keys of tenants. Versions share what did not change.
+//! An index of a document's items, against which a change is checked: hosts and prefixes of routes, services
+//! that routes name, keys of tenants. Versions of the index share their unchanged parts.
 
 use crate::configuration::{Rejection, Route, Tenant};
 use crate::result_code::ResultCode;
 use rpds::{RedBlackTreeMapSync, RedBlackTreeSetSync};
 
-/// An index of what items are checked against.
+/// The facts that items are checked against.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct DocumentIndex {
     /// Host, in lower case, and prefix of each route.
     route_keys: RedBlackTreeSetSync<(String, String)>,
-    /// How often routes name each service.
+    /// How many times routes name each service.
     named_backends: RedBlackTreeMapSync<String, usize>,
-    /// Each key with its tenant, and how often it is listed there.
+    /// Each key with its tenant, and how many times the tenant lists it.
     keys: RedBlackTreeMapSync<(String, String), usize>,
 }
 
-/// By what a route is unique: its host, in lower case, and its prefix.
+/// The pair by which a route is unique: its host, in lower case, and its prefix.
 fn route_key(route: &Route) -> (String, String) {
     (route.hostname.to_ascii_lowercase(), route.path_prefix.clone())
 }
@@ -34,7 +34,7 @@
 }
 
 impl DocumentIndex {
-    /// Adds a route that no other one may equal in host and prefix.
+    /// Adds a route. No other route may have the same host and prefix.
     pub(crate) fn add_route(&mut self, route: &Route) -> Result<(), Rejection> {
         let key = route_key(route);
         if self.route_keys.contains(&key) {
@@ -61,7 +61,7 @@
         self.named_backends.contains_key(backend)
     }
 
-    /// Adds a tenant, whose keys no other tenant may have.
+    /// Adds a tenant. No other tenant may have one of its keys.
     pub(crate) fn add_tenant(&mut self, tenant: &Tenant) -> Result<(), Rejection> {
         for key in &tenant.api_keys {
             let first = (key.clone(), String::new());
--- a/crates/control/src/edge_configurations.rs
+++ b/crates/control/src/edge_configurations.rs
@@ -1,4 +1,4 @@
-//! Which edge has which configuration in force, and since when, by the edges' reports.
+//! The configuration that each edge has in force, and since when, by the edges' reports.
 
 use pathbank_coordination::types::{Index, Millis};
 use pathbank_protocol::message::EdgeReport;
@@ -14,7 +14,7 @@
     pub index: Index,
     /// Its version.
     pub version: u64,
-    /// Since when, by the clock of the core that received the report, milliseconds.
+    /// When it came into force, by the clock of the core that received the report, milliseconds.
     pub in_force_since: Millis,
     /// When the last report came, by the same clock, milliseconds.
     pub reported_at: Millis,
--- a/crates/control/src/edge_document.rs
+++ b/crates/control/src/edge_document.rs
@@ -1,4 +1,4 @@
-//! What is sent to edges of a document: everything that they use, or what changed of it.
+//! The part of a document that is sent to edges: everything that they use, or the changes to it.
 
 use crate::document::Document;
 use crate::item_list::{ItemList, Position, name_of};
@@ -11,7 +11,7 @@
 const BACKENDS: &str = "backends";
 const LIMITS: &str = "limits";
 
-/// Everything that edges use.
+/// All parts of a document that edges use.
 pub fn full(document: &Document) -> Value {
     let mut fields = Map::new();
     for section in SECTIONS {
@@ -25,8 +25,8 @@
     Value::Object(fields)
 }
 
-/// The update that turns `before` into `after` at an edge. `None`: an item has no name, by which an update
-/// could name it.
+/// The update that turns `before` into `after` at an edge. `None`: an item has no name, so no update can
+/// address it.
 pub fn difference(before: &Document, after: &Document) -> Option<Value> {
     let (mut upsert, mut delete) = (Map::new(), Map::new());
     let empty = ItemList::default();
@@ -51,8 +51,8 @@
     Some(json!({ "version": version, "upsert": upsert, "delete": delete }))
 }
 
-/// The items that changed, and the names that were removed. All items of a name go together: a change by that
-/// name may have touched any of them.
+/// The items that changed, and the names that were removed. All items of a name are sent together: a change
+/// by that name may have touched any of them.
 fn changed_items(section: &str, [before, after]: [&ItemList; 2]) -> (Vec<Value>, Vec<Value>) {
     let (mut changed, mut removed) = (Vec::new(), Vec::new());
     for name in touched_names(before, after) {
@@ -70,7 +70,7 @@
     (changed, removed)
 }
 
-/// Names of items that are not the same in both lists. Versions of a document share those that did not
+/// The names of items that differ between the lists. Versions of a document share the items that did not
 /// change.
 fn touched_names<'a>(before: &'a ItemList, after: &'a ItemList) -> BTreeSet<&'a str> {
     let differs = |position: &Position| match (before.get(*position), after.get(*position)) {
--- a/crates/control/src/edge_update.rs
+++ b/crates/control/src/edge_update.rs
@@ -1,7 +1,8 @@
 //! Parsing of the configuration updates that edges receive: a full configuration, or a difference.
 //!
-//! An update may hold thousands of items, and reach an edge with a tenth of a processor core that forwards streams
-//! meanwhile. So an update is split into its items first, and these are parsed a few at a time.
+//! An update may have thousands of items, while the edge has a tenth of a processor core and forwards streams
+//! at the same time. Therefore an update is first split into its items, which are then parsed a few at a
+//! time.
 
 use crate::configuration::{Backend, Limits, Rejection, Route, Tenant};
 use crate::result_code::ResultCode;
@@ -12,7 +13,7 @@
 /// Items of one section that were added or changed, and the names of those that were removed.
 #[derive(Debug)]
 pub struct SectionUpdate<T> {
-    /// Items to add, or to put in the place of those with their names.
+    /// Items to add, or to replace the items of the same name with.
     pub upsert: Vec<T>,
     /// Names of items to remove, before anything is added.
     pub delete: Vec<String>,
@@ -27,17 +28,17 @@
 /// A parsed update.
 #[derive(Debug, Default)]
 pub struct EdgeUpdate {
-    /// It is a full configuration, and replaces the one before.
+    /// Whether this is a full configuration, which replaces the one before.
     pub is_full: bool,
     /// The configuration's version.
     pub version: u64,
-    /// Which requests go to which service.
+    /// The routes.
     pub routes: SectionUpdate<Route>,
     /// The services.
     pub backends: SectionUpdate<Backend>,
-    /// Who may send requests.
+    /// The tenants.
     pub tenants: SectionUpdate<Tenant>,
-    /// What a client may send; `None`: as before.
+    /// The limits of clients' requests and connections; `None`: unchanged.
     pub limits: Option<Limits>,
 }
 
@@ -90,7 +91,7 @@
     ///
     /// # Errors
     ///
-    /// The update is no JSON of that form.
+    /// The update is not JSON, or has another form.
     pub fn new(bytes: &'a [u8], is_full: bool) -> Result<EdgeUpdateReader<'a>, Rejection> {
         let (version, sections, delete) = match is_full {
             true => {
@@ -143,7 +144,8 @@
     }
 }
 
-/// Parses items from the end of the section's list, which saves moving the others. Returns how many more may be parsed.
+/// Parses items from the end of the section's list, which saves moving the others. Returns how many more may
+/// be parsed.
 fn read_section<T: for<'f> Facet<'f>>(
     raw: &mut Vec<&RawValue>,
     section: &mut SectionUpdate<T>,
--- a/crates/control/src/estimate.rs
+++ b/crates/control/src/estimate.rs
@@ -1,8 +1,9 @@
 //! Running estimates of positive quantities such as speeds and durations.
 //!
-//! An estimate starts from a prior and stays within its bounds whatever samples come. It is kept as a logarithm, since
-//! samples differ by factors. A sample far off moves it little; several in a row on the same side are a step change, which
-//! it follows at once. Without samples it returns to the prior.
+//! An estimate starts from a prior and stays within the prior's bounds, whatever the samples are. It is kept
+//! as a logarithm, since samples differ by factors. An outlier changes the estimate little. Several outliers
+//! in a row on the same side are a step change, which the estimate follows at once. Without samples the
+//! estimate returns to the prior.
 
 use crate::decay::decay;
 use pathbank_coordination::types::Millis;
@@ -11,11 +12,11 @@
 
 /// The greatest weight, in samples: a new sample moves the estimate by at least the inverse of this.
 const MAX_WEIGHT: f64 = 10.0;
-/// A sample further off than this factor moves a settled estimate no more than one at this factor.
+/// The factor from which on a sample is an outlier: beyond it, a sample moves a settled estimate no further.
 const OUTLIER_FACTOR: f64 = 2.0;
 /// The weight, in samples, from which on an estimate is settled.
 const SETTLED_WEIGHT: f64 = 3.0;
-/// Outliers in a row on the same side that are a step change.
+/// The number of outliers in a row on the same side that make a step change.
 const STEP_RUN_LENGTH: u32 = 4;
 /// The time constant with which the weight of samples decays, milliseconds.
 const TIME_CONSTANT_MS: f64 = 60_000.0;
@@ -50,7 +51,7 @@
 }
 
 impl Estimate {
-    /// Adds a sample. One that is not finite or not greater than 0 is ignored.
+    /// Adds a sample. A sample that is not finite or not greater than 0 is ignored.
     pub fn record(&mut self, now: Millis, prior: Prior, sample: f64) {
         if !sample.is_finite() || sample <= 0.0 {
             return;
@@ -94,8 +95,8 @@
     }
 }
 
-/// Estimates of the same quantity by key. The prior of each is the pooled estimate of all keys, in which each counts
-/// once, however many samples it has.
+/// Estimates of the same quantity by key. The prior of each is the pooled estimate of all keys, in which each
+/// counts once, however many samples it has.
 #[derive(Clone, Debug)]
 pub struct EstimateTable<K> {
     prior: Prior,
--- a/crates/control/src/item_list.rs
+++ b/crates/control/src/item_list.rs
@@ -1,11 +1,11 @@
-//! A list of a document's items, addressed by their names. Versions of a list share the items that they have in common, so
-//! that a change costs what it changes, however long the list is.
+//! A list of a document's items, addressed by their names. Versions of a list share unchanged items, so the
+//! cost of a change does not depend on the length of the list.
 
 use rpds::{RedBlackTreeMapSync, RedBlackTreeSetSync};
 use serde_json::Value;
 use std::sync::Arc;
 
-/// Where an item stands in the order of a list. Positions are never used again.
+/// The position of an item in the order of a list. The position of a removed item is not used again.
 pub type Position = u64;
 
 /// Items in order.
--- a/crates/control/src/lib.rs
+++ b/crates/control/src/lib.rs
@@ -1,6 +1,6 @@
-//! What the control plane decides, without I/O, clock or randomness.
+//! The decisions of the control plane, without I/O, clock or randomness.
 //!
-//! `now` is the time of a steady clock in milliseconds, which the caller supplies. Errors of operators are
+//! `now` is the time of a monotonic clock in milliseconds, which the caller supplies. Errors of operators are
 //! [`configuration::Rejection`]s with a [`result_code::ResultCode`].
 //!
 //! Replicated state:
@@ -10,10 +10,12 @@
 //!
 //! Configuration:
 //! * [`configuration`]: the parsed items of the operators' document.
-//! * [`document`]: the document, and updates to it; [`item_list`]: its lists; [`document_history`]: the latest ones.
-//! * [`checked_document`]: a valid document, and the checks of a change to it; [`prepared_change`]: a change that is
-//!   parsed and checked beside the event loop.
-//! * [`edge_document`]: what is sent to edges of a document; [`edge_update`]: how edges parse it.
+//! * [`document`]: the document, and updates to it; [`item_list`]: its lists; [`document_history`]: the
+//!   latest documents.
+//! * [`checked_document`]: a valid document, and the checks of a change to it; [`prepared_change`]: a change
+//!   that is
+//!   parsed and checked outside the event loop.
+//! * [`edge_document`]: the part of a document that is sent to edges; [`edge_update`]: how edges parse it.
 //! * [`routes`]: the routing table of an edge.
 //! * [`edge_configurations`]: which edge has which configuration in force.
 //! * [`operator_calls`]: how a core answers an operator's call; [`result_code`]: the numbered results.
@@ -25,14 +27,17 @@
 //!
 //! Decisions of the leader:
 //! * [`demand`]: demand by model and adapter, from the edges' reports.
-//! * [`placement`]: which model server is ordered to load or unload what.
-//! * [`order`]: orders; [`order_progress`]: what a report says of an order; [`order_durations`]: how long orders take.
-//! * [`admission`]: which model server reads a prompt next, and when, over all edges.
+//! * [`placement`]: which models each model server is ordered to load or unload.
+//! * [`order`]: orders; [`order_progress`]: the state of an order by a report; [`order_durations`]: how long
+//!   orders
+//!   take.
+//! * [`admission`]: which model server prefills a prompt next, and when, over all edges.
 //! * [`autoscaling`]: how many model servers of a service run in each zone.
-//! * [`usage`]: requests begun, by tenant and window.
+//! * [`usage`]: requests that began to run, by tenant and window.
 //!
 //! Shared with the edges:
-//! * [`estimate`]: running estimates with priors; [`decay`]: exponential decay; [`timestamped`]: values that expire.
+//! * [`estimate`]: running estimates with priors; [`decay`]: exponential decay; [`timestamped`]: values that
+//!   expire.
 //! * [`urgency`]: priorities of requests, and the slots that are reserved for urgent ones.
 
 pub mod address_index;
--- a/crates/control/src/operator_calls.rs
+++ b/crates/control/src/operator_calls.rs
@@ -1,9 +1,9 @@
 //! How a core answers an operator's call, by its role in the replication group.
 //!
-//! Whatever is answered from the state (a rejection, the acknowledgement of a change that was accepted before, a read) is
-//! answered within the leader's lease only: no other core can have changed the state meanwhile. A change is acknowledged
-//! once its entry is committed, with the outcome from the state machine. All other calls are redirected or rejected
-//! undecided.
+//! Some calls are answered from the current state: rejections, acknowledgements of changes that were accepted
+//! before, and reads. The leader answers these only while its lease is valid, because no other core can then
+//! have changed the state. A change is acknowledged once its entry is committed, with the outcome from the
+//! state machine. All other calls are redirected, or answered as undecided.
 
 use crate::command_outcome::CommandOutcome;
 use crate::configuration::Rejection;
@@ -13,7 +13,8 @@
 use pathbank_coordination::replica::Replica;
 use pathbank_coordination::types::Millis;
 
-/// A core that has not heard from a leader for this long does not know which state is newest, milliseconds.
+/// A core that has not heard from a leader for this long does not know whether its state is the newest,
+/// milliseconds.
 pub const LEADER_TIMEOUT_MS: Millis = 1_500;
 
 /// The answer to a call.
@@ -28,7 +29,7 @@
 }
 
 impl Reply {
-    /// The change may have taken effect or not: the caller has to send it again.
+    /// The answer if the change may have taken effect or not: the caller has to send it again.
     pub fn unclear() -> Reply {
         Reply::Result(ResultCode::Unclear, "another leader may have decided otherwise".into())
     }
@@ -51,9 +52,9 @@
 /// The role of a core in the replication group.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum LeadershipStatus {
-    /// It is the leader, and has applied all entries that were committed before its term.
+    /// This core is the leader, and has applied all entries that were committed before its term.
     Leader {
-        /// Its lease holds: no other core can be the leader now.
+        /// Whether its lease is valid: no other core can be the leader now.
         lease_valid: bool,
     },
     /// Another core led within `LEADER_TIMEOUT_MS`, and takes calls at this address.
@@ -68,7 +69,7 @@
         if replica.is_established_leader() {
             return LeadershipStatus::Leader { lease_valid: replica.lease_until() > now };
         }
-        // Callers redirected to a leader that has timed out could be sent back and forth.
+        // Cores that redirect callers to a leader that has timed out could send them back and forth.
         let leader = replica.leader_within(now, LEADER_TIMEOUT_MS);
         match leader.filter(|leader| leader.id != replica.me().id) {
             Some(leader) => LeadershipStatus::Follower(leader.control_address.clone()),
@@ -92,12 +93,12 @@
     }
 }
 
-/// Whether a change is to be proposed.
+/// Checks whether a change has to be proposed.
 ///
 /// # Errors
 ///
-/// The answer, where the change is not to be proposed: a redirection, a rejection, or the acknowledgement of a change
-/// that was accepted before.
+/// The answer to the call if the change must not be proposed: a redirection, a rejection, or the
+/// acknowledgement of a change that was accepted before.
 pub fn check_change(
     state: &ControlState,
     status: &LeadershipStatus,
--- a/crates/control/src/order.rs
+++ b/crates/control/src/order.rs
@@ -33,7 +33,7 @@
     pub backend: String,
     /// The model server's incarnation.
     pub instance: String,
-    /// Where it takes orders.
+    /// The address at which the model server takes orders.
     pub address: String,
     /// Load or unload.
     pub operation: Operation,
@@ -41,18 +41,19 @@
     pub model: String,
     /// The adapter; empty: the model itself.
     pub adapter: String,
-    /// By what its duration is estimated.
+    /// The kind, by which the duration is estimated.
     pub kind: OrderKind,
     /// The duration of the model's load by the configuration, milliseconds; 0: unknown.
     pub configured_ms: Millis,
     /// The estimated duration, milliseconds.
     pub expected_ms: Millis,
-    /// Only the model server's own report shows its end, because more is needed than that it is done.
+    /// Whether only the model server's own report can show the order's end, because more is needed from the
+    /// report than that the order is done.
     pub report_only: bool,
 }
 
 impl Order {
-    /// Whether a model server with these models has the memory for what is to be loaded.
+    /// Whether a model server with the loaded models `models` has the memory for this load.
     pub fn fits(&self, runtime: &Runtime, models: &[LoadedModel]) -> bool {
         let model = |name: &str| runtime.models.iter().find(|model| model.name == name);
         let Some(wanted) = model(&self.model) else { return false };
--- a/crates/control/src/order_durations.rs
+++ b/crates/control/src/order_durations.rs
@@ -1,4 +1,4 @@
-//! How long orders take, estimated from those that were seen to be done.
+//! How long orders take, estimated from completed orders.
 
 use crate::estimate::{Estimate, Prior};
 use crate::order::OrderKind;
@@ -10,7 +10,7 @@
 const RELOAD_FACTOR: Prior = Prior { initial: 0.3, min: 0.01, max: 4.0 };
 /// The duration of an adapter's load, milliseconds.
 const ADAPTER_MS: Prior = Prior { initial: 25.0, min: 2.0, max: 5_000.0 };
-/// The duration of an unload of what is not in use, milliseconds.
+/// The duration of an unload of a model or adapter that is not in use, milliseconds.
 const UNLOAD_MS: Prior = Prior { initial: 10.0, min: 2.0, max: 1_000.0 };
 /// An order is first checked after this multiple of its estimated duration.
 const FIRST_CHECK_FACTOR: f64 = 1.05;
@@ -32,8 +32,8 @@
 }
 
 impl OrderDurations {
-    /// When an order should be checked first, milliseconds after it was given. `configured_ms` is the configured duration
-    /// of a load.
+    /// When an order should be checked first, milliseconds after it was given. `configured_ms` is the
+    /// configured duration of a load.
     pub fn expected(&self, now: Millis, kind: OrderKind, configured_ms: Millis) -> Millis {
         let configured = configured_ms as f64;
         let expected = match kind {
@@ -45,7 +45,8 @@
         (FIRST_CHECK_FACTOR * expected).ceil() as Millis
     }
 
-    /// The estimates: of loads as multiples of the configured duration, of adapters and unloads in milliseconds.
+    /// The estimates: of loads as multiples of the configured duration, of adapters and unloads in
+    /// milliseconds.
     pub fn estimates(&self, now: Millis) -> [(OrderKind, f64); 4] {
         [
             (OrderKind::Fetch, self.fetch.value(now, FETCH_FACTOR)),
--- a/crates/control/src/order_progress.rs
+++ b/crates/control/src/order_progress.rs
@@ -1,19 +1,19 @@
 //! The progress of an order by its model server's report.
 //!
-//! A report may be some hundred milliseconds old: one that shows no order in progress may be older than the order, which
-//! its `sequence` shows. An order that is given again is answered by the current state.
+//! A report may be some hundred milliseconds old. A report without an order in progress may thus be older
+//! than the order; its `sequence` shows that. If an order is given again, the current state answers it.
 
 use crate::order::{Operation, Order};
 use pathbank_protocol::message::LoadedModel;
 
-/// What a model server has loaded, and how many orders it has accepted.
+/// The models that a model server has loaded, and the number of orders that it has accepted.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct ModelServerContents {
     /// The loaded models with their adapters.
     pub models: Vec<LoadedModel>,
     /// Orders accepted since its start.
     pub sequence: u64,
-    /// An order is in progress.
+    /// Whether an order is in progress.
     pub busy: bool,
 }
 
@@ -42,7 +42,8 @@
     }
 }
 
-/// Whether an order's effect is there: loaded or not loaded, as ordered.
+/// Whether a model server already has the effect of an order: the model or adapter is loaded or not, as
+/// ordered.
 pub fn is_satisfied(order: &Order, models: &[LoadedModel]) -> bool {
     let loaded = models.iter().find(|loaded| loaded.name == order.model);
     let is_loaded = match order.adapter.as_str() {
@@ -52,7 +53,8 @@
     is_loaded == (order.operation == Operation::Load)
 }
 
-/// What a model server has loaded once an accepted order is done. `version`: of the weights that a load brings.
+/// The contents of a model server once an accepted order is done. `version`: the version of the weights that
+/// a load brings.
 pub fn contents_after(order: &Order, mut contents: ModelServerContents, version: u64) -> ModelServerContents {
     contents.sequence += 1;
     contents.busy = false;
--- a/crates/control/src/outliers.rs
+++ b/crates/control/src/outliers.rs
@@ -1,9 +1,9 @@
 //! Outlier detection: model servers that fail much more than the others, by the outcomes that all edges saw.
 //!
-//! An edge sends a model server few requests a minute and learns little of it; one that fails at once, and passes its
-//! health checks, looks idle to each edge that has not used it. The leader therefore adds up the outcomes of all edges.
-//! Edges take its result as a cost, not as an ejection: with fewer requests the counts decay, and the model server is
-//! used again.
+//! An edge sends each model server few requests a minute and learns little of it. A model server that fails
+//! every request at once but passes its health checks looks idle to each edge that has not used it. The
+//! leader therefore adds up the outcomes of all edges. Edges take its result as a cost, not as an ejection:
+//! with fewer requests the counts decay, and the model server is used again.
 
 use crate::decay::decay;
 use pathbank_coordination::types::Millis;
@@ -12,12 +12,12 @@
 
 /// The time constant of the counts, milliseconds.
 const TIME_CONSTANT_MS: f64 = 3_000.0;
-/// Successes that are assumed beside those counted: one failure alone says little.
+/// Successes that are assumed in addition to the counted ones, so that a single failure makes no outlier.
 const PRIOR_SUCCESSES: f64 = 2.0;
 /// The fraction of failed requests from which on a model server is an outlier.
 const MIN_ERROR_FRACTION: f64 = 0.15;
-/// The fraction of a service's model servers that may be outliers, the worst of them: where most fail, the cause is
-/// another.
+/// The fraction of a service's model servers that may be outliers, the worst ones first. If most model
+/// servers fail, the cause lies elsewhere.
 const MAX_OUTLIER_FRACTION: f64 = 0.34;
 /// Model servers with fewer outcomes are removed.
 const MIN_OUTCOMES: f64 = 0.05;
--- a/crates/control/src/pending_changes.rs
+++ b/crates/control/src/pending_changes.rs
@@ -1,20 +1,20 @@
-//! Changes of model servers that are collected before they are published, and when that is.
+//! Collects changes of model servers, and decides when they are published.
 
 use pathbank_coordination::types::Millis;
 use std::collections::BTreeSet;
 
-/// The least time between two publications of model servers that became unavailable: where many do, they are
+/// The least time between two publications of model servers that became unavailable, so that many of them are
 /// published in batches.
 const MIN_UNAVAILABLE_INTERVAL_MS: Millis = 25;
 
 /// Instances whose changes are to be published.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct ServerChanges {
-    /// They take no new work: published to all edges.
+    /// Model servers that take no new requests: published to all edges.
     pub unavailable: BTreeSet<String>,
-    /// Otherwise changed: published to the edges that subscribe to this core.
+    /// Model servers with another change: published to the edges that subscribe to this core.
     pub changed: BTreeSet<String>,
-    /// Their heartbeats came to this core: relayed to the other cores.
+    /// Model servers whose heartbeats came to this core: relayed to the other cores.
     pub relayed: BTreeSet<String>,
 }
 
@@ -26,32 +26,33 @@
 }
 
 impl PendingChanges {
-    /// A model server takes no new work any more, which goes before its other changes.
+    /// Records that a model server takes no new requests. This replaces its other changes.
     pub fn record_unavailable(&mut self, instance: String) {
         self.pending.changed.remove(&instance);
         self.pending.unavailable.insert(instance);
     }
 
-    /// Something else about a model server has changed.
+    /// Records another change of a model server.
     pub fn record_changed(&mut self, instance: String) {
         if !self.pending.unavailable.contains(&instance) {
             self.pending.changed.insert(instance);
         }
     }
 
-    /// A model server has to be relayed to the other cores.
+    /// Records that a model server has to be relayed to the other cores.
     pub fn record_relayed(&mut self, instance: String) {
         self.pending.relayed.insert(instance);
     }
 
-    /// All pending changes, if a model server became unavailable and no such change was published lately.
+    /// Takes all pending changes if a model server became unavailable and no such change was published
+    /// lately.
     pub fn take_urgent(&mut self, now: Millis) -> Option<ServerChanges> {
         let sent_recently =
             self.unavailable_sent_at.is_some_and(|sent_at| now < sent_at + MIN_UNAVAILABLE_INTERVAL_MS);
         (!self.pending.unavailable.is_empty() && !sent_recently).then(|| self.take(now))
     }
 
-    /// All pending changes.
+    /// Takes all pending changes.
     pub fn take(&mut self, now: Millis) -> ServerChanges {
         if !self.pending.unavailable.is_empty() {
             self.unavailable_sent_at = Some(now);
--- a/crates/control/src/placement.rs
+++ b/crates/control/src/placement.rs
@@ -1,8 +1,8 @@
-//! Placement: which model server is ordered to load or unload what.
+//! Placement: which models and adapters each model server is ordered to load or unload.
 //!
-//! A model or adapter that requests wait for and that is loaded nowhere is loaded first; a model whose replicas are busy
-//! gets one more. Memory is freed by unloading the replicas of least value, and never for a load that gains less. Values,
-//! gains and costs are in requests a second.
+//! A model or adapter that requests wait for and that is loaded nowhere is loaded first; a model whose
+//! replicas are busy gets one more replica. Memory is freed by unloading the replicas of least value, but
+//! only if the load gains more than their value. Values, gains and costs are in requests a second.
 
 mod adapters;
 mod demand_rates;
@@ -32,7 +32,8 @@
 /// The fraction of failed requests from which on a model server counts as serving none of its models.
 const MAX_ERROR_FRACTION: f64 = 0.5;
 
-/// The leader's placement: pending orders, and what may follow them. A new leader begins with an empty one.
+/// The leader's placement: pending orders, reservations and rate limits. A new leader begins with an empty
+/// one.
 #[derive(Clone, Debug, Default)]
 pub struct Placer {
     pending: PendingOrders,
@@ -49,7 +50,7 @@
         Placer::default()
     }
 
-    /// The models that new orders bring to model servers, and when.
+    /// The models that orders bring to model servers, and when.
     pub fn expected(&self, now: Millis, orders: &[Order]) -> Vec<ExpectedModel> {
         self.pending.expected_models(now, orders)
     }
@@ -59,7 +60,7 @@
         self.pending.reservations()
     }
 
-    /// How long orders take, by those that were done.
+    /// How long orders take, estimated from completed orders.
     pub fn durations(&self) -> &OrderDurations {
         self.pending.durations()
     }
@@ -69,20 +70,20 @@
         self.pending.orders()
     }
 
-    /// Sets what training steps reserve from now on.
+    /// Sets the model servers and models that training steps reserve from now on.
     pub fn set_training_reservations(&mut self, reservations: TrainingReservations) {
         self.training = reservations;
     }
 
-    /// Sets the fraction of failed requests of each outlier. A model server that fails most of its requests counts as no
-    /// replica of its models, and nothing is loaded there.
+    /// Sets the fraction of failed requests of each outlier. A model server that fails most of its requests
+    /// counts as no replica of its models, and nothing is loaded there.
     pub fn set_failing(&mut self, outliers: &BTreeMap<String, f64>) {
         let failing = outliers.iter().filter(|(_, errors)| **errors >= MAX_ERROR_FRACTION);
         self.failing = failing.map(|(instance, _)| instance.clone()).collect();
     }
 
-    /// Takes a load of a training step from the rate limit of the service's weight store. Returns whether the load may
-    /// begin.
+    /// Takes a load of a training step from the rate limit of the service's weight store. Returns whether the
+    /// load may begin.
     pub fn try_take_training_load(&mut self, now: Millis, backend: &str, loads_per_s: f64) -> bool {
         let rate_limit = self.rate_limits.entry(backend.to_owned()).or_default();
         rate_limit.refill(now, loads_per_s);
@@ -99,7 +100,7 @@
         self.pending.record_duration(now, order, took_ms);
     }
 
-    /// Removes the pending order of a model server: its end is known, or will never be.
+    /// Removes the pending order of a model server, whose end is known or will never be known.
     pub fn clear_order(&mut self, instance: &str) {
         self.pending.remove(instance);
     }
--- a/crates/control/src/placement/adapters.rs
+++ b/crates/control/src/placement/adapters.rs
@@ -1,4 +1,4 @@
-//! On which replicas of its model an adapter is loaded, and which adapter is unloaded for it.
+//! Chooses the replicas of its model on which an adapter is loaded, and the adapter that is unloaded for it.
 
 use super::model_replicas::{adapter_count, has_adapter};
 use super::pending_orders::PendingOrders;
@@ -11,7 +11,7 @@
 const SPREAD_FACTOR: f64 = 2.0;
 /// The least rate for which an adapter is loaded, requests a second.
 const MIN_RATE: f64 = 0.01;
-/// What each loaded adapter counts for beside a model server's occupancy.
+/// The weight of each loaded adapter in the choice of a model server, relative to its occupancy.
 const ADAPTER_WEIGHT: f64 = 0.05;
 
 impl Plan<'_> {
@@ -42,7 +42,8 @@
         1 + (SPREAD_FACTOR * fraction * self.servers_filled(&key.model)) as usize
     }
 
-    /// Loads an adapter on the least occupied model server with memory for it; or unloads another one, if it may.
+    /// Loads an adapter on the least occupied model server with memory for it. If there is none and
+    /// `may_evict`, unloads an adapter with a lower rate instead.
     fn add_adapter(&mut self, pending: &mut PendingOrders, key: &ModelKey, rate: f64, may_evict: bool) {
         let size_mb = self.model(&key.model).map_or(0.0, |model| model.adapter_mb);
         let servers = self.replicas.positions(&key.model).map(|position| self.servers[position]);
--- a/crates/control/src/placement/demand_rates.rs
+++ b/crates/control/src/placement/demand_rates.rs
@@ -4,7 +4,7 @@
 use pathbank_coordination::types::Millis;
 use std::collections::BTreeMap;
 
-/// What each waiting request counts for, requests a second.
+/// The rate that each waiting request adds, requests a second.
 const WAITING_WEIGHT: f64 = 0.3;
 
 /// Model server time that the demand for a model takes.
--- a/crates/control/src/placement/memory_capacity.rs
+++ b/crates/control/src/placement/memory_capacity.rs
@@ -1,4 +1,5 @@
-//! The memory of model servers for one more model, and what freeing it costs; computed once for all models of a pass.
+//! The memory of model servers for one more model, and the cost of freeing it, computed once for all models
+//! of a pass.
 
 use super::model_replicas::loaded;
 use super::pending_orders::PendingOrders;
@@ -7,15 +8,16 @@
 
 // Costs of a model server for a load, requests a second.
 
-/// A load from the weight store, beside one from the machine's own disk.
+/// The additional cost of a load from the weight store, compared with a load from the machine's own disk.
 const FETCH_COST: f64 = 0.4;
-/// What a load has to gain beyond the value of what is unloaded for it.
+/// The least gain of a load beyond the value of the models that are unloaded for it.
 const MIN_GAIN: f64 = 0.03;
 /// The weight of the demand that the model server serves already.
 const SERVED_RATE_WEIGHT: f64 = 0.3;
-/// The weight of requests for adapters of the model server's models: no adapter is loaded meanwhile.
+/// The weight of requests for adapters of the model server's models, since no adapter is loaded during the
+/// load.
 const ADAPTER_RATE_WEIGHT: f64 = 0.5;
-/// A replica in a zone that has all other replicas.
+/// The cost of a replica in the zone that has all other replicas.
 const SAME_ZONE_COST: f64 = 0.1;
 
 /// A model that may be unloaded from a model server.
@@ -29,14 +31,14 @@
 /// The memory of one model server.
 struct ServerCapacity<'a> {
     server: &'a ModelServer,
-    /// It has no pending order and no reservation, and does not fail.
+    /// Whether the server has no pending order and no reservation, and does not fail.
     is_available: bool,
     free_mb: f64,
     /// The rate that it serves by its share of each model's demand.
     served_rate: f64,
     /// The cost of delaying its adapters while it loads a model, requests a second.
     adapter_delay_cost: f64,
-    /// The least valuable first.
+    /// The models that may be unloaded, the least valuable first.
     candidates: Vec<EvictionCandidate<'a>>,
 }
 
@@ -73,8 +75,8 @@
         self.adapter_delay_cost = ADAPTER_RATE_WEIGHT * plan.adapter_rate(server);
     }
 
-    /// The value of what has to be unloaded for `size_mb`, requests a second, and the model to unload first. `None`:
-    /// there would not be enough memory.
+    /// The value of the models that have to be unloaded to free `size_mb`, requests a second, and the model
+    /// to unload first. `None`: that would not free enough memory.
     fn eviction_cost(&self, size_mb: f64) -> Option<(f64, Option<&'a str>)> {
         let (mut free_mb, mut cost) = (self.free_mb, 0.0);
         if free_mb >= size_mb {
@@ -114,8 +116,8 @@
         CapacityTable { servers: servers.collect() }
     }
 
-    /// The cheapest model server for a model of `size_mb`, where the load gains more than it costs. `gain`: what the load
-    /// serves, requests a second.
+    /// The cheapest model server for a model of `size_mb` among those where the load gains more than it
+    /// costs. `gain`: the rate that the load would serve, requests a second.
     pub(super) fn cheapest_target(
         &self,
         plan: &Plan<'a>,
@@ -133,7 +135,8 @@
             };
             let server = capacity.server;
             let served = SERVED_RATE_WEIGHT * capacity.served_rate;
-            // The other costs need look-ups by name: they are skipped where the model server is too expensive without.
+            // The other costs need look-ups by name, which are skipped if the server is too expensive
+            // already.
             let is_worse = best.as_ref().is_some_and(|(least, _)| cost + served > *least);
             if is_worse || loaded(server, name).is_some() {
                 continue;
@@ -150,7 +153,8 @@
         best.map(|(_, target)| target)
     }
 
-    /// The target was given an order: it takes no other, and an eviction raises the value of the other replicas.
+    /// Records that the target was given an order: it takes no further order, and an eviction raises the
+    /// value of the other replicas.
     pub(super) fn record_order(&mut self, plan: &Plan<'a>, target: &LoadTarget<'a>) {
         self.servers[target.position].is_available = false;
         for position in target.evicted.into_iter().flat_map(|model| plan.replicas.positions(model)) {
--- a/crates/control/src/placement/model_replicas.rs
+++ b/crates/control/src/placement/model_replicas.rs
@@ -15,7 +15,7 @@
     loaded(server, model).is_some_and(|loaded| loaded.adapters.iter().any(|name| name == adapter))
 }
 
-/// The adapters that a model server has loaded.
+/// The number of adapters that a model server has loaded.
 pub(super) fn adapter_count(server: &ModelServer) -> usize {
     server.models.iter().map(|loaded| loaded.adapters.len()).sum()
 }
@@ -52,7 +52,8 @@
         let serving = |positions: &Vec<usize>| positions.iter().filter(serves).count();
         replicas.serving =
             replicas.positions.iter().map(|(name, positions)| (*name, serving(positions))).collect();
-        // A model server that changes the version of a model will have it loaded again: it needs no substitute.
+        // A model server that changes the version of a model will have it loaded again: it needs no
+        // substitute.
         for server in servers {
             if let Some(model) = training.changing_version.get(&server.instance)
                 && loaded(server, model).is_none()
@@ -68,7 +69,7 @@
         self.serving.get(model).copied().unwrap_or(0)
     }
 
-    /// A replica of a model is about to be unloaded: later choices count without it.
+    /// Records that a replica of a model is about to be unloaded, so that later choices do not count it.
     pub(super) fn remove_one(&mut self, model: &str) {
         if let Some(serving) = self.serving.get_mut(model) {
             *serving = serving.saturating_sub(1);
--- a/crates/control/src/placement/pending_orders.rs
+++ b/crates/control/src/placement/pending_orders.rs
@@ -6,11 +6,11 @@
 use pathbank_protocol::message::ExpectedModel;
 use std::collections::BTreeMap;
 
-/// For how long a model server is reserved for the model for which it was cleared.
+/// For how long a model server is reserved for the model for which memory was freed.
 const RESERVATION_TTL_MS: Millis = 6_000;
 
-/// A model server on which memory is being freed for a model: nothing else is loaded there until the model is, or the
-/// reservation expires.
+/// A reservation of a model server on which memory is being freed for a model. No other model is loaded there
+/// until this one is loaded or the reservation expires.
 #[derive(Clone, Debug)]
 struct Reservation {
     model: String,
--- a/crates/control/src/prepared_change.rs
+++ b/crates/control/src/prepared_change.rs
@@ -1,5 +1,6 @@
-//! A change that is ready to be evaluated: parsed, and carried out on a copy of the document. Its cost grows with the change,
-//! and it needs nothing but the document, so that a caller can have it done beside its event loop.
+//! A change that is prepared for its evaluation: parsed, and applied to a copy of the document. The cost of
+//! the preparation grows with the change. The preparation needs the document only, so a caller can run it
+//! outside its event loop.
 
 use crate::checked_document::CheckedDocument;
 use crate::configuration::Rejection;
@@ -12,19 +13,19 @@
 #[derive(Clone, Debug, Default)]
 pub struct ChangeBasis {
     document: Option<CheckedDocument>,
-    /// The log entry that brought the document; 0: there is none yet.
+    /// The index of the log entry that brought the document; 0: there is none yet.
     index: u64,
     version: u64,
 }
 
-/// A change with what it makes of its basis.
+/// A change, with the document that results from it.
 #[derive(Clone, Debug)]
 pub struct PreparedChange {
-    /// By which the change is recognised if it is sent again.
+    /// The digest by which the change is recognised if it is sent again.
     digest: u128,
-    /// The log entry of the document in the basis.
+    /// The index of the log entry that brought the document of the basis.
     basis_index: u64,
-    /// The document that results; `None`: the change names another version than the basis has.
+    /// The resulting document; `None`: the change names another version than the basis has.
     document: Option<Result<CheckedDocument, Rejection>>,
 }
 
@@ -34,7 +35,7 @@
         ChangeBasis { document, index, version }
     }
 
-    /// Parses a change, and carries it out where it names the version of this basis.
+    /// Parses a change, and applies it to a copy of the document if it builds on the version of this basis.
     ///
     /// # Errors
     ///
@@ -58,12 +59,12 @@
 }
 
 impl PreparedChange {
-    /// By which the change is recognised if it is sent again.
+    /// The digest by which the change is recognised if it is sent again.
     pub(crate) fn digest(&self) -> u128 {
         self.digest
     }
 
-    /// The document that results, unless it was made of another one than that of the log entry `index`.
+    /// The resulting document; `None`: the change was not prepared on the document of the log entry `index`.
     pub(crate) fn document_on(&self, index: u64) -> Option<Result<CheckedDocument, Rejection>> {
         self.document.clone().filter(|_| self.basis_index == index)
     }
--- a/crates/control/src/result_code.rs
+++ b/crates/control/src/result_code.rs
@@ -1,5 +1,5 @@
-//! The numbered results of calls to the control plane, and of requests that the system answers itself; the operators' table
-//! is `docs/operators/result-codes.md`.
+//! The numbered results of calls to the control plane, and of requests that the system answers itself; the
+//! operators' table is `docs/operators/result-codes.md`.
 
 /// A numbered result.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -32,13 +32,13 @@
     NoLeader = 201,
     /// The leader could not make the change durable in time; it may still take effect.
     Unclear = 202,
-    /// The call's path is not one that is served.
+    /// The call's path is not served.
     UnknownCall = 203,
     /// No route takes the request.
     NoRoute = 301,
     /// The key is unknown.
     UnknownKey = 302,
-    /// A header that decides something is missing or malformed.
+    /// A required header is missing or malformed.
     BadRequest = 303,
     /// No model server can take the request.
     NoModelServer = 304,
@@ -46,7 +46,7 @@
     Overloaded = 305,
     /// The connection broke: the request may have run.
     BrokenOff = 306,
-    /// The request's time is over; it may have run.
+    /// The request timed out; it may have run.
     TimedOut = 307,
     /// The process shuts down.
     Stopping = 308,
@@ -54,13 +54,13 @@
     NoConfiguration = 309,
     /// There is no such training step.
     UnknownStep = 401,
-    /// The step's state does not allow it.
+    /// The step's state does not allow the command.
     WrongStepState = 402,
     /// An earlier step of the model is not finished.
     EarlierStep = 403,
     /// The trainer's key names another request.
     StepKeyTaken = 404,
-    /// Not the version from which the step may generate.
+    /// The version is not the one with which the step generates.
     WrongVersion = 405,
     /// Fewer workers have the version than the step needs.
     BelowFloor = 406,
@@ -77,7 +77,7 @@
 }
 
 impl ResultCode {
-    /// The HTTP status that goes with it.
+    /// The HTTP status of an answer with this result.
     pub fn status(self) -> u16 {
         match self {
             ResultCode::Done => 200,
@@ -115,7 +115,8 @@
         }
     }
 
-    /// The name that callers see beside the number. Names are part of the interface: they stay when a variant is renamed.
+    /// The name that callers see beside the number. Names are part of the interface: they stay when a variant
+    /// is renamed.
     pub fn name(self) -> &'static str {
         match self {
             ResultCode::Done => "Done",
--- a/crates/control/src/routes.rs
+++ b/crates/control/src/routes.rs
@@ -1,19 +1,19 @@
-//! The routing table of an edge: a configuration indexed for the requests that come.
+//! The routing table of an edge: a configuration, indexed for the look-ups of requests.
 
 use crate::configuration::{Backend, Limits, Route, Tenant};
 use crate::edge_update::{EdgeUpdate, SectionUpdate};
 use rpds::HashTrieMapSync;
 use std::sync::Arc;
 
-/// Routes by host and prefix, tenants by key. What did not change is shared with the tables of earlier configurations,
-/// so that an update costs what it brings.
+/// Routes by host and prefix, tenants by key. Unchanged parts are shared with the tables of earlier
+/// configurations, so the cost of an update grows with the update only.
 #[derive(Clone, Debug, Default)]
 pub struct RouteTable {
     /// The index of the log entry that brought this configuration.
     pub index: u64,
     /// The configuration's version.
     pub version: u64,
-    /// What a client may send, and how long it may take.
+    /// The limits of clients' requests and connections.
     pub limits: Limits,
     routes: ByName<Route>,
     /// By host, in lower case, and prefix.
@@ -23,7 +23,7 @@
     backends: HashTrieMapSync<Arc<str>, Arc<Backend>>,
 }
 
-/// Items by name, which several may share.
+/// Items by name; several items may have the same name.
 type ByName<T> = HashTrieMapSync<Arc<str>, Vec<Arc<T>>>;
 
 fn add_named<T>(items: &mut ByName<T>, name: Arc<str>, item: Arc<T>) {
@@ -39,8 +39,8 @@
 }
 
 impl RouteTable {
-    /// Whether an update may be applied to this table: it is newer, and either full (`base_index` 0) or a difference to
-    /// this configuration. Nothing leads back to an older configuration.
+    /// Whether an update may be applied to this table: it is newer, and either full (`base_index` 0) or a
+    /// difference to this configuration. A table never returns to an older configuration.
     pub fn accepts(&self, index: u64, base_index: u64) -> bool {
         index > self.index && (base_index == 0 || base_index == self.index)
     }
--- a/crates/control/src/state.rs
+++ b/crates/control/src/state.rs
@@ -1,5 +1,5 @@
-//! The replicated state machine: configuration, accepted changes, sealed usage, training steps. All replicas apply the
-//! same commands in the same order and come to the same state.
+//! The replicated state machine: configuration, accepted changes, sealed usage, training steps. All replicas
+//! apply the same commands in the same order and so have the same state.
 
 use crate::change_log::{ChangeLog, ChangeLookup};
 use crate::checked_document::CheckedDocument;
@@ -15,7 +15,7 @@
 use std::collections::BTreeMap;
 use std::sync::Arc;
 
-/// Sealed windows that are kept, so that a new leader can repeat them exactly.
+/// The number of sealed windows that are kept, so that a new leader can report them again exactly.
 const MAX_SEALED_WINDOWS: usize = 8;
 
 /// How an operator changes the configuration.
@@ -30,16 +30,18 @@
 /// A change as an operator sent it.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Change {
-    /// What the body is.
+    /// The kind of the body.
     pub kind: ChangeKind,
-    /// The version on which it builds.
+    /// The version on which the change builds.
     pub base: u64,
     /// The body as JSON text.
     pub body: String,
 }
 
-/// A command of the replicated log. One whose meaning changes becomes another variant, which is proposed only once all
-/// members of the group can decode it: a replica that cannot decode a command stops.
+/// A command of the replicated log.
+///
+/// The meaning of a variant never changes: another meaning needs another variant, which is proposed only once
+/// all members of the group can decode it, because a replica that cannot decode a command stops.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Command {
     /// An operator's change.
@@ -65,7 +67,7 @@
     ///
     /// # Errors
     ///
-    /// `StateError::UnknownCommand`: a newer program wrote it, or it is damaged.
+    /// `StateError::UnknownCommand`: a newer program wrote the entry, or it is damaged.
     pub fn decode(bytes: &[u8]) -> Result<Command, StateError> {
         serde_json::from_slice(bytes).map_err(StateError::UnknownCommand)
     }
@@ -74,7 +76,7 @@
 /// The format of snapshots that this program writes.
 const SNAPSHOT_FORMAT: u32 = 2;
 
-/// Why a replica cannot go on: its state would differ from that of the others.
+/// Why a replica stops: its state would differ from that of the others.
 #[derive(Debug, thiserror::Error)]
 pub enum StateError {
     /// A snapshot does not decode.
@@ -88,41 +90,42 @@
     UnknownCommand(serde_json::Error),
 }
 
-/// What applying a change to a state would do.
+/// The effect that a change would have on a state.
 #[derive(Clone, Debug)]
 pub enum ChangeEvaluation {
-    /// It will be in force once it is committed.
+    /// The change is valid, and is in force once it is committed.
     Applicable {
-        /// The document that results.
+        /// The resulting document.
         document: CheckedDocument,
-        /// By which it is recognised if it is sent again.
+        /// The digest by which the change is recognised if it is sent again.
         digest: u128,
     },
-    /// It was accepted before, and changes nothing.
+    /// The change was accepted before; it changes nothing.
     AlreadyApplied,
 }
 
-/// The form of the encoded state. It changes with every change of that form: digests of different forms are not compared.
+/// The format of the encoded state, which changes with every change of the encoding. Digests of different
+/// formats are not compared.
 pub const DIGEST_FORMAT: u32 = 1;
 
-/// The replicated state. Copies share what is large.
+/// The replicated state. Copies share its large parts.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct ControlState {
-    /// The format of the snapshot; one without it is of format 1.
+    /// The format of the snapshot. A snapshot without this field has format 1.
     #[serde(default)]
     format: u32,
     /// The document in force.
     document: Option<CheckedDocument>,
-    /// The index of the log entry that brought it.
+    /// The index of the log entry that brought the document.
     index: u64,
     version: u64,
-    /// Format 1 had digests of another kind in its place.
+    /// Accepted changes. Format 1 had digests of another kind instead.
     #[serde(default)]
     changes: Arc<ChangeLog>,
     sealed: BTreeMap<u64, BTreeMap<String, u64>>,
     /// The highest window that was ever sealed.
     last_sealed: u64,
-    /// A snapshot of an earlier program has none.
+    /// Training steps. A snapshot of an earlier program has none.
     #[serde(default)]
     training: Arc<TrainingState>,
 }
@@ -143,7 +146,7 @@
 }
 
 impl ControlState {
-    /// The state of a snapshot; without bytes the state before the first command.
+    /// Decodes a snapshot. No bytes stand for the state before the first command.
     ///
     /// # Errors
     ///
@@ -164,13 +167,14 @@
         Ok(state)
     }
 
-    /// The bytes of a snapshot, which are JSON.
-    #[expect(clippy::expect_used, reason = "the state holds nothing that JSON cannot")]
+    /// Encodes a snapshot as JSON.
+    #[expect(clippy::expect_used, reason = "JSON can represent every value of the state")]
     pub fn encode(&self) -> Vec<u8> {
-        serde_json::to_vec(self).expect("the state holds nothing that JSON cannot")
+        serde_json::to_vec(self).expect("JSON can represent every value of the state")
     }
 
-    /// The digest by which replicas compare their states. It encodes the state, which takes milliseconds for a large one.
+    /// The digest by which replicas compare their states. This encodes the state, which takes milliseconds
+    /// for a large one.
     pub fn digest(&self) -> StateDigest {
         StateDigest { format: DIGEST_FORMAT, digest: digest(&[&self.encode()]) }
     }
@@ -205,22 +209,23 @@
         &self.training
     }
 
-    /// The configuration in force, for changes that are prepared beside the event loop.
+    /// The configuration in force, for changes that are prepared outside the event loop.
     pub fn change_basis(&self) -> ChangeBasis {
         ChangeBasis::new(self.document.clone(), self.index, self.version)
     }
 
-    /// Checks what a change would do to this state, without applying it.
+    /// Determines the effect that a change would have on this state, without applying it.
     ///
     /// # Errors
     ///
-    /// The change is invalid, does not build on the current version, or is too old to tell whether it was accepted
-    /// before.
+    /// The change is invalid, does not build on the current version, or is too old to tell whether it was
+    /// accepted before.
     pub fn evaluate(&self, change: &Change) -> Result<ChangeEvaluation, Rejection> {
         self.evaluate_prepared(change, &self.change_basis().prepare(change)?)
     }
 
-    /// The same for a change that was prepared, on this state's configuration or an earlier one.
+    /// Like [`ControlState::evaluate`], for a change that was prepared on this state's configuration or an
+    /// earlier one.
     ///
     /// # Errors
     ///
@@ -245,7 +250,7 @@
         }
         match prepared.document_on(self.index) {
             Some(document) => Ok(ChangeEvaluation::Applicable { document: document?, digest }),
-            // The configuration has changed since.
+            // The configuration has changed since the preparation.
             None => self.evaluate(change),
         }
     }
--- a/crates/control/src/timestamped.rs
+++ b/crates/control/src/timestamped.rs
@@ -12,12 +12,12 @@
 }
 
 impl<T> Timestamped<T> {
-    /// Whether the value still counts, where values count for `ttl_ms`.
+    /// Whether the value is younger than `ttl_ms`.
     pub fn is_fresh(&self, now: Millis, ttl_ms: Millis) -> bool {
         now < self.at + ttl_ms
     }
 
-    /// The value, if it still counts.
+    /// The value, if it is younger than `ttl_ms`.
     pub fn fresh(&self, now: Millis, ttl_ms: Millis) -> Option<&T> {
         self.is_fresh(now, ttl_ms).then_some(&self.value)
     }
--- a/crates/control/src/training.rs
+++ b/crates/control/src/training.rs
@@ -1,5 +1,5 @@
-//! Training steps as part of the replicated state: the step table, with the contents of prompts and generations and the
-//! limits of both.
+//! Training steps as part of the replicated state: the step table, with the contents of prompts and
+//! generations and the limits of both.
 
 pub mod workers;
 
@@ -12,15 +12,15 @@
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
 
-/// Steps that may be unfinished at a time; a further one is rejected.
+/// The limit of unfinished steps; a further step is rejected.
 pub const MAX_OPEN_STEPS: usize = 32;
-/// Bytes of a step's prompts; further ones are rejected.
+/// The limit of bytes of a step's prompts; further prompts are rejected.
 pub const MAX_PROMPT_BYTES: usize = 4 * 1024 * 1024;
-/// Bytes of a step's outputs; a generation beyond counts, but its text is not kept.
+/// The limit of bytes of a step's outputs. A generation beyond it counts, but its text is not kept.
 pub const MAX_OUTPUT_BYTES: usize = 8 * 1024 * 1024;
-/// Finished steps whose prompts and outputs are kept.
+/// The number of finished steps whose prompts and outputs are kept.
 const MAX_FINISHED_CONTENTS: usize = 4;
-/// Finished steps whose counts are kept.
+/// The number of finished steps whose counts are kept.
 const MAX_FINISHED_STEPS: usize = 128;
 
 /// A prompt as a trainer submitted it.
@@ -30,7 +30,7 @@
     pub body: String,
     /// Tokens of the prompt.
     pub input_tokens: u64,
-    /// Tokens that may come out.
+    /// The limit of output tokens.
     pub output_tokens: u64,
     /// Its prefix parts, as in the header `X-Pathbank-Prompt-Prefix`; empty: unknown.
     #[serde(default)]
@@ -48,7 +48,7 @@
 pub struct Output {
     /// The text of the events as received.
     pub text: String,
-    /// Not all of the text is kept.
+    /// Whether a part of the text was dropped.
     pub truncated: bool,
 }
 
--- a/crates/control/src/training/workers.rs
+++ b/crates/control/src/training/workers.rs
@@ -1,4 +1,5 @@
-//! Selection of the model servers that are the workers of a training step, and of how many have to go on serving.
+//! Chooses the workers of a training step among the model servers, and how many of them have to go on
+//! serving.
 
 use crate::configuration::Runtime;
 use crate::order::{Operation, Order, OrderKind};
@@ -18,9 +19,9 @@
     pub serving_floor: usize,
 }
 
-/// Chooses a step's workers among the ready model servers: first those in `before`, which are its workers already, then
-/// those with the model loaded, then those with the memory for it. `changing` are model servers that change the model's
-/// version and will have it loaded again.
+/// Chooses a step's workers among the ready model servers: first those in `before`, which are its workers
+/// already, then those with the model loaded, then those with the memory for it. `changing` are model servers
+/// that change the model's version and will have it loaded again.
 pub fn choose(
     request: &StepRequest,
     runtime: &Runtime,
--- a/crates/control/tests/admission.rs
+++ b/crates/control/tests/admission.rs
@@ -1,4 +1,4 @@
-//! Prompts of many edges, queued for model servers.
+//! Tests of admission: the leader grants model servers to prompts of many edges.
 
 #![allow(clippy::unwrap_used, clippy::expect_used, reason = "a test fails by a panic")]
 
@@ -22,7 +22,7 @@
         Scenario { controller: AdmissionController::default(), now: 1_000, request: 0, urgency: 0 }
     }
 
-    /// Model servers with their slots, and the requests in flight there by the edges' reports.
+    /// Reports model servers: each with its slots and the requests in flight there, as edges report them.
     fn report_slots(&mut self, slots: &[(&str, u32, u32)]) {
         let ready: Vec<ModelServer> =
             slots.iter().map(|(name, capacity, _)| server(name, *capacity)).collect();
@@ -31,8 +31,8 @@
         self.controller.update_slots(&ready, &in_flight);
     }
 
-    /// Asks with options of model server, time to read, and what else speaks against it. Returns the model
-    /// server and the wait.
+    /// Requests a grant. Each option has a model server, its prefill time and its other cost, milliseconds.
+    /// Returns the granted model server and the wait, milliseconds.
     fn request_grant<'a>(&mut self, options: &[(&'a str, u32, u32)]) -> (&'a str, u32) {
         self.request += 1;
         let option = |(instance, prefill_ms, other_cost_ms): &(&str, u32, u32)| AdmissionOption {
@@ -62,24 +62,28 @@
     assert_eq!(scenario.request_grant(&[("here", 10, 0), ("there", 40, 30)]), ("there", 0));
     scenario.report_slots(&[("here", 12, 5), ("there", 12, 3)]);
     scenario.now += 1_000;
-    assert_eq!(scenario.request_grant(&[("here", 10, 0), ("there", 40, 30)]).0, "here", "it has room again");
+    assert_eq!(
+        scenario.request_grant(&[("here", 10, 0), ("there", 40, 30)]).0,
+        "here",
+        "the server has a free slot again"
+    );
 }
 
 #[test]
 fn a_grant_occupies_a_slot_before_any_edge_reports_it() {
-    // Given a model server with two free slots, and many edges that do not know of each other.
+    // A model server has two free slots, and many edges send requests without knowing of each other.
     let mut scenario = Scenario::new();
     scenario.report_slots(&[("near", 12, 10), ("far", 12, 0)]);
     let near = (0..6).filter(|_| {
         scenario.now += 60;
         scenario.request_grant(&[("near", 1, 0), ("far", 1, 90)]).0 == "near"
     });
-    // Then it is not granted beyond its slots, although no edge has reported since.
+    // The server is not granted more often than it has free slots, although no edge reports in between.
     assert_eq!(near.count(), 2);
 }
 
-#[test_case(0, "full but for one"; "the most urgent one takes the last slot")]
-#[test_case(20, "far"; "the least urgent one leaves it to others")]
+#[test_case(0, "full but for one"; "the most urgent request takes the last slot")]
+#[test_case(20, "far"; "the least urgent request leaves the last slot to others")]
 fn the_last_slots_are_reserved_for_urgent_requests(urgency: u8, chosen: &str) {
     let mut scenario = Scenario { urgency, ..Scenario::new() };
     scenario.report_slots(&[("full but for one", 12, 11), ("far", 12, 0)]);
@@ -101,7 +105,7 @@
     assert_eq!(scenario.request_grant(&options).0, "far");
     scenario.now += 5_000;
     scenario.report_slots(&[]);
-    assert_eq!(scenario.request_grant(&options).0, "a", "nothing is known of either");
+    assert_eq!(scenario.request_grant(&options).0, "a", "the slots of both servers are unknown");
 }
 
 #[test]
@@ -109,7 +113,7 @@
     let mut scenario = Scenario::new();
     assert_eq!(scenario.request_grant(&[("a", 80, 0)]), ("a", 0));
     scenario.now += 1_000;
-    assert_eq!(scenario.request_grant(&[("a", 80, 0)]), ("a", 0), "the one before is read");
+    assert_eq!(scenario.request_grant(&[("a", 80, 0)]), ("a", 0), "the previous prompt is prefilled by then");
 }
 
 #[test]
--- a/crates/control/tests/autoscaling.rs
+++ b/crates/control/tests/autoscaling.rs
@@ -1,4 +1,4 @@
-//! Autoscaling under demand that rises, falls, and meets zones without capacity.
+//! Tests of autoscaling under rising and falling demand, and in zones without capacity.
 
 #![allow(clippy::unwrap_used, clippy::expect_used, reason = "a test fails by a panic")]
 
@@ -11,11 +11,12 @@
 use pathbank_protocol::message::{EdgeReport, ModelDemand, ModelServer};
 use test_case::test_case;
 
-/// Told size of one request.
+/// The announced size of one request.
 const TOKENS: u64 = 1_900;
-/// What a model server takes to read its prompt, milliseconds.
+/// The prefill time of one request, milliseconds.
 const PREFILL_MS: u64 = 27;
-/// Requests a second that fill one model server: it reads for a bit more than a quarter of its time.
+/// Requests a second that fill one model server: it then spends a bit more than a quarter of its time on
+/// prefill.
 const REQUESTS_PER_SERVER: u64 = 10;
 const REPORT_INTERVAL_MS: u64 = 100;
 
@@ -26,7 +27,7 @@
     running: Vec<(&'static str, u32)>,
     demand: DemandTable,
     autoscaler: Autoscaler,
-    /// The platform answers.
+    /// Whether the platform answers.
     answers: bool,
     orders: Vec<ScaleOrder>,
 }
@@ -64,7 +65,7 @@
         zones.map(server).collect()
     }
 
-    /// So many requests a second come, for so long.
+    /// Runs demand of `per_s` requests a second for `seconds`.
     fn run_demand(&mut self, per_s: u64, seconds: u64) {
         for _ in 0..seconds * 1_000 / REPORT_INTERVAL_MS {
             self.now += REPORT_INTERVAL_MS;
@@ -73,7 +74,7 @@
         }
     }
 
-    /// An edge reports requests, and how far back the first report to a leader reaches.
+    /// Reports requests of an edge. `demand_span_ms`: how far back the first report to a leader reaches.
     fn report_demand(&mut self, arrived: u64, demand_span_ms: u64) {
         let row = ModelDemand {
             backend: "llm".into(),
@@ -98,7 +99,7 @@
         }
     }
 
-    /// The platform runs what was ordered, but for these zones.
+    /// Starts the ordered model servers in all zones except `without`.
     fn start_ordered_except_in(&mut self, without: &[&str]) {
         for order in self.autoscaler.orders() {
             let able = !without.contains(&order.zone.as_str());
@@ -117,7 +118,7 @@
     let mut scenario = Scenario::new(&[("a", 4), ("b", 4)], 2, 20);
     scenario.run_demand(16 * REQUESTS_PER_SERVER, 6);
     let (a, b) = (scenario.ordered("a").unwrap(), scenario.ordered("b").unwrap());
-    assert_eq!(a, b, "spread evenly");
+    assert_eq!(a, b, "the zones get equal numbers");
     assert!((8..=10).contains(&a), "{a}");
 }
 
@@ -142,7 +143,7 @@
     assert_eq!(scenario.orders, Vec::new());
     scenario.run_demand(4 * REQUESTS_PER_SERVER, 7);
     let a = scenario.ordered("a").unwrap();
-    assert!((2..=3).contains(&a), "what is left bears the load: {a}");
+    assert!((2..=3).contains(&a), "the remaining servers can serve the load: {a}");
 }
 
 #[test]
@@ -154,8 +155,8 @@
     assert_eq!(scenario.orders, Vec::new());
 }
 
-#[test_case(1_000, 20; "no more than the most")]
-#[test_case(0, 3; "no fewer than the least")]
+#[test_case(1_000, 20; "at most the maximum")]
+#[test_case(0, 3; "at least the minimum")]
 fn orders_stay_within_the_bounds_of_the_zone(servers: u64, expected: u32) {
     let mut scenario = Scenario::new(&[("a", 8), ("b", 8)], 3, 20);
     scenario.run_demand(servers * REQUESTS_PER_SERVER, 20);
@@ -163,7 +164,7 @@
 }
 
 #[test]
-fn what_a_short_zone_lacks_is_ordered_in_the_others() {
+fn servers_that_a_zone_cannot_start_are_ordered_in_the_others() {
     let mut scenario = Scenario::new(&[("a", 4), ("b", 4), ("c", 4)], 2, 30);
     scenario.run_demand(30 * REQUESTS_PER_SERVER, 8);
     scenario.start_ordered_except_in(&["c"]);
@@ -198,7 +199,7 @@
     scenario.start_ordered_except_in(&[]);
     let answered = scenario.orders.len();
     scenario.run_demand(10 * REQUESTS_PER_SERVER, 20);
-    assert_eq!(scenario.orders.len(), answered, "once taken it is not repeated");
+    assert_eq!(scenario.orders.len(), answered, "an accepted order is not repeated");
 }
 
 #[test]
--- a/crates/control/tests/configuration.rs
+++ b/crates/control/tests/configuration.rs
@@ -1,4 +1,4 @@
-//! Changes of the configuration, as operators send them.
+//! Tests of operators' changes of the configuration.
 
 #![allow(clippy::unwrap_used, clippy::expect_used, reason = "a test fails by a panic")]
 
@@ -94,7 +94,7 @@
     assert_eq!(scenario.apply(first.clone()), Ok(CommandOutcome::AlreadyApplied));
     assert_eq!(scenario.apply(replace(7, &document(9))), Ok(CommandOutcome::Applied));
     assert_eq!(scenario.apply(first), Ok(CommandOutcome::AlreadyApplied));
-    assert_eq!(scenario.state.version(), 9, "and does not come into force again");
+    assert_eq!(scenario.state.version(), 9, "the repeated change does not come into force again");
 }
 
 #[test]
@@ -107,7 +107,7 @@
 }
 
 #[test]
-fn the_same_number_with_other_content_is_another_change() {
+fn another_content_under_the_same_version_is_another_change() {
     let mut scenario = Scenario::at_version_5();
     scenario.apply(replace(5, &document(6))).unwrap();
     let mut other = document(6);
@@ -116,7 +116,7 @@
 }
 
 #[test_case("/backends", json!([{ "name": "two" }]), ResultCode::UnknownBackend; "unknown service")]
-#[test_case("/routes", json!([route("r1", "/a/", "one"), route("r2", "/a/", "two")]), ResultCode::DuplicateRoute; "same place")]
+#[test_case("/routes", json!([route("r1", "/a/", "one"), route("r2", "/a/", "two")]), ResultCode::DuplicateRoute; "same host and prefix")]
 #[test_case("/routes/0/timeout_ms", json!(0), ResultCode::NoTimeout; "no timeout")]
 #[test_case("/routes/0/traffic_split", json!([{ "backend": "one", "weight": 0 }]), ResultCode::NoWeight; "no weight")]
 #[test_case("/version", json!(5), ResultCode::VersionNotAbove; "same version")]
@@ -173,7 +173,7 @@
     let command = Command::Change(update(5, &json!({ "version": 6 })));
     assert_eq!(Command::decode(&command.encode()).unwrap(), command);
     let unknown =
-        Command::decode(b"{\"Later\":1}").expect_err("a newer program's command is never passed over");
+        Command::decode(b"{\"Later\":1}").expect_err("a command of a newer program is never skipped");
     assert!(unknown.to_string().contains("Later"), "{unknown}");
 }
 
@@ -254,7 +254,7 @@
     before["routes"] = many_routes(0, 30).into();
     let mut after = document(6);
     let mut routes = many_routes(10, 40);
-    // Two routes change places, one moves to another host, a key moves to another tenant.
+    // Two routes swap prefixes, one moves to another host, and a key moves to another tenant.
     routes[0]["path_prefix"] = json!("/p11/");
     routes[1]["path_prefix"] = json!("/p10/");
     routes[2]["hostname"] = json!("Other.example");
@@ -278,7 +278,7 @@
         assert_eq!(name(&full), name(&changed), "{key}");
     }
     assert_eq!((changed.index, changed.version), (2, 6));
-    assert!(changed.route("shop.example", "/p0/").is_none(), "a route that is gone");
+    assert!(changed.route("shop.example", "/p0/").is_none(), "the route was removed");
 }
 
 #[test_case("routes")]
@@ -341,14 +341,14 @@
     assert_eq!((&routes[0]["name"], &routes[5_997]["name"]), (&json!("r2"), &json!("r5999")));
 }
 
-#[test_case(0, 5, 0, true; "the first one whole")]
-#[test_case(0, 5, 3, false; "a difference to what never came")]
+#[test_case(0, 5, 0, true; "the first full configuration")]
+#[test_case(0, 5, 3, false; "a difference to a configuration that the edge never had")]
 #[test_case(5, 6, 5, true; "the next difference")]
-#[test_case(5, 9, 0, true; "a newer one whole")]
-#[test_case(5, 9, 4, false; "a difference to an older one")]
-#[test_case(5, 9, 6, false; "a difference to one that did not come")]
-#[test_case(5, 5, 0, false; "the same again")]
-#[test_case(5, 4, 0, false; "an older one whole")]
+#[test_case(5, 9, 0, true; "a newer full configuration")]
+#[test_case(5, 9, 4, false; "a difference to an older configuration")]
+#[test_case(5, 9, 6, false; "a difference to a newer configuration that the edge does not have")]
+#[test_case(5, 5, 0, false; "the same configuration again")]
+#[test_case(5, 4, 0, false; "an older full configuration")]
 fn an_edge_never_returns_to_an_older_configuration(known: u64, index: u64, base: u64, accepted: bool) {
     let table = RouteTable::default().with_update(known, EdgeUpdate::default());
     assert_eq!(table.accepts(index, base), accepted);
@@ -409,19 +409,19 @@
 }
 
 #[test_case(b"{\"document\":", "cannot be read"; "cut short")]
-#[test_case(b"{\"format\":9,\"document\":null,\"index\":0,\"version\":0,\"sealed\":{},\"last_sealed\":0}", "format 9"; "a newer program's")]
+#[test_case(b"{\"format\":9,\"document\":null,\"index\":0,\"version\":0,\"sealed\":{},\"last_sealed\":0}", "format 9"; "of a newer program")]
 fn a_snapshot_that_cannot_be_read_is_an_error_and_never_an_empty_state(bytes: &[u8], message: &str) {
     let error = ControlState::decode(bytes).expect_err("unreadable").to_string();
     assert!(error.contains(message), "{error}");
 }
 
-// Two items of one name are no invalid configuration, and a change by that name removes both. Edges kept one
-// item to a name: of two routes or tenants that went, one went on being served, and a key of it went on
-// opening.
+// Two items may have the same name, and a change by that name removes both. Edges kept only one item for each
+// name: when two routes or tenants were removed, the edges went on serving one of the routes and accepting a
+// key of one of the tenants.
 #[test_case(json!({ "delete": { "routes": ["twin"], "tenants": ["twin"] } }); "both are removed")]
 #[test_case(json!({ "upsert": { "routes": [route("twin", "/c/", "two")], "tenants": [{ "name": "twin", "api_keys": ["k3"] }] } }); "the first is replaced")]
-#[test_case(json!({ "upsert": { "limits": { "max_body_bytes": 5 } } }); "something else is changed")]
-fn items_of_one_name_are_the_same_at_the_edges_as_in_the_document(change: Value) {
+#[test_case(json!({ "upsert": { "limits": { "max_body_bytes": 5 } } }); "another section is changed")]
+fn items_with_the_same_name_are_the_same_at_edges_as_in_the_document(change: Value) {
     let mut before = document(5);
     before["routes"] =
         json!([route("twin", "/a/", "one"), route("twin", "/b/", "two"), route("r", "/d/", "one")]);
--- a/crates/control/tests/directory.rs
+++ b/crates/control/tests/directory.rs
@@ -1,4 +1,4 @@
-//! The list of model servers, and what is published of it.
+//! Tests of the list of model servers, and of what cores publish of it.
 
 #![allow(clippy::unwrap_used, clippy::expect_used, reason = "a test fails by a panic")]
 
@@ -92,16 +92,16 @@
     let mut next = model_server(1, &[]);
     next.instance = "i-next".into();
     let outcome = directory.observe_heartbeat(10, next);
-    assert_eq!(outcome.displaced.len(), 1, "edges have to know of both");
+    assert_eq!(outcome.displaced.len(), 1, "edges are told of the displaced server");
     assert_eq!(outcome.displaced[0].state, ModelServerState::Removed);
     assert_eq!(state_of(&directory, "i-1"), ModelServerState::Removed);
     assert!(directory.cached_weights()["10.0.0.1:80"].contains("m"), "the machine's disk still has it");
 }
 
-/// After all machines were killed, cores answered each other's votes after half a second: each first
-/// heartbeat of an instance was compared with all instances known, 0.1 to 0.2 ms of a third of a core at
-/// 3,008 of them. Here as many come at once as take minutes in that way; with an index by address they take a
-/// fraction of a second.
+/// After all machines were killed, cores answered each other's vote requests only after half a second: they
+/// compared the first heartbeat of each instance with all known instances, which took 0.1 to 0.2 ms on a
+/// third of a processor core with 3,008 instances. With the number of instances in this test it would take
+/// minutes; with an index by address it takes a fraction of a second.
 #[test]
 fn a_first_heartbeat_costs_the_same_however_many_servers_are_known() {
     const SERVERS: usize = 100_000;
@@ -165,13 +165,17 @@
     directory.observe_heartbeat(0, model_server(1, &["m", "n"]));
     assert_eq!(directory.withhold("i-1", "m", "").unwrap().models.len(), 1);
     directory.observe_heartbeat(10, next_heartbeat(model_server(1, &["m", "n"]), 2, ModelServerState::Ready));
-    assert_eq!(directory.server("i-1").unwrap().models.len(), 1, "nor by a heartbeat on its way");
+    assert_eq!(
+        directory.server("i-1").unwrap().models.len(),
+        1,
+        "a heartbeat from before the order does not publish it either"
+    );
     assert_eq!(directory.release("i-1").unwrap().models.len(), 2);
 }
 
 // ---- order status ----
 
-/// What the leader's directory says of a model server, as another core takes it.
+/// The leader's order status of a model server, as another core receives it.
 fn order_status(leader: &Directory, instance: &str, reported: bool) -> OrderStatus {
     leader.order_status(instance, reported).expect("it is known")
 }
@@ -185,10 +189,14 @@
         .for_each(|directory| drop(directory.observe_heartbeat(0, model_server(1, &["m", "n"]))));
     leader.withhold("i-1", "m", "");
     assert_eq!(other.apply_order_status(10, order_status(&leader, "i-1", false)).unwrap().models.len(), 1);
-    assert_eq!(other.apply_order_status(20, order_status(&leader, "i-1", false)), None, "that is no news");
+    assert_eq!(
+        other.apply_order_status(20, order_status(&leader, "i-1", false)),
+        None,
+        "a repeated status changes nothing"
+    );
     other.observe_heartbeat(30, next_heartbeat(model_server(1, &["m", "n"]), 2, ModelServerState::Ready));
     assert_eq!(other.server("i-1").unwrap().models.len(), 1, "a heartbeat from before the order's end");
-    // The order has ended: the model server holds another model, and says so before its next heartbeat.
+    // The order has ended: the model server holds another model, and reports it before its next heartbeat.
     leader.release("i-1");
     let loaded = |name: &str| LoadedModel { name: name.into(), version: 1, adapters: Vec::new() };
     leader.observe_report(0, "i-1", vec![loaded("n"), loaded("o")], false);
@@ -196,8 +204,8 @@
     assert_eq!(published.models.iter().map(|loaded| loaded.name.as_str()).collect::<Vec<_>>(), ["n", "o"]);
 }
 
-/// A heartbeat that a model server had written before an order was done brought back what it had dropped: for
-/// a second edges sent it requests that it rejected.
+/// A heartbeat that a model server had written before it completed an unload published the unloaded model
+/// again. For a second, edges sent the server requests that it rejected.
 #[test]
 fn a_stale_heartbeat_does_not_undo_a_completed_order() {
     let mut directory = Directory::new(HEARTBEAT_MS);
@@ -213,7 +221,7 @@
     assert_eq!(names(&directory), ["b"]);
     directory
         .observe_heartbeat(2_300, next_heartbeat(model_server(1, &["a", "b"]), 3, ModelServerState::Ready));
-    assert_eq!(names(&directory), ["a", "b"], "its later word counts");
+    assert_eq!(names(&directory), ["a", "b"], "a later heartbeat counts");
 }
 
 #[test]
@@ -238,7 +246,7 @@
 fn the_first_unavailable_server_is_published_at_once_and_later_ones_in_batches() {
     let mut pending = PendingChanges::default();
     pending.record_changed("stays".into());
-    assert_eq!(pending.take_urgent(0), None, "it waits for others");
+    assert_eq!(pending.take_urgent(0), None, "later changes are collected");
     let mut published = Vec::new();
     for now in 0..100 {
         pending.record_unavailable(format!("i-{now}"));
@@ -249,7 +257,7 @@
 }
 
 #[test]
-fn unavailability_goes_before_other_changes_of_a_server() {
+fn unavailability_replaces_other_changes_of_a_server() {
     let mut pending = PendingChanges::default();
     pending.record_changed("i-1".into());
     pending.record_unavailable("i-1".into());
--- a/crates/control/tests/document_history.rs
+++ b/crates/control/tests/document_history.rs
@@ -1,4 +1,4 @@
-//! Which earlier documents a core still knows.
+//! Tests of the history of documents that a core keeps.
 
 #![allow(clippy::unwrap_used, clippy::expect_used, reason = "a test fails by a panic")]
 
@@ -25,7 +25,7 @@
     assert_eq!(known(&history, 1..=1_000), (745..=1_000).collect::<Vec<_>>());
 }
 
-/// An operator who always sends whole documents of a megabyte must not fill a small machine's memory.
+/// An operator who always sends complete documents of a megabyte must not fill the memory of a small machine.
 #[test]
 fn the_bytes_of_their_changes_are_bounded() {
     let mut history = DocumentHistory::default();
--- a/crates/control/tests/edge_configurations.rs
+++ b/crates/control/tests/edge_configurations.rs
@@ -1,4 +1,4 @@
-//! Who has which configuration in force, by what edges tell.
+//! Tests of the list of configurations that edges have in force, by their reports.
 
 #![allow(clippy::unwrap_used, clippy::expect_used, reason = "a test fails by a panic")]
 
--- a/crates/control/tests/estimate.rs
+++ b/crates/control/tests/estimate.rs
@@ -1,4 +1,4 @@
-//! Stories of what is seen of model servers, and what is made of it.
+//! Tests of running estimates.
 
 #![allow(clippy::unwrap_used, clippy::expect_used, reason = "a test fails by a panic")]
 
@@ -22,21 +22,21 @@
 }
 
 #[test]
-fn without_samples_it_is_the_prior() {
+fn an_estimate_without_samples_is_the_prior() {
     let value = Estimate::default().value(1_000, PRIOR);
     assert!((value - 16.0).abs() < 1e-9, "{value}");
 }
 
 #[test]
-fn it_follows_a_drift() {
+fn an_estimate_follows_a_drift() {
     let mut estimate = Estimate::default();
     let samples: Vec<f64> = (0..200).map(|number| 20.0 + 0.1 * f64::from(number)).collect();
     let now = record_samples(&mut estimate, 0, &samples);
     assert!(is_near(estimate.value(now, PRIOR), 40.0), "{}", estimate.value(now, PRIOR));
 }
 
-#[test_case(10.0, 40.0; "exchanged for a faster one")]
-#[test_case(40.0, 10.0; "exchanged for a slower one")]
+#[test_case(10.0, 40.0; "to a faster model server")]
+#[test_case(40.0, 10.0; "to a slower model server")]
 fn a_step_change_is_followed_within_a_few_samples(before: f64, after: f64) {
     let mut estimate = Estimate::default();
     let now = record_samples(&mut estimate, 0, &[before; 30]);
@@ -45,7 +45,7 @@
 }
 
 #[test]
-fn one_outlier_moves_it_little() {
+fn one_outlier_changes_an_estimate_little() {
     let mut estimate = Estimate::default();
     let now = record_samples(&mut estimate, 0, &[20.0; 30]);
     let before = estimate.value(now, PRIOR);
@@ -54,18 +54,18 @@
 }
 
 #[test]
-fn without_new_samples_it_returns_to_the_prior() {
+fn an_estimate_without_new_samples_returns_to_the_prior() {
     let mut estimate = Estimate::default();
     let now = record_samples(&mut estimate, 0, &[100.0; 30]);
     let later = estimate.value(now + 600_000, PRIOR);
     assert!(is_near(later, 16.0), "{later}");
 }
 
-#[test_case(1e12; "far too much")]
-#[test_case(f64::INFINITY; "no end")]
-#[test_case(f64::NAN; "no number")]
-#[test_case(0.0; "nothing")]
-#[test_case(-5.0; "less than nothing")]
+#[test_case(1e12; "above the maximum")]
+#[test_case(f64::INFINITY; "infinite")]
+#[test_case(f64::NAN; "not a number")]
+#[test_case(0.0; "zero")]
+#[test_case(-5.0; "negative")]
 fn samples_out_of_range_stay_within_the_bounds(sample: f64) {
     let mut estimate = Estimate::default();
     let now = record_samples(&mut estimate, 0, &[sample; 50]);
@@ -84,7 +84,10 @@
     (0..10).for_each(|number| table.record(now + number * INTERVAL_MS, &"i-slow".to_owned(), 20.0));
     assert!(is_near(table.value(now + 10 * INTERVAL_MS, "i-slow"), 20.0));
     let halfway = (20.0_f64 * 60.0).sqrt();
-    assert!(table.value(now + 10 * INTERVAL_MS, "i-3") > halfway, "the others are as they were");
+    assert!(
+        table.value(now + 10 * INTERVAL_MS, "i-3") > halfway,
+        "the estimates of other keys have not changed"
+    );
 }
 
 #[test]
--- a/crates/control/tests/full_document.rs
+++ b/crates/control/tests/full_document.rs
@@ -1,6 +1,7 @@
-//! A change that is checked by what it touches is taken exactly when the whole document that it makes is
-//! valid, and makes that document; and an edge that is told the difference knows what one knows that is told
-//! the whole. The check of whole documents stands here, written for this comparison alone.
+//! Compares the checks of touched items with a check of the full document, which is implemented here for this
+//! test alone. A change must be accepted exactly if the resulting full document is valid, and must result in
+//! that document. An edge that receives the difference must have the same routing table as an edge that
+//! receives the full configuration.
 
 #![allow(clippy::unwrap_used, clippy::expect_used, reason = "a test fails by a panic")]
 
@@ -31,7 +32,7 @@
     tenants: Vec<Tenant>,
 }
 
-// ---- the comparison: whole documents ----
+// ---- reference: the check of full documents ----
 
 fn name_of_item(item: &Value) -> Option<&str> {
     item.get("name")?.as_str()
@@ -98,7 +99,7 @@
         && read.routes.iter().all(|route| is_valid_route(route, &backends))
 }
 
-// ---- drawn changes ----
+// ---- random changes ----
 
 struct Draw(fastrand::Rng);
 
@@ -194,8 +195,8 @@
     }
 }
 
-/// What an edge that knows `before` makes of the document of a state, told as a difference, is what it makes
-/// of the whole.
+/// Asserts that an edge that has `before` and receives the difference to the document of `state` has the same
+/// table as an edge that receives the full document. Returns the table.
 fn assert_edge_has_the_same(table: &RouteTable, before: &Document, state: &ControlState) -> RouteTable {
     let (after, index) = state.document().expect("a document");
     let read =
@@ -222,7 +223,7 @@
     changed
 }
 
-/// The document of a state, as it is read back.
+/// The document of a state, as JSON.
 fn read_back(state: &ControlState) -> Value {
     state.document().map_or(Value::Null, |(document, _)| document.to_value())
 }
--- a/crates/control/tests/order_progress.rs
+++ b/crates/control/tests/order_progress.rs
@@ -1,4 +1,4 @@
-//! Stories of orders that model servers take, and of what they report meanwhile.
+//! Tests of the progress of orders, by the reports of model servers.
 
 #![allow(clippy::unwrap_used, clippy::expect_used, reason = "a test fails by a panic")]
 
@@ -35,9 +35,9 @@
     ModelServerContents { models: models.iter().map(loaded).collect(), sequence, busy }
 }
 
-/// Edges sent requests for a model to model servers that had unloaded it: a model server's report, a fifth of
-/// a second old, showed no order under way and the model still there, for it was made before the order came.
-/// It was taken for the order's end, and the model was published to all edges again.
+/// A report from before an order, 0.2 s old, showed no order in progress and the model still loaded. The
+/// leader took it for the end of the order and published the model to all edges again, which then sent
+/// requests to a model server that had unloaded the model.
 #[test]
 fn a_report_older_than_the_order_is_stale() {
     let unload = order(Operation::Unload, "a", "");
@@ -47,11 +47,11 @@
     assert_eq!(progress(&unload, 4, &contents(6, &[("a", &[])], false)), Progress::Failed);
 }
 
-#[test_case(Operation::Load, "b", "", &[("a", &["a1"]), ("b", &[])]; "a model comes")]
-#[test_case(Operation::Load, "a", "a2", &[("a", &["a1", "a2"])]; "an adapter comes")]
-#[test_case(Operation::Unload, "a", "a1", &[("a", &[])]; "an adapter goes")]
-#[test_case(Operation::Unload, "a", "", &[]; "a model goes with its adapters")]
-#[test_case(Operation::Load, "a", "a1", &[("a", &["a1"])]; "what is there stays")]
+#[test_case(Operation::Load, "b", "", &[("a", &["a1"]), ("b", &[])]; "a model is loaded")]
+#[test_case(Operation::Load, "a", "a2", &[("a", &["a1", "a2"])]; "an adapter is loaded")]
+#[test_case(Operation::Unload, "a", "a1", &[("a", &[])]; "an adapter is unloaded")]
+#[test_case(Operation::Unload, "a", "", &[]; "a model is unloaded with its adapters")]
+#[test_case(Operation::Load, "a", "a1", &[("a", &["a1"])]; "the adapter was loaded before")]
 fn contents_after_a_completed_order(
     operation: Operation,
     model: &str,
@@ -68,20 +68,20 @@
 fn durations_are_estimated_from_completed_orders() {
     let mut times = OrderDurations::default();
     let before = times.expected(0, OrderKind::Fetch, 4_000);
-    assert!((4_000..=4_400).contains(&before), "what the configuration tells: {before}");
+    assert!((4_000..=4_400).contains(&before), "the duration by the configuration: {before}");
     (0..10).for_each(|number| times.record(number * 5_000, OrderKind::Fetch, 4_000, 8_000));
     let learned = times.expected(50_000, OrderKind::Fetch, 2_000);
-    assert!((3_400..=4_400).contains(&learned), "twice as long as it tells: {learned}");
-    assert!(times.expected(50_000, OrderKind::Adapter, 0) < 100, "others are as before");
+    assert!((3_400..=4_400).contains(&learned), "twice the duration by the configuration: {learned}");
+    assert!(times.expected(50_000, OrderKind::Adapter, 0) < 100, "estimates of other kinds have not changed");
 }
 
 #[test]
 fn an_order_done_at_the_first_check_is_checked_earlier_next_time() {
     let mut times = OrderDurations::default();
     for number in 0..60 {
-        let looked = times.expected(number * 100, OrderKind::Adapter, 0);
-        // It takes 12 ms: what is looked at before is looked at again.
-        let took = if looked >= 12 { duration_at_first_check(looked) } else { looked + 15 };
+        let first_check = times.expected(number * 100, OrderKind::Adapter, 0);
+        // The order takes 12 ms. If the first check comes earlier, the order is checked again 15 ms later.
+        let took = if first_check >= 12 { duration_at_first_check(first_check) } else { first_check + 15 };
         times.record(number * 100, OrderKind::Adapter, 0, took);
     }
     let settled = times.expected(6_000, OrderKind::Adapter, 0);
--- a/crates/control/tests/outliers.rs
+++ b/crates/control/tests/outliers.rs
@@ -1,4 +1,4 @@
-//! Outliers by the outcomes that all edges saw.
+//! Tests of outliers, by the outcomes of requests at all edges.
 
 #![allow(clippy::unwrap_used, clippy::expect_used, reason = "a test fails by a panic")]
 
@@ -46,16 +46,16 @@
     assert!(table.outliers(20_000, &servers(6)).is_empty());
     table.expire(60_000);
     table.record(60_000, &[outcome(0, 0, 5)]);
-    assert!(table.outliers(60_000, &servers(6)).is_empty(), "and is sound once it answers");
+    assert!(table.outliers(60_000, &servers(6)).is_empty(), "a server that answers again is no outlier");
 }
 
 #[test]
-fn where_most_fail_only_the_worst_are_outliers() {
+fn if_most_servers_fail_only_the_worst_are_outliers() {
     let mut table = OutlierTable::default();
     let all: Vec<ModelServerLoad> = (0..9).map(|number| outcome(number, 10 + number as u32, 5)).collect();
     table.record(1_000, &all);
     assert_eq!(names(&table.outliers(1_000, &servers(9))), ["i-6", "i-7", "i-8"]);
-    assert!(table.outliers(1_000, &servers(2)).is_empty(), "a service of two is never halved");
+    assert!(table.outliers(1_000, &servers(2)).is_empty(), "neither of two servers is ever an outlier");
 }
 
 #[test]
--- a/crates/control/tests/placement.rs
+++ b/crates/control/tests/placement.rs
@@ -1,4 +1,4 @@
-//! Placement: which model server is ordered to load or unload what.
+//! Tests of placement: which models the leader orders model servers to load and unload.
 
 #![allow(clippy::unwrap_used, clippy::expect_used, reason = "a test fails by a panic")]
 
@@ -14,12 +14,12 @@
 use pathbank_protocol::message::{EdgeReport, LoadedModel, ModelDemand, ModelServer};
 
 const WEIGHTS_MB: f64 = 70_000.0;
-/// What a model server takes to read a request's prompt, and for how long the answer takes a slot,
-/// milliseconds.
+/// The prefill time of a request.
 const PREFILL_MS: u64 = 60;
 const SHORT_PREFILL_MS: u64 = 4;
+/// How long an answer occupies a slot.
 const SLOT_TIME_MS: u64 = 1_500;
-/// Less than a load takes.
+/// The latency objective of requests: shorter than a load.
 const OBJECTIVE_MS: u32 = 1_000;
 
 fn backends(models: &[&str]) -> Vec<Backend> {
@@ -57,7 +57,7 @@
     report_demand_with_prefill(demand, now, (model, adapter), (arrived, waiting), PREFILL_MS);
 }
 
-/// Requests come whose prompts a model server reads in `prefill_ms` each.
+/// Reports requests whose prompts take `prefill_ms` each to prefill.
 fn report_demand_with_prefill(
     demand: &mut DemandTable,
     now: u64,
@@ -80,7 +80,7 @@
     demand.record(now, &report);
 }
 
-/// Model servers that carry orders out at once.
+/// Model servers that complete orders at once.
 struct Scenario {
     backends: Vec<Backend>,
     servers: Vec<ModelServer>,
@@ -89,7 +89,7 @@
     cached_weights: CachedWeights,
     now: u64,
     orders: Vec<(u64, Order)>,
-    /// What a model server takes to read a request's prompt, milliseconds.
+    /// The prefill time of a request, milliseconds.
     prefill_ms: u64,
 }
 
@@ -114,7 +114,7 @@
         }
     }
 
-    /// One look at placement; orders end before the next.
+    /// Runs one pass of placement. Its orders end before the next pass.
     fn run_pass(&mut self) {
         self.now += 100;
         let orders =
@@ -133,7 +133,7 @@
             (Operation::Load, whole) => {
                 assert!(
                     order.fits(&runtime, &server.models),
-                    "more than the model server has room for: {order:?}"
+                    "the model server lacks the memory for {order:?}"
                 );
                 if whole {
                     let name = order.model.clone();
@@ -151,7 +151,7 @@
         }
     }
 
-    /// Clients ask steadily for so long: (model, requests in each tenth of a second).
+    /// Runs steady demand. `rates`: models, and the requests for each in every tenth of a second.
     fn run_demand(&mut self, milliseconds: u64, rates: &[(&str, u64)]) {
         for _ in 0..milliseconds / 100 {
             for (model, arrived) in rates {
@@ -186,7 +186,7 @@
     let mut scenario = Scenario::new(&["a", "b", "c", "d"], &[&["a", "b", "c"], &["a", "b"]]);
     scenario.run_demand(600, &[("d", 1)]);
     assert_eq!(scenario.replicas("d"), 1);
-    assert_eq!(scenario.servers[1].models.len(), 3, "there was room on the second one");
+    assert_eq!(scenario.servers[1].models.len(), 3, "the second server had free memory");
 }
 
 #[test]
@@ -199,10 +199,14 @@
         (scenario.replicas("a"), scenario.replicas("b"), scenario.replicas("c"), scenario.replicas("d")),
         (1, 1, 0, 1)
     );
-    assert_eq!(scenario.loads_between(before, u64::MAX), 1, "one load, and nothing turned back");
+    assert_eq!(
+        scenario.loads_between(before, u64::MAX),
+        1,
+        "the model is loaded once, and no other load follows"
+    );
 }
 
-/// The model servers of a story take turns between two zones.
+/// Assigns the model servers to two zones in turn.
 fn with_two_zones(mut scenario: Scenario) -> Scenario {
     for (number, server) in scenario.servers.iter_mut().enumerate() {
         server.zone = format!("z{}", number % 2);
@@ -218,29 +222,32 @@
 
 #[test]
 fn a_model_in_demand_has_replicas_in_two_zones() {
-    // Given a model whose part of all demand would fill no second model server.
+    // The model's demand is too low to fill a second model server.
     let loaded: &[&[&str]] =
         &[&["hot", "asked", "x"], &["hot", "y", "z"], &["hot", "x", "y"], &["hot", "z", "x"]];
     let mut scenario = with_two_zones(Scenario::new(&["hot", "asked", "x", "y", "z"], loaded));
     scenario.prefill_ms = SHORT_PREFILL_MS;
     scenario.run_demand(8_000, &[("hot", 20), ("asked", 1)]);
-    assert_eq!((scenario.replicas("asked"), zones_of(&scenario, "asked")), (2, 2), "one zone may be lost");
+    assert_eq!(
+        (scenario.replicas("asked"), zones_of(&scenario, "asked")),
+        (2, 2),
+        "the model survives the loss of one zone"
+    );
 }
 
 #[test]
 fn the_last_replica_outside_one_zone_is_not_evicted() {
-    // Given full model servers, and a model with copies in two zones, more of them than its demand would
-    // fill.
+    // All model servers are full. A model has replicas in two zones, more than its demand would fill.
     let loaded: &[&[&str]] =
         &[&["hot", "cool", "asked"], &["hot", "cool", "asked"], &["hot", "cool", "asked"]];
     let mut scenario = with_two_zones(Scenario::new(&["hot", "cool", "asked", "new"], loaded));
     scenario.run_demand(8_000, &[("hot", 30), ("cool", 30), ("asked", 1)]);
-    // When only the model server in the second zone takes orders, and another model is missing, then its copy
-    // there stays.
+    // Another model is missing, and only the model server in the second zone takes orders: it keeps the
+    // replica.
     (scenario.servers[0].busy, scenario.servers[2].busy) = (true, true);
     scenario.run_demand(3_000, &[("hot", 30), ("cool", 30), ("asked", 1), ("new", 1)]);
     assert_eq!(zones_of(&scenario, "asked"), 2);
-    // And one of the others makes room, once its model server takes orders.
+    // A replica in the first zone is evicted instead, once a model server there takes orders.
     scenario.servers[0].busy = false;
     scenario.run_demand(3_000, &[("hot", 30), ("cool", 30), ("asked", 1), ("new", 1)]);
     assert_eq!((scenario.replicas("new"), zones_of(&scenario, "asked")), (1, 2));
@@ -273,20 +280,20 @@
     ["a", "b", "c"].iter().for_each(|model| assert!(scenario.replicas(model) >= 1, "{model}"));
 }
 
-/// Models whose only replica was on a model server that failed every request were lost with it: the leader told
-/// edges to avoid the model server, and counted its replica as one that serves.
+/// A model whose only replica was on a model server that failed every request was not served: the leader told
+/// edges to avoid the server, but counted its replica as serving.
 #[test]
 fn a_model_whose_only_replica_is_on_a_failing_server_is_loaded_elsewhere() {
     let failing = [("i-0".to_owned(), 0.9)].into();
     let mut scenario = Scenario::new(&["a", "b", "c"], &[&["a"], &["b"], &["b"]]);
     scenario.prefill_ms = SHORT_PREFILL_MS;
     scenario.run_demand(3_000, &[("a", 1), ("b", 1)]);
-    assert_eq!(scenario.replicas("a"), 1, "while the model server serves");
+    assert_eq!(scenario.replicas("a"), 1, "no second replica while the model server serves");
     scenario.placer.set_failing(&failing);
     scenario.run_demand(3_000, &[("a", 1), ("b", 1), ("c", 1)]);
     assert_eq!(scenario.replicas("a"), 2);
     assert_eq!(scenario.servers[0].models.len(), 1, "nothing is loaded on a model server that fails");
-    // And one that fails now and then serves.
+    // A model server that fails some of its requests counts as serving.
     let mut scenario = Scenario::new(&["a", "b"], &[&["a"], &["b"]]);
     scenario.placer.set_failing(&[("i-0".to_owned(), 0.3)].into());
     scenario.prefill_ms = SHORT_PREFILL_MS;
@@ -375,12 +382,15 @@
 
 #[test]
 fn a_server_that_changes_versions_gets_no_order_and_counts_as_a_replica() {
-    // Given a model server that is full and one with room, when the first one's model is asked for often,
+    // One model server is full, another one has free memory, and a model of the first one has high demand.
     let new = || Scenario::new(&["a", "b", "c", "d"], &[&["b", "c", "d"], &[]]);
     let mut free = new();
     free.run_demand(3_000, &[("b", 1)]);
-    assert!(free.orders.iter().any(|(_, order)| order.instance == "i-1"), "the one with room loads it too");
-    // then nothing is ordered there while it changes versions,
+    assert!(
+        free.orders.iter().any(|(_, order)| order.instance == "i-1"),
+        "the server with free memory loads the model, too"
+    );
+    // The server with free memory gets no order while it changes versions.
     let mut loaded = new();
     let changing_version = [("i-1".to_owned(), "a".to_owned())].into();
     loaded.placer.set_training_reservations(TrainingReservations {
@@ -389,7 +399,7 @@
     });
     loaded.run_demand(3_000, &[("b", 1)]);
     assert!(loaded.orders.iter().all(|(_, order)| order.instance != "i-1"), "{:?}", loaded.orders);
-    // and the model that it will hold again is loaded nowhere else for the little that is asked of it.
+    // The model that it will have loaded again is not loaded elsewhere for a low demand.
     let asked = |holds: bool| {
         let mut scenario = Scenario::new(&["a", "b"], &[&["b"], &["b"]]);
         let changing_version = holds.then(|| ("i-1".to_owned(), "a".to_owned())).into_iter().collect();
@@ -406,13 +416,13 @@
 
 #[test]
 fn a_model_that_a_step_pins_is_not_evicted() {
-    // Given a model server full of models that nobody asks for, one of which draws for a step,
+    // A model server is full of models without demand. A training step uses one of them.
     let mut scenario = Scenario::new(&["a", "b", "c", "d"], &[&["a", "b", "c"]]);
     let pinned = [("i-0".to_owned(), ["a".to_owned()].into())].into();
     scenario
         .placer
         .set_training_reservations(TrainingReservations { pinned, ..TrainingReservations::default() });
-    // when another model is asked for, then one of the others goes for it.
+    // One of the other models is evicted for a model with demand.
     scenario.run_demand(3_000, &[("d", 4)]);
     assert_eq!((scenario.replicas("a"), scenario.replicas("d")), (1, 1), "{:?}", scenario.orders);
 }
@@ -422,17 +432,17 @@
     let mut placer = Placer::new();
     let permitted_loads =
         (0..10_000).step_by(50).filter(|now| placer.try_take_training_load(*now, "llm", 2.0)).count();
-    assert!((18..=22).contains(&permitted_loads), "two a second: {permitted_loads}");
+    assert!((18..=22).contains(&permitted_loads), "two loads a second: {permitted_loads}");
 }
 
 #[test]
 fn a_training_load_waits_while_placement_has_used_the_rate_limit() {
-    // Given a store whose loads placement has just taken for models that clients wait for,
+    // Placement has just used the store's rate limit for models with waiting requests.
     let mut scenario = Scenario::new(&["a", "b", "c", "d", "e"], &[&["a"], &[], &[], &[], &[]]);
     let rest = [("b", 3), ("c", 3), ("d", 3), ("e", 3)];
     scenario.run_demand(1_000, &rest);
     assert!(scenario.loads_between(0, u64::MAX) >= 2, "{:?}", scenario.orders);
-    // then a step's load waits, and may begin once the store permits one more.
+    // The load of a step waits until the store permits one more load.
     assert!(!scenario.placer.try_take_training_load(scenario.now, "llm", 4.0));
     assert!(scenario.placer.try_take_training_load(scenario.now + 1_000, "llm", 4.0));
 }
--- a/crates/control/tests/placement_cost.rs
+++ b/crates/control/tests/placement_cost.rs
@@ -1,5 +1,5 @@
-//! What one look at placement costs the leader, by the allocations that it makes: the same on every machine
-//! and at any load.
+//! Tests the cost of one pass of placement by the number of its allocations, which is the same on every
+//! machine and at any load.
 
 #![allow(clippy::unwrap_used, clippy::expect_used, reason = "a test fails by a panic")]
 
@@ -17,11 +17,12 @@
 #[global_allocator]
 static ALLOCATOR: &StatsAlloc<System> = &INSTRUMENTED_SYSTEM;
 
-/// The size that is planned for.
+/// The planned size of the system.
 const SERVERS: usize = 1_200;
 const MODELS: usize = 1_900;
 const MODELS_PER_SERVER: usize = 3;
-/// What counting what they hold takes, and a few looks at each; a look at each for each model is hundreds.
+/// Enough to count the models of each server and to examine it a few times. Examining each server for each
+/// model takes hundreds.
 const MAX_ALLOCATIONS_PER_SERVER: usize = 40;
 
 fn backend() -> Backend {
@@ -65,7 +66,7 @@
     }
 }
 
-/// Every model is asked for, the first ones more often.
+/// Demand for every model; the first models have the most.
 fn demand(now: u64) -> DemandTable {
     let of_model = |number: usize| ModelDemand {
         backend: "llm".into(),
@@ -82,10 +83,10 @@
     table
 }
 
-/// After all machines were killed, the new leader stood still for up to 70 ms in each of its turns, with
-/// three times what it is planned for: its heartbeats came late, and it gave up its lead four times in half a
-/// second. For each model that is asked for, the room and the worth of what it holds was worked out anew for
-/// every instance: 105 ms of a whole core for 1,200 instances, 160 to 230 ms for 3,008.
+/// After all machines were killed, with three times the planned size, each pass of the new leader's event
+/// loop took up to 70 ms. Its heartbeats were late, and it stepped down four times in half a second. For each
+/// model with demand, placement computed the free memory and the values of the loaded models of every
+/// instance anew: 105 ms of a whole processor core for 1,200 instances, 160 to 230 ms for 3,008.
 #[test]
 fn a_placement_pass_does_not_cost_models_times_servers() {
     let now = 100_000;
--- a/crates/control/tests/prepared_changes.rs
+++ b/crates/control/tests/prepared_changes.rs
@@ -1,5 +1,6 @@
-//! A change that was prepared beside the event loop comes to the same as one that is applied at once, whatever was applied
-//! between its preparation and its entry; and replicas come to the same digest, whether they applied all or a snapshot.
+//! A change that was prepared outside the event loop must have the same result as one that is applied
+//! directly, whatever was applied between its preparation and its log entry. Replicas must have the same
+//! digest, whether they applied all entries or a snapshot.
 
 #![allow(clippy::unwrap_used, clippy::expect_used, reason = "a test fails by a panic")]
 
@@ -16,7 +17,7 @@
     Change { kind, base, body: body.to_string() }
 }
 
-/// A change on one of few versions: valid, invalid, a repeat, or no JSON object.
+/// Changes that build on one of a few versions: valid, invalid, repeated, or without a JSON object.
 fn changes() -> impl Strategy<Value = Change> {
     (0..5_u64, 0..5_u64, 0..4_u64, 0..5_u8).prop_map(|(base, version, number, form)| match form {
         0 => {
@@ -43,7 +44,7 @@
     #![proptest_config(ProptestConfig { cases: 2_000, failure_persistence: None, ..ProptestConfig::default() })]
 
     #[test]
-    fn a_prepared_change_comes_to_the_same(
+    fn a_prepared_change_has_the_same_result_as_a_direct_one(
         changes in proptest::collection::vec((changes(), 0..4_usize), 1..24),
     ) {
         let (mut at_once, mut prepared_before) = (ControlState::default(), ControlState::default());
@@ -62,9 +63,9 @@
         }
     }
 
-    /// One replica is sent a snapshot, another one applies every entry.
+    /// One replica receives a snapshot, another one applies every entry.
     #[test]
-    fn a_state_from_a_snapshot_has_the_digest_of_the_one_that_applied_all(
+    fn a_state_from_a_snapshot_has_the_same_digest_as_one_that_applied_all_entries(
         changes in proptest::collection::vec((changes(), any::<bool>()), 1..24),
     ) {
         let (mut applied_all, mut restored) = (ControlState::default(), ControlState::default());
--- a/crates/control/tests/recovery/main.rs
+++ b/crates/control/tests/recovery/main.rs
@@ -1,5 +1,5 @@
-//! Cores on small processors: the time from a power failure of all cores until each publishes the newest
-//! configuration.
+//! Recovery of cores with little processor time: the time from a power failure of all cores until each of
+//! them publishes the newest configuration.
 //!
 //! Processor time is charged in virtual time by the allocations of the state machine, which are the same on
 //! every machine and at any load.
@@ -21,12 +21,13 @@
 static ALLOCATOR: &StatsAlloc<System> = &INSTRUMENTED_SYSTEM;
 
 const CORES: usize = 3;
-/// Allocations that a core with half of a core gets through in a millisecond: it took 2.3 to 3 ms for a
-/// change that made 2,300 of them. Their bytes tell less: a parser's workspace of 58 kB is not touched.
+/// Allocations in a millisecond on half of a processor core, which took 2.3 to 3 ms for a change with 2,300
+/// allocations. Allocated bytes are a worse measure: a parser's workspace of 58 kB is not touched.
 const ALLOCATIONS_PER_MS: u64 = 900;
-/// The least that any entry takes there, microseconds.
+/// The least time that a log entry takes there, microseconds.
 const MIN_ENTRY_US: u64 = 40;
-/// After this edges are in touch again, and refuse nothing that was confirmed before, milliseconds.
+/// Time after which edges are connected again and have to apply all changes that were acknowledged before,
+/// milliseconds.
 const CURRENT_TIMEOUT_MS: u64 = 3_000;
 
 fn route(number: usize, timeout_ms: u64) -> Value {
@@ -47,7 +48,7 @@
                 .collect::<Vec<_>>() })
 }
 
-/// A change as operators send them: of a route's time, of a tenant's keys, a route that comes.
+/// A change as operators send it: another time-out of a route, other keys of a tenant, or a new route.
 fn change(number: usize, routes: usize) -> Change {
     let version = number + 3;
     let upsert = match number % 3 {
@@ -68,7 +69,7 @@
     std::iter::once(first).chain(changes).map(|change| Command::Change(change).encode()).collect()
 }
 
-/// Applies a command, and tells how long it took on a small processor.
+/// Applies a command. Returns how long that takes on a small processor, microseconds.
 fn apply(state: &mut ControlState, index: u64, bytes: &[u8]) -> u64 {
     let region = Region::new(ALLOCATOR);
     let command = Command::decode(bytes).expect("a command");
@@ -87,7 +88,7 @@
 impl Cores {
     fn with_log(commands: &[Vec<u8>]) -> Cores {
         let mut fleet = Cluster::new(CORES, 0, 46);
-        assert!(fleet.run_until_leader(3_000), "a first leader");
+        assert!(fleet.run_until_leader(3_000), "no leader was elected");
         for (number, command) in commands.iter().enumerate() {
             assert!(fleet.propose(command));
             if number % 20 == 0 {
@@ -123,10 +124,10 @@
     }
 }
 
-// All three cores were dark for a second behind a confirmed change; an edge refused what it allows 3.5 s
-// later. Each entry of the log took 2.3 to 3 ms to be applied, for the whole document was copied, written,
-// read and checked anew for a change of one item; 64 entries were applied 0.8 s after the start, 772 after
-// 3.1 to 3.7 s.
+// All three cores were down for a second after a change had been acknowledged. 3.5 s later, an edge still
+// rejected requests that the change allows. Each log entry took 2.3 to 3 ms to apply, because the complete
+// document was copied, encoded, parsed and checked for a change of one item: 64 entries were applied 0.8 s
+// after the start, 772 entries after 3.1 to 3.7 s.
 fn assert_all_are_current_in_time(routes: usize, models: usize, changes: usize) {
     let mut cores = Cores::with_log(&commands(routes, models, changes));
     cores.power_cycle_all();
@@ -154,7 +155,7 @@
     assert!(many < 3 * few, "a change takes {few} us among 30 routes, {many} us among 3,000");
 }
 
-/// One test after the other: the allocator counts for the whole process.
+/// One test runs both checks in turn, because the allocator counts for the whole process.
 #[test]
 fn recovery_does_not_grow_with_the_log() {
     assert_all_are_current_in_time(30, 31, 800);
--- a/crates/control/tests/result_code.rs
+++ b/crates/control/tests/result_code.rs
@@ -1,4 +1,4 @@
-//! The numbered results that callers get, against the operators' page.
+//! Compares the numbered results that callers get with the operators' page.
 
 #![allow(clippy::unwrap_used, clippy::expect_used, reason = "a test fails by a panic")]
 
--- a/crates/control/tests/safety/faults.rs
+++ b/crates/control/tests/safety/faults.rs
@@ -1,51 +1,51 @@
-//! What happens to machines, disks and links, within what a group of three bears.
+//! Faults of machines, disks and links that a group of three has to tolerate.
 
 use crate::common::Cluster;
 use crate::world::{FOUNDERS, MACHINES};
 use proptest::prelude::*;
 
-/// One disturbance.
+/// One fault.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Fault {
-    /// A process dies.
+    /// A process is killed.
     Kill(usize),
-    /// All lose power.
+    /// All machines lose power.
     PowerOff,
-    /// A disk is lost, if all others are there.
+    /// A disk is lost, provided that all others are present.
     Wipe(usize),
-    /// A disk is lost, if all others are there, and all lose power at once.
+    /// A disk is lost, provided that all others are present, and all machines lose power at the same time.
     WipeAndPowerOff(usize),
-    /// A machine is cut off from all others.
+    /// A machine is partitioned from all others.
     Partition(usize),
-    /// It hears others and is not heard.
+    /// A machine receives messages, but its own messages are lost.
     PartitionOutbound(usize),
-    /// It is heard and hears nobody.
+    /// A machine receives no messages, but its own messages arrive.
     PartitionInbound(usize),
-    /// Two machines on one side, the others on the other.
+    /// Two machines are partitioned from the others.
     PartitionHalves(usize, usize),
-    /// A process stands still.
+    /// A process is paused.
     Freeze(usize),
-    /// A disk answers nothing.
+    /// A disk completes no operation.
     Stall(usize),
-    /// A disk is thirty times as slow.
+    /// A disk is thirty times slower.
     SlowDisk(usize),
-    /// Messages get lost.
+    /// Some messages are lost.
     Loss,
-    /// All compact their logs.
+    /// All replicas compact their logs.
     Compact,
-    /// A new machine comes, and later a member gets SIGTERM.
+    /// A new machine joins, and later a member gets SIGTERM.
     Replace(usize),
     /// A process gets SIGTERM and starts again.
     Restart(usize),
     /// All processes get SIGTERM at once and start again.
     RestartAll,
-    /// The machine that leads: its process dies, stands still, or is cut off.
+    /// The process of the leader is killed, paused, or its machine partitioned.
     KillLeader,
     FreezeLeader,
     PartitionLeader,
 }
 
-/// A disturbance, how long it lasts, and the pause behind it, milliseconds.
+/// A fault, its duration, and the pause after it, milliseconds.
 #[derive(Clone, Copy, Debug)]
 pub struct Step {
     pub fault: Fault,
@@ -53,7 +53,7 @@
     pub pause: u64,
 }
 
-/// Schedules of faults, drawn and shrunk.
+/// Random schedules of faults, which proptest can shrink.
 pub fn schedules() -> impl Strategy<Value = Vec<Step>> {
     proptest::collection::vec(step(), 1..7)
 }
@@ -151,7 +151,7 @@
         }
     }
 
-    /// All disturbances end, and whoever is down starts.
+    /// Ends all faults, and starts the processes that are down.
     pub fn end_all(fleet: &mut Cluster) {
         fleet.partitions.clear();
         fleet.loss_in_1000 = 0;
--- a/crates/control/tests/safety/history.rs
+++ b/crates/control/tests/safety/history.rs
@@ -1,34 +1,34 @@
-//! What operators saw, and whether one register could have answered so.
+//! Histories of operators' calls, and the check that they are linearizable as calls to one register.
 //!
-//! The committed log gives the one order of all changes that were taken, so the check is exact: each call is
-//! at one place of that order or has a range of places, and a call that began after another one had ended
-//! must not be before it.
+//! The committed log gives the order of all accepted changes, so the check is exact: each call has one
+//! position or a range of positions in that order, and a call that began after another one had ended must not
+//! precede it.
 
 use std::collections::BTreeMap;
 
-/// What a call wanted.
+/// The operation of a call.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Operation {
-    /// The configuration.
+    /// Read the configuration.
     Read,
-    /// A change of this number on a base.
+    /// Apply the change of this number on a base.
     Change { id: u64, base: u64 },
 }
 
-/// What it got in the end.
+/// The result of a call.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Outcome {
-    /// The configuration of this change; 0: none yet.
+    /// The configuration that this change brought; 0: there is none yet.
     Read(u64),
     /// The change is in force.
     Acknowledged,
-    /// Another version than its base is current.
+    /// The change was rejected: another version than its base is current.
     Rejected,
-    /// No clear answer.
+    /// The answer does not say whether the change is in force, or there was none.
     Nothing,
 }
 
-/// A call from its first try to its answer.
+/// A call from its first attempt to its answer.
 #[derive(Clone, Debug)]
 pub struct Call {
     pub operation: Operation,
@@ -94,7 +94,7 @@
         let floor = newest.map_or(0, |newest| newest.1 + usize::from(*is_change));
         if *position < floor && newest.is_some_and(|newest| newest.0.ended < call.began) {
             return Err(format!(
-                "older than what had been answered: {call:?} after {:?}",
+                "an answer is older than the one before: {call:?} after {:?}",
                 newest.map(|n| n.0)
             ));
         }
--- a/crates/control/tests/safety/main.rs
+++ b/crates/control/tests/safety/main.rs
@@ -1,8 +1,8 @@
-//! The control path under faults in virtual time: operators with changes, reads, lost answers and
-//! repeats; cores that publish configurations; leaders that act outside the group. Every history is checked
-//! for linearizability of the configuration, and for what fencing promises.
+//! Simulates the control path under faults in virtual time: operators send changes and reads, lose answers
+//! and repeat calls; cores publish configurations; leaders act outside the group. Every history is checked
+//! for linearizability of the configuration and for the guarantees of fencing tokens.
 //!
-//! `PATHBANK_HISTORIES=100000 cargo test --release -p pathbank-control --test safety` plays more of them.
+//! `PATHBANK_HISTORIES=100000 cargo test --release -p pathbank-control --test safety` runs more histories.
 
 #![allow(clippy::unwrap_used, clippy::expect_used, reason = "a test fails by a panic")]
 
@@ -18,9 +18,9 @@
 use test_case::test_case;
 use world::World;
 
-/// Histories that are played without another word.
+/// The number of histories that run by default.
 const HISTORIES: u32 = 2_000;
-/// They are played in so many parts at the same time.
+/// The number of parts that run in parallel.
 const SHARDS: u32 = 8;
 
 fn histories() -> u32 {
@@ -33,7 +33,8 @@
     world.play(steps).map(|()| world.answered())
 }
 
-/// Draws schedules from a seed; one that fails is shrunk to the shortest that still does, and printed.
+/// Runs random schedules by seed. A schedule that fails is shrunk to the shortest one that still fails, and
+/// printed.
 #[test_case(0; "part 1")]
 #[test_case(1; "part 2")]
 #[test_case(2; "part 3")]
@@ -42,7 +43,7 @@
 #[test_case(5; "part 6")]
 #[test_case(6; "part 7")]
 #[test_case(7; "part 8")]
-fn drawn_histories_are_linearizable(shard: u8) {
+fn random_histories_are_linearizable(shard: u8) {
     let config = Config {
         cases: histories() / SHARDS,
         failure_persistence: None,
@@ -53,7 +54,7 @@
     let cases = (proptest::num::u64::ANY, schedules());
     let played = runner.run(&cases, |(seed, steps)| {
         let answered = play(seed, &steps).map_err(proptest::test_runner::TestCaseError::fail)?;
-        assert!(answered > 5, "operators are answered: {answered}");
+        assert!(answered > 5, "operators got only {answered} answers");
         Ok(())
     });
     if let Err(error) = played {
@@ -61,25 +62,25 @@
     }
 }
 
-/// Partitions of twenty seconds: of the leader, of a follower, one way, in halves; and a leader that stands
-/// still.
-#[test_case(Fault::PartitionLeader; "the leader is cut off")]
-#[test_case(Fault::Partition(1); "a machine is cut off")]
-#[test_case(Fault::PartitionInbound(0); "a machine hears nobody")]
-#[test_case(Fault::PartitionOutbound(0); "a machine is not heard")]
-#[test_case(Fault::PartitionHalves(0, 1); "two on one side")]
-#[test_case(Fault::FreezeLeader; "the leader stands still")]
-#[test_case(Fault::Stall(0); "a disk stands still")]
-fn for_twenty_seconds(fault: Fault) {
+/// Faults of twenty seconds: partitions of the leader, of a follower, in one direction and into halves; a
+/// paused leader; a stalled disk.
+#[test_case(Fault::PartitionLeader; "the leader is partitioned")]
+#[test_case(Fault::Partition(1); "a machine is partitioned")]
+#[test_case(Fault::PartitionInbound(0); "a machine receives no messages")]
+#[test_case(Fault::PartitionOutbound(0); "the messages of a machine are lost")]
+#[test_case(Fault::PartitionHalves(0, 1); "two machines are partitioned from the others")]
+#[test_case(Fault::FreezeLeader; "the leader is paused")]
+#[test_case(Fault::Stall(0); "a disk is stalled")]
+fn histories_are_linearizable_under_a_fault_of_twenty_seconds(fault: Fault) {
     for seed in 0..6 {
         let steps = [Step { fault, lasts: 20_000, pause: 2_000 }];
         let answered = play(seed, &steps).unwrap_or_else(|error| panic!("seed {seed}: {error}"));
-        assert!(answered > 60, "seed {seed}: operators are answered meanwhile: {answered}");
+        assert!(answered > 60, "seed {seed}: operators got only {answered} answers during the fault");
     }
 }
 
-/// Disks are lost one after the other, as soon as the group is whole again, with compaction and restarts
-/// between.
+/// Disks are lost one after the other, each as soon as the group is complete again, with compaction and
+/// restarts in between.
 #[test]
 fn disks_lost_repeatedly_as_soon_as_the_group_is_complete() {
     let lost = |machine: usize| Step { fault: Fault::WipeAndPowerOff(machine), lasts: 600, pause: 3_500 };
--- a/crates/control/tests/safety/operators.rs
+++ b/crates/control/tests/safety/operators.rs
@@ -1,4 +1,4 @@
-//! Operators that change and read the configuration at any core, lose answers, and send the same again.
+//! Simulated operators: they change and read the configuration at any core, lose answers, and repeat calls.
 
 use crate::history::{Call, Operation, Outcome};
 use pathbank_control::operator_calls::Reply;
@@ -6,38 +6,38 @@
 use pathbank_control::state::{Change, ChangeKind};
 use serde_json::json;
 
-/// An operator gives up a call after so many tries.
+/// An operator abandons a call after this many attempts.
 const MAX_ATTEMPTS: u32 = 12;
-/// A try without an answer is given up after this, milliseconds.
+/// The time-out of an attempt, milliseconds.
 pub const ATTEMPT_TIMEOUT_MS: u64 = 1_000;
 
 /// One operator.
 pub struct Operator {
-    /// The newest version that it knows.
+    /// The newest version that the operator knows.
     known: u64,
     current: Option<Open>,
-    /// When it acts next.
+    /// When the operator makes its next attempt.
     pub acts_at: u64,
 }
 
 struct Open {
     operation: Operation,
     change: Option<Change>,
-    /// That of its change.
+    /// The version that the change brings.
     version: u64,
     began: u64,
     attempts: u32,
-    /// Where it is led on to.
+    /// The machine to which a core redirected the call.
     next: Option<usize>,
 }
 
-/// A try that is to be made.
+/// An attempt of a call.
 pub struct Attempt {
     pub machine: Option<usize>,
     pub change: Option<Change>,
 }
 
-/// A change whose content no other one has.
+/// A change with content that no other change has.
 pub fn change(id: u64, base: u64, version: u64) -> Change {
     let body = json!({ "version": version, "upsert": { "limits": { "max_body_bytes": id } } });
     Change { kind: ChangeKind::Update, base, body: body.to_string() }
@@ -48,7 +48,8 @@
         Operator { known: 0, current: None, acts_at }
     }
 
-    /// Goes on with its call, or begins one. `draw`: any number; `id`: that of a change that begins now.
+    /// The next attempt of the current call, or the first one of a new call. `draw`: any number; `id`: the
+    /// number of the change if a new one begins.
     pub fn next_attempt(&mut self, now: u64, draw: u64, id: u64) -> (Attempt, Option<(u64, u64)>) {
         let mut began = None;
         if self.current.is_none() {
@@ -71,7 +72,7 @@
         (Attempt { machine: open.next.take(), change: open.change.clone() }, began)
     }
 
-    /// What came of a try. Returns the call if it has ended.
+    /// Takes the reply to an attempt. Returns the call if it has ended.
     pub fn receive_reply(
         &mut self,
         now: u64,
@@ -108,7 +109,7 @@
         Some(Call { operation: open.operation, began: open.began, ended: now, outcome })
     }
 
-    /// Its call at the end of the history has no answer.
+    /// Ends the call that is unanswered at the end of the history.
     pub fn end(&mut self, now: u64) -> Option<Call> {
         let open = self.current.take()?;
         Some(Call { operation: open.operation, began: open.began, ended: now, outcome: Outcome::Nothing })
--- a/crates/control/tests/safety/world.rs
+++ b/crates/control/tests/safety/world.rs
@@ -1,5 +1,5 @@
-//! The control path in virtual time: replicas with the state machine, operators, and what every core would
-//! hand out.
+//! The control path in virtual time: replicas with the state machine, operators, and the configuration that
+//! each core would publish.
 
 use crate::common::{Cluster, member};
 use crate::faults::{Fault, Step};
@@ -10,22 +10,22 @@
 use pathbank_control::state::{Change, Command, ControlState};
 use std::collections::BTreeMap;
 
-/// Founders, and machines that come later.
+/// The founding members, and machines that join later.
 pub const FOUNDERS: usize = 3;
 pub const MACHINES: usize = 5;
-/// What one entry of the log takes to be applied, microseconds.
+/// The time that a replica takes to apply one log entry, microseconds.
 const ENTRY_US: [u64; 4] = [0, 0, 500, 4_000];
-/// What a command takes to be prepared before it is applied, milliseconds.
+/// The time that the preparation of a command takes before it is applied, milliseconds.
 const PREPARATION_MS: [Option<u64>; 4] = [None, None, Some(1), Some(120)];
-/// How long turns of two leaders have to be apart, milliseconds.
+/// The least time between actions of two leaders outside the group, milliseconds.
 const TURN_WAIT: u64 = 3_000;
-/// A leader without contact leads for no longer than this, milliseconds, and a follower believes it for
-/// [`LEADER_TIMEOUT_MS`] more.
+/// A leader without contact to the group steps down within this time, milliseconds. Followers consider it the
+/// leader for another [`LEADER_TIMEOUT_MS`].
 const LEADER_STEP_DOWN_MS: u64 = 900;
-/// Within this after the last fault an operator's change is taken, milliseconds.
+/// Time after the last fault within which an operator's change must be accepted, milliseconds.
 const RECOVERY_TIMEOUT_MS: u64 = 12_000;
 
-/// What a machine has applied.
+/// The state that a machine has applied.
 #[derive(Default)]
 struct Applied {
     entries: usize,
@@ -34,7 +34,7 @@
     results: BTreeMap<u64, (Vec<u8>, Reply)>,
 }
 
-/// A change that waits at the core where it was proposed.
+/// A change that waits for its commit at the core that proposed it.
 struct Waiting {
     operator: usize,
     machine: usize,
@@ -43,7 +43,7 @@
     command: Vec<u8>,
 }
 
-/// An answer on its way.
+/// An answer in flight.
 struct Answer {
     at: u64,
     operator: usize,
@@ -59,9 +59,9 @@
     answers: Vec<Answer>,
     calls: Vec<Call>,
     versions: BTreeMap<u64, u64>,
-    /// When each version was acknowledged first.
+    /// When each version was first acknowledged.
     acknowledged: Vec<(u64, u64)>,
-    /// Who acted outside the group, with which token, and when.
+    /// Actions outside the group: the machine, its fencing token, and the time.
     acts: Vec<(usize, u64, u64)>,
     next_change: u64,
     answers_lost_in_100: u64,
@@ -72,10 +72,10 @@
         let mut fleet = Cluster::new(FOUNDERS, MACHINES - FOUNDERS, seed);
         (FOUNDERS..MACHINES).for_each(|machine| fleet.kill(machine));
         let mut random = fastrand::Rng::with_seed(seed);
-        // Some groups run on processors on which a log takes its time to be applied.
+        // Some groups run on slow processors, on which applying the log takes time.
         let apply_us_per_entry = ENTRY_US[random.usize(..ENTRY_US.len())];
         fleet.machines.iter_mut().for_each(|machine| machine.apply_us_per_entry = apply_us_per_entry);
-        // Some groups have commands that are prepared beside the loop.
+        // Some groups prepare commands outside the event loop.
         fleet.preparation_ms = PREPARATION_MS[random.usize(..PREPARATION_MS.len())];
         let operators = (0..operators).map(|_| Operator::new(1_500 + random.u64(0..300))).collect();
         World {
@@ -94,7 +94,7 @@
         }
     }
 
-    /// Plays a schedule of faults, and everything that has to hold meanwhile and afterwards.
+    /// Runs a schedule of faults, and checks all guarantees during it and afterwards.
     pub fn play(&mut self, steps: &[Step]) -> Result<(), String> {
         self.run(2_000)?;
         for step in steps {
@@ -161,7 +161,7 @@
         }
     }
 
-    /// Changes that are committed or whose core leads no more.
+    /// Answers the changes that are committed or whose core no longer leads.
     fn answer_waiting(&mut self) {
         for waiting in std::mem::take(&mut self.waiting) {
             let machine = &self.fleet.machines[waiting.machine];
@@ -185,7 +185,7 @@
         }
     }
 
-    /// How a core answers a call that reaches it.
+    /// Handles an operator's call at a core.
     fn receive(&mut self, operator: usize, machine: usize, change: Option<Change>) {
         let now = self.fleet.now;
         let Some(replica) =
@@ -212,8 +212,8 @@
         }
     }
 
-    /// A core in contact publishes nothing older than what contact allows, and a leader within its lease
-    /// nothing old at all.
+    /// Checks that a core in contact publishes no configuration older than the contact allows, and a leader
+    /// within its lease only the newest one.
     fn check_cores(&self) -> Result<(), String> {
         let now = self.fleet.now;
         for (machine, applied) in self.applied.iter().enumerate() {
@@ -236,9 +236,10 @@
         Ok(())
     }
 
-    // ---- duties ----
+    // ---- actions outside the group ----
 
-    /// Whoever may act outside the group does: one at a time, with tokens that rise, and turns apart.
+    /// Lets each core act that may act outside the group. Only one may at a time, with increasing tokens, and
+    /// with a pause between two leaders.
     fn act(&mut self) -> Result<(), String> {
         let now = self.fleet.now;
         let mut acting = None;
@@ -332,7 +333,7 @@
                 self.next_change += 1;
             }
             let machine = next.machine.unwrap_or_else(|| self.any_machine());
-            // The same call may reach two cores: an earlier copy was delayed in the network.
+            // A call may reach two cores: an earlier copy may be delayed in the network.
             if self.random.u64(0..100) < 3 {
                 self.receive_stray(next.change.clone());
             }
@@ -340,7 +341,7 @@
         }
     }
 
-    /// A machine of the operators' list, which holds few that do not run.
+    /// A random machine of the operators' list, which contains few machines that do not run.
     fn any_machine(&mut self) -> usize {
         let drawn = self.random.usize(0..MACHINES);
         match self.fleet.machines[drawn].replica {
@@ -349,7 +350,7 @@
         }
     }
 
-    /// A copy of a change that nobody waits for.
+    /// Handles a delayed copy of a change whose answer no operator expects.
     fn receive_stray(&mut self, change: Option<Change>) {
         let machine = self.random.usize(0..MACHINES);
         let Some(change) = change else { return };
@@ -362,7 +363,7 @@
         }
     }
 
-    // ---- the end ----
+    // ---- the end of the history ----
 
     fn check_history(&mut self) -> Result<(), String> {
         self.answers_lost_in_100 = 0;
@@ -383,7 +384,7 @@
         history::check(&self.calls, &order, &self.versions)
     }
 
-    /// How many calls had a clear answer.
+    /// The number of calls with a definite answer.
     pub fn answered(&self) -> usize {
         self.calls.iter().filter(|call| call.outcome != history::Outcome::Nothing).count()
     }
--- a/crates/control/tests/stored_formats.rs
+++ b/crates/control/tests/stored_formats.rs
@@ -1,7 +1,9 @@
-//! Commands and snapshots as an earlier version stored them: each is read, means the same and is written the same.
+//! Commands and snapshots as an earlier version stored them: this program must decode them to the same values
+//! and encode them to the same bytes.
 //!
-//! `commands.jsonl` holds one log entry on each line, each kind of command among them; `state.json` is the snapshot that
-//! they came to. `state_format_1.json` is a snapshot of the first format, `state_format_1_upgraded.json` what it became.
+//! `commands.jsonl` has one log entry on each line, and at least one of each kind. `state.json` is the
+//! snapshot after all of them. `state_format_1.json` is a snapshot of the first format,
+//! `state_format_1_upgraded.json` the same snapshot after its conversion.
 
 #![allow(clippy::unwrap_used, clippy::expect_used, reason = "a test fails by a panic")]
 
@@ -140,8 +142,8 @@
     assert_eq!(encoded(&state), json(STATE_FORMAT_1_UPGRADED));
 }
 
-/// Digests of programs whose states have different forms must not be compared: whoever changes the form changes
-/// `DIGEST_FORMAT` too, and this pair.
+/// Digests of programs whose states have different forms must not be compared: whoever changes the form
+/// changes `DIGEST_FORMAT` too, and this pair.
 #[test]
 fn the_digest_of_a_stored_state_belongs_to_its_format() {
     let digest = ControlState::decode(STATE.as_bytes()).unwrap().digest();
--- a/crates/control/tests/training.rs
+++ b/crates/control/tests/training.rs
@@ -1,4 +1,4 @@
-//! Training steps as part of the replicated state: content, its bounds, and snapshots.
+//! Tests of training steps in the replicated state: their contents, the limits of these, and snapshots.
 
 #![allow(clippy::unwrap_used, clippy::expect_used, reason = "a test fails by a panic")]
 
@@ -18,7 +18,7 @@
     Prompt { body: body.into(), input_tokens: 3, output_tokens: 9, prefix: String::new() }
 }
 
-/// A state, and the entries of its log.
+/// A state, and the index of the last applied log entry.
 #[derive(Default)]
 struct Scenario {
     state: ControlState,
@@ -29,7 +29,7 @@
     fn apply(&mut self, command: TrainingCommand) -> Result<CommandOutcome, ResultCode> {
         self.index += 1;
         let command =
-            Command::decode(&Command::Training(command).encode()).expect("it is read as it was written");
+            Command::decode(&Command::Training(command).encode()).expect("an encoded command can be decoded");
         self.state.apply(self.index, &command).map_err(|rejection| rejection.code)
     }
 
@@ -65,7 +65,11 @@
     let mut scenario = Scenario::default();
     assert_eq!(scenario.announce("one"), Ok(CommandOutcome::StepAnnounced(1)));
     assert_eq!(scenario.submit(1, &[(1, "a"), (2, "b")]), Ok(CommandOutcome::Applied));
-    assert_eq!(scenario.submit(1, &[(2, "b")]), Ok(CommandOutcome::AlreadyApplied), "the same again");
+    assert_eq!(
+        scenario.submit(1, &[(2, "b")]),
+        Ok(CommandOutcome::AlreadyApplied),
+        "the prompt was submitted before"
+    );
     scenario.open(1);
     assert_eq!(scenario.record(1, 2, "text".into()), Ok(CommandOutcome::Applied));
     let training = scenario.state.training();
@@ -124,13 +128,17 @@
         scenario.announce(&format!("{number}")).unwrap();
     }
     assert_eq!(scenario.announce("more"), Err(ResultCode::TooManySteps));
-    assert_eq!(scenario.announce("0"), Ok(CommandOutcome::StepAnnounced(1)), "one that stands is told again");
+    assert_eq!(
+        scenario.announce("0"),
+        Ok(CommandOutcome::StepAnnounced(1)),
+        "a repeated announcement names the open step"
+    );
     scenario.apply_step(StepCommand::Abort { step: 1 }).unwrap();
     assert_eq!(scenario.announce("more"), Ok(CommandOutcome::StepAnnounced(MAX_OPEN_STEPS as u64 + 1)));
 }
 
 #[test]
-fn contents_of_old_steps_expire_and_their_counts_stay() {
+fn contents_of_old_steps_are_removed_and_their_counts_stay() {
     let mut scenario = Scenario::default();
     for number in 1..=6 {
         scenario.announce(&format!("{number}")).unwrap();
@@ -163,10 +171,10 @@
 }
 
 #[test_case(StepCommand::Seal { step: 9 }, ResultCode::UnknownStep; "no such step")]
-#[test_case(StepCommand::Seal { step: 1 }, ResultCode::WrongStepState; "it is not being sealed")]
-#[test_case(StepCommand::FixVersion { step: 2, version: 1 }, ResultCode::EarlierStep; "an earlier one is not over")]
+#[test_case(StepCommand::Seal { step: 1 }, ResultCode::WrongStepState; "the step is not being sealed")]
+#[test_case(StepCommand::FixVersion { step: 2, version: 1 }, ResultCode::EarlierStep; "an earlier step is not over")]
 #[test_case(StepCommand::Close { step: 1, allow_missing: false }, ResultCode::MissingGenerations; "a prompt has no generation")]
-#[test_case(StepCommand::Announce(StepRequest::new("one", "n", 1)), ResultCode::StepKeyTaken; "the key is another step's")]
+#[test_case(StepCommand::Announce(StepRequest::new("one", "n", 1)), ResultCode::StepKeyTaken; "the key belongs to another step")]
 fn a_rejected_command_has_a_result_code_and_changes_nothing(command: StepCommand, code: ResultCode) {
     let mut scenario = Scenario::default();
     scenario.announce("one").unwrap();
--- a/crates/control/tests/training_workers.rs
+++ b/crates/control/tests/training_workers.rs
@@ -1,4 +1,4 @@
-//! Which model servers are a step's workers.
+//! Tests of the choice of a step's workers among the model servers.
 
 #![allow(clippy::unwrap_used, clippy::expect_used, reason = "a test fails by a panic")]
 
@@ -16,7 +16,7 @@
     ModelServer { instance: instance.into(), capacity: 8, ..model_server(1, models) }
 }
 
-/// Model servers with room for two models.
+/// Model servers with memory for two models.
 fn runtime() -> Runtime {
     let model =
         |name: &str| Model { name: name.into(), weights_mb: 40.0, load_s: 1.0, adapters: 0, adapter_mb: 0.0 };
@@ -39,7 +39,7 @@
     names.iter().map(|name| (*name).to_owned()).collect()
 }
 
-/// Ten model servers with the model, one with room for it, one without.
+/// Ten model servers with the model, one with memory for it, and one without.
 fn servers() -> Vec<ModelServer> {
     let mut servers: Vec<ModelServer> = (0..10).map(|number| server(&format!("w{number}"), &["m"])).collect();
     servers.push(server("room", &["n"]));
@@ -47,12 +47,12 @@
     servers
 }
 
-#[test_case(RequestedWorkers::All, 1, 10, 7; "all that hold the model")]
-#[test_case(RequestedWorkers::Count(4), 1, 4, 1; "so many: six others serve")]
-#[test_case(RequestedWorkers::Permille(500), 1, 5, 2; "a share")]
-#[test_case(RequestedWorkers::Count(2), 3, 3, 0; "no fewer than the floor")]
-#[test_case(RequestedWorkers::Count(11), 1, 11, 7; "one more loads the model where there is room")]
-#[test_case(RequestedWorkers::Count(12), 1, 11, 7; "nobody else's model has to go for a step")]
+#[test_case(RequestedWorkers::All, 1, 10, 7; "all servers with the model")]
+#[test_case(RequestedWorkers::Count(4), 1, 4, 1; "four of ten, while six others serve")]
+#[test_case(RequestedWorkers::Permille(500), 1, 5, 2; "half of the servers with the model")]
+#[test_case(RequestedWorkers::Count(2), 3, 3, 0; "at least the floor")]
+#[test_case(RequestedWorkers::Count(11), 1, 11, 7; "a server with free memory loads the model")]
+#[test_case(RequestedWorkers::Count(12), 1, 11, 7; "no model is evicted for a step")]
 fn the_requested_number_of_servers_are_workers(
     workers: RequestedWorkers,
     floor: u32,
