--- a/crates/system/src/edge/admission.rs
+++ b/crates/system/src/edge/admission.rs
@@ -1,5 +1,5 @@
-//! Admission of prompts by the leader: which model server reads a prompt next, and when. Without a grant in time the edge
-//! decides alone.
+//! Admission of prompts by the leader, which decides which model server reads a prompt next, and when. If no
+//! grant comes in time, the edge decides alone.
 
 use super::shared::Shared;
 use crate::clock;
@@ -11,13 +11,13 @@
 
 /// How long an edge waits for a grant.
 const GRANT_TIMEOUT: Duration = Duration::from_millis(30);
-/// The longest granted wait that an edge keeps, as a fraction of the request's latency target.
+/// The longest wait that the edge accepts from a grant, as a fraction of the request's latency target.
 const MAX_WAIT_OF_TARGET: f64 = 0.5;
 
-/// Asks the leader for a model server and a moment, and waits for that moment. `None`: the edge decides
-/// alone.
+/// Asks the leader which model server should get the request and when, and waits until then. `None`: no grant
+/// came, and the edge decides alone.
 pub async fn wait_for_grant(shared: &Arc<Shared>, offer: &Offer) -> Option<Instance> {
-    let (leader, options) = question(shared, offer)?;
+    let (leader, options) = leader_and_options(shared, offer)?;
     let receiver = shared.admissions.add(clock::now(), offer.id)?;
     let request = AdmissionRequest { request: offer.id, options: options.clone(), urgency: offer.urgency };
     let sent = shared.mesh.get().is_some_and(|mesh| mesh.send(leader, &Frame::AdmissionRequest(request)));
@@ -37,9 +37,14 @@
     options.into_iter().nth(grant.option as usize).map(|option| option.instance)
 }
 
-fn question(shared: &Shared, offer: &Offer) -> Option<(std::net::SocketAddr, Vec<AdmissionOption>)> {
-    let deciding = shared.deciding();
-    let leader = deciding.core_choice.leader()?;
-    let options = deciding.dispatcher.admission_options(clock::now(), offer);
+/// The leader's address, and the model servers among which it may choose. `None`: there is no leader or no
+/// choice.
+fn leader_and_options(
+    shared: &Shared,
+    offer: &Offer,
+) -> Option<(std::net::SocketAddr, Vec<AdmissionOption>)> {
+    let decisions = shared.decisions();
+    let leader = decisions.core_choice.leader()?;
+    let options = decisions.dispatcher.admission_options(clock::now(), offer);
     (!options.is_empty()).then_some((leader, options))
 }
--- a/crates/system/src/edge/answer.rs
+++ b/crates/system/src/edge/answer.rs
@@ -1,4 +1,4 @@
-//! Answers of the edge itself: errors and refusals with a numbered result.
+//! Answers that the edge itself gives: errors and refusals with a result code.
 
 use bytes::Bytes;
 use http_body_util::combinators::UnsyncBoxBody;
@@ -7,25 +7,25 @@
 use hyper::{Response, StatusCode};
 use pathbank_control::result_code::ResultCode;
 
-/// Why a body ends before its end.
+/// Why a body ended before it was complete.
 pub type BodyError = Box<dyn std::error::Error + Send + Sync>;
-/// The body of any answer.
+/// The body of an answer to a client.
 pub type AnswerBody = UnsyncBoxBody<Bytes, BodyError>;
-/// Any answer.
+/// An answer to a client.
 pub type Answer = Response<AnswerBody>;
 
-/// The header with a numbered result.
+/// The header that holds the result code.
 pub const RESULT_CODE: HeaderName = HeaderName::from_static("x-pathbank-result-code");
-/// When to come back to an edge that has no configuration or shuts down, milliseconds.
+/// `Retry-After` of an edge that has no configuration or shuts down, milliseconds.
 pub const RETRY_SOON_MS: u64 = 300;
 const MILLIS_PER_SECOND: f64 = 1_000.0;
 
-/// A body of bytes that are all there.
+/// Returns a body that consists of these bytes.
 pub fn full_body(bytes: Bytes) -> AnswerBody {
     Full::new(bytes).map_err(|never| match never {}).boxed_unsync()
 }
 
-/// An answer of the edge itself with a numbered result.
+/// Returns an answer with a result code, in a header and in a JSON body.
 pub fn error(code: ResultCode) -> Answer {
     let text = format!("{{\"result_code\":{},\"result\":\"{}\"}}\n", code.number(), code.name());
     let mut response = Response::new(full_body(Bytes::from(text)));
@@ -35,7 +35,7 @@
     response
 }
 
-/// A refusal: the request has not run, and the client may retry after `retry_after_ms`.
+/// Returns a refusal: the request has not run, and the client may retry it after `retry_after_ms`.
 pub fn refusal(code: ResultCode, retry_after_ms: u64) -> Answer {
     let mut response = error(code);
     let seconds = format!("{:.3}", retry_after_ms as f64 / MILLIS_PER_SECOND);
--- a/crates/system/src/edge/attempt.rs
+++ b/crates/system/src/edge/attempt.rs
@@ -1,4 +1,4 @@
-//! One attempt of a request: waits for a model server, sends the request and classifies the answer.
+//! One attempt of a request: waits for a model server, sends the request to it and classifies the answer.
 
 use super::admission;
 use super::answer::{Answer, RETRY_SOON_MS};
@@ -20,23 +20,25 @@
 
 /// How an attempt ended.
 pub(super) enum AttemptEnd {
-    /// The model server answered; the stream's or body's bytes follow.
+    /// The model server sent the head of its answer. The body has not been read.
     Answered(Box<Exchange>, Ticket),
-    /// The edge refuses the request: the reason, and the time after which to retry, milliseconds.
+    /// The edge refuses the request: the reason, and after how many milliseconds the client may retry.
     Refused(ResultCode, u64),
-    /// It did not run: the model server said so, with this answer, or never received it.
+    /// The request did not run: the model server said so in this answer, or, with `None`, did not receive the
+    /// request.
     NotRun(Option<Answer>),
-    /// The connection broke; it may have run.
+    /// The connection broke. The request may have run.
     Broken,
-    /// No answer by the deadline; it may have run.
+    /// The deadline passed without an answer. The request may have run.
     TimedOut,
 }
 
-/// Whether a further attempt is allowed; a request that was never sent spends no retry budget.
+/// Whether a further attempt is allowed. A retry spends from the retry budget; a request that no model server
+/// has received yet does not.
 pub(super) fn may_send_again(shared: &Shared, client_request: &ClientRequest) -> bool {
     let now = clock::now();
     client_request.has_attempts()
-        && (client_request.attempts == 0 || shared.deciding().budget.try_spend(now, &client_request.backend))
+        && (client_request.attempts == 0 || shared.decisions().budget.try_spend(now, &client_request.backend))
 }
 
 /// Waits for the dispatcher's decision and sends the request to the chosen model server.
@@ -86,7 +88,7 @@
             AttemptEnd::NotRun(None)
         }
         Err(ExchangeError::Broken(error)) => {
-            tracing::debug!(%error, instance, "attempt broken off");
+            tracing::debug!(%error, instance, "connection broke during an attempt");
             ticket.end(AttemptOutcome::Failed);
             client_request.record_step(shared, Step::Broken);
             client_request.attempted.insert(instance);
@@ -96,7 +98,7 @@
     }
 }
 
-/// Classifies the head of a model server's answer.
+/// Classifies a model server's answer by its head.
 async fn classify(
     shared: &Arc<Shared>,
     client_request: &mut ClientRequest,
@@ -106,15 +108,15 @@
 ) -> AttemptEnd {
     client_request.attempts += 1;
     let headers = exchange.response.headers();
-    shared.deciding().dispatcher.response_started(
+    shared.decisions().dispatcher.response_started(
         clock::now(),
         ticket.id(),
         exchange.response.status().is_success(),
     );
     observe_load(shared, &instance, headers);
     let echoes_id = headers.get(REQUEST_ID) == client_request.headers.get(REQUEST_ID);
-    // An answer without a length ends with its connection. If it is buffered, a reset shows that it is incomplete; for a
-    // stream an early end could not be told from a complete one.
+    // An answer without a length ends when its connection closes. In a buffered answer a reset shows that it
+    // is incomplete; in a stream nothing would tell an early end from the proper one.
     let framed = headers.contains_key(hyper::header::CONTENT_LENGTH)
         || headers.contains_key(hyper::header::TRANSFER_ENCODING)
         || client_request.route.kind != RouteType::Streaming;
@@ -131,7 +133,7 @@
         ticket.end(match (missing, client_request.version) {
             (false, _) => AttemptOutcome::Full,
             (true, None) => AttemptOutcome::Misdirected,
-            // It may hold the model, in another version.
+            // The model server may hold the model in another version.
             (true, Some(_)) => AttemptOutcome::Abandoned,
         });
         let (id, name) = client_request.log_fields();
@@ -143,7 +145,7 @@
             upstream_answer::read_complete(shared, exchange),
         );
         let answer = whole.await.ok().and_then(Result::ok);
-        // 421 says which model server this is, which is of no use to the client.
+        // A 421 only tells which instance answered, which is of no use to the client.
         return AttemptEnd::NotRun(answer.filter(|_| !missing));
     }
     client_request.record_step(shared, Step::Answered { status: status.as_u16() });
@@ -153,10 +155,11 @@
     AttemptEnd::Answered(Box::new(exchange), ticket)
 }
 
+/// Passes the load that a model server states in its answer to the dispatcher.
 fn observe_load(shared: &Arc<Shared>, instance: &str, headers: &HeaderMap) {
     let Some(load) = text(headers, &INSTANCE_LOAD) else { return };
     let mut numbers = load.split(',').map(|number| number.trim().parse::<u32>());
     if let (Some(Ok(running)), Some(Ok(waiting))) = (numbers.next(), numbers.next()) {
-        shared.deciding().dispatcher.observe_load(clock::now(), instance, running, waiting);
+        shared.decisions().dispatcher.observe_load(clock::now(), instance, running, waiting);
     }
 }
--- a/crates/system/src/edge/client_request.rs
+++ b/crates/system/src/edge/client_request.rs
@@ -1,4 +1,4 @@
-//! A client's request: what the configuration in force says of it, and what is sent to model servers.
+//! A client's request: how the configuration in force routes it, and the request that goes to a model server.
 
 use super::answer::RETRY_SOON_MS;
 use super::answer::{self, Answer};
@@ -27,51 +27,63 @@
 
 /// How long a body may take to arrive.
 const BODY_TIMEOUT: Duration = Duration::from_secs(10);
-/// How long an edge without a configuration keeps requests, milliseconds, and how often it looks for one.
+/// How long a request waits at an edge that has no configuration yet, milliseconds.
 const CONFIGURATION_TIMEOUT_MS: u64 = 2_500;
+/// How often a waiting request checks whether the configuration has come.
 const CONFIGURATION_POLL_INTERVAL: Duration = Duration::from_millis(20);
+/// The longest request body if the configuration states no limit.
 const DEFAULT_MAX_BODY_BYTES: u64 = 4 * 1024 * 1024;
-/// Time that is kept back for the way of the answer, milliseconds.
+/// The edge's deadline is this much earlier than the client's, so that the answer arrives in time,
+/// milliseconds.
 const ANSWER_MARGIN_MS: u64 = 20;
-/// A client leaves a stream that is silent for the longest of this time, this many latency targets and this many gap targets.
+/// A client abandons a stream that stays silent for the longest of three times: this one, ...
 const MIN_SILENCE_TIMEOUT_MS: u64 = 2_000;
+/// ... this many of the route's latency targets, ...
 const SILENCE_TIMEOUT_TARGETS: f64 = 4.0;
+/// ... and this many of the route's gap targets.
 const SILENCE_TIMEOUT_GAPS: f64 = 8.0;
-/// A client that waits for less than this fraction of its route's time is retrying.
+/// A request whose deadline is shorter than this fraction of its route's timeout is taken for a client's
+/// retry.
 const RETRY_TIME_FRACTION: f64 = 0.97;
 
-/// A request whose body is complete.
+/// A client's request whose body is complete, and how the configuration routes it.
 pub(super) struct ClientRequest {
     pub(super) method: Method,
     pub(super) uri: Uri,
     pub(super) headers: HeaderMap,
     pub(super) body: Bytes,
-    /// Its route.
+    /// The route that the request matched.
     pub(super) route: Arc<Route>,
-    /// The service that the route chose.
+    /// The backend that the route chose.
     pub(super) backend: String,
-    /// The tenant, as model servers are told and as usage is counted.
+    /// The tenant's name, which goes to model servers and under which usage is counted.
     pub(super) tenant: Option<String>,
+    /// The model and its adapter.
     pub(super) name: ModelName,
     pub(super) tokens: TokenCount,
+    /// How long a model server takes to load the model, milliseconds.
     pub(super) load_ms: Option<u64>,
-    /// How urgent it is among all requests for its service; 0: the most urgent.
+    /// How urgent the request is among all requests for its backend; 0: the most urgent.
     pub(super) urgency: Urgency,
-    /// Its client is retrying.
+    /// Whether the client is retrying.
     pub(super) is_retry: bool,
+    /// When the request arrived, milliseconds of the steady clock.
     pub(super) arrived: u64,
-    /// When the client stops waiting.
+    /// When the edge stops working on the request, milliseconds of the steady clock.
     pub(super) deadline: u64,
+    /// Instances that further attempts avoid.
     pub(super) attempted: BTreeSet<Instance>,
-    /// Attempts that were sent.
+    /// Attempts that a model server may have received.
     pub(super) attempts: u32,
     /// The id of the last event that the client got; replaces the client's own `Last-Event-ID`.
     pub(super) resume_after: Option<String>,
-    /// The version of the model's weights that has to answer: the client's word, the route's, or that of the
-    /// answer's first part.
+    /// The version of the model's weights that has to answer: the one that the client or the route asks for,
+    /// or else the one that sent the first part of the answer.
     pub(super) version: Option<u64>,
 }
 
+/// Reads a request's body and routes the request by the configuration in force. `Err`: the edge's answer to a
+/// request that cannot be served.
 pub(super) async fn accept(
     shared: &Arc<Shared>,
     request: Request<Incoming>,
@@ -83,7 +95,7 @@
     let limit = early.limits.max_body_bytes.unwrap_or(DEFAULT_MAX_BODY_BYTES);
     let (head, body) = request.into_parts();
     let body = read_body(body, limit).await?;
-    // The newest configuration decides, also where the body took long.
+    // A newer configuration may have come while the body arrived.
     let routes = shared.routes.load_full().unwrap_or(early);
     let host = text(&head.headers, &HOST).unwrap_or_default().to_owned();
     let Some(route) = routes.route(&host, head.uri.path()).cloned() else {
@@ -125,7 +137,7 @@
     text(headers, &EXPECT_VERSION)?.trim().parse().ok()
 }
 
-/// The version that a route asks for, of a model that is in training.
+/// The version that a route asks for if the model is in training.
 fn route_version(shared: &Shared, route: &Route, backend: &str, name: &ModelName) -> Option<u64> {
     let wanted = route.model_version?;
     let trained = shared.model_versions.load();
@@ -136,8 +148,8 @@
     }
 }
 
-/// The configuration in force. An edge that has just started waits for its first one: its clients may have
-/// been cut off by the same trouble before, and have few tries left.
+/// The configuration in force. An edge that has just started waits for its first one: the failure that
+/// restarted it may have cut its clients off before, so that they have few retries left.
 async fn first_configuration(shared: &Arc<Shared>) -> Option<Arc<RouteTable>> {
     let given_up = clock::now() + CONFIGURATION_TIMEOUT_MS;
     loop {
@@ -162,12 +174,12 @@
     }
 }
 
-/// How urgent a request is: its tenant's priority goes before its route's.
+/// How urgent a request is: the tenant's priority counts first, then the route's.
 fn urgency_of(tenant: Option<&Tenant>, route: &Route) -> Urgency {
     urgency::of(tenant.and_then(|tenant| tenant.priority).unwrap_or(0), route.priority)
 }
 
-/// The tenant that holds the request's key.
+/// The tenant whose key the request has. `None`: the route is public, or no tenant is configured.
 fn tenant_of(
     routes: &RouteTable,
     route: &Route,
@@ -182,6 +194,7 @@
     }
 }
 
+/// The route's backend, or, with a traffic split, one drawn at random by the weights.
 fn choose_backend(route: &Route) -> Option<String> {
     let total: f64 = route.traffic_split.iter().map(|split| split.weight).sum();
     if total <= 0.0 {
@@ -197,7 +210,7 @@
     route.traffic_split.iter().rev().find(|split| split.weight > 0.0).map(|split| split.backend.clone())
 }
 
-/// How long a load of the model takes, milliseconds.
+/// How long a model server of the backend takes to load the model, milliseconds.
 fn load_time(routes: &RouteTable, backend: &str, name: &ModelName) -> Option<u64> {
     let runtime = routes.backend(backend)?.runtime.as_ref()?;
     let model = runtime.models.iter().find(|model| model.name == name.model)?;
@@ -205,29 +218,30 @@
 }
 
 impl ClientRequest {
-    /// When it came.
+    /// When the request arrived, milliseconds of the steady clock.
     pub(super) fn arrived(&self) -> u64 {
         self.arrived
     }
 
-    /// The client's id and the model, for the log.
+    /// The client's request id and the model, for log lines.
     pub(super) fn log_fields(&self) -> (&str, &ModelName) {
         (text(&self.headers, &REQUEST_ID).unwrap_or("-"), &self.name)
     }
 
-    /// A step of its way, for operators.
+    /// Records a step of the request for operators. Does nothing if the client gave no request id.
     pub(super) fn record_step(&self, shared: &Shared, step: Step) {
         if let Some(id) = text(&self.headers, &REQUEST_ID) {
             shared.record_step(id, step);
         }
     }
 
-    /// The answer has begun: whatever goes on with it has to be of its version.
+    /// Records the version that began the answer: a model server that continues it has to hold the same one.
     pub(super) fn record_version(&mut self, headers: &HeaderMap) {
-        let log_fields = text(headers, &VERSIONS).and_then(|version| version.trim().parse().ok());
-        self.version = self.version.or(log_fields);
+        let answered_by = text(headers, &VERSIONS).and_then(|version| version.trim().parse().ok());
+        self.version = self.version.or(answered_by);
     }
 
+    /// The step that records how the request was routed.
     pub(super) fn accepted(&self) -> Step {
         let ModelName { model, adapter } = &self.name;
         let slash = if adapter.is_empty() { "" } else { "/" };
@@ -243,22 +257,23 @@
         self.route.kind == RouteType::Idempotent || self.is_resumable()
     }
 
-    /// The most tokens that the client asked for.
+    /// The most output tokens that the client asked for.
     pub(super) fn output_tokens(&self) -> u64 {
         self.tokens.output
     }
 
-    /// Whether it is a stream that another model server may take up.
+    /// Whether the answer is a stream that another model server may continue.
     pub(super) fn is_resumable(&self) -> bool {
         self.route.kind == RouteType::Streaming && self.route.resumable
     }
 
-    /// Whether another model server may still get it.
+    /// Whether the route's number of attempts and the deadline allow another attempt.
     pub(super) fn has_attempts(&self) -> bool {
         self.attempts < self.route.max_attempts.unwrap_or(1).max(1) && clock::now() < self.deadline
     }
 
-    /// When the client leaves if nothing of an answer has come.
+    /// When the client abandons the request if no part of an answer has come, milliseconds of the steady
+    /// clock.
     fn abandoned_at(&self) -> u64 {
         if self.route.kind != RouteType::Streaming {
             return self.deadline;
@@ -269,6 +284,7 @@
         self.deadline.min(self.arrived + silence.saturating_sub(ANSWER_MARGIN_MS))
     }
 
+    /// The offer of this request to the dispatcher, under the number `id`.
     pub(super) fn offer(&self, id: u64) -> Offer {
         let parts = text(&self.headers, &PROMPT_PREFIX).map(parse_parts).unwrap_or_default();
         Offer {
@@ -293,6 +309,7 @@
         }
     }
 
+    /// The request that goes to this instance of a model server.
     pub(super) fn request(&self, instance: &str) -> Request<Full<Bytes>> {
         let mut request = Request::new(Full::new(self.body.clone()));
         *request.method_mut() = self.method.clone();
--- a/crates/system/src/edge/configuration_queue.rs
+++ b/crates/system/src/edge/configuration_queue.rs
@@ -1,16 +1,16 @@
-//! Updates of the configuration from cores, in the order in which they arrived.
+//! Configuration updates from cores that the edge has not applied yet, in the order of their arrival.
 
 use pathbank_protocol::message::ConfigurationUpdate;
 use std::sync::atomic::{AtomicU64, Ordering};
 use tokio::sync::Mutex;
 use tokio::sync::mpsc::{UnboundedReceiver, UnboundedSender, unbounded_channel};
 
-/// Updates that are not in force yet, and since when the present configuration is.
+/// Configuration updates that are not applied yet, and when the latest one was applied.
 pub struct ConfigurationQueue {
     sender: UnboundedSender<ConfigurationUpdate>,
-    /// Locked by the one task that applies updates.
+    /// The task that applies updates holds this lock.
     pub receiver: Mutex<UnboundedReceiver<ConfigurationUpdate>>,
-    /// When the configuration in force came into force, milliseconds.
+    /// When the current configuration came into force, milliseconds of the steady clock.
     in_force_since: AtomicU64,
 }
 
@@ -22,19 +22,19 @@
 }
 
 impl ConfigurationQueue {
-    /// When the configuration in force came into force, milliseconds.
+    /// When the current configuration came into force, milliseconds of the steady clock.
     pub fn in_force_since(&self) -> u64 {
         self.in_force_since.load(Ordering::Relaxed)
     }
 
-    /// A configuration has come into force.
+    /// Records that a configuration came into force at `now`.
     pub fn set_in_force_since(&self, now: u64) {
         self.in_force_since.store(now, Ordering::Relaxed);
     }
 
-    /// Adds an update.
+    /// Adds an update at the end.
     pub fn push(&self, update: ConfigurationUpdate) {
-        // The receiver lives as long as this.
+        // Sending cannot fail: the receiver lives as long as this queue.
         let _ = self.sender.send(update);
     }
 }
--- a/crates/system/src/edge/core_links.rs
+++ b/crates/system/src/edge/core_links.rs
@@ -1,4 +1,4 @@
-//! Links to the cores: messages that arrive, and messages that are due.
+//! Links to the cores: handles messages that arrive and sends those that are due.
 
 use super::generation;
 use super::shared::Shared;
@@ -11,7 +11,7 @@
 use std::sync::atomic::Ordering;
 use std::sync::{Arc, PoisonError, Weak};
 
-/// Opens links to the seeds.
+/// Opens links to the seeds, through which the edge learns the addresses of all cores.
 pub fn start(shared: &Arc<Shared>, seeds: &[SocketAddr]) {
     let settings = &shared.settings;
     let hello = Hello {
@@ -33,7 +33,7 @@
     }
 }
 
-/// Reads the settings file again: the seeds may have changed. An unreadable file changes nothing.
+/// Reads the settings file again, for the seeds may have changed. An unreadable file changes nothing.
 pub fn reload(shared: &Arc<Shared>) {
     match shared.settings.reload() {
         Some(Ok(settings)) => set_seeds(shared, &settings.seeds),
@@ -51,17 +51,17 @@
 }
 
 /// Reports usage to every core before this process ends.
-pub fn send_farewell(shared: &Arc<Shared>) {
+pub fn send_final_report(shared: &Arc<Shared>) {
     if let Some(mesh) = shared.mesh.get() {
-        mesh.send_to_all(&Frame::Report(shared.farewell()));
+        mesh.send_to_all(&Frame::Report(shared.final_report()));
     }
 }
 
-/// Sends what is due to the cores: subscriptions and requests for configurations.
+/// Sends the messages to cores that are due: subscriptions and requests for configurations.
 pub fn send_due_messages(shared: &Arc<Shared>) {
     let Some(mesh) = shared.mesh.get() else { return };
     let known_index = shared.routes.load().as_ref().map_or(0, |routes| routes.index);
-    let actions = shared.deciding().core_choice.actions(clock::now(), known_index);
+    let actions = shared.decisions().core_choice.actions(clock::now(), known_index);
     for action in actions {
         let subscription = |wanted| Frame::Subscribe(Subscription { wanted, known_index });
         let sent = match action {
@@ -73,12 +73,13 @@
     }
 }
 
-/// Requests the difference to the configuration in force, after one that builds on another configuration.
+/// Requests the difference to the configuration in force. The edge received one that builds on a
+/// configuration that it does not have.
 pub fn ask_for_difference(shared: &Shared, known_index: u64) {
-    let subscribed = shared.deciding().core_choice.subscribed();
+    let subscribed = shared.decisions().core_choice.subscribed();
     if let (Some(mesh), Some(core)) = (shared.mesh.get(), subscribed) {
         let sent = mesh.send(core, &Frame::FetchDifference(known_index));
-        tracing::debug!(known_index, sent, "configuration difference missed");
+        tracing::debug!(known_index, sent, "configuration difference missed, fetching it");
     }
 }
 
@@ -102,7 +103,7 @@
         }
         MeshEvent::Closed(address) => {
             tracing::debug!(%address, "core disconnected");
-            shared.core_lost(address);
+            shared.on_core_disconnected(address);
             send_due_messages(shared);
         }
         MeshEvent::Said(address, frame) => on_frame(shared, address, *frame),
@@ -114,7 +115,7 @@
         Frame::Configuration(update) => shared.configurations.push(update),
         Frame::ModelServers(update) => {
             if update.complete {
-                shared.has_servers.store(true, Ordering::Relaxed);
+                shared.has_server_list.store(true, Ordering::Relaxed);
             }
             if !update.servers.is_empty() {
                 shared.startup.reach(Milestone::ModelServerKnown);
@@ -123,13 +124,13 @@
         }
         Frame::Core(status) => on_status(shared, address, &status),
         Frame::AdmissionGrant(grant) => shared.admissions.granted(grant),
-        Frame::DrawOffer(offer) => generation::offered(shared, address, offer),
-        Frame::DrawGrant(grant) => generation::granted(shared, grant),
+        Frame::DrawOffer(offer) => generation::on_offer(shared, address, offer),
+        Frame::DrawGrant(grant) => generation::on_grant(shared, grant),
         Frame::ModelVersions(versions) => shared.model_versions.store(Arc::new(versions)),
         Frame::ExpectedModels(models) => {
-            shared.deciding().dispatcher.set_expected_models(clock::now(), models)
+            shared.decisions().dispatcher.set_expected_models(clock::now(), models)
         }
-        Frame::Loads(loads) => shared.deciding().dispatcher.observe_total_loads(clock::now(), &loads),
+        Frame::Loads(loads) => shared.decisions().dispatcher.observe_total_loads(clock::now(), &loads),
         _ => {}
     }
 }
@@ -137,11 +138,11 @@
 fn on_status(shared: &Arc<Shared>, address: SocketAddr, status: &CoreStatus) {
     let now = clock::now();
     {
-        let mut deciding = shared.deciding();
-        deciding.wall_clock.observe(now, &address.to_string(), status.wall_clock_ms);
-        deciding.core_choice.update_status(now, address, status);
-        let edges = deciding.core_choice.edges();
-        deciding.budget.set_edges(edges);
+        let mut decisions = shared.decisions();
+        decisions.wall_clock.observe(now, &address.to_string(), status.wall_clock_ms);
+        decisions.core_choice.update_status(now, address, status);
+        let edges = decisions.core_choice.edges();
+        decisions.budget.set_edges(edges);
     }
     send_due_messages(shared);
     let members: Vec<SocketAddr> =
--- a/crates/system/src/edge/generation.rs
+++ b/crates/system/src/edge/generation.rs
@@ -1,7 +1,8 @@
-//! Generations of training steps that the leader hands to this edge.
+//! Generations of training steps that the leader assigns to this edge.
 //!
-//! The leader offers generations, the edge requests some, and each one has to start within a time-out of that request by the
-//! edge's own clock: after a stall or on a slow link nothing starts late. Results are reported to the current leader.
+//! The leader offers generations and the edge requests some of them. Each has to start within a timeout that
+//! begins with that request, by the edge's own clock, so that none starts late after a stall or over a slow
+//! link. The edge reports each result to the core that leads at that time.
 
 use super::headers::{
     DEADLINE, EXPECT_VERSION, MODEL, NOT_EXECUTED, PRIORITY, PROMPT_PREFIX, REQUEST_ID, SIGNATURE,
@@ -24,29 +25,29 @@
 use std::sync::Arc;
 use std::sync::atomic::Ordering;
 
-/// Generations that one edge draws at once.
+/// The most generations that one edge runs at once.
 const MAX_GENERATIONS: usize = 32;
-/// Bytes of a generation's text that are told; what comes beyond is left out.
+/// The most bytes of a generation's text that the edge reports. Longer texts are truncated.
 const MAX_TEXT_BYTES: usize = 64 * 1024;
 
-/// One of them; dropped, its place is free.
-struct Running(Arc<Shared>);
+/// Counts one running generation for as long as it lives.
+struct RunningGeneration(Arc<Shared>);
 
-impl Running {
-    fn new(shared: &Arc<Shared>) -> Running {
+impl RunningGeneration {
+    fn new(shared: &Arc<Shared>) -> RunningGeneration {
         shared.generations.running.fetch_add(1, Ordering::Relaxed);
-        Running(shared.clone())
+        RunningGeneration(shared.clone())
     }
 }
 
-impl Drop for Running {
+impl Drop for RunningGeneration {
     fn drop(&mut self) {
         self.0.generations.running.fetch_sub(1, Ordering::Relaxed);
     }
 }
 
-/// Generations wait at the leader: asks for as many as there is room for.
-pub fn offered(shared: &Arc<Shared>, leader: SocketAddr, offer: DrawOffer) {
+/// Handles an offer of the leader's waiting generations: requests as many as this edge has room for.
+pub fn on_offer(shared: &Arc<Shared>, leader: SocketAddr, offer: DrawOffer) {
     let free = MAX_GENERATIONS.saturating_sub(shared.generations.running.load(Ordering::Relaxed));
     let count = offer.count.min(free as u32);
     if count == 0 || shared.stopping.load(Ordering::Relaxed) {
@@ -58,11 +59,11 @@
     }
 }
 
-/// Begins what was given, as far as its time is not over.
-pub fn granted(shared: &Arc<Shared>, grant: DrawGrant) {
+/// Starts the generations that the leader assigned, unless their time to start has passed.
+pub fn on_grant(shared: &Arc<Shared>, grant: DrawGrant) {
     let begin_by = grant.requested_at + grant.start_timeout_ms;
     for task in grant.tasks {
-        let running = Running::new(shared);
+        let running = RunningGeneration::new(shared);
         tokio::spawn(async move {
             let ending = draw(&running.0, &task, begin_by).await;
             report(&running.0, DrawResult { id: task.id, timeout_ms: task.timeout_ms, ending });
@@ -70,9 +71,10 @@
     }
 }
 
-/// Tells whoever leads now. Where nobody does, the generation's time runs out, and it is drawn again.
+/// Reports a result to the current leader. If no leader is known, the result is dropped: the generation times
+/// out, and the next leader has it run again.
 fn report(shared: &Arc<Shared>, result: DrawResult) {
-    let leader = shared.deciding().core_choice.leader();
+    let leader = shared.decisions().core_choice.leader();
     if let (Some(leader), Some(mesh)) = (leader, shared.mesh.get()) {
         mesh.send(leader, &Frame::DrawResult(result));
     }
@@ -81,10 +83,10 @@
 async fn draw(shared: &Arc<Shared>, task: &DrawTask, begin_by: u64) -> DrawEnding {
     let Ok(address) = task.address.parse::<SocketAddr>() else { return DrawEnding::Over };
     let Some(request) = request(task) else { return DrawEnding::Over };
-    let echoes_id = request.headers().get(REQUEST_ID).cloned();
+    let request_id = request.headers().get(REQUEST_ID).cloned();
     let exchange = async {
         match shared.pool.exchange_if(address, request, || clock::now() < begin_by).await {
-            Ok(exchange) => read(shared, task, exchange, echoes_id.as_ref()).await,
+            Ok(exchange) => read(shared, task, exchange, request_id.as_ref()).await,
             Err(ExchangeError::NotSent(_)) => DrawEnding::Over,
             Err(ExchangeError::Broken(_)) => DrawEnding::Unknown,
         }
@@ -115,7 +117,7 @@
     set(TOKEN_COUNT, &format!("{},{}", task.input_tokens, task.output_tokens))?;
     set(DEADLINE, &task.timeout_ms.to_string())?;
     set(EXPECT_VERSION, &task.id.version.to_string())?;
-    // Serving traffic has precedence.
+    // Clients' requests go before generations.
     set(PRIORITY, &LOWEST_PRIORITY.to_string())?;
     if !task.prefix.is_empty() {
         set(PROMPT_PREFIX, &task.prefix)?;
@@ -123,22 +125,22 @@
     Some(request)
 }
 
-/// Reads an answer to its end.
+/// Reads a model server's answer to its end.
 async fn read(
     shared: &Arc<Shared>,
     task: &DrawTask,
     exchange: Exchange,
-    echoes_id: Option<&HeaderValue>,
+    request_id: Option<&HeaderValue>,
 ) -> DrawEnding {
     let Exchange { response, lease } = exchange;
     let headers = response.headers();
-    let turned_away =
+    let did_not_run =
         headers.contains_key(NOT_EXECUTED) || response.status() == StatusCode::MISDIRECTED_REQUEST;
-    let is_its_own = headers.get(REQUEST_ID) == echoes_id && headers.contains_key(SIGNATURE);
-    if turned_away || response.status() != StatusCode::OK {
+    let is_authentic = headers.get(REQUEST_ID) == request_id && headers.contains_key(SIGNATURE);
+    if did_not_run || response.status() != StatusCode::OK {
         return DrawEnding::Over;
     }
-    if !is_its_own {
+    if !is_authentic {
         return DrawEnding::Unknown;
     }
     let version = headers.get(VERSIONS).and_then(|value| value.to_str().ok());
@@ -154,14 +156,14 @@
     DrawEnding::Complete(answer.finish(task))
 }
 
-/// An answer as it comes.
+/// An answer that is being read.
 struct Reading {
     answer: DrawnAnswer,
     tracker: EventTracker,
 }
 
 impl Reading {
-    /// Returns whether it came to its end.
+    /// Reads the body. Returns whether it is complete.
     async fn read_all(&mut self, mut body: Incoming) -> bool {
         while let Some(frame) = body.frame().await {
             let Ok(frame) = frame else { return false };
--- a/crates/system/src/edge/generation_count.rs
+++ b/crates/system/src/edge/generation_count.rs
@@ -1,10 +1,10 @@
-//! The number of generations that an edge draws at the moment.
+//! The number of generations that an edge runs at the moment.
 
 use std::sync::atomic::AtomicUsize;
 
-/// Generations that this edge draws.
+/// Counts the generations that this edge runs.
 #[derive(Debug, Default)]
 pub struct GenerationCount {
-    /// Their number.
+    /// How many run at the moment.
     pub running: AtomicUsize,
 }
--- a/crates/system/src/edge/hollow.rs
+++ b/crates/system/src/edge/hollow.rs
@@ -1,4 +1,4 @@
-//! An edge without clients, for rehearsals: its links to the cores and its state are the real ones.
+//! An edge without listeners, for rehearsals. Its links to the cores and its state are those of a real edge.
 
 use super::core_links;
 use super::rollout;
@@ -9,7 +9,7 @@
 use std::sync::Arc;
 use tokio::task::AbortHandle;
 
-/// An edge that takes no clients.
+/// An edge that accepts no clients.
 #[derive(Clone)]
 pub struct HollowEdge {
     shared: Arc<Shared>,
@@ -17,7 +17,7 @@
 }
 
 impl HollowEdge {
-    /// Opens its links.
+    /// Starts the edge: opens its links to the cores and applies the configurations that they send.
     pub fn start(settings: Settings) -> HollowEdge {
         let seeds = settings.seeds.clone();
         let shared = Shared::new(settings, Startup::default());
@@ -26,32 +26,32 @@
         HollowEdge { shared, rollout }
     }
 
-    /// Is cut off from all cores.
+    /// Closes the links to all cores.
     pub fn cut_off(&self) {
         if let Some(mesh) = self.shared.mesh.get() {
             mesh.want(&[]);
         }
     }
 
-    /// Reaches the cores again.
+    /// Opens the links to the cores again.
     pub fn heal(&self) {
         if let Some(mesh) = self.shared.mesh.get() {
             mesh.want(&self.shared.core_addresses());
         }
     }
 
-    /// Ends: nothing of it speaks any more.
+    /// Stops the edge: closes its links and ends its task.
     pub fn stop(&self) {
         self.cut_off();
         self.rollout.abort();
     }
 
-    /// Does what is due.
+    /// Sends the messages to cores that are due.
     pub fn maintain(&self) {
         core_links::send_due_messages(&self.shared);
     }
 
-    /// The entry of the configuration in force; 0: none.
+    /// The log index of the configuration in force; 0: none.
     pub fn configuration_index(&self) -> u64 {
         self.shared.routes.load().as_ref().map_or(0, |routes| routes.index)
     }
@@ -61,14 +61,14 @@
         self.shared.routes.load().as_ref().map_or(0, |routes| routes.version)
     }
 
-    /// Model servers that it knows.
+    /// The number of model servers that the edge knows.
     pub fn servers(&self) -> usize {
-        self.shared.deciding().dispatcher.servers().iter().count()
+        self.shared.decisions().dispatcher.servers().iter().count()
     }
 
-    /// Sends a report to the leader, if it is reached.
+    /// Sends a report to the leader, if the edge has a link to it.
     pub fn report(&self, report: EdgeReport) {
-        let leader = self.shared.deciding().core_choice.leader();
+        let leader = self.shared.decisions().core_choice.leader();
         if let (Some(leader), Some(mesh)) = (leader, self.shared.mesh.get()) {
             let edge = self.shared.settings.node_name.clone();
             mesh.send(
--- a/crates/system/src/edge/mod.rs
+++ b/crates/system/src/edge/mod.rs
@@ -1,4 +1,4 @@
-//! An edge: takes clients' requests and passes them to model servers.
+//! The edge: an HTTP proxy that accepts clients' requests and forwards them to model servers.
 
 mod admission;
 mod answer;
@@ -38,24 +38,30 @@
 
 /// The platform stops sending new connections after two missed health checks a second apart.
 const DEREGISTRATION_DELAY: Duration = Duration::from_millis(2_600);
-/// All answers are sent this long before the process would be killed.
+/// The edge ends this long before the platform would kill the process.
 const KILL_MARGIN: Duration = Duration::from_millis(500);
-/// Retry time for clients of an edge that shuts down, milliseconds; they reach another one.
+/// `Retry-After` of refusals while the edge shuts down, milliseconds. The retry reaches another edge.
 const STOPPING_RETRY_MS: u64 = 50;
-/// How often queued requests are reconsidered.
+/// How often the dispatcher looks at queued requests again.
 const TICK_INTERVAL: Duration = Duration::from_millis(20);
-/// How often the choice of cores is reviewed, in ticks.
+/// How often the edge sends its cores the messages that are due, in ticks.
 const TICKS_BETWEEN_CORE_MESSAGES: u32 = 5;
-/// How often usage, demand and loads are reported to the leader.
+/// How often the edge reports usage, demand and loads to the leader.
 const REPORT_INTERVAL: Duration = Duration::from_millis(500);
-/// How often the settings file is read again, in reports.
+/// How often the edge reads its settings file again, in reports.
 const REPORTS_BETWEEN_SETTINGS_CHECKS: u32 = 4;
-/// The fraction of file descriptors for clients' connections.
+/// The fraction of file descriptors that clients' connections may use.
 const CLIENT_DESCRIPTOR_FRACTION: f64 = 0.6;
+/// The longest request head that the edge accepts.
 const MAX_HEAD_BYTES: usize = 64 * 1024;
+/// A client's connection closes after this time without a complete request head.
 const IDLE_TIMEOUT: Duration = Duration::from_secs(20);
 
 /// Runs an edge until SIGTERM.
+///
+/// # Errors
+///
+/// The settings name no listener, or the edge cannot bind one of them.
 pub async fn run(settings: Settings) -> Result<()> {
     let startup = Startup::default();
     let mut signals = Signals::new()?;
@@ -94,7 +100,8 @@
     Ok(())
 }
 
-/// Shuts down gracefully: no new clients; requests at model servers are answered, queued ones are refused.
+/// Shuts down gracefully: accepts no new clients, refuses queued requests, and waits for requests at model
+/// servers to be answered.
 async fn stop(
     shared: &Arc<Shared>,
     settings: &Settings,
@@ -106,7 +113,8 @@
     shared.stopping.store(true, Ordering::Relaxed);
     let end = tokio::time::Instant::now() + Duration::from_millis(settings.bounds.grace_ms) - KILL_MARGIN;
     tokio::time::sleep(DEREGISTRATION_DELAY).await;
-    // A connection that is refused is tried elsewhere; one that is taken now could not be served to its end.
+    // A client whose connection is refused tries another edge. A connection accepted now could not be served
+    // to its end.
     serving.abort();
     let _ = close.send(true);
     while tokio::time::Instant::now() < end && (count.get() > 0 || shared.open_requests() > 0) {
@@ -114,7 +122,7 @@
         tokio::time::sleep(TICK_INTERVAL).await;
     }
     core_links::send_report(shared);
-    core_links::send_farewell(shared);
+    core_links::send_final_report(shared);
     tokio::time::sleep(TICK_INTERVAL).await;
     tracing::info!(open = shared.open_requests(), "stopped");
 }
--- a/crates/system/src/edge/proxy.rs
+++ b/crates/system/src/edge/proxy.rs
@@ -1,4 +1,5 @@
-//! The way of one client request: accept, attempts within the retry budget, answer or stream.
+//! Serves one client request: accepts it, makes attempts within the retry budget, and answers or forwards the
+//! stream.
 
 use super::answer::{self, Answer, RETRY_SOON_MS};
 use super::attempt::{AttemptEnd, attempt, may_send_again};
@@ -19,7 +20,7 @@
 use std::sync::Arc;
 use std::sync::atomic::Ordering;
 
-/// Answers one request.
+/// Answers one client request. While the process is stopping, the answer closes the client's connection.
 pub async fn answer(shared: Arc<Shared>, request: Request<Incoming>) -> Answer {
     let mut answer = match accept(&shared, request).await {
         Ok(client_request) => {
@@ -36,16 +37,16 @@
 
 async fn serve(shared: Arc<Shared>, mut client_request: ClientRequest) -> Answer {
     {
-        let mut deciding = shared.deciding();
-        deciding.budget.record_request(clock::now(), &client_request.backend);
+        let mut decisions = shared.decisions();
+        decisions.budget.record_request(clock::now(), &client_request.backend);
     }
     loop {
         let (last_answer, code) = match attempt(&shared, &mut client_request).await {
             AttemptEnd::Answered(exchange, ticket) => {
                 match finish(&shared, client_request, *exchange, ticket).await {
                     Ok(answer) => return answer,
-                    Err((is_retry, code)) => {
-                        client_request = is_retry;
+                    Err((returned_request, code)) => {
+                        client_request = returned_request;
                         if !client_request.is_idempotent() {
                             return answer::error(code);
                         }
@@ -70,7 +71,8 @@
     }
 }
 
-/// Turns a model server's answer into the client's. `Err`: it broke off before anything was sent to the client.
+/// Turns a model server's answer into the client's. `Err`: the answer broke off or was late before anything
+/// was sent to the client; returns the request for a further attempt.
 async fn finish(
     shared: &Arc<Shared>,
     client_request: ClientRequest,
@@ -80,7 +82,7 @@
     if exchange.response.status().is_success()
         && let Some(tenant) = &client_request.tenant
     {
-        shared.began(tenant);
+        shared.record_start(tenant);
     }
     if client_request.route.kind == RouteType::Streaming && exchange.response.status().is_success() {
         return Ok(relay::stream(Stream::new(shared.clone(), client_request, exchange, ticket)));
@@ -92,8 +94,8 @@
     .await;
     match whole {
         Ok(Ok(answer)) => {
-            let erred = answer.status().is_server_error();
-            ticket.end(if erred { AttemptOutcome::ServerError } else { AttemptOutcome::Answered });
+            let is_server_error = answer.status().is_server_error();
+            ticket.end(if is_server_error { AttemptOutcome::ServerError } else { AttemptOutcome::Answered });
             client_request.record_step(shared, Step::Complete);
             Ok(answer)
         }
--- a/crates/system/src/edge/relay.rs
+++ b/crates/system/src/edge/relay.rs
@@ -25,33 +25,34 @@
 pub struct Stream {
     shared: Arc<Shared>,
     client_request: ClientRequest,
-    /// The model server's answer; `None`: between two model servers.
+    /// The body of the model server's answer; `None`: the stream is moving between two model servers.
     body: Option<Incoming>,
     head: Option<Answer>,
     lease: Option<ConnectionLease>,
     ticket: Ticket,
     tracker: EventTracker,
     pacing: Pacing,
-    /// The notice that its model server will end, where the stream can be resumed elsewhere.
+    /// The notice that the model server will stop, if the stream can be resumed at another one.
     notice: Option<Arc<EvacuationNotice>>,
-    /// It is moved to another model server at this time.
+    /// When the stream moves to another model server, milliseconds of the steady clock.
     evacuate_at: Option<u64>,
     done: bool,
 }
 
-/// What a stream waits for.
+/// An event that a stream waits for.
 enum Event {
-    /// The model server's next bytes; `None`: there are no more.
+    /// The model server's next bytes; `None`: the body is complete.
     Frame(Option<Result<Frame<Bytes>, hyper::Error>>),
-    /// Its model server ends at this time.
+    /// The model server stops at this time, milliseconds of the steady clock.
     Notice(u64),
-    /// It has to be moved now.
+    /// The stream has to move to another model server now.
     Evacuate,
-    /// Its client's deadline has passed.
+    /// The client's deadline has passed.
     Late(Elapsed),
 }
 
-/// Chunks over which a stream's pace is measured: several may arrive together.
+/// The number of chunks over which a stream's pace is measured. A single gap says little, for several chunks
+/// may arrive together.
 const PACE_WINDOW_CHUNKS: usize = 5;
 
 /// The times between a stream's chunks.
@@ -82,14 +83,14 @@
         }
     }
 
-    /// Milliseconds between two chunks at the stream's fastest; `None`: too few arrived.
+    /// Milliseconds between two chunks where the stream was fastest; `None`: too few chunks arrived.
     fn pace(&self) -> Option<f64> {
         self.shortest.map(|shortest| shortest as f64 / PACE_WINDOW_CHUNKS as f64).filter(|pace| *pace > 0.0)
     }
 }
 
 impl Stream {
-    /// A stream whose answer's head has come.
+    /// Creates a stream from an answer whose head has arrived.
     pub fn new(
         shared: Arc<Shared>,
         mut client_request: ClientRequest,
@@ -118,14 +119,15 @@
         }
     }
 
+    /// Waits for the stream's next event.
     async fn event(&mut self) -> Event {
         let Some(body) = &mut self.body else { return Event::Evacuate };
         let frame = tokio::time::timeout(clock::until(self.client_request.deadline), body.frame());
-        let leaving = leaving(self.notice.as_deref(), self.evacuate_at);
+        let evacuation = next_evacuation_event(self.notice.as_deref(), self.evacuate_at);
         tokio::select! {
             biased;
             frame = frame => frame.map_or_else(Event::Late, Event::Frame),
-            event = leaving => event,
+            event = evacuation => event,
         }
     }
 
@@ -156,7 +158,7 @@
                 Event::Evacuate => {
                     if !self.evacuate().await {
                         return Some(Err(
-                            self.broken(Step::Broken, "no model server took the stream up".into())
+                            self.broken(Step::Broken, "no other model server continued the stream".into())
                         ));
                     }
                 }
@@ -169,19 +171,24 @@
         None
     }
 
+    /// Ends the stream with an error.
     fn broken(&mut self, step: Step, error: BodyError) -> BodyError {
         self.done = true;
         self.client_request.record_step(&self.shared, step);
         error
     }
 
+    /// Ends a stream that is complete. Returns the bytes that the tracker still holds.
     fn complete(&mut self) -> Option<Result<Frame<Bytes>, BodyError>> {
         self.done = true;
         if let Some(pace) = self.pacing.pace() {
-            self.shared.deciding().dispatcher.observe_decode_pace(clock::now(), self.ticket.id(), pace);
+            self.shared.decisions().dispatcher.observe_decode_pace(clock::now(), self.ticket.id(), pace);
         }
         self.ticket.end(AttemptOutcome::Answered);
-        self.shared.deciding().event_rate.observe(self.client_request.output_tokens(), self.tracker.events());
+        self.shared
+            .decisions()
+            .event_rate
+            .observe(self.client_request.output_tokens(), self.tracker.events());
         let first_ms = self.pacing.began.saturating_sub(self.client_request.arrived());
         let (longest_pause_ms, took_ms) =
             (self.pacing.longest, clock::now().saturating_sub(self.pacing.began));
@@ -195,17 +202,19 @@
         (!rest.is_empty()).then(|| Ok(Frame::data(rest.into())))
     }
 
-    /// Its model server will end: the stream is moved now, or, if it should be complete before, at the last moment.
+    /// Sets when the stream leaves a model server that will stop: now, or, if the stream should be complete
+    /// before, at the last moment.
     fn plan_evacuation(&mut self, ends_at: u64) {
         let now = clock::now();
-        let expected = self.shared.deciding().event_rate.expected(self.client_request.output_tokens());
+        let expected = self.shared.decisions().event_rate.expected(self.client_request.output_tokens());
         let progress = Progress { started_at: self.pacing.began, events: self.tracker.events(), expected };
         let stays = progress.completes_before(now, ends_at);
         self.notice = None;
         self.evacuate_at = Some(if stays { ends_at.saturating_sub(EVACUATION_MARGIN_MS) } else { now });
     }
 
-    /// Moves the stream to another model server if a further attempt is allowed. Returns whether the stream goes on.
+    /// Moves the stream to another model server if a further attempt is allowed. Returns whether the stream
+    /// goes on.
     async fn evacuate(&mut self) -> bool {
         self.evacuate_at = None;
         if !attempt::may_send_again(&self.shared, &self.client_request) {
@@ -216,13 +225,14 @@
         self.resume_elsewhere(true).await
     }
 
-    /// Its model server broke off: resumes the stream elsewhere if that is allowed.
+    /// Resumes a stream that its model server broke off, if that is allowed. Returns whether the stream goes
+    /// on.
     async fn resume(&mut self) -> bool {
         self.client_request.is_resumable() && self.resume_elsewhere(false).await
     }
 
-    /// Resumes the stream at another model server after the last event that the client got. `allowed`: the first attempt
-    /// needs no retry budget.
+    /// Resumes the stream at another model server after the last event that the client got. `allowed`: the
+    /// caller has already spent the retry budget for the first attempt. Returns whether the stream goes on.
     async fn resume_elsewhere(&mut self, mut allowed: bool) -> bool {
         self.client_request.record_step(&self.shared, Step::Resuming);
         self.tracker.broke();
@@ -242,6 +252,7 @@
         false
     }
 
+    /// Continues the stream with another model server's answer.
     fn continue_with(&mut self, exchange: Exchange, ticket: Ticket) {
         let Exchange { response, lease } = exchange;
         self.notice = Some(self.shared.evacuation_notice(ticket.id()));
@@ -249,8 +260,8 @@
     }
 }
 
-/// Waits for the notice that the model server will end, or, once it came, for the time to move.
-async fn leaving(notice: Option<&EvacuationNotice>, evacuate_at: Option<u64>) -> Event {
+/// Waits for the notice that the model server will stop, or, after the notice, for the time to move.
+async fn next_evacuation_event(notice: Option<&EvacuationNotice>, evacuate_at: Option<u64>) -> Event {
     match (notice, evacuate_at) {
         (_, Some(evacuate_at)) => {
             tokio::time::sleep(clock::until(evacuate_at)).await;
@@ -269,7 +280,7 @@
     }
 }
 
-/// The answer whose body is the stream.
+/// Returns the answer whose body is the stream.
 pub fn stream(mut stream: Stream) -> Answer {
     let head = stream.head.take();
     let frames = stream::unfold(stream, |mut stream| async move {
--- a/crates/system/src/edge/report_history.rs
+++ b/crates/system/src/edge/report_history.rs
@@ -1,12 +1,12 @@
-//! What was reported to the leader, so that a new leader can be told the recent demand.
+//! What this edge reported to the leader, so that it can report the recent demand to a new leader.
 
 use pathbank_protocol::message::{ConfigurationInForce, ModelDemand};
 use std::collections::VecDeque;
 use std::net::SocketAddr;
 
-/// For how long demand is kept for a new leader, milliseconds.
+/// For how long reported demand is kept for a new leader, milliseconds.
 const DEMAND_RETENTION_MS: u64 = 4_000;
-/// A new configuration alone is reason for a report at most this often, milliseconds.
+/// If only the configuration changed, the edge reports at most once in this time, milliseconds.
 const CONFIGURATION_REPORT_INTERVAL_MS: u64 = 1_000;
 
 /// The reports of this edge.
@@ -14,7 +14,7 @@
 pub struct ReportHistory {
     /// The leader of the last report.
     pub reported_to: Option<SocketAddr>,
-    /// The last report had loads.
+    /// Whether the last report had loads.
     pub had_loads: bool,
     demand: VecDeque<(u64, ModelDemand)>,
     configuration_index: u64,
@@ -22,7 +22,7 @@
 }
 
 impl ReportHistory {
-    /// Records that demand and a configuration are reported to a leader now.
+    /// Records that the edge reports demand and a configuration to a leader at `now`.
     pub fn record(
         &mut self,
         now: u64,
@@ -39,18 +39,18 @@
         }
     }
 
-    /// The time that the recent demand covers, milliseconds.
+    /// The span of time that the recent demand covers, milliseconds.
     pub fn span_ms(&self, now: u64) -> u64 {
         self.demand.front().map_or(0, |(at, _)| now.saturating_sub(*at))
     }
 
-    /// Whether the configuration in force has to be reported although nothing else has changed.
+    /// Whether a report of the configuration in force is due even if nothing else changed.
     pub fn is_configuration_due(&self, now: u64, in_force: ConfigurationInForce) -> bool {
         in_force.index != self.configuration_index
             && now >= self.configuration_reported_at + CONFIGURATION_REPORT_INTERVAL_MS
     }
 
-    /// The recent demand, for a new leader.
+    /// The recently reported demand, for a new leader.
     pub fn recent(&self) -> Vec<ModelDemand> {
         self.demand.iter().map(|(_, demand)| demand.clone()).collect()
     }
--- a/crates/system/src/edge/rollout.rs
+++ b/crates/system/src/edge/rollout.rs
@@ -1,5 +1,5 @@
-//! Brings configurations into force at this edge, one after the other. Each is read a few items at a time, so that streams are
-//! forwarded meanwhile.
+//! Applies configuration updates at this edge, one after the other. Each is read a few items at a time, so
+//! that a long update does not stop the forwarding of streams.
 
 use super::core_links;
 use super::shared::Shared;
@@ -11,7 +11,7 @@
 use pathbank_protocol::message::ConfigurationUpdate;
 use std::sync::Arc;
 
-/// Items that are read before other tasks get their turn.
+/// Items that are read before the task yields to others.
 const ITEMS_PER_TURN: usize = 8;
 
 /// Applies updates from cores until the edge ends.
@@ -24,11 +24,13 @@
     }
 }
 
-/// Applies an update, unless the configuration in force is as new, or the update builds on another one.
+/// Applies an update. Skips an update that is not newer than the configuration in force, and one that builds
+/// on another configuration.
 async fn apply(shared: &Shared, update: &ConfigurationUpdate) -> Result<(), Rejection> {
     let known = shared.routes.load_full().unwrap_or_default();
     if !known.accepts(update.index, update.base_index) {
-        // Differences from two cores don't build on one another: a missed one has to be fetched.
+        // A core's differences build on those that the same core sent before. An edge that changed cores may
+        // miss one, and has to fetch it.
         if update.index > known.index {
             core_links::ask_for_difference(shared, known.index);
         }
--- a/crates/system/src/edge/shared.rs
+++ b/crates/system/src/edge/shared.rs
@@ -1,4 +1,5 @@
-//! The state that all tasks of an edge share. Its decision logic is behind one lock that is never held across an `await`.
+//! The state that all tasks of an edge share. One lock guards the decision logic; no task holds it across an
+//! `await`.
 
 use super::configuration_queue::ConfigurationQueue;
 use super::core_addresses::CoreAddresses;
@@ -33,41 +34,42 @@
 /// The dispatcher's decision on a request.
 #[derive(Debug)]
 pub enum Decision {
-    /// It goes to this model server now.
+    /// Send the request to this model server now.
     Send {
-        /// The model server's incarnation.
+        /// The model server's instance.
         instance: Instance,
-        /// Where it is reached.
+        /// The model server's address.
         address: String,
     },
-    /// Its final answer: it has not run.
+    /// Refuse the request; it has not run.
     Reject {
-        /// Why.
+        /// The reason.
         code: ResultCode,
-        /// When to come back, milliseconds.
+        /// After how many milliseconds the client may retry.
         retry_after: u64,
     },
 }
 
 /// The decision logic and its state.
-pub struct Deciding {
-    /// Which request goes where.
+pub struct DecisionState {
+    /// Decides which model server gets a request.
     pub dispatcher: Dispatcher,
-    /// The budget of retries.
+    /// Limits retries.
     pub budget: RetryBudget,
-    /// Requests begun.
+    /// Counts the requests of each tenant that began to run.
     pub usage: UsageCounter,
-    /// The system's time of day.
+    /// The system's time of day, as cores report it.
     pub wall_clock: WallClock,
-    /// What became of the latest requests.
+    /// The steps of the latest requests, for operators.
     pub request_log: RequestLog,
     /// The core to which this edge subscribes.
     pub core_choice: CoreChoice,
     reports: ReportHistory,
-    /// How many events streams have.
+    /// Estimates how many events a stream has.
     pub event_rate: EventRate,
+    /// Requests that wait for a decision.
     waiting: BTreeMap<RequestId, oneshot::Sender<Decision>>,
-    /// Notices to streams that can be resumed at another model server.
+    /// The notices of streams that can be resumed at another model server.
     evacuation_notices: BTreeMap<RequestId, Arc<EvacuationNotice>>,
     next_id: RequestId,
 }
@@ -76,33 +78,33 @@
 pub struct Shared {
     /// The settings at the start.
     pub settings: Settings,
-    /// Another number at each start.
+    /// A number that differs at each start of the process.
     pub incarnation: u64,
-    /// How this edge came to serve.
+    /// The milestones of this edge's startup.
     pub startup: Startup,
     /// The configuration in force.
     pub routes: ArcSwapOption<RouteTable>,
     /// Versions of models in training.
     pub model_versions: ArcSwap<Vec<ModelVersions>>,
-    /// Requests for admission at the leader.
+    /// Admission requests to the leader that wait for a grant.
     pub admissions: PendingAdmissions,
-    /// Generations of training steps.
+    /// Generations of training steps that run at the moment.
     pub generations: GenerationCount,
-    /// Configurations that are not in force yet.
+    /// Configuration updates that are not in force yet.
     pub configurations: ConfigurationQueue,
     /// Connections to model servers.
     pub pool: ConnectionPool,
     /// Links to the cores.
     pub mesh: OnceLock<Mesh>,
-    /// Control-plane addresses of the settings and addresses that cores told.
+    /// Internal addresses of cores, from the settings and from the cores.
     pub cores: Mutex<CoreAddresses>,
-    /// A core has sent the complete list of model servers.
-    pub has_servers: AtomicBool,
-    /// The process stops.
+    /// Whether a core has sent the complete list of model servers.
+    pub has_server_list: AtomicBool,
+    /// Whether the process is stopping.
     pub stopping: AtomicBool,
-    /// Demand has to be reported at once.
+    /// Notified when a report of demand cannot wait for its interval.
     pub urgent: Notify,
-    deciding: Mutex<Deciding>,
+    decisions: Mutex<DecisionState>,
 }
 
 impl Shared {
@@ -114,7 +116,7 @@
             window: settings.bounds.budget_window_ms,
         };
         let incarnation = clock::entropy();
-        let deciding = Deciding {
+        let decisions = DecisionState {
             dispatcher: Dispatcher::new(settings.zone.clone(), incarnation),
             budget: RetryBudget::new(bounds),
             usage: UsageCounter::new(settings.bounds.report_window_ms),
@@ -139,146 +141,149 @@
             pool: ConnectionPool::default(),
             mesh: OnceLock::new(),
             cores: Mutex::default(),
-            has_servers: AtomicBool::new(false),
+            has_server_list: AtomicBool::new(false),
             stopping: AtomicBool::new(false),
             urgent: Notify::new(),
-            deciding: Mutex::new(deciding),
+            decisions: Mutex::new(decisions),
         })
     }
 
-    /// The decision logic; never held across an `await`.
-    pub fn deciding(&self) -> MutexGuard<'_, Deciding> {
-        self.deciding.lock().unwrap_or_else(PoisonError::into_inner)
+    /// Locks the decision logic. The guard is never held across an `await`.
+    pub fn decisions(&self) -> MutexGuard<'_, DecisionState> {
+        self.decisions.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Whether clients should come here.
+    /// Whether this edge can serve clients: it has a configuration and all model servers, and is not
+    /// stopping.
     pub fn is_ready(&self) -> bool {
-        let informed = self.routes.load().is_some() && self.has_servers.load(Ordering::Relaxed);
+        let informed = self.routes.load().is_some() && self.has_server_list.load(Ordering::Relaxed);
         informed && !self.stopping.load(Ordering::Relaxed)
     }
 
-    /// Requests that are not answered yet.
+    /// The number of requests that are not answered yet.
     pub fn open_requests(&self) -> usize {
-        self.deciding().dispatcher.pending_requests()
+        self.decisions().dispatcher.pending_requests()
     }
 
-    /// A number for a request, unique in this process's incarnation.
+    /// Returns a number for a request, unique in this incarnation of the process.
     pub fn next_id(&self) -> RequestId {
-        let mut deciding = self.deciding();
-        deciding.next_id += 1;
-        deciding.next_id
+        let mut decisions = self.decisions();
+        decisions.next_id += 1;
+        decisions.next_id
     }
 
-    /// Offers a request; what is decided comes through the receiver.
+    /// Offers a request to the dispatcher. The decision arrives through the receiver.
     pub fn offer(&self, offer: Offer, first: bool) -> oneshot::Receiver<Decision> {
         let (sender, receiver) = oneshot::channel();
-        let mut deciding = self.deciding();
-        deciding.waiting.insert(offer.id, sender);
-        let actions = deciding.dispatcher.offer(clock::now(), offer, first);
-        self.carry_out(deciding, actions);
+        let mut decisions = self.decisions();
+        decisions.waiting.insert(offer.id, sender);
+        let actions = decisions.dispatcher.offer(clock::now(), offer, first);
+        self.carry_out(decisions, actions);
         receiver
     }
 
-    /// The notice that a stream gets when its model server will end.
+    /// The notice through which a stream learns that its model server will stop.
     pub fn evacuation_notice(&self, id: RequestId) -> Arc<EvacuationNotice> {
-        self.deciding().evacuation_notices.entry(id).or_default().clone()
+        self.decisions().evacuation_notices.entry(id).or_default().clone()
     }
 
-    /// A request has ended, at its model server or while it waited.
+    /// Records that a request has ended, at its model server or while it waited.
     pub fn finish(&self, id: RequestId, outcome: AttemptOutcome) {
-        let mut deciding = self.deciding();
-        deciding.waiting.remove(&id);
-        deciding.evacuation_notices.remove(&id);
-        let actions = deciding.dispatcher.finish(clock::now(), id, outcome);
-        self.carry_out(deciding, actions);
+        let mut decisions = self.decisions();
+        decisions.waiting.remove(&id);
+        decisions.evacuation_notices.remove(&id);
+        let actions = decisions.dispatcher.finish(clock::now(), id, outcome);
+        self.carry_out(decisions, actions);
     }
 
-    /// What a request that is at no model server waits for, and since when it has been here.
+    /// The model, the age in milliseconds and the stage of a request that waits for a model server. `None`:
+    /// it does not wait.
     pub fn waiting(&self, id: RequestId) -> Option<(ModelName, u64, &'static str)> {
-        let deciding = self.deciding();
-        let (offer, stage) = deciding.dispatcher.queued(id)?;
+        let decisions = self.decisions();
+        let (offer, stage) = decisions.dispatcher.queued(id)?;
         Some((offer.name.clone(), clock::now().saturating_sub(offer.arrived), stage))
     }
 
-    /// Time has passed.
+    /// Runs the dispatcher's periodic work.
     pub fn tick(&self, now: u64) {
-        let mut deciding = self.deciding();
-        let actions = deciding.dispatcher.tick(now);
-        self.carry_out(deciding, actions);
+        let mut decisions = self.decisions();
+        let actions = decisions.dispatcher.tick(now);
+        self.carry_out(decisions, actions);
     }
 
-    /// The process stops: whatever is not at a model server is refused.
+    /// Refuses all requests that are not at a model server, because the process is stopping.
     pub fn refuse_waiting(&self, retry_after: u64) {
-        let mut deciding = self.deciding();
-        let actions = deciding.dispatcher.reject_queued(clock::now(), retry_after);
-        self.carry_out(deciding, actions);
+        let mut decisions = self.decisions();
+        let actions = decisions.dispatcher.reject_queued(clock::now(), retry_after);
+        self.carry_out(decisions, actions);
     }
 
-    /// Model servers changed.
+    /// Applies a change of the known model servers.
     pub fn update_servers(&self, update: pathbank_protocol::message::ModelServerUpdate) {
-        let mut deciding = self.deciding();
-        let actions = deciding.dispatcher.update_servers(clock::now(), update);
-        self.carry_out(deciding, actions);
+        let mut decisions = self.decisions();
+        let actions = decisions.dispatcher.update_servers(clock::now(), update);
+        self.carry_out(decisions, actions);
     }
 
-    fn carry_out(&self, mut deciding: MutexGuard<'_, Deciding>, actions: Vec<Action>) {
+    fn carry_out(&self, mut decisions: MutexGuard<'_, DecisionState>, actions: Vec<Action>) {
         for action in actions {
             let (id, decision) = match action {
                 Action::Send { id, instance, address } => (id, Decision::Send { instance, address }),
                 Action::Reject { id, code, retry_after } => (id, Decision::Reject { code, retry_after }),
                 Action::Evacuate { id, ends_at } => {
-                    if let Some(notice) = deciding.evacuation_notices.get(&id) {
+                    if let Some(notice) = decisions.evacuation_notices.get(&id) {
                         notice.notify(ends_at);
                     }
                     continue;
                 }
             };
-            if let Some(waiting) = deciding.waiting.remove(&id) {
-                // Whoever waited may just have left; its guard ends the request.
+            if let Some(waiting) = decisions.waiting.remove(&id) {
+                // The waiting task may just have been dropped with its client; its `Ticket` then ends the
+                // request.
                 let _ = waiting.send(decision);
             }
         }
-        if deciding.dispatcher.take_urgent_demand() {
+        if decisions.dispatcher.take_urgent_demand() {
             self.urgent.notify_one();
         }
     }
 
-    /// A step of a request's way, by the client's id.
+    /// Records a step of a request, under the client's id of the request.
     pub fn record_step(&self, id: &str, step: Step) {
-        self.deciding().request_log.record(clock::now(), id, step);
+        self.decisions().request_log.record(clock::now(), id, step);
     }
 
-    /// A request of a tenant began to run.
-    pub fn began(&self, tenant: &str) {
-        let mut deciding = self.deciding();
-        let wall_clock = deciding.wall_clock.now(clock::now(), clock::wall_clock());
-        deciding.usage.record_start(wall_clock, tenant);
+    /// Counts a tenant's request that began to run.
+    pub fn record_start(&self, tenant: &str) {
+        let mut decisions = self.decisions();
+        let wall_clock = decisions.wall_clock.now(clock::now(), clock::wall_clock());
+        decisions.usage.record_start(wall_clock, tenant);
     }
 
-    /// What the leader should hear now, and where it is; `None`: nothing has changed, or no leader is
-    /// reached. What is not told stays for the next one.
+    /// The report that is due, and the leader's address. `None`: nothing has changed, or this edge has no
+    /// link to a leader; unreported changes stay for the next report.
     pub fn report(&self) -> Option<(SocketAddr, EdgeReport)> {
         let now = clock::now();
-        let mut deciding = self.deciding();
-        let leader = deciding.core_choice.leader()?;
-        let (demand, loads) = deciding.dispatcher.take_report();
-        let changed = deciding.usage.take_changed();
-        let is_new = deciding.reports.reported_to != Some(leader);
-        let had_loads = std::mem::replace(&mut deciding.reports.had_loads, !loads.is_empty());
+        let mut decisions = self.decisions();
+        let leader = decisions.core_choice.leader()?;
+        let (demand, loads) = decisions.dispatcher.take_report();
+        let changed = decisions.usage.take_changed();
+        let is_new = decisions.reports.reported_to != Some(leader);
+        let had_loads = std::mem::replace(&mut decisions.reports.had_loads, !loads.is_empty());
         let configuration = self.configuration_in_force(now);
-        let configuration_is_due = deciding.reports.is_configuration_due(now, configuration);
+        let configuration_is_due = decisions.reports.is_configuration_due(now, configuration);
         let has_counts = !(demand.is_empty() && loads.is_empty() && changed.is_empty());
         if !has_counts && !is_new && !had_loads && !configuration_is_due {
             return None;
         }
-        deciding.reports.record(now, leader, &demand, configuration);
+        decisions.reports.record(now, leader, &demand, configuration);
         let report = EdgeReport {
             edge: self.settings.node_name.clone(),
             incarnation: self.incarnation,
-            usage: if is_new { deciding.usage.windows() } else { changed },
-            demand: if is_new { deciding.reports.recent() } else { demand },
+            usage: if is_new { decisions.usage.windows() } else { changed },
+            demand: if is_new { decisions.reports.recent() } else { demand },
             loads,
-            demand_span_ms: if is_new { deciding.reports.span_ms(now) } else { 0 },
+            demand_span_ms: if is_new { decisions.reports.span_ms(now) } else { 0 },
             configuration,
         };
         Some((leader, report))
@@ -290,27 +295,29 @@
         ConfigurationInForce { index: routes.index, version: routes.version, for_ms }
     }
 
-    /// The link to a core has ended. If it leads again, it may have forgotten what it was told.
-    pub fn core_lost(&self, address: SocketAddr) {
-        let mut deciding = self.deciding();
-        deciding.core_choice.disconnected(address);
-        if deciding.reports.reported_to == Some(address) {
-            deciding.reports.reported_to = None;
+    /// Handles the end of a link to a core. If that core leads again, it may have lost the state that was
+    /// reported to it.
+    pub fn on_core_disconnected(&self, address: SocketAddr) {
+        let mut decisions = self.decisions();
+        decisions.core_choice.disconnected(address);
+        if decisions.reports.reported_to == Some(address) {
+            decisions.reports.reported_to = None;
         }
     }
 
-    /// All counts of usage that are kept, for every core: this process ends, and the leader may end after it.
-    pub fn farewell(&self) -> EdgeReport {
+    /// The last report before this process ends, with all counts of usage that are kept. It goes to every
+    /// core, because the leader may end soon after.
+    pub fn final_report(&self) -> EdgeReport {
         EdgeReport {
             edge: self.settings.node_name.clone(),
             incarnation: self.incarnation,
-            usage: self.deciding().usage.windows(),
+            usage: self.decisions().usage.windows(),
             configuration: self.configuration_in_force(clock::now()),
             ..EdgeReport::default()
         }
     }
 
-    /// The addresses at which cores may be.
+    /// The addresses at which cores may be reached.
     pub fn core_addresses(&self) -> Vec<SocketAddr> {
         self.cores.lock().unwrap_or_else(PoisonError::into_inner).all()
     }
--- a/crates/system/src/edge/status.rs
+++ b/crates/system/src/edge/status.rs
@@ -1,4 +1,5 @@
-//! What an edge says of itself: whether clients should come, and what became of a request.
+//! The edge's status server: readiness for the platform; startup, estimates and requests' steps for
+//! operators.
 
 use super::shared::Shared;
 use crate::clock;
@@ -9,23 +10,23 @@
 use tokio::net::TcpListener;
 use viz::{IntoResponse, RequestExt, Response, ResponseExt, Router, StatusCode};
 
-/// Serves the platform's questions and operators' until the edge ends.
+/// Serves the readiness listener until the edge ends.
 pub async fn serve(listener: TcpListener, shared: Arc<Shared>) {
-    let (of_readiness, of_startup, of_estimates) = (shared.clone(), shared.clone(), shared.clone());
+    let (for_readiness, for_startup, for_estimates) = (shared.clone(), shared.clone(), shared.clone());
     let router = Router::new()
         .get("/api/readyz", move |_request: viz::Request| {
-            let ready = of_readiness.is_ready();
+            let ready = for_readiness.is_ready();
             async move {
                 let status = if ready { StatusCode::OK } else { StatusCode::SERVICE_UNAVAILABLE };
                 Ok::<_, viz::Error>(status)
             }
         })
         .get("/api/startup", move |_request: viz::Request| {
-            let milestones = of_startup.startup.to_json();
+            let milestones = for_startup.startup.to_json();
             async move { Ok::<_, viz::Error>(Response::json(milestones)?) }
         })
         .get("/api/estimates", move |_request: viz::Request| {
-            let estimates = estimates(&of_estimates);
+            let estimates = estimates(&for_estimates);
             async move { Ok::<_, viz::Error>(Response::json(estimates)?) }
         })
         .get("/api/requests/:id", move |request: viz::Request| {
@@ -37,11 +38,11 @@
     }
 }
 
-/// What this edge has seen of model servers, and decides by.
+/// The estimates by which this edge chooses a model server.
 fn estimates(shared: &Shared) -> Value {
     let now = clock::now();
-    let deciding = shared.deciding();
-    let engines = deciding.dispatcher.engines();
+    let decisions = shared.decisions();
+    let engines = decisions.dispatcher.engines();
     let reading: BTreeMap<&String, f64> = engines.prefill_rates(now).collect();
     let answers: BTreeMap<&String, f64> = engines.slot_times(now).collect();
     let servers: BTreeMap<&String, f64> = engines.server_factors(now).collect();
@@ -52,11 +53,11 @@
     })
 }
 
-/// The steps of a request that this edge remembers.
+/// Answers with the recorded steps of a request, or with 404 if this edge has none.
 fn explain(shared: &Shared, request: &viz::Request) -> Response {
     let id: String = request.param("id").unwrap_or_default();
-    let deciding = shared.deciding();
-    let Some(steps) = deciding.request_log.steps(&id) else {
+    let decisions = shared.decisions();
+    let Some(steps) = decisions.request_log.steps(&id) else {
         return StatusCode::NOT_FOUND.into_response();
     };
     let steps: Vec<Value> = steps.iter().map(step_json).collect();
--- a/crates/system/src/edge/ticket.rs
+++ b/crates/system/src/edge/ticket.rs
@@ -1,4 +1,5 @@
-//! A guard for a request in the dispatcher: dropping it ends the request there, as when its client disconnects.
+//! A guard for a request at the dispatcher. Dropping it, as when the client disconnects, ends the request
+//! there.
 
 use super::shared::{Decision, Shared};
 use pathbank_router::dispatcher::{Offer, RequestId};
@@ -13,7 +14,7 @@
 }
 
 impl Ticket {
-    /// A ticket for a request that is not offered yet.
+    /// Creates a ticket for a request that is not offered yet.
     pub fn new(shared: Arc<Shared>) -> Ticket {
         let id = shared.next_id();
         Ticket { shared, id, open: false }
@@ -24,7 +25,7 @@
         self.id
     }
 
-    /// Offers the request and waits for what is decided.
+    /// Offers the request to the dispatcher and waits for its decision.
     pub async fn offer(&mut self, offer: Offer, first: bool) -> Option<Decision> {
         self.open = true;
         let decision = self.shared.offer(offer, first).await.ok();
@@ -34,7 +35,7 @@
         decision
     }
 
-    /// The request ended at its model server.
+    /// Ends the request at the dispatcher with the outcome of its attempt. Only the first call counts.
     pub fn end(&mut self, outcome: AttemptOutcome) {
         if std::mem::take(&mut self.open) {
             self.shared.finish(self.id, outcome);
--- a/crates/system/src/edge/upstream_answer.rs
+++ b/crates/system/src/edge/upstream_answer.rs
@@ -1,4 +1,4 @@
-//! A model server's answer as the client gets it.
+//! Turns a model server's answer into the one that the client gets.
 
 use super::answer::{self, Answer, AnswerBody, BodyError};
 use super::headers::{NOT_EXECUTED, end_to_end};
@@ -13,7 +13,7 @@
 /// The largest answer that is buffered before it goes to the client.
 const MAX_BUFFERED_BYTES: usize = 32 * 1024 * 1024;
 
-/// Reads an answer to its end; its connection goes back to the pool.
+/// Reads an answer to its end and returns its connection to the pool.
 pub async fn read_complete(shared: &Arc<Shared>, exchange: Exchange) -> Result<Answer, BodyError> {
     let Exchange { response, lease } = exchange;
     let mut answer = head_for_client(&response, answer::full_body(Bytes::new()));
@@ -23,7 +23,7 @@
     Ok(answer)
 }
 
-/// An answer's head as the client gets it.
+/// Returns an answer with the model server's status and end-to-end headers, and this body.
 pub(super) fn head_for_client(response: &Response<Incoming>, body: AnswerBody) -> Answer {
     let mut answer = Response::new(body);
     *answer.status_mut() = response.status();
