--- a/crates/system/src/net/client.rs
+++ b/crates/system/src/net/client.rs
@@ -1,4 +1,4 @@
-//! Connections to model servers and to the platform, kept and used again.
+//! An HTTP/1.1 client with a pool of connections to model servers and to the platform.
 
 use crate::clock;
 use crate::net::socket;
@@ -14,13 +14,13 @@
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
 use std::time::Duration;
 
-/// A connection that does not come up in this time is given up.
+/// The time within which a connection has to be established.
 pub const CONNECT_TIMEOUT: Duration = Duration::from_millis(600);
-/// An idle connection is used again for so long where the server states nothing, milliseconds.
+/// How long an idle connection may be reused if the server states no `Keep-Alive` timeout, milliseconds.
 const DEFAULT_IDLE_TIMEOUT_MS: u64 = 4_000;
-/// An idle connection is left alone so long before the server's stated end, milliseconds.
+/// An idle connection is no longer reused this long before the server's stated timeout, milliseconds.
 const IDLE_MARGIN_MS: u64 = 700;
-/// Bytes of a small answer that is read whole.
+/// The longest body that [`ConnectionPool::call`] and its variants read.
 const MAX_ANSWER_BYTES: usize = 1024 * 1024;
 
 type Sender = SendRequest<Full<Bytes>>;
@@ -34,22 +34,22 @@
 /// Why an exchange has no answer.
 #[derive(Debug)]
 pub enum ExchangeError {
-    /// Not a byte of the request was written.
+    /// No byte of the request was written.
     NotSent(Box<Request<Full<Bytes>>>),
-    /// The request may have been read.
+    /// The connection broke, and the server may have read the request.
     Broken(hyper::Error),
 }
 
 /// An answer's head, and the connection that carries its body.
 #[derive(Debug)]
 pub struct Exchange {
-    /// The answer.
+    /// The answer, whose body has not been read.
     pub response: Response<Incoming>,
-    /// The connection, to be handed back once the body was read whole.
+    /// The connection, to be given back once the body was read to its end.
     pub lease: ConnectionLease,
 }
 
-/// A connection in use. Dropped, it closes, unless [`ConnectionPool::give_back`] is called.
+/// A connection in use. Dropping the lease closes the connection; [`ConnectionPool::give_back`] keeps it.
 #[derive(Debug)]
 pub struct ConnectionLease {
     address: SocketAddr,
@@ -57,7 +57,7 @@
     idle_ms: Option<u64>,
 }
 
-/// Idle connections by address.
+/// A pool of idle connections by address.
 #[derive(Clone, Debug, Default)]
 pub struct ConnectionPool {
     idle: Arc<Mutex<BTreeMap<SocketAddr, Vec<Idle>>>>,
@@ -80,7 +80,7 @@
         None
     }
 
-    /// Closes what has rested too long.
+    /// Closes connections that have been idle too long.
     pub fn tidy(&self) {
         let now = clock::now();
         let mut idle = self.idle();
@@ -95,13 +95,18 @@
         let handshake = http1::handshake(TokioIo::new(stream)).await;
         let (sender, connection) = handshake.map_err(std::io::Error::other)?;
         tokio::spawn(async move {
-            // Whoever waits for the answer hears of the error; nobody else has to.
+            // The task that waits for the answer gets the error as well, so it may be ignored here.
             let _ = connection.await;
         });
         Ok(sender)
     }
 
-    /// Sends a request and reads the answer's head. A kept connection that turns out closed is replaced once.
+    /// Sends a request and reads the answer's head. If an idle connection turns out to be closed, the request
+    /// goes over a new one.
+    ///
+    /// # Errors
+    ///
+    /// No connection could be established, or it broke before the answer's head was complete.
     pub async fn exchange(
         &self,
         address: SocketAddr,
@@ -110,7 +115,12 @@
         self.exchange_if(address, request, || true).await
     }
 
-    /// The same, where nothing of the request may be written unless `may_send` holds at that moment.
+    /// Like [`ConnectionPool::exchange`], but writes nothing of the request unless `may_send` returns true
+    /// once the connection is there.
+    ///
+    /// # Errors
+    ///
+    /// As for [`ConnectionPool::exchange`], or `may_send` returned false.
     pub async fn exchange_if(
         &self,
         address: SocketAddr,
@@ -127,7 +137,8 @@
         Self::exchange_anew(address, request, may_send).await
     }
 
-    /// The same on a connection of its own: no late answer to an earlier request can come on it.
+    /// Like [`ConnectionPool::exchange_if`], on a new connection, over which no late answer to an earlier
+    /// request can arrive.
     async fn exchange_anew(
         address: SocketAddr,
         request: Request<Full<Bytes>>,
@@ -139,14 +150,15 @@
         }
     }
 
-    /// Hands a connection back whose answer was read whole.
+    /// Returns a connection to the pool. The body of its answer must have been read to its end.
     pub fn give_back(&self, lease: ConnectionLease) {
         let Some(idle_ms) = lease.idle_ms else { return };
         let until = clock::now() + idle_ms;
         self.idle().entry(lease.address).or_default().push(Idle { sender: lease.sender, until });
     }
 
-    /// A whole small exchange: the answer's status and body.
+    /// Sends a request and reads the whole answer. Returns its status and body; `None`: no whole answer came
+    /// in time, or its body was too long.
     pub async fn call(
         &self,
         address: SocketAddr,
@@ -156,7 +168,8 @@
         self.call_if(address, request, within, || true).await
     }
 
-    /// The same, where nothing of the request may be written unless `may_send` holds at that moment.
+    /// Like [`ConnectionPool::call`], but writes nothing of the request unless `may_send` returns true once
+    /// the connection is there.
     pub async fn call_if(
         &self,
         address: SocketAddr,
@@ -167,8 +180,8 @@
         self.read_whole(self.exchange_if(address, request, may_send), within).await
     }
 
-    /// The same for a call whose answer must be that of no other call, and which must not be made twice: on a
-    /// connection of its own, and written once at most.
+    /// Like [`ConnectionPool::call_if`], for a call that must not be made twice and whose answer must not be
+    /// mistaken for that of another call: uses a new connection, and writes the request once at most.
     pub async fn call_once(
         &self,
         address: SocketAddr,
@@ -179,7 +192,7 @@
         self.read_whole(Self::exchange_anew(address, request, may_send), within).await
     }
 
-    /// The whole answer of an exchange; nothing where it did not come in time, or was too long.
+    /// Reads the whole answer of an exchange. `None`: it did not come in time, or was too long.
     async fn read_whole(
         &self,
         exchange: impl Future<Output = Result<Exchange, ExchangeError>>,
@@ -213,7 +226,7 @@
     }
 }
 
-/// For how long the connection may be used again; `None`: not at all.
+/// For how many milliseconds the connection may be idle and still be reused; `None`: it must not be reused.
 fn idle_time(response: &Response<Incoming>) -> Option<u64> {
     let headers = response.headers();
     let has = |name: &HeaderName, word: &str| {
--- a/crates/system/src/net/link.rs
+++ b/crates/system/src/net/link.rs
@@ -1,5 +1,5 @@
-//! A framed connection between two processes. Both sides send a ping regularly; one that hears nothing
-//! closes.
+//! A framed connection between two processes. Each side sends pings while it has no other messages, and
+//! closes the connection if it receives nothing for a while.
 
 use crate::clock;
 use bytes::{Bytes, BytesMut};
@@ -15,52 +15,54 @@
 use tokio::sync::mpsc;
 use tokio::time::timeout;
 
-/// How often a link that says nothing else sends a ping.
+/// How often an otherwise idle link sends a ping.
 const PING_INTERVAL: Duration = Duration::from_millis(700);
-/// A link without a byte for so long is closed.
+/// A link that receives no byte for this time is closed.
 const READ_TIMEOUT: Duration = Duration::from_millis(2_200);
-/// A write of which nothing goes for so long closes the link: the other side does not read.
+/// A write that makes no progress for this time closes the link, because the other side does not read.
 const WRITE_TIMEOUT: Duration = Duration::from_millis(2_500);
-/// Messages that wait for a slow reader; beyond, the link is closed.
+/// The most messages that wait for a slow reader. One more closes the link.
 const MAX_QUEUED_MESSAGES: usize = 512;
-/// Messages are joined into one write up to this.
+/// Short messages that wait are joined into one write until it has this length.
 const MAX_BATCH_BYTES: usize = 16 * 1024;
+/// The most bytes that one read takes from the socket.
 const READ_BUFFER_BYTES: usize = 16 * 1024;
 
-/// Bytes that wait for a slow reader; beyond, the link is closed.
+/// The most bytes that wait for a slow reader. More of them close the link.
 const MAX_QUEUED_BYTES: u64 = 2 * 1024 * 1024;
-/// What one message counts for among them at most: a long one may wait, and others behind it.
+/// The most bytes that one message counts for in [`MAX_QUEUED_BYTES`], so that a message longer than that
+/// limit, and others behind it, may still wait.
 const MAX_COUNTED_BYTES: u64 = MAX_QUEUED_BYTES / 2;
 
 static RECEIVED: AtomicU64 = AtomicU64::new(0);
 static SENT: AtomicU64 = AtomicU64::new(0);
 
-/// Bytes of all links of this process so far.
+/// The bytes that all links of this process have carried so far.
 #[derive(Clone, Copy, Debug)]
 pub struct Traffic {
-    /// Read.
+    /// Bytes read.
     pub received: u64,
-    /// Written.
+    /// Bytes written.
     pub sent: u64,
 }
 
-/// What went over this process's links so far.
+/// Returns the bytes that all links of this process have carried so far.
 pub fn traffic() -> Traffic {
     Traffic { received: RECEIVED.load(Ordering::Relaxed), sent: SENT.load(Ordering::Relaxed) }
 }
 
-/// How far the messages of a link are, bytes.
+/// How many bytes of a link's messages are waiting, queued and written.
 #[derive(Debug, Default)]
 struct Progress {
-    /// Of messages that wait for their turn, as counted.
+    /// Bytes of messages that are not taken for writing yet, with at most [`MAX_COUNTED_BYTES`] for each.
     waiting: AtomicU64,
-    /// From the link's beginning.
+    /// Bytes queued since the link opened.
     queued: AtomicU64,
-    /// From the link's beginning.
+    /// Bytes written since the link opened.
     written: AtomicU64,
 }
 
-/// A place in what a link carries: everything that was queued up to a moment.
+/// A position in the bytes of a link, behind everything that was queued when [`Link::mark`] was called.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Mark(u64);
 
@@ -69,44 +71,46 @@
 pub struct Link {
     queue: mpsc::Sender<Bytes>,
     progress: Arc<Progress>,
-    /// The reader was too slow, or this side ends the link.
-    overrun: Arc<AtomicBool>,
+    /// Whether the link has to end: its reader was too slow, or this side closed it.
+    closing: Arc<AtomicBool>,
 }
 
 impl Link {
-    /// Queues a message. `false`: the link is closed, or its reader is too slow; then it closes.
+    /// Queues a message. Returns `false` if the link is closed, or if its reader is too slow, which closes
+    /// it.
     pub fn send(&self, frame: &Frame) -> bool {
         self.send_encoded(codec::encode(frame).into())
     }
 
-    /// Queues a message that is encoded already.
+    /// Queues a message that is already encoded, like [`Link::send`].
     pub fn send_encoded(&self, bytes: Bytes) -> bool {
         let (length, counted) = (bytes.len() as u64, counted(&bytes));
         let waiting = self.progress.waiting.fetch_add(counted, Ordering::Relaxed) + counted;
         self.progress.queued.fetch_add(length, Ordering::Relaxed);
-        let is_lost = self.overrun.load(Ordering::Relaxed) || waiting > MAX_QUEUED_BYTES;
+        let is_lost = self.closing.load(Ordering::Relaxed) || waiting > MAX_QUEUED_BYTES;
         if is_lost || self.queue.try_send(bytes).is_err() {
-            // What is lost here cannot be made good on this link: the next one begins anew.
-            self.overrun.store(true, Ordering::Relaxed);
+            // The other side must not miss a message and get later ones, so the link ends; the next one
+            // starts anew.
+            self.closing.store(true, Ordering::Relaxed);
             return false;
         }
         true
     }
 
-    /// All that was queued until now.
+    /// Returns the position behind everything that is queued so far.
     pub fn mark(&self) -> Mark {
         Mark(self.progress.queued.load(Ordering::Relaxed))
     }
 
-    /// Whether all up to a mark has been written.
+    /// Whether everything up to a mark has been written.
     pub fn has_written(&self, mark: Mark) -> bool {
         self.progress.written.load(Ordering::Relaxed) >= mark.0
     }
 
-    /// Ends the link. What waits on it is not sent.
+    /// Closes the link. Messages that wait are not sent.
     pub fn close(&self) {
-        self.overrun.store(true, Ordering::Relaxed);
-        // Wakes the writer; a full queue does so too.
+        self.closing.store(true, Ordering::Relaxed);
+        // An empty message wakes the writer. If the queue is full, the writer is awake already.
         let _ = self.queue.try_send(Bytes::new());
     }
 
@@ -116,33 +120,35 @@
     }
 }
 
+/// The bytes for which a message counts in [`MAX_QUEUED_BYTES`].
 fn counted(message: &Bytes) -> u64 {
     MAX_COUNTED_BYTES.min(message.len() as u64)
 }
 
-/// What waits to be written on a link.
+/// The messages that wait to be written on a link.
 #[derive(Debug)]
 pub struct Outbox {
     messages: mpsc::Receiver<Bytes>,
     progress: Arc<Progress>,
-    overrun: Arc<AtomicBool>,
+    closing: Arc<AtomicBool>,
 }
 
 impl Outbox {
-    /// What is to be written next, or a ping after a while. `None`: the link ends.
+    /// The bytes to write next: one or more messages, or a ping if none came for a while. `None`: the link
+    /// ends.
     async fn next(&mut self) -> Option<Bytes> {
         let first = match timeout(PING_INTERVAL, self.messages.recv()).await {
             Ok(bytes) => bytes?,
             Err(_) => return Some(self.ping()),
         };
         self.progress.waiting.fetch_sub(counted(&first), Ordering::Relaxed);
-        if self.overrun.load(Ordering::Relaxed) {
+        if self.closing.load(Ordering::Relaxed) {
             return None;
         }
         if first.len() >= MAX_BATCH_BYTES || self.messages.is_empty() {
             return Some(first);
         }
-        // Short messages that wait go in one write.
+        // Joins short messages that wait into one write.
         let mut joined = BytesMut::from(&first[..]);
         while joined.len() < MAX_BATCH_BYTES {
             let Ok(more) = self.messages.try_recv() else { break };
@@ -159,15 +165,16 @@
     }
 }
 
-/// The sending end of a link that is about to open, and what is to be written on it.
+/// Creates the sending end of a link that is about to open, and the messages that [`run`] writes on it.
 pub fn channel() -> (Link, Outbox) {
     let (queue, messages) = mpsc::channel(MAX_QUEUED_MESSAGES);
-    let (progress, overrun) = (Arc::<Progress>::default(), Arc::<AtomicBool>::default());
-    let outbox = Outbox { messages, progress: progress.clone(), overrun: overrun.clone() };
-    (Link { queue, progress, overrun }, outbox)
+    let (progress, closing) = (Arc::<Progress>::default(), Arc::<AtomicBool>::default());
+    let outbox = Outbox { messages, progress: progress.clone(), closing: closing.clone() };
+    (Link { queue, progress, closing }, outbox)
 }
 
-/// Runs a connection until it ends. `on_frame` gets each message, and answers whether the link goes on.
+/// Runs a connection until it ends. `on_frame` gets each message except pings, and returns whether the link
+/// goes on.
 pub async fn run(stream: TcpStream, outbox: Outbox, mut on_frame: impl FnMut(Frame) -> bool) {
     let (reader, writer) = stream.into_split();
     tokio::select! {
@@ -195,10 +202,10 @@
                             return;
                         }
                     }
-                    Err(error) => tracing::warn!(%error, "message not understood"),
+                    Err(error) => tracing::warn!(%error, "message from another process cannot be decoded"),
                 },
                 Ok(None) => break,
-                Err(error) => return tracing::warn!(%error, "link closed"),
+                Err(error) => return tracing::warn!(%error, "link closed: invalid framing"),
             }
         }
     }
@@ -212,13 +219,13 @@
     }
 }
 
-/// Writes a message, however long that takes while some of it goes. `false`: the link has ended, or its
-/// reader stands still.
+/// Writes bytes for as long as the write makes progress. Returns `false` if the link has ended or its reader
+/// stalls.
 async fn write_all(writer: &mut OwnedWriteHalf, bytes: &[u8], progress: &Progress) -> bool {
     let mut rest = bytes;
     while !rest.is_empty() {
-        // Patience is with each part: many readers that come back at once share a link, and a long message
-        // takes its time.
+        // The timeout is for each part of the bytes, not for all of them: when many readers come back at once
+        // and share the network, a long message takes long.
         let Ok(Ok(count)) = timeout(WRITE_TIMEOUT, writer.write(rest)).await else { return false };
         if count == 0 {
             return false;
--- a/crates/system/src/net/mesh.rs
+++ b/crates/system/src/net/mesh.rs
@@ -1,4 +1,4 @@
-//! Links that this process opens to others by address, and opens again when they end.
+//! Links that this process opens to others by their addresses, and opens again when they end.
 
 use crate::net::link::{self, Link};
 use crate::net::socket;
@@ -10,22 +10,23 @@
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
 use std::time::Duration;
 
-/// An attempt to connect is given up after this. A machine without power drops it in silence, and the kernel
-/// asks again only after a second: a new attempt, made as soon as an election could be due, reaches one that
-/// has just come back.
+/// The time within which a link has to be established. A machine without power drops connection requests
+/// silently, and the kernel repeats one only after a second. A new attempt as soon as an election could be
+/// due reaches a machine that has just come back.
 pub const CONNECT_TIMEOUT: Duration = Duration::from_millis(250);
-/// The pause before a link is opened again, and its longest with failures in a row.
+/// The first pause before a link is opened again. It doubles with each failure in a row.
 pub const RETRY_BACKOFF: Duration = Duration::from_millis(100);
+/// The longest pause before a link is opened again.
 const MAX_RETRY_BACKOFF: Duration = Duration::from_millis(300);
 
-/// What a mesh reports.
+/// An event of a mesh's links.
 #[derive(Debug)]
 pub enum MeshEvent {
-    /// The link to an address stands.
+    /// The link to an address is open.
     Opened(SocketAddr),
     /// The link to an address has ended.
     Closed(SocketAddr),
-    /// The process at an address said something.
+    /// The process at an address sent a message.
     Said(SocketAddr, Box<Frame>),
 }
 
@@ -37,7 +38,7 @@
     wanted: BTreeMap<SocketAddr, tokio::task::JoinHandle<()>>,
 }
 
-/// The links of one process to all others that it should reach.
+/// The links from this process to all others that it should reach.
 #[derive(Clone)]
 pub struct Mesh {
     hello: Hello,
@@ -46,7 +47,8 @@
 }
 
 impl Mesh {
-    /// A mesh without links. `hello` goes first on each.
+    /// Creates a mesh without links. `hello` is the first message on each link, and `handler` gets the
+    /// events.
     pub fn new(hello: Hello, handler: impl Fn(MeshEvent) + Send + Sync + 'static) -> Mesh {
         Mesh { hello, links: Arc::default(), handler: Arc::new(handler) }
     }
@@ -55,9 +57,10 @@
         self.links.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Opens links to all these addresses, and closes those to others.
+    /// Keeps links open to these addresses, and closes those to all others.
     pub fn want(&self, addresses: &[SocketAddr]) {
-        // Whoever listened on such a link has to look for another one, so its end is told as any other is.
+        // The handler has to choose another link if it used this one, so it learns of this end as of any
+        // other.
         for closed in self.close_others(addresses) {
             (self.handler)(MeshEvent::Closed(closed));
         }
@@ -70,7 +73,7 @@
         }
     }
 
-    /// Closes all links but those to these addresses. Returns those that stood.
+    /// Closes all links except those to these addresses. Returns the addresses of those that were open.
     fn close_others(&self, addresses: &[SocketAddr]) -> Vec<SocketAddr> {
         let mut links = self.links();
         let unwanted: Vec<SocketAddr> =
@@ -83,13 +86,13 @@
         unwanted.into_iter().filter(|address| links.open.remove(address).is_some()).collect()
     }
 
-    /// Sends to an address; `false`: no link stands.
+    /// Sends a message to an address. Returns `false` if no link to it is open or its reader is too slow.
     pub fn send(&self, address: SocketAddr, frame: &Frame) -> bool {
         let links = self.links();
         links.open.get(&address).is_some_and(|link| link.send(frame))
     }
 
-    /// Sends to every open link.
+    /// Sends a message over every open link.
     pub fn send_to_all(&self, frame: &Frame) {
         let bytes: Bytes = codec::encode(frame).into();
         for link in self.links().open.values() {
@@ -97,11 +100,12 @@
         }
     }
 
-    /// Links that stand.
+    /// The number of open links.
     pub fn open_links(&self) -> usize {
         self.links().open.len()
     }
 
+    /// Opens the link to an address, and opens it again whenever it ends.
     async fn keep_open(self, address: SocketAddr) {
         let mut pause = RETRY_BACKOFF;
         loop {
@@ -111,11 +115,11 @@
                 link.send(&Frame::Hello(self.hello.clone()));
                 self.links().open.insert(address, link);
                 (self.handler)(MeshEvent::Opened(address));
-                let said = |frame| {
+                let on_frame = |frame| {
                     (self.handler)(MeshEvent::Said(address, Box::new(frame)));
                     true
                 };
-                link::run(stream, outbox, said).await;
+                link::run(stream, outbox, on_frame).await;
                 self.links().open.remove(&address);
                 (self.handler)(MeshEvent::Closed(address));
             }
--- a/crates/system/src/net/mod.rs
+++ b/crates/system/src/net/mod.rs
@@ -1,4 +1,4 @@
-//! Sockets: framed links between processes, HTTP servers, and connections to model servers.
+//! Networking: framed links between processes, HTTP servers, and connections to model servers.
 
 pub mod client;
 pub mod link;
--- a/crates/system/src/net/server.rs
+++ b/crates/system/src/net/server.rs
@@ -1,4 +1,4 @@
-//! HTTP/1.1 servers: accept loops that end in order.
+//! HTTP/1.1 servers with limits and a graceful shutdown.
 
 use crate::net::socket;
 use hyper::body::{Body, Incoming};
@@ -14,50 +14,51 @@
 use tokio::net::TcpListener;
 use tokio::sync::watch;
 
-/// After an accept that failed (no descriptors left), the next one comes after this.
+/// The pause after a failed accept, as when no file descriptors are left.
 const ACCEPT_BACKOFF: Duration = Duration::from_millis(20);
 
-/// What a server's connections may do.
+/// The limits of a server's connections.
 #[derive(Clone, Copy, Debug)]
 pub struct Limits {
-    /// Bytes of a request's head.
+    /// The longest request head.
     pub head_bytes: usize,
-    /// Until a head is whole, and for how long a connection may rest before the next one.
+    /// The time within which the head of a connection's next request must be complete. Idle time counts.
     pub head_timeout: Duration,
-    /// Connections at once; beyond, new ones are closed.
+    /// The most connections at once. A server closes further ones.
     pub connections: usize,
 }
 
-/// Tells connections to end: each finishes what it has begun.
+/// Tells connections to close, each after the request that it is serving.
 pub type CloseSignal = watch::Receiver<bool>;
 
-/// Connections that stand.
+/// Counts a server's open connections.
 #[derive(Clone, Debug, Default)]
 pub struct ConnectionCount(Arc<AtomicUsize>);
 
 impl ConnectionCount {
-    /// How many.
+    /// The number of open connections.
     pub fn get(&self) -> usize {
         self.0.load(Ordering::Relaxed)
     }
 }
 
-struct Counted(ConnectionCount);
+/// Counts one connection for as long as it lives.
+struct ConnectionGuard(ConnectionCount);
 
-impl Counted {
-    fn new(count: &ConnectionCount) -> Counted {
+impl ConnectionGuard {
+    fn new(count: &ConnectionCount) -> ConnectionGuard {
         count.0.fetch_add(1, Ordering::Relaxed);
-        Counted(count.clone())
+        ConnectionGuard(count.clone())
     }
 }
 
-impl Drop for Counted {
+impl Drop for ConnectionGuard {
     fn drop(&mut self) {
         self.0.0.fetch_sub(1, Ordering::Relaxed);
     }
 }
 
-/// Accepts and serves until the task is dropped.
+/// Accepts connections and serves them until the task is aborted. Connections that are open then go on.
 pub async fn serve<S, B>(
     listener: TcpListener,
     service: impl Fn(SocketAddr) -> S,
@@ -82,10 +83,10 @@
         }
         socket::prepare(&stream);
         let service = service(peer);
-        let counted = Counted::new(&count);
+        let guard = ConnectionGuard::new(&count);
         let close = close.clone();
         tokio::spawn(async move {
-            let _counted = counted;
+            let _guard = guard;
             serve_connection(stream, service, limits, close).await;
         });
     }
--- a/crates/system/src/net/socket.rs
+++ b/crates/system/src/net/socket.rs
@@ -1,4 +1,4 @@
-//! Options of TCP sockets.
+//! TCP sockets and their options.
 
 use socket2::{SockRef, TcpKeepalive};
 use std::io;
@@ -6,32 +6,42 @@
 use std::time::Duration;
 use tokio::net::{TcpListener, TcpSocket, TcpStream};
 
-/// Unacknowledged bytes break a connection after this.
+/// `TCP_USER_TIMEOUT`: a connection breaks when sent bytes stay unacknowledged for this time.
 const USER_TIMEOUT: Duration = Duration::from_millis(2_500);
-/// A connection without a byte for so long is asked whether it still stands.
+/// An idle connection sends its first keepalive probe after this time.
 const KEEPALIVE_IDLE: Duration = Duration::from_secs(2);
+/// The time between keepalive probes.
 const KEEPALIVE_INTERVAL: Duration = Duration::from_secs(1);
-/// New connections that wait to be accepted.
+/// The most new connections that wait to be accepted.
 const BACKLOG: u32 = 1_024;
 
-/// Sets what every connection gets: no delay, and an end when the other side is gone without a word.
+/// Sets the options of every connection: no delay of small writes, and timeouts that end a connection whose
+/// other side is gone silently.
 pub fn prepare(stream: &TcpStream) {
     let socket = SockRef::from(stream);
-    // Options are hints: a connection without them still carries bytes.
+    // Failures are ignored: a connection without these options still works.
     let _ = stream.set_nodelay(true);
     let _ = socket.set_tcp_user_timeout(Some(USER_TIMEOUT));
     let _ = socket
         .set_tcp_keepalive(&TcpKeepalive::new().with_time(KEEPALIVE_IDLE).with_interval(KEEPALIVE_INTERVAL));
 }
 
-/// Connects within a time.
+/// Connects to an address.
+///
+/// # Errors
+///
+/// The connection failed, or was not established `within` this time.
 pub async fn connect(address: SocketAddr, within: Duration) -> io::Result<TcpStream> {
     let stream = tokio::time::timeout(within, TcpStream::connect(address)).await??;
     prepare(&stream);
     Ok(stream)
 }
 
-/// Listens, also where connections of an earlier incarnation still linger.
+/// Listens on an address, even if connections of an earlier process there are still in `TIME_WAIT`.
+///
+/// # Errors
+///
+/// The address cannot be bound, or is not an IPv4 address.
 pub fn listen(address: SocketAddr) -> io::Result<TcpListener> {
     let socket = TcpSocket::new_v4()?;
     socket.set_reuseaddr(true)?;
