--- a/crates/system/src/lib.rs
+++ b/crates/system/src/lib.rs
@@ -1,4 +1,5 @@
-//! Drivers of the system's deciding parts: sockets, disks, clocks, signals, and the command line.
+//! Runs the system's decision logic, which other crates hold, with real sockets, disks, clocks and signals;
+//! and the command line.
 
 pub mod clock;
 pub mod command;
--- a/crates/system/src/local.rs
+++ b/crates/system/src/local.rs
@@ -1,5 +1,5 @@
-//! A whole system on loopback addresses of this machine: each a process of this program. For the quick
-//! start, for rehearsals and for tests.
+//! A whole system on loopback addresses of this machine, in which each core and edge is a process of this
+//! program. For the quick start, rehearsals and tests.
 
 use crate::settings::SETTINGS_VARIABLE;
 use anyhow::{Context, Result, ensure};
@@ -10,22 +10,23 @@
 use std::sync::atomic::{AtomicU8, Ordering};
 use std::time::{Duration, Instant};
 
+/// How often [`until`] checks its condition.
 const POLL_INTERVAL: Duration = Duration::from_millis(20);
-/// The host of the first edge in a system's network; cores begin at 1.
+/// The last byte of the first edge's address. Cores begin at 1.
 const FIRST_EDGE_HOST: u8 = 101;
-/// The host of the first stand-in model server.
+/// The last byte of the first stand-in model server's address.
 const FIRST_SERVER_HOST: u8 = 151;
 
-/// Processes with different numbers have different addresses, until so many are there.
+/// The number of different second bytes of addresses, one of which each process that starts systems uses.
 const PROCESS_ADDRESSES: u32 = 200;
 
-/// Systems of one process each have a network of their own.
+/// The third byte of the next system's addresses, so that the systems of one process have different ones.
 static NEXT_NETWORK: AtomicU8 = AtomicU8::new(1);
 
-/// A process that can be ended and started again as it was. Dropped, it is killed.
+/// A process that can be stopped and started again with the same arguments. Dropping it kills the process.
 #[derive(Debug)]
 pub struct Process {
-    /// Its machine's name.
+    /// The name of the process's machine.
     pub name: String,
     program: PathBuf,
     arguments: Vec<String>,
@@ -35,7 +36,7 @@
 }
 
 impl Process {
-    /// One that is not started yet. `quiet`: what it logs is thrown away.
+    /// Creates a process that is not started yet. `quiet`: its output is discarded.
     pub fn new(name: &str, program: &Path, arguments: &[&str], quiet: bool) -> Process {
         Process {
             name: name.to_owned(),
@@ -47,7 +48,7 @@
         }
     }
 
-    /// Starts it, unless it runs.
+    /// Starts the process, unless it was started already.
     ///
     /// # Errors
     ///
@@ -68,15 +69,15 @@
         Ok(())
     }
 
-    /// Its number in the operating system, while it runs.
+    /// The process id; `None`: the process is not started.
     pub fn id(&self) -> Option<u32> {
         self.child.as_ref().map(Child::id)
     }
 
-    /// Ends it at once.
+    /// Kills the process and waits for its end.
     pub fn kill(&mut self) {
         if let Some(mut child) = self.child.take() {
-            // One that has ended by itself cannot be killed, and need not.
+            // Fails if the process has already ended.
             let _ = child.kill();
             let _ = child.wait();
         }
@@ -88,32 +89,33 @@
         }
     }
 
-    /// SIGTERM; returns at once.
+    /// Sends SIGTERM, without waiting for the end of the process.
     pub fn ask_to_stop(&self) {
         self.signal("TERM");
     }
 
-    /// SIGHUP: its settings may have changed.
+    /// Sends SIGHUP, after which the process reads its settings again.
     pub fn reload(&self) {
         self.signal("HUP");
     }
 
-    /// It stands still until it is thawed or killed.
+    /// Sends SIGSTOP: the process stands still until it is thawed or killed.
     pub fn freeze(&self) {
         self.signal("STOP");
     }
 
-    /// It goes on.
+    /// Sends SIGCONT: the process goes on.
     pub fn thaw(&self) {
         self.signal("CONT");
     }
 
-    /// Whether it runs no more.
+    /// Whether the process has ended or was not started.
     pub fn has_ended(&mut self) -> bool {
         self.child.as_mut().is_none_or(|child| child.try_wait().is_ok_and(|status| status.is_some()))
     }
 
-    /// Says in its settings whether its next start is the very first one of the whole system.
+    /// Sets `bootstrap` in the process's settings: whether its next start is the very first one of the whole
+    /// system.
     ///
     /// # Errors
     ///
@@ -136,50 +138,50 @@
     }
 }
 
-/// What a local system is made of.
+/// The parts of a local system.
 #[derive(Clone, Debug)]
 pub struct LocalPlan {
-    /// This program.
+    /// The path of this program.
     pub program: PathBuf,
-    /// Cores.
+    /// The number of cores.
     pub cores: u8,
-    /// Edges.
+    /// The number of edges.
     pub edges: u8,
-    /// Zones, named z1, z2 and so on; processes are assigned to them in turn.
+    /// The number of zones, named z1, z2 and so on. Processes are assigned to them in turn.
     pub zones: u8,
-    /// What processes log is thrown away.
+    /// Whether the output of all processes is discarded.
     pub quiet: bool,
 }
 
-/// An edge and where it is reached.
+/// An edge and its addresses.
 #[derive(Debug)]
 pub struct LocalEdge {
     /// The process.
     pub process: Process,
-    /// Where clients come in.
+    /// The address for clients.
     pub ingress: SocketAddr,
-    /// Where it says whether it is ready.
+    /// The address for readiness checks.
     pub readiness: SocketAddr,
 }
 
-/// The processes of a system, none of them started yet.
+/// The processes of a local system. Dropping it kills them and removes its folder.
 #[derive(Debug)]
 pub struct LocalSystem {
-    /// Settings, disks and logs; removed with the system.
+    /// The folder with settings, disks and logs.
     pub folder: PathBuf,
-    /// Cores.
+    /// The cores.
     pub cores: Vec<Process>,
-    /// Their control planes.
+    /// The cores' control-plane addresses.
     pub control: Vec<SocketAddr>,
-    /// Where they take links from other processes.
+    /// The cores' addresses for links from other processes.
     pub internal: Vec<SocketAddr>,
-    /// Edges.
+    /// The edges.
     pub edges: Vec<LocalEdge>,
     network: u8,
 }
 
 impl LocalSystem {
-    /// Writes the settings of all processes into a new folder.
+    /// Creates a system whose processes are not started yet, and writes their settings into a new folder.
     ///
     /// # Errors
     ///
@@ -187,12 +189,12 @@
     pub fn new(plan: &LocalPlan) -> Result<LocalSystem> {
         ensure!(
             plan.cores >= 1 && plan.cores < FIRST_EDGE_HOST,
-            "control heads: 1 to {}",
+            "the number of cores must be 1 to {}",
             FIRST_EDGE_HOST - 1
         );
         let network = NEXT_NETWORK.fetch_add(1, Ordering::Relaxed);
         let folder = std::env::temp_dir().join(format!("pathbank-local-{}-{network}", std::process::id()));
-        // What an earlier process of the same number left.
+        // An earlier process with the same id may have left its folder.
         let _ = fs::remove_dir_all(&folder);
         fs::create_dir_all(&folder).with_context(|| folder.display().to_string())?;
         let internal = port(host(network, 1), Purpose::Internal)?;
@@ -250,7 +252,7 @@
         self.edges.iter_mut().try_for_each(|edge| edge.process.start())
     }
 
-    /// The disk of a core.
+    /// The data directory of a core.
     pub fn data(&self, core: usize) -> PathBuf {
         self.folder.join(format!("data-{core}"))
     }
@@ -274,7 +276,8 @@
     }
 }
 
-/// Loopback addresses that no other test of this machine uses at the moment, as far as process numbers tell.
+/// A loopback address that no other test on this machine uses at the moment, unless their process ids are a
+/// multiple of [`PROCESS_ADDRESSES`] apart.
 fn host(network: u8, number: u8) -> IpAddr {
     let process = (std::process::id() % PROCESS_ADDRESSES) as u8 + 20;
     IpAddr::V4(Ipv4Addr::new(127, process, network, number))
@@ -284,7 +287,7 @@
     format!("z{}", number % usize::from(zones.max(1)) + 1)
 }
 
-/// What a process listens for.
+/// The purpose of a port. Each has a port number of its own.
 #[derive(Clone, Copy)]
 enum Purpose {
     Internal,
@@ -294,9 +297,9 @@
     StandIn,
 }
 
-/// A port that the kernel gives to nobody who asks for any free one: between its choice and the start of the
-/// process that listens there, a stand-in on the same address could get it. Processes whose numbers share an
-/// address have other ports.
+/// Returns a port outside the range from which the kernel assigns free ports. Otherwise a stand-in on the
+/// same address could be assigned it before the process that should listen there starts. Processes whose ids
+/// lead to the same address have different ports.
 fn port(ip: IpAddr, purpose: Purpose) -> Result<u16> {
     const FIRST: u32 = 10_000;
     const GROUPS: u32 = 4_000;
@@ -307,11 +310,11 @@
     Ok(port)
 }
 
-/// Waits until something holds.
+/// Waits until a condition holds.
 ///
 /// # Errors
 ///
-/// It does not in time.
+/// The condition does not hold within `patience`. The error names it by `what`.
 pub fn until(what: &str, patience: Duration, mut holds: impl FnMut() -> bool) -> Result<()> {
     let start = Instant::now();
     while !holds() {
--- a/crates/system/src/main.rs
+++ b/crates/system/src/main.rs
@@ -1,4 +1,5 @@
-//! The daemons of the system and its operators' commands. `docs/operators/system.md` tells how to run them.
+//! The program with the system's daemons and operators' commands. `docs/operators/system.md` describes how to
+//! run them.
 
 use clap::Parser;
 use pathbank_system::command::CommandLine;
--- a/crates/system/src/settings.rs
+++ b/crates/system/src/settings.rs
@@ -1,5 +1,5 @@
 //! The settings file of a process: lines of the form `a.b=value`, with list items separated by commas.
-//! Unknown keys are ignored; a key that is missing or unreadable is named.
+//! Unknown keys are ignored. An error names the key that is missing or has an invalid value.
 
 use anyhow::{Context, Result, anyhow};
 use std::collections::BTreeMap;
@@ -7,77 +7,77 @@
 use std::path::{Path, PathBuf};
 use std::str::FromStr;
 
-/// The variable that names the settings file.
+/// The environment variable with the path of the settings file.
 pub const SETTINGS_VARIABLE: &str = "PATHBANK_CONFIG";
-/// Where the file is when the variable is not set.
+/// The path of the settings file if the variable is not set.
 const DEFAULT_PATH: &str = "/etc/pathbank/boot.conf";
 
-/// What the rules bind the system to, from the file's `bounds`. Times are milliseconds.
+/// Limits that the platform sets for the system, from the file's keys `bounds.*`. Times are in milliseconds.
 #[derive(Clone, Debug)]
 pub struct Bounds {
-    /// After a SIGTERM the process is killed.
+    /// The platform kills a process this long after SIGTERM.
     pub grace_ms: u64,
-    /// A configuration is in force everywhere after this.
+    /// A configuration has to be in force at all edges within this time.
     pub config_apply_ms: u64,
-    /// Second sends for each request.
+    /// The retry budget: retries allowed for each request.
     pub retry_budget_ratio: f64,
-    /// Second sends beyond those.
+    /// The retry budget: retries allowed beyond the ratio.
     pub retry_budget_slack: f64,
-    /// The window of the budget.
+    /// The window over which the retry budget counts.
     pub budget_window_ms: u64,
-    /// Turns of two holders of a duty are so far apart.
+    /// The time between the leases of two holders of the same duty.
     pub lease_ms: u64,
-    /// The length of a window of usage.
+    /// The length of a usage window.
     pub report_window_ms: u64,
-    /// Usage is due so long after its window ends.
+    /// Usage is due this long after its window ends.
     pub usage_delay_ms: u64,
-    /// The window of the ceiling of loads.
+    /// The window over which the ceiling of model loads counts.
     pub ceiling_window_ms: u64,
 }
 
-/// The platform's interface for singleton duties.
+/// The platform's API for singleton duties.
 #[derive(Clone, Debug, Default)]
 pub struct CloudApi {
-    /// Where it is.
+    /// The API's address.
     pub address: Option<SocketAddr>,
-    /// The duties that it takes.
+    /// The duties that the API accepts.
     pub duties: Vec<String>,
 }
 
-/// All that a process is told at its start.
+/// The settings of a process.
 #[derive(Clone, Debug)]
 pub struct Settings {
     /// The machine's name.
     pub node_name: String,
-    /// Its zone.
+    /// The machine's zone.
     pub zone: String,
-    /// Where clients come in.
+    /// The address on which an edge listens for clients.
     pub ingress: Option<SocketAddr>,
-    /// Where the platform asks whether the edge is ready.
+    /// The address on which an edge answers the platform's readiness checks.
     pub readiness: Option<SocketAddr>,
-    /// Where model servers and operators come in.
+    /// The address on which a core listens for model servers and operators.
     pub control_plane: Option<SocketAddr>,
     /// The machine's address.
     pub ip: std::net::IpAddr,
-    /// The first port for what processes say among themselves.
+    /// The port for messages between processes: the first of the internal range.
     pub internal_port: u16,
-    /// Control-plane addresses of some machines that serve it.
+    /// Control-plane addresses of some cores.
     pub seeds: Vec<SocketAddr>,
-    /// The very first start of the whole system.
+    /// Whether this is the very first start of the whole system.
     pub bootstrap: bool,
-    /// Where files last.
+    /// The directory for files that survive a restart.
     pub data_dir: Option<PathBuf>,
-    /// Descriptors that the process may have.
+    /// The most file descriptors that the process may open.
     pub max_descriptors: u64,
-    /// How often model servers say something, milliseconds.
+    /// The interval of model servers' heartbeats, milliseconds.
     pub heartbeat_ms: u64,
-    /// The rules' figures.
+    /// The limits that the platform sets.
     pub bounds: Bounds,
-    /// The platform's interface.
+    /// The platform's API for singleton duties.
     pub cloud_api: CloudApi,
-    /// `error`, `warn`, `info` or `debug`.
+    /// The log level: `error`, `warn`, `info` or `debug`.
     pub log_level: String,
-    /// The file that these settings were read from, which may change later.
+    /// The file from which these settings were read. It may change later.
     pub source: Option<PathBuf>,
 }
 
@@ -87,19 +87,27 @@
         std::env::var_os(SETTINGS_VARIABLE).map_or_else(|| PathBuf::from(DEFAULT_PATH), PathBuf::from)
     }
 
-    /// Reads the file.
+    /// Reads a settings file.
+    ///
+    /// # Errors
+    ///
+    /// The file cannot be read, a key is missing or a value is invalid.
     pub fn load(path: &Path) -> Result<Settings> {
         let text =
             std::fs::read_to_string(path).with_context(|| format!("settings file {}", path.display()))?;
         Ok(Settings { source: Some(path.to_owned()), ..Settings::parse(&text)? })
     }
 
-    /// Reads the file again; `None`: these settings came from no file.
+    /// Reads the settings file again. `None`: these settings were not read from a file.
     pub fn reload(&self) -> Option<Result<Settings>> {
         self.source.as_deref().map(Settings::load)
     }
 
-    /// Reads the file's text.
+    /// Parses the text of a settings file.
+    ///
+    /// # Errors
+    ///
+    /// A line has no `=`, a key is missing or a value is invalid.
     pub fn parse(text: &str) -> Result<Settings> {
         let lines = Lines::parse(text)?;
         let ports: String = lines.required("internal_port_range")?;
@@ -115,7 +123,7 @@
             ip: lines.required("ip")?,
             internal_port: first_port
                 .parse()
-                .map_err(|_| anyhow!("internal_port_range: no port: {ports}"))?,
+                .map_err(|_| anyhow!("internal_port_range: invalid port: {ports}"))?,
             seeds: lines.list("seed_nodes")?,
             bootstrap: lines.or("bootstrap", false)?,
             data_dir: lines.optional::<String>("data_dir")?.map(PathBuf::from),
@@ -141,17 +149,18 @@
         })
     }
 
-    /// The address for messages of the process whose control plane is at `control`.
+    /// The address for internal messages of the core whose control plane is at `control`.
     pub fn internal_address(&self, control: SocketAddr) -> SocketAddr {
         SocketAddr::new(control.ip(), self.internal_port)
     }
 
-    /// This process's own address for messages.
+    /// This process's own address for internal messages.
     pub fn own_internal_address(&self) -> SocketAddr {
         SocketAddr::new(self.ip, self.internal_port)
     }
 }
 
+/// The values of a settings file by key.
 struct Lines<'a>(BTreeMap<&'a str, &'a str>);
 
 impl<'a> Lines<'a> {
@@ -159,7 +168,7 @@
         let mut values = BTreeMap::new();
         let lines = text.lines().map(str::trim).filter(|line| !line.is_empty() && !line.starts_with('#'));
         for line in lines {
-            let (key, value) = line.split_once('=').ok_or_else(|| anyhow!("no key=value: {line}"))?;
+            let (key, value) = line.split_once('=').ok_or_else(|| anyhow!("not a key=value line: {line}"))?;
             values.insert(key.trim(), value.trim());
         }
         Ok(Lines(values))
@@ -170,7 +179,7 @@
     }
 
     fn optional<T: FromStr>(&self, key: &str) -> Result<Option<T>> {
-        let parse = |value: &str| value.parse().map_err(|_| anyhow!("{key}: cannot be read: {value}"));
+        let parse = |value: &str| value.parse().map_err(|_| anyhow!("{key}: invalid value: {value}"));
         self.value(key).map(parse).transpose()
     }
 
@@ -185,6 +194,6 @@
     fn list<T: FromStr>(&self, key: &str) -> Result<Vec<T>> {
         let items = self.value(key).unwrap_or_default().split(',').map(str::trim);
         let items = items.filter(|item| !item.is_empty());
-        items.map(|item| item.parse().map_err(|_| anyhow!("{key}: cannot be read: {item}"))).collect()
+        items.map(|item| item.parse().map_err(|_| anyhow!("{key}: invalid value: {item}"))).collect()
     }
 }
--- a/crates/system/src/signals.rs
+++ b/crates/system/src/signals.rs
@@ -1,17 +1,17 @@
-//! SIGTERM and SIGHUP.
+//! Handling of SIGTERM and SIGHUP.
 
 use tokio::signal::unix::{Signal, SignalKind, signal};
 
-/// What the platform asks of a running process.
+/// A request that the platform makes by a signal.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Request {
-    /// Stop, in order.
+    /// SIGTERM: shut down gracefully.
     Stop,
-    /// The settings file has changed.
+    /// SIGHUP: the settings file has changed.
     Reload,
 }
 
-/// The signals that are listened for.
+/// A listener for SIGTERM and SIGHUP.
 #[derive(Debug)]
 pub struct Signals {
     terminate: Signal,
@@ -19,12 +19,16 @@
 }
 
 impl Signals {
-    /// Listens from now on.
+    /// Listens for signals from now on.
+    ///
+    /// # Errors
+    ///
+    /// The handlers cannot be registered.
     pub fn new() -> std::io::Result<Signals> {
         Ok(Signals { terminate: signal(SignalKind::terminate())?, hangup: signal(SignalKind::hangup())? })
     }
 
-    /// The next signal.
+    /// Waits for the next signal.
     pub async fn next(&mut self) -> Request {
         tokio::select! {
             _ = self.terminate.recv() => Request::Stop,
--- a/crates/system/src/startup.rs
+++ b/crates/system/src/startup.rs
@@ -1,24 +1,23 @@
-//! The way from a process's start back to service, milestone by milestone: each is logged when it is reached
-//! first, with the time since the start. Where service comes back late, these lines say which stretch took
-//! how long.
+//! Milestones between a process's start and its service. Each is logged when it is first reached, with the
+//! time since the start; if a process serves late, these log lines show which part of its startup took long.
 
 use crate::clock;
 use serde_json::{Map, Value};
 use std::collections::BTreeMap;
 use std::sync::{Mutex, PoisonError};
 
-/// What a process reaches on its way to service, in the usual order.
+/// A milestone of a process's startup, in the usual order.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Milestone {
     /// A core has read its disk.
     DiskRead,
-    /// It listens.
+    /// The process listens.
     Listening,
     /// An edge has a link to a core.
     ControlReached,
     /// A core knows a leader.
     LeaderKnown,
-    /// A core has applied all that is committed.
+    /// A core has applied all committed log entries.
     Current,
     /// An edge has a configuration in force.
     Configured,
@@ -28,7 +27,7 @@
     Ordered,
     /// A request went to a model server.
     Sent,
-    /// A model server answered one with a success.
+    /// A model server answered a request with success.
     Answered,
 }
 
@@ -63,7 +62,7 @@
 }
 
 impl Startup {
-    /// A milestone is reached. Only the first time counts.
+    /// Records that a milestone is reached, and logs it. Only the first call for each milestone counts.
     pub fn reach(&self, milestone: Milestone) {
         let mut reached = self.reached.lock().unwrap_or_else(PoisonError::into_inner);
         if reached.contains_key(&milestone) {
@@ -71,10 +70,10 @@
         }
         let after_ms = clock::now().saturating_sub(self.started);
         reached.insert(milestone, after_ms);
-        tracing::info!(milestone = milestone.name(), after_ms, "on the way to service");
+        tracing::info!(milestone = milestone.name(), after_ms, "startup milestone reached");
     }
 
-    /// The milestones by name, with the milliseconds since the start.
+    /// The milestones that were reached, by name, with the milliseconds since the start.
     pub fn to_json(&self) -> Value {
         let reached = self.reached.lock().unwrap_or_else(PoisonError::into_inner);
         let named = reached.iter().map(|(milestone, ms)| (milestone.name().to_owned(), Value::from(*ms)));
--- a/crates/system/src/trainer.rs
+++ b/crates/system/src/trainer.rs
@@ -1,4 +1,4 @@
-//! A trainer's end of the control plane: opens steps, submits prompts, takes results. For examples,
+//! A client of the control plane for training: opens steps, submits prompts and reads results. For examples,
 //! rehearsals and tests.
 
 use crate::command::{Answer, call};
@@ -8,60 +8,62 @@
 use std::net::SocketAddr;
 use std::time::{Duration, Instant};
 
-/// A call without a clear answer is made again, at another core, after this.
+/// The pause before a call without a definite answer is made again, at another core.
 const RETRY_BACKOFF: Duration = Duration::from_millis(100);
+/// How often a wait checks the state of a step.
 const POLL_INTERVAL: Duration = Duration::from_millis(50);
 
-/// A trainer before some control planes.
+/// A trainer that calls the control planes of some cores.
 #[derive(Clone, Debug)]
 pub struct Trainer {
     control: Vec<SocketAddr>,
     patience: Duration,
 }
 
-/// What a trainer wants of a step.
+/// The parameters of a training step.
 #[derive(Clone, Debug)]
 pub struct StepPlan {
     /// The trainer's name for the step.
     pub key: String,
-    /// The model.
+    /// The model that the step trains.
     pub model: String,
-    /// No fewer workers.
+    /// The least number of workers.
     pub floor: u32,
-    /// Prompts that are drawn for.
+    /// The number of prompts.
     pub prompts: u64,
-    /// A generation's time, milliseconds.
+    /// The timeout of a generation, milliseconds.
     pub generation_ms: u64,
 }
 
-/// A step that was sealed, as its trainer was told.
+/// A sealed step, as the control plane reported it.
 #[derive(Clone, Debug)]
 pub struct SealedStep {
-    /// Its number.
+    /// The step's number.
     pub step: u64,
-    /// Its version.
+    /// The version of the model's weights that the step used.
     pub version: u64,
-    /// Who drew for each prompt.
+    /// The worker whose generation counts, by prompt.
     pub results: BTreeMap<u64, String>,
-    /// From the trainer's call until it was open, until all had been drawn, and until it was sealed.
+    /// The time from the trainer's first call until the step was open.
     pub opened: Duration,
-    /// Until all had been drawn.
+    /// The time from the trainer's first call until all prompts had a generation that counts.
     pub drawn: Duration,
-    /// Until it was sealed.
+    /// The time from the trainer's first call until the step was sealed.
     pub sealed: Duration,
 }
 
 impl Trainer {
-    /// A trainer who gives a call up after so long.
+    /// Creates a trainer that calls these control planes, and gives up a call after `patience`.
     pub fn new(control: Vec<SocketAddr>, patience: Duration) -> Trainer {
         Trainer { control, patience }
     }
 
-    /// Makes a call until its answer is clear: nothing is done twice, for every call may be repeated.
+    /// Repeats a call, at one core after the other, until the answer is definite. Every call is idempotent,
+    /// so nothing is done twice.
     ///
     /// # Errors
     ///
-    /// No clear answer came in time.
+    /// No definite answer came in time.
     pub fn call(&self, method: &str, path: &str, body: &str) -> Result<Answer> {
         let start = Instant::now();
         for turn in 0.. {
@@ -72,9 +74,10 @@
                 _ => std::thread::sleep(RETRY_BACKOFF),
             }
         }
-        bail!("{method} {path}: no clear answer within {:?}", self.patience)
+        bail!("{method} {path}: no definite answer within {:?}", self.patience)
     }
 
+    /// Makes a call whose answer has to be a success. Returns the answer's JSON.
     fn ask(&self, method: &str, path: &str, body: &Value) -> Result<Value> {
         let text = if body.is_null() { String::new() } else { body.to_string() };
         let answer = self.call(method, path, &text)?;
@@ -84,11 +87,11 @@
         serde_json::from_str(&answer.body).with_context(|| format!("{path}: no JSON"))
     }
 
-    /// Asks for a step. Returns its number.
+    /// Opens a step and submits its prompts. Returns the step's number.
     ///
     /// # Errors
     ///
-    /// It was refused, or no clear answer came in time.
+    /// The step was refused, or no definite answer came in time.
     pub fn open(&self, plan: &StepPlan) -> Result<u64> {
         let body = json!({
             "key": plan.key,
@@ -105,20 +108,20 @@
         Ok(step)
     }
 
-    /// How a step stands.
+    /// Reads the state of a step.
     ///
     /// # Errors
     ///
-    /// There is none, or no clear answer came in time.
+    /// There is no such step, or no definite answer came in time.
     pub fn read(&self, step: u64) -> Result<Value> {
         self.ask("GET", &format!("/api/v1/steps/{step}"), &Value::Null)
     }
 
-    /// The results of a step that count, all of them: prompts and who drew for each.
+    /// Reads all results of a step that count: the worker by prompt.
     ///
     /// # Errors
     ///
-    /// There is no such step, or no clear answer came in time.
+    /// There is no such step, or no definite answer came in time.
     pub fn results(&self, step: u64) -> Result<BTreeMap<u64, String>> {
         let mut results = BTreeMap::new();
         loop {
@@ -136,30 +139,30 @@
         }
     }
 
-    /// Ends the drawing of a step.
+    /// Seals a step: no further generations count. `allow_missing`: also if prompts have no result.
     ///
     /// # Errors
     ///
-    /// It was refused, or no clear answer came in time.
+    /// The call was refused, or no definite answer came in time.
     pub fn seal(&self, step: u64, allow_missing: bool) -> Result<()> {
         let body = json!({ "allow_missing": allow_missing });
         self.ask("POST", &format!("/api/v1/steps/{step}/seal"), &body).map(drop)
     }
 
-    /// Gives a step up.
+    /// Aborts a step.
     ///
     /// # Errors
     ///
-    /// It was refused, or no clear answer came in time.
+    /// The call was refused, or no definite answer came in time.
     pub fn abort(&self, step: u64) -> Result<()> {
         self.ask("POST", &format!("/api/v1/steps/{step}/abort"), &Value::Null).map(drop)
     }
 
-    /// Waits until a step is in one of these states. Returns how it stands.
+    /// Waits until a step is in one of these states. Returns the step as [`Trainer::read`] does.
     ///
     /// # Errors
     ///
-    /// It was given up, or does not come there in time.
+    /// The step was aborted, or did not reach such a state in time.
     pub fn until(&self, step: u64, states: &[&str]) -> Result<Value> {
         let start = Instant::now();
         loop {
@@ -179,7 +182,8 @@
     ///
     /// # Errors
     ///
-    /// It takes too long, or the step was given up.
+    /// Prompts still have no generation after the trainer's patience, as when the step was aborted, or no
+    /// definite answer came in time.
     pub fn until_drawn(&self, step: u64) -> Result<()> {
         let start = Instant::now();
         loop {
@@ -189,17 +193,17 @@
                 return Ok(());
             }
             if start.elapsed() >= self.patience {
-                bail!("step {step} is not drawn after {:?}: {told}", start.elapsed());
+                bail!("step {step} has prompts without a generation after {:?}: {told}", start.elapsed());
             }
             std::thread::sleep(POLL_INTERVAL);
         }
     }
 
-    /// One step from the trainer's first call to its seal.
+    /// Runs one step, from opening it until it is sealed.
     ///
     /// # Errors
     ///
-    /// It was refused or given up, or takes too long.
+    /// The step was refused or aborted, or took too long.
     pub fn play(&self, plan: &StepPlan) -> Result<SealedStep> {
         let start = Instant::now();
         let step = self.open(plan)?;
--- a/crates/system/tests/settings.rs
+++ b/crates/system/tests/settings.rs
@@ -1,4 +1,4 @@
-//! The settings file: what is read, and how what is wrong is named.
+//! The settings file: how it is read, and the errors of invalid files.
 
 #![allow(clippy::unwrap_used, clippy::expect_used, reason = "a test fails by a panic")]
 
@@ -20,12 +20,12 @@
     assert!(settings.bootstrap && settings.ingress.is_none());
 }
 
-#[test_case("zone=z1", "", "zone is missing"; "a key that is missing")]
-#[test_case("ip=10.0.0.1", "ip=nowhere", "ip: cannot be read: nowhere"; "an address that is none")]
-#[test_case("10.0.0.2:8407", "10.0.0.2", "seed_nodes: cannot be read: 10.0.0.2"; "a seed without a port")]
-#[test_case("bootstrap=true", "bootstrap=yes", "bootstrap: cannot be read: yes"; "no truth value")]
-#[test_case("zone=z1", "zone", "no key=value: zone"; "a line without a value")]
-fn what_is_wrong_is_named(good: &str, bad: &str, message: &str) {
+#[test_case("zone=z1", "", "zone is missing"; "a missing key")]
+#[test_case("ip=10.0.0.1", "ip=nowhere", "ip: invalid value: nowhere"; "an invalid address")]
+#[test_case("10.0.0.2:8407", "10.0.0.2", "seed_nodes: invalid value: 10.0.0.2"; "a seed without a port")]
+#[test_case("bootstrap=true", "bootstrap=yes", "bootstrap: invalid value: yes"; "a value that is no boolean")]
+#[test_case("zone=z1", "zone", "not a key=value line: zone"; "a line without a value")]
+fn an_error_names_the_key_or_line(good: &str, bad: &str, message: &str) {
     let error = Settings::parse(&FILE.replace(good, bad)).unwrap_err();
     assert_eq!(error.to_string(), message);
 }
