--- a/crates/system/tests/common/listener.rs
+++ b/crates/system/tests/common/listener.rs
@@ -1,4 +1,4 @@
-//! A link to a core, as an edge has it, that keeps all that it hears.
+//! A link to a core like an edge's, which keeps all messages that it receives.
 
 use pathbank_protocol::message::{Frame, Hello, ProcessRole, Subscription};
 use pathbank_system::net::link::{self, Link};
@@ -6,7 +6,7 @@
 use std::sync::{Arc, Mutex};
 use std::time::Duration;
 
-/// Connects as soon as somebody listens there, and wants all news.
+/// Connects to a core as soon as the core listens, and subscribes to its updates.
 pub struct EdgeListener {
     heard: Arc<Mutex<Vec<Frame>>>,
     link: Arc<Mutex<Option<Link>>>,
@@ -14,32 +14,28 @@
 }
 
 impl EdgeListener {
-    pub fn of(control_head: SocketAddr) -> EdgeListener {
+    pub fn of(core: SocketAddr) -> EdgeListener {
         let runtime =
             tokio::runtime::Builder::new_multi_thread().worker_threads(1).enable_all().build().unwrap();
         let (heard, link) = (Arc::<Mutex<Vec<Frame>>>::default(), Arc::<Mutex<Option<Link>>>::default());
-        runtime.spawn(listen(control_head, heard.clone(), link.clone()));
+        runtime.spawn(listen(core, heard.clone(), link.clone()));
         EdgeListener { heard, link, _runtime: runtime }
     }
 
-    /// All that was heard so far.
+    /// All messages received so far.
     pub fn heard(&self) -> Vec<Frame> {
         self.heard.lock().unwrap().clone()
     }
 
-    /// Says something, once the link stands.
+    /// Sends a message. Returns `false` if the link is not open.
     pub fn say(&self, frame: &Frame) -> bool {
         self.link.lock().unwrap().as_ref().is_some_and(|link| link.send(frame))
     }
 }
 
-async fn listen(
-    control_head: SocketAddr,
-    heard: Arc<Mutex<Vec<Frame>>>,
-    open_link: Arc<Mutex<Option<Link>>>,
-) {
+async fn listen(core: SocketAddr, heard: Arc<Mutex<Vec<Frame>>>, open_link: Arc<Mutex<Option<Link>>>) {
     let stream = loop {
-        match tokio::net::TcpStream::connect(control_head).await {
+        match tokio::net::TcpStream::connect(core).await {
             Ok(stream) => break stream,
             Err(_) => tokio::time::sleep(Duration::from_millis(5)).await,
         }
--- a/crates/system/tests/common/slow_edge.rs
+++ b/crates/system/tests/common/slow_edge.rs
@@ -1,5 +1,5 @@
-//! A link to a core as an edge on a narrow link has it: what comes waits in the sender's buffers until it is
-//! read.
+//! A link to a core like that of an edge on a slow network: messages wait in the sender's buffers until the
+//! test reads them.
 
 use pathbank_protocol::codec;
 use pathbank_protocol::framing;
@@ -9,7 +9,8 @@
 use std::net::{SocketAddr, TcpStream};
 use std::time::Duration;
 
-/// The kernel takes in hardly more than this before it is read, bytes.
+/// The size of the socket's receive buffer; the kernel accepts hardly more bytes than this before the test
+/// reads them.
 const RECEIVE_BUFFER_BYTES: usize = 4 * 1024;
 const READ_BYTES: usize = 64 * 1024;
 
@@ -19,11 +20,11 @@
 }
 
 impl SlowEdge {
-    /// Connects and subscribes with nothing known, and reads nothing yet.
-    pub fn subscribed_to(control_head: SocketAddr, name: &str) -> SlowEdge {
+    /// Connects and subscribes without a known configuration, and reads nothing yet.
+    pub fn subscribed_to(core: SocketAddr, name: &str) -> SlowEdge {
         let socket = Socket::new(Domain::IPV4, Type::STREAM, None).unwrap();
         socket.set_recv_buffer_size(RECEIVE_BUFFER_BYTES).unwrap();
-        socket.connect(&control_head.into()).unwrap();
+        socket.connect(&core.into()).unwrap();
         let mut edge = SlowEdge { stream: socket.into(), buffer: Vec::new() };
         let hello = Hello {
             role: ProcessRole::Edge,
@@ -40,10 +41,10 @@
 
     pub fn say(&mut self, frame: &Frame) {
         let written = self.stream.write_all(&codec::encode(frame));
-        written.expect("the control head keeps the link of an edge head that is slow to read");
+        written.expect("the core keeps the link of an edge that reads slowly");
     }
 
-    /// All that comes until nothing has come for so long, or the link ends.
+    /// Reads all messages until none has come for this time, or the link has ended.
     pub fn read_until_silent_for(&mut self, silence: Duration) -> Vec<Frame> {
         self.stream.set_read_timeout(Some(silence)).unwrap();
         let mut chunk = vec![0; READ_BYTES];
--- a/crates/system/tests/configuration_updates.rs
+++ b/crates/system/tests/configuration_updates.rs
@@ -1,5 +1,5 @@
-//! Updates of the configuration lead every edge to the newest one, whatever it has; a full one is
-//! encoded once.
+//! Configuration updates bring every edge to the newest configuration, whichever it has. A full configuration
+//! is encoded once.
 
 #![allow(clippy::unwrap_used, clippy::expect_used, reason = "a test fails by a panic")]
 
@@ -14,7 +14,7 @@
 
 const ROUTES: u64 = 60;
 
-/// A document in which one route more is served with each version.
+/// A document that has one route more with each version.
 fn document(version: u64) -> Document {
     let route = |number: u64| {
         json!({ "name": format!("r{number}"), "hostname": "shop.example", "path_prefix": format!("/{number}/"),
@@ -37,7 +37,7 @@
     }
 }
 
-/// The table of an edge after a message; one that does not apply to it changes nothing.
+/// An edge's route table after a message. A message that does not apply to the table changes nothing.
 fn apply_message(table: &RouteTable, message: &SharedMessage) -> RouteTable {
     let mut bytes = message.to(&hello()).to_vec();
     let frame = codec::decode(&take_body(&mut bytes).unwrap().unwrap()).unwrap();
@@ -48,8 +48,8 @@
     table.with_update(update.index, EdgeUpdate::read(&update.document, update.base_index == 0).unwrap())
 }
 
-/// Publishes so many versions. Returns the updates, and what edges without a configuration got after each
-/// version.
+/// Publishes versions, `apart_ms` after one another. Returns the updates, and the messages that an edge
+/// without a configuration gets after each version.
 fn publish_versions(versions: u64, apart_ms: u64) -> (ConfigurationUpdates, Vec<Vec<SharedMessage>>) {
     let mut updates = ConfigurationUpdates::default();
     let mut full_updates = Vec::new();
@@ -65,7 +65,7 @@
 }
 
 #[test]
-fn any_configuration_is_updated_to_the_newest() {
+fn updates_lead_from_any_configuration_to_the_newest() {
     let (mut updates, full_updates) = publish_versions(40, 100);
     for (version, messages) in (1..).zip(&full_updates) {
         let table =
@@ -77,7 +77,7 @@
         let table = update.messages.iter().fold(table, |table, message| apply_message(&table, message));
         assert_eq!((table.index, table.version), (40, 40), "from version {version}");
     }
-    assert!(updates.update_from(9_000, 41).messages.is_empty(), "nothing leads back");
+    assert!(updates.update_from(9_000, 41).messages.is_empty(), "no update leads to an older configuration");
 }
 
 #[test]
--- a/crates/system/tests/crossings/main.rs
+++ b/crates/system/tests/crossings/main.rs
@@ -1,5 +1,5 @@
-//! Answers that come to the wrong place, too early, twice or in part, and requests that may not run twice:
-//! each crossing is forced on real sockets, at the pool of connections and through a whole edge.
+//! Model servers that answer early, twice, partly or to another request, and requests that may not run twice.
+//! Each case is forced on real sockets, at the connection pool and through a whole edge.
 
 #![allow(clippy::unwrap_used, clippy::expect_used, reason = "a test fails by a panic")]
 
@@ -35,9 +35,9 @@
     answer.map(|(_, body)| String::from_utf8_lossy(&body).into_owned())
 }
 
-// ---- the pool ----
+// ---- the connection pool ----
 
-/// A call that must not be made twice, and an answer that breaks off at each of its bytes.
+/// A call that must not be made twice, whose answer breaks off after each number of bytes.
 #[test_case(Step::ResetAfter; "by a reset")]
 #[test_case(Step::CloseAfter; "by a close")]
 fn a_call_whose_answer_breaks_off_at_any_byte_is_made_once(step: fn(usize) -> Step) {
@@ -50,24 +50,24 @@
             assert_eq!(text(pool.call_once(server.address, request(&id), CALL_WITHIN, || true).await), None);
             assert_eq!(server.times_seen(&id), 1, "broken off after {count} bytes");
             server.script([Step::Answer, step(count)]);
-            // The same on a kept connection.
+            // The same on a connection from the pool.
             assert!(pool.call(server.address, request("before"), CALL_WITHIN).await.is_some());
-            let kept = format!("kept-{count}");
-            assert_eq!(text(pool.call(server.address, request(&kept), CALL_WITHIN).await), None);
-            assert_eq!(server.times_seen(&kept), 1, "on a kept connection, after {count} bytes");
+            let reused = format!("reused-{count}");
+            assert_eq!(text(pool.call(server.address, request(&reused), CALL_WITHIN).await), None);
+            assert_eq!(server.times_seen(&reused), 1, "on a reused connection, after {count} bytes");
         }
     });
 }
 
 #[test]
-fn a_kept_connection_that_was_closed_is_replaced_and_the_call_made_once() {
+fn a_pooled_connection_that_was_closed_is_replaced_and_the_call_made_once() {
     let server = Scripted::start(LOCALHOST);
     let pool = ConnectionPool::default();
     runtime().block_on(async {
         for round in 0..20 {
             server.script([Step::AnswerAndClose]);
             assert!(pool.call(server.address, request("before"), CALL_WITHIN).await.is_some());
-            // Long enough for the close to have come, or not.
+            // The close may have arrived by then or not.
             tokio::time::sleep(Duration::from_millis(round)).await;
             let id = format!("id-{round}");
             let answered = text(pool.call(server.address, request(&id), CALL_WITHIN).await);
@@ -78,7 +78,7 @@
 }
 
 #[test]
-fn a_call_made_once_never_takes_a_connection_on_which_another_answer_may_come() {
+fn a_call_that_must_be_made_once_uses_a_new_connection() {
     let server = Scripted::start(LOCALHOST);
     let pool = ConnectionPool::default();
     runtime().block_on(async {
@@ -92,13 +92,13 @@
 }
 
 #[test]
-fn nothing_is_written_once_the_permission_to_send_is_gone() {
+fn no_request_is_written_once_may_send_returns_false() {
     let server = Scripted::start(LOCALHOST);
     let pool = ConnectionPool::default();
     let asked = AtomicU64::new(0);
     runtime().block_on(async {
         assert!(pool.call(server.address, request("before"), CALL_WITHIN).await.is_some());
-        // It holds while the kept connection is looked at, and no longer when another one stands.
+        // Returns true for the first new connection and false for the second.
         let holds_once = || asked.fetch_add(1, Ordering::Relaxed) == 0;
         let never = pool.call_if(server.address, request("never"), CALL_WITHIN, || false).await;
         assert!(never.is_none());
@@ -150,7 +150,7 @@
     ModelServer { server, stopped }
 }
 
-/// A plain service under /app/, whose requests may not be repeated, and under /again/, where they may.
+/// A configuration with one backend: requests under /app/ may not be repeated, those under /again/ may.
 fn configuration() -> String {
     let route = |name: &str, prefix: &str, kind: &str, attempts: u32| {
         serde_json::json!({ "name": name, "hostname": "shop.example", "path_prefix": prefix, "type": kind,
@@ -163,21 +163,21 @@
         .to_string()
 }
 
-fn given_an_edge() -> System {
+fn start_edge() -> System {
     let system = System::started();
     system.configure(0, &configuration());
     system.until_ready();
     system
 }
 
-/// Asks with new ids until a request has reached the model server. Returns its id, and what its client got.
-/// None that was refused reaches the model server, then or later.
+/// Sends requests with new ids until one has reached the model server. Returns its id and the client's
+/// answer. Checks that no refused request has reached the model server.
 ///
-/// A 502 may come before the model server has read its request: where the answer to an earlier one came once
-/// more, the edge takes that for the end of the connection, while the model server is still busy. This was
-/// taken for a request that was never sent (`it has not run, and its client hears so: 502`, twice in one run
-/// beside load). It was written, so it is waited for.
-fn ask_until_it_reaches(
+/// A 502 may come before the model server has read its request: if a second answer to an earlier request
+/// arrives, the edge closes the connection while the model server is still busy. This function took such a
+/// request for one that was never sent, and failed, twice in one run under load. The request was written, so
+/// the function waits for it.
+fn request_until_one_arrives(
     system: &System,
     server: &ModelServer,
     name: &str,
@@ -188,20 +188,20 @@
         let id = format!("{name}-{number}");
         let answer = system.ask("/app/x", &id, "", &[], body);
         if answer.as_ref().is_some_and(|answer| [200, 502].contains(&answer.status)) {
-            // An early answer, too, may be here before all of its request is there.
-            until("the whole request is there", || server.server.times_seen(&id) > 0);
+            // An early answer may arrive before the model server has read the whole request, too.
+            until("the model server has read the whole request", || server.server.times_seen(&id) > 0);
         }
         if server.server.times_seen(&id) > 0 {
             assert!(
                 refused.iter().all(|id| server.server.times_seen(id) == 0),
-                "of {refused:?} none has run"
+                "none of the refused requests {refused:?} has run"
             );
             return (id, answer);
         }
-        let answer = answer.expect("an answer, for nothing was sent on");
+        let answer = answer.expect("an answer, for no model server got the request");
         assert!(
             [429, 503].contains(&answer.status),
-            "it has not run, and its client hears so: {}",
+            "the request has not run, and the answer says so: {}",
             answer.status
         );
         refused.push(id);
@@ -210,9 +210,9 @@
     panic!("no request reached the model server");
 }
 
-fn then_whoever_asks_next_gets_its_own(system: &System, server: &ModelServer) {
+fn assert_next_requests_get_their_own_answers(system: &System, server: &ModelServer) {
     for number in 0..5 {
-        let (id, answer) = ask_until_it_reaches(system, server, &format!("next-{number}"), "hello");
+        let (id, answer) = request_until_one_arrives(system, server, &format!("next-{number}"), "hello");
         let answer = answer.expect("an answer");
         if answer.status == 200 {
             assert_eq!(answer.body, format!("answer to {id}"));
@@ -225,8 +225,8 @@
 #[test_case(Step::ResetAfter(140), 502; "reset within the body")]
 #[test_case(Step::CloseAfter(0), 502; "closed before the first byte")]
 #[test_case(Step::CloseAfter(140), 502; "closed within the body")]
-fn what_may_have_run_is_not_sent_again_and_its_client_is_promised_nothing(step: Step, status: u16) {
-    let system = given_an_edge();
+fn a_non_idempotent_request_that_may_have_run_is_not_retried(step: Step, status: u16) {
+    let system = start_edge();
     let first = server(&system, "i-1");
     let second = server(&system, "i-2");
     first.server.script([step.clone()]);
@@ -241,7 +241,7 @@
             assert_eq!((answer.status, times_seen(&id)), (status, 1));
             break;
         }
-        // The edge may not have heard of the model servers yet.
+        // The edge may not know the model servers yet.
         assert_eq!(answer.status, 503);
         std::thread::sleep(Duration::from_millis(20));
     }
@@ -249,11 +249,11 @@
 }
 
 #[test]
-fn what_may_run_again_is_sent_to_another_server() {
-    let system = given_an_edge();
+fn an_idempotent_request_is_retried_at_another_model_server() {
+    let system = start_edge();
     let servers = [server(&system, "i-1"), server(&system, "i-2")];
     servers.iter().for_each(|server| server.server.script([Step::ResetAfter(9)]));
-    // One of the two is asked first; the answer of the other one may break off as well.
+    // The answer of the model server that gets the second attempt may break off as well.
     for number in 0..1_000 {
         if number >= 10 && servers.iter().all(|server| !server.server.seen().is_empty()) {
             break;
@@ -272,50 +272,54 @@
 #[test_case(Step::Twice; "at once")]
 #[test_case(Step::AgainLater(Duration::from_millis(5)); "a moment later")]
 #[test_case(Step::AgainLater(Duration::from_millis(60)); "when the next request may be out")]
-fn a_second_answer_reaches_no_other_caller(step: Step) {
-    let system = given_an_edge();
+fn a_second_answer_reaches_no_other_client(step: Step) {
+    let system = start_edge();
     let server = server(&system, "i-1");
     for round in 0..10 {
         server.server.script([step.clone()]);
-        let (id, answer) = ask_until_it_reaches(&system, &server, &format!("twice-{round}"), "hello");
+        let (id, answer) = request_until_one_arrives(&system, &server, &format!("twice-{round}"), "hello");
         let answer = answer.expect("an answer");
         assert!(answer.status != 200 || answer.body == format!("answer to {id}"));
-        then_whoever_asks_next_gets_its_own(&system, &server);
+        assert_next_requests_get_their_own_answers(&system, &server);
     }
 }
 
 #[test]
-fn an_answer_to_another_request_is_no_answer() {
-    let system = given_an_edge();
+fn an_answer_to_another_request_is_rejected() {
+    let system = start_edge();
     let server = server(&system, "i-1");
     server.server.script([Step::AnotherFirst("of-somebody-else".into())]);
-    let (_, answer) = ask_until_it_reaches(&system, &server, "mine", "hello");
+    let (_, answer) = request_until_one_arrives(&system, &server, "mine", "hello");
     let answer = answer.expect("an answer");
     assert_eq!(answer.status, 502);
     assert!(!answer.body.contains("somebody"));
-    then_whoever_asks_next_gets_its_own(&system, &server);
+    assert_next_requests_get_their_own_answers(&system, &server);
 }
 
 #[test]
 fn an_early_answer_to_a_long_body_leaves_no_stray_bytes_behind() {
-    let system = given_an_edge();
+    let system = start_edge();
     let server = server(&system, "i-1");
     let body = "0123456789abcdef".repeat(200_000);
     for round in 0..5 {
         server.server.script([Step::Early]);
-        let (id, answer) = ask_until_it_reaches(&system, &server, &format!("early-{round}"), &body);
+        let (id, answer) = request_until_one_arrives(&system, &server, &format!("early-{round}"), &body);
         let answer = answer.expect("an answer");
         assert!(answer.status != 200 || answer.body == format!("answer to {id}"));
-        then_whoever_asks_next_gets_its_own(&system, &server);
+        assert_next_requests_get_their_own_answers(&system, &server);
     }
-    assert_eq!(server.server.strays(), Vec::<String>::new(), "only requests came where requests were due");
+    assert_eq!(
+        server.server.strays(),
+        Vec::<String>::new(),
+        "every request begins where the one before ended"
+    );
     let is_whole = |seen: &Seen| seen.body.len() == body.len() || seen.body == b"hello";
-    assert!(server.server.seen().iter().all(is_whole), "and each body whole");
+    assert!(server.server.seen().iter().all(is_whole), "each body is whole");
 }
 
 #[test]
-fn a_client_that_leaves_takes_its_connection_to_the_server_with_it() {
-    let system = given_an_edge();
+fn the_connection_to_the_model_server_is_not_reused_after_its_client_left() {
+    let system = start_edge();
     let server = server(&system, "i-1");
     for round in 0..5 {
         server.server.script([Step::AgainLater(Duration::from_millis(30))]);
@@ -327,41 +331,41 @@
         std::io::Write::write_all(&mut client, head.as_bytes()).unwrap();
         std::thread::sleep(Duration::from_millis(2 * round));
         drop(client);
-        then_whoever_asks_next_gets_its_own(&system, &server);
+        assert_next_requests_get_their_own_answers(&system, &server);
         assert!(server.server.times_seen(&id) <= 1);
     }
 }
 
 #[test]
 fn a_redirect_of_a_server_goes_to_the_client_and_is_not_followed() {
-    let system = given_an_edge();
+    let system = start_edge();
     let server = server(&system, "i-1");
     let elsewhere = Scripted::start(LOCALHOST);
     server.server.script([Step::Redirect(elsewhere.address)]);
-    let (_, answer) = ask_until_it_reaches(&system, &server, "led-on", "hello");
+    let (_, answer) = request_until_one_arrives(&system, &server, "led-on", "hello");
     assert_eq!(answer.expect("an answer").status, 307);
     assert_eq!(elsewhere.seen(), Vec::<Seen>::new());
 }
 
 #[test]
 fn an_answer_without_a_length_is_complete_once_its_connection_was_closed() {
-    let system = given_an_edge();
+    let system = start_edge();
     let server = server(&system, "i-1");
     server.server.script([Step::Unframed(None)]);
-    let (id, answer) = ask_until_it_reaches(&system, &server, "unframed", "hello");
+    let (id, answer) = request_until_one_arrives(&system, &server, "unframed", "hello");
     let answer = answer.expect("an answer");
     assert_eq!((answer.status, answer.body), (200, format!("answer to {id}")));
-    assert!(answer.head.contains("content-length"), "its client is told how long it is: {}", answer.head);
-    then_whoever_asks_next_gets_its_own(&system, &server);
+    assert!(answer.head.contains("content-length"), "the client's answer has a length: {}", answer.head);
+    assert_next_requests_get_their_own_answers(&system, &server);
 }
 
 #[test_case(60; "within the head")]
 #[test_case(112; "within the body")]
 #[test_case(usize::MAX; "behind the body")]
 fn an_answer_without_a_length_that_is_reset_is_not_complete(bytes: usize) {
-    let system = given_an_edge();
+    let system = start_edge();
     let server = server(&system, "i-1");
     server.server.script([Step::Unframed(Some(bytes))]);
-    let (_, answer) = ask_until_it_reaches(&system, &server, "reset", "hello");
+    let (_, answer) = request_until_one_arrives(&system, &server, "reset", "hello");
     assert_eq!(answer.expect("an answer").status, 502);
 }
--- a/crates/system/tests/crossings/scripted.rs
+++ b/crates/system/tests/crossings/scripted.rs
@@ -1,4 +1,4 @@
-//! A server that follows a script, answer by answer, and remembers each request and the connection that brought it.
+//! A server that follows a script, answer by answer, and records each request with its connection.
 
 use std::collections::VecDeque;
 use std::io::{Read, Write};
@@ -6,35 +6,36 @@
 use std::sync::{Arc, Mutex};
 use std::time::Duration;
 
-/// A pause of the server between a second answer and the next request.
-const READS_ON_AFTER: Duration = Duration::from_millis(30);
+/// The server's pause between a second answer and reading the next request.
+const PAUSE_AFTER_SECOND_ANSWER: Duration = Duration::from_millis(30);
 
-/// What is done with one request.
+/// What the server does with one request.
 #[derive(Clone, Debug)]
 pub enum Step {
-    /// It is answered.
+    /// Answers the request.
     Answer,
-    /// So many bytes of its answer go out, then the connection is reset.
+    /// Sends this many bytes of the answer, then resets the connection.
     ResetAfter(usize),
-    /// So many bytes of its answer go out, then the connection is closed.
+    /// Sends this many bytes of the answer, then closes the connection.
     CloseAfter(usize),
-    /// It is answered twice in one write.
+    /// Sends the answer twice in one write.
     Twice,
-    /// It is answered, and a while later the answer comes once more.
+    /// Sends the answer, and sends it again after this time.
     AgainLater(Duration),
-    /// An answer to this other request comes first, then its own.
+    /// Sends an answer to the request with this id first, then the proper one.
     AnotherFirst(String),
-    /// It is answered as soon as its head is in; its body is read behind that.
+    /// Answers as soon as the request's head is complete, and reads the body afterwards.
     Early,
-    /// It is answered, and the connection is closed.
+    /// Answers the request and closes the connection.
     AnswerAndClose,
-    /// Its answer has no length: it ends with the connection, by a close, or by a reset after so many bytes.
+    /// Sends an answer without a length, which ends with the connection: by a close, or by a reset after this
+    /// many bytes.
     Unframed(Option<usize>),
-    /// It is led on to another address.
+    /// Redirects the request to another address.
     Redirect(SocketAddr),
 }
 
-/// A request as it came.
+/// A request that the server has read.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Seen {
     pub id: String,
@@ -46,11 +47,11 @@
 struct Shared {
     script: Mutex<VecDeque<Step>>,
     seen: Mutex<Vec<Seen>>,
-    /// Bytes that came where a request was due and are none.
+    /// Bytes that arrived where a request should begin, and are not one.
     strays: Mutex<Vec<String>>,
 }
 
-/// The server; it runs until the process ends.
+/// The scripted server. It runs until the process ends.
 #[derive(Clone)]
 pub struct Scripted {
     pub address: SocketAddr,
@@ -82,7 +83,7 @@
         server
     }
 
-    /// What is done with the next requests; those behind them are answered.
+    /// Sets what the server does with the next requests. It answers those after them.
     pub fn script(&self, steps: impl IntoIterator<Item = Step>) {
         self.shared.script.lock().unwrap().extend(steps);
     }
@@ -130,7 +131,7 @@
     }
 }
 
-/// Returns whether the connection goes on.
+/// Answers a request as the step says. Returns whether the connection stays open.
 fn carry_out(stream: &mut TcpStream, id: &str, step: Step) -> std::io::Result<bool> {
     let whole = answer(id);
     match step {
@@ -138,7 +139,7 @@
         Step::Early => {}
         Step::ResetAfter(count) => {
             stream.write_all(&whole[..count])?;
-            // What was written has to be read before the reset overtakes it.
+            // The client has to read these bytes before the reset, which discards unread ones.
             std::thread::sleep(Duration::from_millis(20));
             socket2::SockRef::from(&*stream).set_linger(Some(Duration::ZERO))?;
             return Ok(false);
@@ -152,8 +153,8 @@
             stream.write_all(&whole)?;
             std::thread::sleep(pause);
             stream.write_all(&whole)?;
-            // A request that met this answer is read only after its client has heard of it.
-            std::thread::sleep(READS_ON_AFTER);
+            // The client of a request that crossed this answer gets it before the server reads the request.
+            std::thread::sleep(PAUSE_AFTER_SECOND_ANSWER);
         }
         Step::AnotherFirst(other) => stream.write_all(&[answer(&other), whole].concat())?,
         Step::AnswerAndClose => {
--- a/crates/system/tests/late_generation.rs
+++ b/crates/system/tests/late_generation.rs
@@ -1,5 +1,4 @@
-//! An edge before a core that is played here: what it begins of the generations that it is given, and what
-//! not.
+//! Which generations an edge starts that the leader assigned to it. The test plays the leader.
 
 #![allow(clippy::unwrap_used, clippy::expect_used, reason = "a test fails by a panic")]
 
@@ -46,17 +45,17 @@
         self.stream.write_all(&codec::encode(frame)).unwrap();
     }
 
-    /// The next frame of a kind; a ping keeps the link open meanwhile.
-    fn hear<T>(&mut self, kind: impl Fn(Frame) -> Option<T>) -> T {
+    /// Waits for the next frame of a kind; pings keep the link open meanwhile.
+    fn receive<T>(&mut self, kind: impl Fn(Frame) -> Option<T>) -> T {
         let mut chunk = [0; 4_096];
         loop {
             while let Some(body) = take_body(&mut self.buffer).unwrap() {
-                if let Some(heard) = kind(codec::decode(&body).unwrap()) {
-                    return heard;
+                if let Some(received) = kind(codec::decode(&body).unwrap()) {
+                    return received;
                 }
             }
             let count = self.stream.read(&mut chunk).unwrap();
-            assert!(count > 0, "the edge head closed its link");
+            assert!(count > 0, "the edge closed its link");
             self.buffer.extend_from_slice(&chunk[..count]);
             self.say(&Frame::Ping(1));
         }
@@ -90,22 +89,22 @@
 #[test_case(BEGIN_MS + 50, 1, false; "that comes late")]
 #[test_case(0, 2, false; "for a version that its worker does not hold")]
 fn a_generation(late_ms: u64, version: u64, is_drawn: bool) {
-    // Given an edge that asks for what it is offered, when the answer to that takes its time,
+    // Given an edge that requested an offered generation, when the grant takes this long to arrive,
     let mut system = System::new();
     let (address, state) = server(&system);
     let mut leader = Leader::of(&mut system);
     leader.say(&Frame::DrawOffer(DrawOffer { count: 1 }));
-    let request = leader.hear(|frame| match frame {
+    let request = leader.receive(|frame| match frame {
         Frame::DrawRequest(request) => Some(request),
         _ => None,
     });
     std::thread::sleep(Duration::from_millis(late_ms));
     leader.say(&Frame::DrawGrant(grant(request.requested_at, address, version)));
-    let result: DrawResult = leader.hear(|frame| match frame {
+    let result: DrawResult = leader.receive(|frame| match frame {
         Frame::DrawResult(result) => Some(result),
         _ => None,
     });
-    // then it is begun within its bound or not at all, and its end is told either way.
+    // then the edge starts the generation in time or not at all, and reports its end either way.
     assert_eq!(state.runs().len(), usize::from(is_drawn));
     match result.ending {
         DrawEnding::Complete(answer) => {
--- a/crates/system/tests/loopback.rs
+++ b/crates/system/tests/loopback.rs
@@ -1,4 +1,5 @@
-//! The real programs on loopback: first start, kills, restarts, changes, drains, streams, lost disks.
+//! The real program on loopback addresses: first start, kills, restarts, configuration changes, drains,
+//! streams, lost disks and operators' commands.
 
 #![allow(clippy::unwrap_used, clippy::expect_used, reason = "a test fails by a panic")]
 
@@ -38,11 +39,11 @@
     assert_eq!(status("/app/x", "wrong", ""), Some(401));
     assert_eq!(status("/none/", "key-1", ""), Some(404));
     assert_eq!(status("/app/x", "key-1", &"x".repeat(1_001)), Some(413));
-    assert_eq!(server.runs(), ["id-1"], "and none of those ran");
+    assert_eq!(server.runs(), ["id-1"], "no refused request runs");
 }
 
 #[test]
-fn the_leader_tells_which_edge_has_which_version_in_force() {
+fn the_leader_reports_the_version_in_force_at_each_edge() {
     let system = System::started();
     system.configure(0, &document(3));
     system.until_ready();
@@ -55,37 +56,40 @@
     until("every edge that the leader names has version 7", || holds(7));
 }
 
-// Differences of two cores do not lead on from one another: an edge that took a whole configuration from one
-// and listens to the other took none of its differences, and lived on whole ones, each asked for 0.2 s after
-// it was announced. It was found by reading, when each stretch of a change's way was given its bound.
+// Guards against an edge that can apply no differences. Differences from two cores do not build on one
+// another: an edge that got a complete configuration from one core and subscribed to another could apply none
+// of the other's differences. It fetched a complete configuration for each change, 0.2 s after the change was
+// announced.
 #[test]
-fn an_edge_that_missed_a_difference_is_told_what_leads_on_from_what_it_has() {
+fn an_edge_that_missed_a_difference_can_fetch_one_that_builds_on_its_configuration() {
     let system = System::started();
     system.configure(0, &document(3));
     system.until_ready();
     let listener = EdgeListener::of(system.local.internal[0]);
     let updates = || -> Vec<(u64, u64)> {
-        let heard = listener.heard().into_iter();
-        let updates = heard.filter_map(|frame| match frame {
+        let received = listener.heard().into_iter();
+        let updates = received.filter_map(|frame| match frame {
             Frame::Configuration(update) => Some((update.base_index, update.index)),
             _ => None,
         });
         updates.collect()
     };
-    until("the first comes whole", || updates().len() == 1);
+    until("the first configuration arrives", || updates().len() == 1);
     let (base, first) = updates()[0];
-    assert_eq!(base, 0, "who has none gets the whole");
+    assert_eq!(base, 0, "an edge without a configuration gets a complete one");
     system.configure(3, &document(4));
-    until("the next is a difference", || updates().last().is_some_and(|(base, _)| *base == first));
+    until("the next update is a difference", || updates().last().is_some_and(|(base, _)| *base == first));
     system.configure(4, &document(5));
-    until("and the next one leads on from that", || updates().len() >= 3);
+    until("the update after it arrives", || updates().len() >= 3);
     let newest = updates().last().unwrap().1;
     assert!(listener.say(&Frame::FetchDifference(first)));
-    until("what leads on from the first is told again", || updates().last() == Some(&(first, newest)));
+    until("the core sends the difference to the first configuration", || {
+        updates().last() == Some(&(first, newest))
+    });
 }
 
 #[test]
-fn a_model_that_no_server_holds_is_loaded_when_it_is_asked_for() {
+fn a_model_that_no_server_holds_is_loaded_on_demand() {
     let system = System::started();
     let server = system.server("i-llm", "llm", &["m1"]);
     system.configure(0, &document(3));
@@ -96,7 +100,7 @@
 }
 
 #[test]
-fn changes_survive_a_killed_leader_and_kills_of_all() {
+fn configuration_changes_survive_a_killed_leader_and_a_restart_of_all_cores() {
     let mut system = System::started();
     system.configure(0, &document(3));
     until("a leader", || system.leader().is_some());
@@ -106,14 +110,14 @@
     system.local.cores[leader].start().unwrap();
     system.local.cores.iter_mut().for_each(pathbank_system::local::Process::kill);
     system.local.cores.iter_mut().for_each(|core| core.start().unwrap());
-    until("it is read back", || system.read_configuration().is_some_and(|read| read["version"] == 5));
-    assert_eq!(system.change(0, &document(3)), Some(200), "what was taken is taken again");
+    until("the change is read back", || system.read_configuration().is_some_and(|read| read["version"] == 5));
+    assert_eq!(system.change(0, &document(3)), Some(200), "a change that was accepted is accepted again");
     assert_eq!(system.change(3, &document(9)), Some(412));
     assert_eq!(system.change(5, "{\"version\":7"), Some(400));
 }
 
 #[test]
-fn a_change_at_a_leader_that_loses_the_lead_is_answered_at_once() {
+fn a_change_at_a_leader_without_a_majority_is_answered_as_undecided() {
     let system = System::started();
     system.configure(0, &document(3));
     until("a leader", || system.leader().is_some());
@@ -123,48 +127,50 @@
     let base = [("X-Pathbank-Base-Version", "3")];
     let path = "/api/config/replace";
     let answer = call(system.control[leader], "POST", path, &base, &document(4)).expect("an answer");
-    assert!(answer.body.contains("\"result_code\":202"), "its end is unclear: {}", answer.body);
+    assert!(answer.body.contains("\"result_code\":202"), "the outcome is undecided: {}", answer.body);
     assert!(answer.body.contains("another leader may have decided otherwise"), "{}", answer.body);
 }
 
 #[test]
-fn a_core_whose_disk_is_lost_comes_back_as_another_store() {
+fn a_core_that_lost_its_disk_rejoins_as_a_new_voter() {
     let mut system = System::started();
     system.configure(0, &document(3));
     until("a leader", || system.leader().is_some());
     let leader = system.leader().unwrap();
-    let stores = |system: &System| {
+    let voters = |system: &System| {
         let core = (leader + 1) % 3;
         system.status(core).map(|status| status["voters"].to_string()).unwrap_or_default()
     };
-    until("the group is known", || !stores(&system).is_empty());
-    let before = stores(&system);
+    until("the voters are known", || !voters(&system).is_empty());
+    let before = voters(&system);
     system.local.cores[leader].kill();
     std::fs::remove_dir_all(system.data(leader)).unwrap();
     system.local.cores[leader].allow_bootstrap(false).unwrap();
     system.local.cores[leader].start().unwrap();
-    until("another store is in", || {
-        let now = stores(&system);
+    until("the voters have changed", || {
+        let now = voters(&system);
         !now.is_empty() && now != before
     });
-    until("it has the configuration", || {
+    until("the new voter has the configuration", || {
         system.status(leader).is_some_and(|status| status["configuration_version"] == 3)
     });
     system.configure(3, &document(4));
 }
 
 #[test]
-fn a_server_that_drains_gets_nothing_more() {
+fn a_draining_model_server_gets_no_new_requests() {
     let system = System::started();
     let leaving = system.server("i-1", "app", &[]);
     let staying = system.server("i-2", "app", &[]);
     system.configure(0, &document(3));
     system.until_ready();
-    until("both are known", || system.status(0).is_some_and(|status| status["bricks"] == 2));
+    until("both model servers are known", || system.status(0).is_some_and(|status| status["bricks"] == 2));
     leaving.draining.store(true, Ordering::Relaxed);
-    until("it is known to leave", || system.status(0).is_some_and(|status| status["bricks"] == 1));
+    until("the draining one is known to drain", || {
+        system.status(0).is_some_and(|status| status["bricks"] == 1)
+    });
     let before = leaving.runs().len();
-    // One request's time for the news to reach the edge.
+    // The edge learns of the drain within the time of one request.
     system.ask_until_served("/app/x", "id-0", &[]);
     let settled = leaving.runs().len();
     (1..20).for_each(|number| drop(system.ask_until_served("/app/x", &format!("id-{number}"), &[])));
@@ -174,32 +180,32 @@
 }
 
 #[test]
-fn an_edge_that_is_asked_to_stop_finishes_its_streams_and_ends() {
+fn an_edge_that_shuts_down_still_serves_new_clients_and_then_ends() {
     let mut system = System::started();
     system.server("i-llm", "llm", &["m1"]);
     system.configure(0, &document(3));
     system.until_ready();
     system.ask_until_served("/llm/x", "id-0", MODEL);
     system.local.edges[0].process.ask_to_stop();
-    until("it calls itself not ready", || {
+    until("the edge is not ready", || {
         call(system.readiness, "GET", "/api/readyz", &[], "").is_none_or(|answer| answer.status == 503)
     });
-    let late = system.ask("/llm/x", "id-1", "key-1", MODEL, "").expect("it still serves who comes");
+    let late = system.ask("/llm/x", "id-1", "key-1", MODEL, "").expect("the edge still serves new clients");
     assert!(late.status == 200 && late.body.contains("piece 5"));
-    until("it has ended", || system.local.edges[0].process.has_ended());
+    until("the edge has ended", || system.local.edges[0].process.has_ended());
 }
 
-/// A model server that answers its first request only when it is told to.
+/// Starts a model server that reports its first request and answers it only when it is released.
 fn held_server(system: &System) -> (std::sync::mpsc::Receiver<()>, std::sync::mpsc::Sender<()>) {
     let listener = std::net::TcpListener::bind((system.ingress.ip(), 0)).unwrap();
     let address = listener.local_addr().unwrap();
-    let (came, coming) = std::sync::mpsc::channel();
+    let (arrived, arrival) = std::sync::mpsc::channel();
     let (release, released) = std::sync::mpsc::channel();
     std::thread::spawn(move || {
         let (mut stream, _) = listener.accept().unwrap();
         let mut request = [0; 4_096];
         let _ = stream.read(&mut request);
-        let _ = came.send(());
+        let _ = arrived.send(());
         let _ = released.recv();
         let answer = "HTTP/1.1 200 OK\r\nX-Pathbank-Request-Id: id-held\r\nX-Pathbank-Response-Signature: held\r\n\
                       Content-Length: 4\r\n\r\nheld";
@@ -212,15 +218,15 @@
         let path = "/api/instances/i-held/heartbeat";
         call(system.control[0], "POST", path, &[], &body).is_some_and(|answer| answer.status == 200)
     });
-    (coming, release)
+    (arrival, release)
 }
 
 #[test]
-fn an_edge_that_stops_refuses_late_connections_and_still_answers_what_is_at_a_server() {
+fn an_edge_that_shuts_down_refuses_late_connections_and_answers_requests_at_model_servers() {
     let mut system = System::started();
     system.configure(0, &document(3));
     system.until_ready();
-    let (came, release) = held_server(&system);
+    let (arrival, release) = held_server(&system);
     until("the edge knows the model server", || system.status(0).is_some_and(|status| status["bricks"] == 1));
     let ingress = system.ingress;
     let asking = std::thread::spawn(move || {
@@ -232,14 +238,14 @@
         ];
         call(ingress, "POST", "/app/x", &headers, "hello")
     });
-    came.recv().unwrap();
+    arrival.recv().unwrap();
     system.local.edges[0].process.ask_to_stop();
     until("late connections are refused", || std::net::TcpStream::connect(ingress).is_err());
     assert!(!system.local.edges[0].process.has_ended(), "a request is still at its model server");
     release.send(()).unwrap();
     let answer = asking.join().unwrap().expect("a whole answer");
     assert_eq!((answer.status, answer.body.as_str()), (200, "held"));
-    until("it has ended", || system.local.edges[0].process.has_ended());
+    until("the edge has ended", || system.local.edges[0].process.has_ended());
 }
 
 /// Runs an operator's command. Returns whether it succeeded, and what it printed.
@@ -250,14 +256,14 @@
 }
 
 #[test]
-fn operators_ask_what_is_placed_where_and_who_holds_the_duties() {
+fn the_placement_and_duties_commands_print_model_servers_and_lease_holders() {
     let system = System::started();
     system.server("i-llm", "llm", &["m1"]);
     system.configure(0, &document(3));
     system.until_ready();
     system.ask_until_served("/llm/x", "id-1", &[("X-Pathbank-Model", "m2")]);
     let control = system.control[1].to_string();
-    until("the model server is told to hold both", || {
+    until("the model server is expected to hold both models", || {
         let (_, text) = run(&["placement", "--control", &control]);
         ["m1", "m2"].iter().all(|model| {
             text.lines().any(|line| line.contains(&format!("\t{model}\t")) && line.contains("i-llm"))
@@ -267,7 +273,7 @@
     assert!(ok && text.contains("\"fencing_token\"") && text.contains("\"lease_holder\": \"core-"), "{text}");
 }
 
-/// Requests that the leader has counted in windows that are not sealed.
+/// The number of requests that the leader has counted in usage windows that are not sealed.
 fn counted(system: &System) -> Option<u64> {
     let leader = system.leader()?;
     let (_, text) = run(&["duties", "--control", &system.control[leader].to_string()]);
@@ -284,57 +290,57 @@
 }
 
 #[test]
-fn usage_survives_the_leaders_and_then_the_edge_and_the_leader() {
+fn usage_counts_survive_a_restart_of_all_cores_and_the_end_of_the_edge_and_the_leader() {
     let mut system = System::started();
     system.server("i-app", "app", &[]);
     system.configure(0, &document(3));
     system.until_ready();
     (0..3).for_each(|number| drop(system.ask_until_served("/app/x", &format!("id-{number}"), &[])));
-    until("the leader counts them", || counted(&system) == Some(3));
-    // Whichever core leads next, the same one among them, hears it again from the edge.
+    until("the leader has counted the requests", || counted(&system) == Some(3));
+    // The edge reports its counts again to the next leader, even if that is the same core.
     system.local.cores.iter_mut().for_each(Process::kill);
     system.local.cores.iter_mut().for_each(|core| core.start().unwrap());
-    until("the next leader counts them", || counted(&system) == Some(3));
-    // An edge that ends tells every core: the next leader has it from nobody else.
+    until("the next leader has counted the requests", || counted(&system) == Some(3));
+    // An edge that ends reports its counts to every core; the next leader can get them from no other process.
     system.local.edges[0].process.ask_to_stop();
     until("the edge ends", || system.local.edges[0].process.has_ended());
-    let leader = system.leader().expect("somebody leads");
+    let leader = system.leader().expect("there is a leader");
     system.local.cores[leader].kill();
-    until("another one leads, and has counted them", || {
+    until("another core leads and has counted the requests", || {
         system.leader().is_some_and(|next| next != leader) && counted(&system) == Some(3)
     });
 }
 
 #[test]
-fn operators_ask_what_became_of_a_request() {
+fn the_explain_command_prints_the_steps_of_a_request() {
     let system = System::started();
     system.server("i-app", "app", &[]);
     system.configure(0, &document(3));
     system.until_ready();
     system.ask_until_served("/app/x", "id-1", &[]);
-    let head = system.readiness.to_string();
-    let (ok, text) = run(&["explain", "id-1", "--edge", &head]);
+    let edge = system.readiness.to_string();
+    let (ok, text) = run(&["explain", "id-1", "--edge", &edge]);
     let places = ["accepted", "sent", "answered", "complete"].map(|step| text.find(step));
     assert!(ok && places.is_sorted() && places.iter().all(Option::is_some), "{text}");
     assert!(text.contains("instance=\"i-app\"") && text.contains("route=\"r1\""), "{text}");
-    let (ok, text) = run(&["explain", "id-none", "--edge", &head]);
+    let (ok, text) = run(&["explain", "id-none", "--edge", &edge]);
     assert!(!ok && text.contains("no head asked knows request id-none"), "{text}");
     let log = system.local.folder.join("edge.log");
     std::fs::write(&log, "DEBUG refused id=\"id-10\" code=1\nDEBUG sent to a brick id=\"id-1\" sends=0\n")
         .unwrap();
     let (ok, text) = run(&["explain", "id-1", "--log", &log.display().to_string()]);
     assert_eq!((ok, text.lines().count()), (true, 1), "{text}");
-    assert!(!run(&["explain", "id-1"]).0, "it is not said where to look");
+    assert!(!run(&["explain", "id-1"]).0, "explain needs an edge or a log file");
 }
 
 #[test]
-fn operators_ask_by_the_command_line() {
+fn the_config_and_status_commands_work_on_a_running_system() {
     let system = System::started();
     let file = system.local.folder.join("document.json");
     std::fs::write(&file, document(3)).unwrap();
     let (control, file) = (system.control[0].to_string(), file.display().to_string());
     assert_eq!(run(&["config", "check", &file]), (true, "ok: version 3\n".into()));
-    until("it is applied", || run(&["config", "apply", "--control", &control, &file]).0);
+    until("the configuration is applied", || run(&["config", "apply", "--control", &control, &file]).0);
     assert!(run(&["config", "get", "--control", &control]).1.contains("\"version\": 3"));
     assert!(run(&["status", "--control", &control]).1.contains("voters"));
     std::fs::write(&file, document(4).replace("/app/", "/application/")).unwrap();
@@ -344,8 +350,7 @@
     assert!(!ok && text.contains("EOF"), "{text}");
 }
 
-/// A model server that reads each request and then closes the connection, until the test is over. Returns its
-/// address.
+/// Starts a model server that reads each request and then closes the connection. Returns its address.
 fn breaking_server(system: &System) -> std::net::SocketAddr {
     let listener = std::net::TcpListener::bind((system.ingress.ip(), 0)).unwrap();
     let address = listener.local_addr().unwrap();
@@ -366,21 +371,21 @@
 }
 
 #[test]
-fn what_may_have_run_and_may_not_run_twice_goes_to_no_other_server() {
-    const REQUESTS_OF_ONE_LIFE: u64 = 5;
+fn a_non_idempotent_request_that_may_have_run_is_not_retried() {
+    const REQUESTS_PER_INCARNATION: u64 = 5;
     let mut system = System::started();
     system.configure(0, &document(3));
     system.until_ready();
     let breaking = breaking_server(&system);
     let sound = system.server("i-app", "app", &[]);
     let mut number = 0;
-    until("a request meets the model server that breaks off", || {
+    until("a request reaches the model server that closes connections", || {
         number += 1;
-        // It goes on speaking: what is silent is taken for gone.
+        // Without heartbeats the model server would be taken for gone.
         heartbeat(&system, "i-breaking", breaking, number);
-        // An edge prefers one of two model servers for as long as it lives; where that is the sound one,
-        // another incarnation draws anew.
-        if number.is_multiple_of(REQUESTS_OF_ONE_LIFE) {
+        // An edge prefers one of two model servers for as long as it runs. If that is the sound one, another
+        // incarnation of the edge may prefer the other.
+        if number.is_multiple_of(REQUESTS_PER_INCARNATION) {
             system.local.edges[0].process.kill();
             system.local.edges[0].process.start().unwrap();
             system.until_ready();
@@ -388,8 +393,8 @@
         let answer = system.ask("/app/x", &format!("id-{number}"), "key-1", &[], "hello");
         answer.is_some_and(|answer| answer.status == 502)
     });
-    assert!(!sound.runs().contains(&format!("id-{number}")), "it may have run already");
-    until("the sound model server serves", || {
+    assert!(!sound.runs().contains(&format!("id-{number}")), "the request may have run already");
+    until("the sound model server serves a request", || {
         number += 1;
         let answer = system.ask("/app/x", &format!("id-{number}"), "key-1", &[], "hello");
         answer.is_some_and(|answer| answer.status == 200)
@@ -398,7 +403,7 @@
 }
 
 #[test]
-fn heads_serve_prompts_alone_while_no_leader_answers() {
+fn edges_serve_prompts_while_no_leader_answers() {
     let system = System::started();
     system.server("i-llm", "llm", &["m1"]);
     system.configure(0, &document(3));
--- a/crates/system/tests/model_server_updates.rs
+++ b/crates/system/tests/model_server_updates.rs
@@ -28,7 +28,7 @@
     }
 }
 
-/// A system, and a link to its first core like an edge's.
+/// Starts a system, and opens a link to its first core as an edge does.
 fn connect_edge() -> (System, EdgeListener) {
     let system = System::started();
     system.configure(0, &document(3));
@@ -37,32 +37,32 @@
     (system, listener)
 }
 
-// After a loss of power cores know no model server, and all model servers report to them again within one
-// heartbeat. Each was sent alone to each edge that listens: with 1,200 model servers and 74 edges a core,
-// 89,000 messages in 1.2 s. The same cause as that of the full configurations, work by edges times what
-// there is to publish, found by looking for it elsewhere.
+// Guards against one message for each model server and edge. After a power loss cores know no model server,
+// and all model servers report to them again within one heartbeat interval. Each was sent separately to each
+// subscribed edge: with 1,200 model servers and 74 edges for each core, 89,000 messages in 1.2 s. As with
+// full configurations, the work grew with the edges times what there is to publish.
 #[test]
 fn updates_of_many_servers_are_sent_in_few_messages() {
     let (_system, listener) = connect_edge();
     let updates = || {
-        let heard = listener.heard().into_iter();
-        let updates = heard.filter_map(|frame| match frame {
+        let received = listener.heard().into_iter();
+        let updates = received.filter_map(|frame| match frame {
             Frame::ModelServers(update) => Some(update),
             _ => None,
         });
         updates.collect::<Vec<_>>()
     };
-    until("it listens", || updates().len() == 1);
+    until("the edge is subscribed", || updates().len() == 1);
     assert!(listener.say(&Frame::Heartbeats((0..SERVERS).map(server).collect())));
     let instances = || -> BTreeSet<String> {
         updates().into_iter().flat_map(|update| update.servers).map(|server| server.instance).collect()
     };
-    until("all are told", || instances().len() == SERVERS);
+    until("all model servers are published", || instances().len() == SERVERS);
     let messages = updates().len();
     assert!(messages <= 5, "{messages} messages for {SERVERS} model servers");
 }
 
-// A draining server is published at once, also while other updates wait to be sent together.
+// A draining server is published at once, even while other updates wait to be sent together.
 #[test]
 fn a_draining_server_is_published_at_once_and_never_ready_again() {
     let (_system, listener) = connect_edge();
@@ -77,7 +77,7 @@
     let leaving = ModelServer { state: ModelServerState::Draining, sequence: 2, ..server(1) };
     let back = ModelServer { state: ModelServerState::Ready, sequence: 3, ..server(1) };
     assert!(listener.say(&Frame::Heartbeats(vec![server(1), leaving, back])));
-    until("that it leaves is told", || published(ModelServerState::Draining));
+    until("the drain is published", || published(ModelServerState::Draining));
     let last = || {
         let frames = listener.heard().into_iter().rev();
         let mut servers = frames.filter_map(|frame| match frame {
@@ -86,18 +86,22 @@
         });
         servers.next().map(|server| server.state)
     };
-    assert_eq!(last(), Some(ModelServerState::Draining), "one that leaves is never told to be ready again");
+    assert_eq!(
+        last(),
+        Some(ModelServerState::Draining),
+        "a draining server is never published as ready again"
+    );
 }
 
-/// Cores that had been killed heard of model servers that drain for the first time, and published each of them
-/// alone to all edges: 36 MB in 1.8 s from one core that nobody listened to, on a link of 26 MB/s that its
-/// votes needed too.
+/// Guards against one message for each draining server. Restarted cores learned of draining model servers for
+/// the first time, and published each separately to all edges: 36 MB in 1.8 s from one core to which no edge
+/// was subscribed, on a link of 26 MB/s that also carried its votes.
 #[test]
 fn many_draining_servers_are_published_in_few_messages() {
     let (system, listener) = connect_edge();
     let unsubscribed = EdgeListener::of(system.local.internal[0]);
     let unsubscribe = Frame::Subscribe(Subscription { wanted: false, known_index: 0 });
-    until("it listens no more", || unsubscribed.say(&unsubscribe));
+    until("the second edge unsubscribes", || unsubscribed.say(&unsubscribe));
     let leaving = |listener: &EdgeListener| -> Vec<BTreeSet<String>> {
         let published = listener.heard().into_iter().filter_map(|frame| match frame {
             Frame::ModelServers(update) if !update.complete => Some(update.servers),
@@ -112,7 +116,9 @@
     assert!(listener.say(&Frame::Heartbeats(servers)));
     for listener in [&listener, &unsubscribed] {
         let published = || leaving(listener);
-        until("all are told", || published().into_iter().flatten().collect::<BTreeSet<_>>().len() == SERVERS);
+        until("all model servers are published", || {
+            published().into_iter().flatten().collect::<BTreeSet<_>>().len() == SERVERS
+        });
         assert!(published().len() <= 5, "{} messages for {SERVERS} model servers", published().len());
     }
 }
