--- a/crates/system/tests/late_generation.rs
+++ b/crates/system/tests/late_generation.rs
@@ -18,7 +18,7 @@
 use test_case::test_case;
 
 const PATIENCE: Duration = Duration::from_secs(20);
-const BEGIN_MS: u64 = 200;
+const START_TIMEOUT_MS: u64 = 200;
 
 /// A link that an edge opened to the leader that this test plays.
 struct Leader {
@@ -82,13 +82,13 @@
         timeout_ms: 2_000,
         event_tokens: 3,
     };
-    DrawGrant { requested_at, start_timeout_ms: BEGIN_MS, tasks: vec![task] }
+    DrawGrant { requested_at, start_timeout_ms: START_TIMEOUT_MS, tasks: vec![task] }
 }
 
-#[test_case(0, 1, true; "that comes in time")]
-#[test_case(BEGIN_MS + 50, 1, false; "that comes late")]
-#[test_case(0, 2, false; "for a version that its worker does not hold")]
-fn a_generation(late_ms: u64, version: u64, is_drawn: bool) {
+#[test_case(0, 1, true; "a grant in time")]
+#[test_case(START_TIMEOUT_MS + 50, 1, false; "a late grant")]
+#[test_case(0, 2, false; "a version that the worker does not hold")]
+fn an_assigned_generation_starts_in_time_or_not_at_all(late_ms: u64, version: u64, starts: bool) {
     // Given an edge that requested an offered generation, when the grant takes this long to arrive,
     let mut system = System::new();
     let (address, state) = server(&system);
@@ -105,12 +105,12 @@
         _ => None,
     });
     // then the edge starts the generation in time or not at all, and reports its end either way.
-    assert_eq!(state.runs().len(), usize::from(is_drawn));
+    assert_eq!(state.runs().len(), usize::from(starts));
     match result.ending {
         DrawEnding::Complete(answer) => {
-            assert!(is_drawn && answer.header_version == Some(1) && answer.text.contains("data: piece 5"));
+            assert!(starts && answer.header_version == Some(1) && answer.text.contains("data: piece 5"));
             assert_eq!(answer.tokens, 15);
         }
-        other => assert!(!is_drawn && other == DrawEnding::Over, "{other:?}"),
+        other => assert!(!starts && other == DrawEnding::Over, "{other:?}"),
     }
 }
