--- a/crates/coordination/src/replica/election.rs
+++ b/crates/coordination/src/replica/election.rs
@@ -13,12 +13,12 @@
     PreVote,
     /// Requests votes in a new term.
     Election,
-    /// The same at the request of the leader, which nobody has to protect from it.
+    /// Requests votes in a new term because the leader asked for it; voters ignore the leader's lease.
     LeadershipTransfer,
 }
 
-/// A candidate's message.
-pub(super) struct VoteQuestion {
+/// The fields of [`Message::VoteRequest`](crate::types::Message::VoteRequest).
+pub(super) struct VoteRequestFields {
     pub(super) term: Term,
     pub(super) pre: bool,
     pub(super) leadership_transfer: bool,
@@ -26,7 +26,7 @@
     pub(super) log: LogPosition,
 }
 
-/// A voter's answer.
+/// The fields of [`Message::VoteReply`](crate::types::Message::VoteReply).
 pub(super) struct VoteReply {
     /// The term that the vote is for; the voter's own where it is refused.
     pub(super) term: Term,
@@ -41,7 +41,7 @@
         self.random >> 33
     }
 
-    /// The next election is due after a random time from the election timeout to twice that.
+    /// Sets the next election to a random time between one and two election timeouts from now.
     pub(super) fn reset_election_timer(&mut self, now: Millis) {
         let spread = self.next_random() % self.timing.election_timeout_ms;
         self.election_deadline = now + self.timing.election_timeout_ms + spread;
@@ -121,10 +121,10 @@
         &mut self,
         now: Millis,
         from: Member,
-        question: VoteQuestion,
+        fields: VoteRequestFields,
         effects: &mut Effects,
     ) {
-        let VoteQuestion { term, pre, leadership_transfer, log } = question;
+        let VoteRequestFields { term, pre, leadership_transfer, log } = fields;
         let request = VoteRequest { candidate: from.id, term, pre, log };
         let protects_leader =
             !leadership_transfer && (self.has_live_leader(now) || now < self.no_votes_before);
@@ -152,13 +152,14 @@
         effects.messages.push(Outgoing { to, message, after_save: true });
     }
 
-    /// It leads, or has heard a leader within the election timeout.
+    /// Whether this replica leads, or has heard a leader within the election timeout.
     fn has_live_leader(&self, now: Millis) -> bool {
         let timeout = self.timing.election_timeout_ms;
         self.role == Role::Leader || self.leader_heard_at.is_some_and(|heard_at| now < heard_at + timeout)
     }
 
-    /// This replica as a voter that may grant a vote: requests against a live leader were refused before.
+    /// This replica's state as a voter. `has_live_leader` is false because [`Replica::on_vote_request`] has
+    /// already refused requests against a live leader.
     fn voter_state(&self) -> VoterState<StoreId> {
         VoterState {
             term: self.durable.term,
@@ -189,7 +190,8 @@
         }
     }
 
-    /// A leader commits by an entry of its own term (section 3.6.2), and so begins with one.
+    /// Becomes leader and appends an entry of its term: entries of earlier terms are committed only with one of
+    /// the leader's own term (section 3.6.2).
     fn become_leader(&mut self, now: Millis, effects: &mut Effects) {
         self.role = Role::Leader;
         self.leader = None;
--- a/crates/coordination/src/replica/follower.rs
+++ b/crates/coordination/src/replica/follower.rs
@@ -10,15 +10,14 @@
     pub(super) previous_index: Index,
     pub(super) previous_term: Term,
     pub(super) entries: Vec<Entry>,
-    /// All up to here is committed.
+    /// The leader's commit index.
     pub(super) commit: Index,
     /// When the leader sent it, by the leader's clock.
     pub(super) sent_at: Millis,
 }
 
 impl Replica {
-    /// Whether the sender is a leader to be followed: its term is not over. If so, it is the leader from now
-    /// on.
+    /// Accepts the sender as leader unless its term is over. Returns whether it was accepted.
     pub(super) fn follow(
         &mut self,
         now: Millis,
--- a/crates/coordination/src/replica/leader.rs
+++ b/crates/coordination/src/replica/leader.rs
@@ -1,5 +1,5 @@
-//! The leader's side of replication (section 3.5): entries to the peers, what they have saved, what is
-//! committed by that.
+//! The leader's side of replication (section 3.5): sends entries to the peers, records which of them each peer
+//! has saved, and advances the commit index.
 
 use super::peer::Peer;
 use super::{Effects, Outgoing, Replica, Role};
@@ -8,7 +8,7 @@
 use crate::record::Record;
 use crate::types::{Entry, Index, Member, Membership, Message, Millis, Payload, StoreId, Term};
 
-/// Bytes of entries in one message, beyond its first entry.
+/// A message gets no further entry once its entries have this many bytes.
 const MAX_APPEND_BYTES: usize = 256 * 1024;
 /// Entries without a reply are sent again after this many heartbeat intervals.
 const RESEND_HEARTBEATS: Millis = 4;
@@ -17,16 +17,17 @@
 pub(super) struct AppendReply {
     /// The peer's term.
     pub(super) term: Term,
-    /// Its log matched, and it has what was sent.
+    /// Whether the peer's log matched and the peer has saved the entries.
     pub(super) accepted: bool,
-    /// Accepted: all up to here is on its disk. Otherwise: where the leader should try next.
+    /// If accepted, every entry up to this index is on the peer's disk; otherwise the index that the leader
+    /// should try next.
     pub(super) index: Index,
     /// When the message that it answers was sent.
     pub(super) sent_at: Millis,
 }
 
 impl Replica {
-    /// Every voter of the membership has an entry among the peers. Former voters are kept while they answer.
+    /// Adds each voter of the membership to the peers. Former voters stay among the peers while they answer.
     pub(super) fn add_voters_to_peers(&mut self, now: Millis) {
         let last = self.durable.last_index();
         for member in self.membership.members().filter(|member| member.id != self.me.id) {
@@ -34,8 +35,8 @@
         }
     }
 
-    /// Sends heartbeats when they are due, or steps down without a quorum of peers that answer (check quorum,
-    /// section 6.2).
+    /// When heartbeats are due, sends them, or steps down if no quorum of peers answers (check quorum, section
+    /// 6.2).
     pub(super) fn tick_leader(&mut self, now: Millis, effects: &mut Effects) {
         if now < self.next_heartbeat_at {
             return;
@@ -57,7 +58,7 @@
         ids.into_iter().for_each(|id| self.send_append(now, id, heartbeat, effects));
     }
 
-    /// Sends the entries that a peer lacks; with `heartbeat` a message without entries where there is nothing
+    /// Sends the entries that a peer lacks. With `heartbeat`, sends a message without entries if there are none
     /// to send.
     pub(super) fn send_append(&mut self, now: Millis, id: StoreId, heartbeat: bool, effects: &mut Effects) {
         let timeout = RESEND_HEARTBEATS * self.timing.heartbeat_interval_ms;
@@ -94,7 +95,7 @@
         effects.messages.push(Outgoing { to: peer.member.clone(), message, after_save: false });
     }
 
-    /// Appends an entry of this term, and sends it.
+    /// Appends an entry of this term to the log and sends it to the peers.
     pub(super) fn append(&mut self, now: Millis, payload: Payload, effects: &mut Effects) -> Index {
         let index = self.durable.last_index() + 1;
         let entry = Entry { index, term: self.durable.term, payload };
@@ -116,7 +117,7 @@
             return;
         }
         let Some(peer) = self.peers.get_mut(&from.id) else {
-            // A new store at a voter's address gets that voter's messages, and so never asks to join.
+            // A new store at a voter's address receives that voter's messages, so it never sends `Join`.
             return self.on_join(now, from, effects);
         };
         peer.record_reply(now, &from, sent_at);
@@ -128,7 +129,7 @@
             self.advance_commit(now, effects);
         } else {
             if index < peer.progress.match_index {
-                // It lacks what it had acknowledged: its disk lost that, and it is sent again.
+                // The peer's disk lost entries that it had acknowledged: they are sent again.
                 peer.progress = ReplicationProgress::after(index);
             } else {
                 peer.progress.on_rejected(index + 1);
@@ -138,7 +139,7 @@
         self.send_append(now, from.id, false, effects);
     }
 
-    /// A store asks to take part: it gets the log as a learner.
+    /// Handles a store's request to join: the store receives the log as a learner.
     pub(super) fn on_join(&mut self, now: Millis, from: Member, effects: &mut Effects) {
         if self.role != Role::Leader {
             return;
@@ -150,7 +151,7 @@
         self.send_append(now, id, true, effects);
     }
 
-    /// Commits what a quorum has saved, and notifies the peers at once.
+    /// Commits the entries that a quorum has saved, and notifies the peers at once.
     pub(super) fn advance_commit(&mut self, now: Millis, effects: &mut Effects) {
         let match_index = |id: StoreId| match id == self.me.id {
             true => self.persisted_index,
@@ -166,8 +167,8 @@
         self.send_to_all(now, true, effects);
     }
 
-    /// A committed joint membership is followed by the new one alone (section 4.3). A leader that is not in
-    /// the new one steps down once that is committed.
+    /// Once a joint membership is committed, proposes the new membership alone (section 4.3). Once that is
+    /// committed, a leader that is not part of it steps down.
     fn finish_membership_change(&mut self, now: Millis, effects: &mut Effects) {
         if self.commit_index < self.membership_index {
             return;
--- a/crates/coordination/src/replica/log.rs
+++ b/crates/coordination/src/replica/log.rs
@@ -1,15 +1,15 @@
-//! The durable log: what is saved, which membership it holds, and what is handed to the state machine.
+//! The durable log: saves records, finds the membership, and hands committed entries to the state machine.
 
 use super::{Effects, Replica};
 use crate::record::Record;
 use crate::types::{Entry, Index, Membership, Payload};
 
-/// Entries that are handed out at once, and their bytes beyond the last one.
+/// One call hands out no further entry once it has handed out this many entries or this many bytes.
 const MAX_COMMITTED_ENTRIES: usize = 32;
 const MAX_COMMITTED_BYTES: usize = 64 * 1024;
 
 impl Replica {
-    /// Applies a record to the durable state, and hands it out to be saved.
+    /// Applies a record to the durable state and adds it to the records to save.
     pub(super) fn save(&mut self, record: Record, effects: &mut Effects) {
         let may_change_membership = match &record {
             Record::Entry(entry) => {
@@ -28,6 +28,7 @@
         }
     }
 
+    /// The newest membership entry up to an index.
     fn membership_entry(&self, up_to: Index) -> Option<(Index, &Membership)> {
         let entries = self.durable.log.entries().iter().rev().filter(|entry| entry.index <= up_to);
         let mut memberships = entries.filter_map(|entry| match &entry.payload {
@@ -44,14 +45,15 @@
         in_log.or(in_snapshot).unwrap_or(&self.durable.initial).clone()
     }
 
-    /// A membership counts as soon as its entry is in the log, committed or not (section 4.1).
+    /// Reads the current membership from the log. A membership applies as soon as its entry is in the log,
+    /// committed or not (section 4.1).
     pub(super) fn read_membership(&mut self) {
         self.membership_index = self.membership_entry(Index::MAX).map_or(0, |(index, _)| index);
         self.membership = self.membership_at(Index::MAX);
     }
 
-    /// Hands out what is committed and was not handed out yet, in portions: a leader that applied all of a
-    /// long log at once would send no heartbeats meanwhile, and be deposed.
+    /// Hands out a limited number of the next committed entries. A leader that applied a long log at once would
+    /// send no heartbeats meanwhile and be deposed.
     pub(super) fn hand_out_committed(&mut self, effects: &mut Effects) {
         let mut bytes = 0;
         while self.has_more_to_apply()
@@ -66,18 +68,19 @@
         self.prepared.retain(|index| *index > self.applied_index);
     }
 
-    /// Whether entries are committed that can be handed out and were not yet.
+    /// Whether there are committed entries that can be handed out now.
     pub fn has_more_to_apply(&self) -> bool {
         self.applied_index < self.commit_index && self.awaits_preparation().is_none()
     }
 
-    /// Hands out commands longer than `bytes` only once [`Replica::set_prepared`] was called for them: a caller whose state
-    /// machine takes long for them prepares them beside its event loop. Without this call there is no such limit.
+    /// Hands out commands longer than `bytes` only once [`Replica::set_prepared`] was called for them: a caller
+    /// whose state machine takes long to apply them prepares them outside its event loop. There is no limit
+    /// until this is called.
     pub fn set_max_unprepared_bytes(&mut self, bytes: usize) {
         self.max_unprepared_bytes = bytes;
     }
 
-    /// The next entry to be handed out, if it is committed and has to be prepared first.
+    /// The next committed entry, if the caller has to prepare it before it is handed out.
     pub fn awaits_preparation(&self) -> Option<&Entry> {
         if self.applied_index >= self.commit_index {
             return None;
@@ -88,13 +91,13 @@
         (is_long && !self.prepared.contains(&next.index)).then_some(next)
     }
 
-    /// The caller has prepared the entry at `index`. [`Replica::apply_more`] hands it out.
+    /// Records that the caller has prepared the entry at `index`. [`Replica::apply_more`] hands the entry out.
     pub fn set_prepared(&mut self, index: Index) {
         self.prepared.insert(index);
     }
 
-    /// Hands out more of what is committed. To be called again, between other events, while
-    /// [`Replica::has_more_to_apply`].
+    /// Hands out more committed entries. The caller repeats the call, between other events, while
+    /// [`Replica::has_more_to_apply`] returns true.
     pub fn apply_more(&mut self) -> Effects {
         let mut effects = Effects::default();
         self.hand_out_committed(&mut effects);
--- a/crates/coordination/src/replica/mod.rs
+++ b/crates/coordination/src/replica/mod.rs
@@ -2,9 +2,9 @@
 //! (section 4.3). Sections are those of Ongaro's thesis, *Consensus: Bridging Theory and Practice* (2014).
 //!
 //! The caller saves [`Effects::records`] in order. A message with `after_save` leaves once they are on disk;
-//! the others may leave at once. [`Replica::on_persisted`] tells the replica how far the disk is.
+//! the others may leave at once. [`Replica::on_persisted`] tells the replica which records are on disk.
 //!
-//! Invariants: `applied_index <= commit_index`; what is committed is never replaced; no vote and no
+//! Invariants: `applied_index <= commit_index`; a committed entry is never replaced; no vote and no
 //! acknowledgement leaves before its record is on disk.
 
 mod election;
@@ -22,7 +22,7 @@
 use crate::consensus::election::{LogPosition, VoteTally};
 use crate::record::{DurableState, Record};
 use crate::types::{Entry, Index, Member, Membership, Message, Millis, Payload, Snapshot, StoreId, Term};
-use election::{Campaign, VoteQuestion, VoteReply};
+use election::{Campaign, VoteReply, VoteRequestFields};
 use follower::AppendEntries;
 use leader::AppendReply;
 use peer::Peer;
@@ -32,12 +32,13 @@
 /// Intervals and timeouts, in milliseconds.
 #[derive(Clone, Copy, Debug)]
 pub struct Timing {
-    /// Between a leader's heartbeats.
+    /// Time between a leader's heartbeats.
     pub heartbeat_interval_ms: Millis,
-    /// A follower that hears no leader for this time, and up to twice that, starts an election; before that
-    /// it grants no vote.
+    /// A follower that hears no leader starts an election after a random time between this timeout and twice
+    /// the timeout. It grants no vote within this time of hearing a leader.
     pub election_timeout_ms: Millis,
-    /// For how long a leader may act after it sent what a quorum answered. Shorter than the election timeout.
+    /// How long the leader's lease lasts after it sent the messages that a quorum has answered. Shorter than
+    /// the election timeout.
     pub lease_ms: Millis,
 }
 
@@ -54,20 +55,20 @@
     pub to: Member,
     /// The message.
     pub message: Message,
-    /// It may leave only after all records handed out so far are on disk.
+    /// Whether the message may leave only after all records handed out so far are on disk.
     pub after_save: bool,
 }
 
-/// What a call asks its caller to do, in this order: save, send, apply.
+/// The actions that the caller has to carry out, in this order: save, send, apply.
 #[derive(Debug, Default)]
 pub struct Effects {
-    /// To be saved, in order.
+    /// Records to save, in order.
     pub records: Vec<Record>,
-    /// To be sent.
+    /// Messages to send.
     pub messages: Vec<Outgoing>,
-    /// A state that replaces the state machine's.
+    /// A snapshot whose state replaces the state machine's.
     pub install: Option<Snapshot>,
-    /// Entries that are committed, for the state machine: the next ones, not necessarily all.
+    /// The next committed entries for the state machine to apply; there may be more.
     pub committed: Vec<Entry>,
 }
 
@@ -87,9 +88,9 @@
 pub struct PeerStatus<'a> {
     /// The replica.
     pub member: &'a Member,
-    /// All up to here is on its disk.
+    /// Every entry up to this index is on the replica's disk.
     pub match_index: Index,
-    /// When it last joined or answered.
+    /// When the replica last asked to join or answered a message.
     pub last_heard_at: Millis,
 }
 
@@ -100,43 +101,45 @@
     timing: Timing,
     durable: DurableState,
     membership: Membership,
-    /// Where the newest membership entry stands; 0: in the snapshot or from the start.
+    /// The index of the newest membership entry; 0 if the membership comes from the snapshot or from the
+    /// first start.
     membership_index: Index,
     role: Role,
     leader: Option<Member>,
     leader_heard_at: Option<Millis>,
-    /// What the leader has committed, whether this replica has it or not.
+    /// The leader's commit index; this replica may lack some of the entries up to it.
     leader_commit_index: Index,
-    /// Before this time no vote is granted: an earlier incarnation of this process may have heard a leader.
+    /// This replica grants no vote before this time: the process may have heard a leader before its restart.
     no_votes_before: Millis,
     election_deadline: Millis,
     next_heartbeat_at: Millis,
     votes: VoteTally<StoreId>,
-    /// What a leader knows of the other replicas.
+    /// What this leader knows of each other replica.
     peers: BTreeMap<StoreId, Peer>,
-    /// Voters that asked this leader to be taken out of the membership, and when.
+    /// The voters that asked this leader to remove them from the membership, and when they asked.
     leave_requests: BTreeMap<StoreId, Millis>,
-    /// What became of this replica's own request to leave.
+    /// The outcome of this replica's own request to leave.
     departure: Departure,
     /// The newest snapshot as this leader sends it.
     encoded_snapshot: Option<EncodedSnapshot>,
-    /// The snapshot that this follower is being sent.
+    /// The part of a snapshot that this follower has received so far.
     partial_snapshot: Option<PartialSnapshot>,
     commit_index: Index,
     applied_index: Index,
-    /// Longer commands are handed out once the caller has prepared them, bytes.
+    /// A longer command, in bytes, is handed out only once the caller has prepared it.
     max_unprepared_bytes: usize,
     /// Entries that the caller has prepared.
     prepared: BTreeSet<Index>,
     persisted_index: Index,
     term_start_index: Index,
-    /// Its disk accepts no writes at the moment: it does not stand for election.
+    /// Whether the disk accepts no writes at the moment; if so, this replica does not stand for election.
     impaired: bool,
     random: u64,
 }
 
 impl Replica {
-    /// Starts on what the disk held. `random`: any number, another one at each start.
+    /// Starts a replica from the durable state read from disk. `random` seeds the election timeouts and has to
+    /// differ at each start.
     pub fn new(me: Member, timing: Timing, durable: DurableState, now: Millis, random: u64) -> Replica {
         let last = durable.last_index();
         let mut replica = Replica {
@@ -193,11 +196,11 @@
             _ => self.leader.as_ref(),
         }
     }
-    /// The membership as its log has it.
+    /// The newest membership in the log, committed or not.
     pub fn membership(&self) -> &Membership {
         &self.membership
     }
-    /// All up to here is committed.
+    /// The commit index: every entry up to it is committed.
     pub fn commit(&self) -> Index {
         self.commit_index
     }
@@ -205,12 +208,12 @@
     pub fn durable(&self) -> &DurableState {
         &self.durable
     }
-    /// Whether it leads, and has applied all that earlier leaders committed.
+    /// Whether this replica leads and has applied every entry that earlier leaders committed.
     pub fn is_established_leader(&self) -> bool {
         self.role == Role::Leader && self.applied_index >= self.term_start_index
     }
-    /// Until when no other replica can lead (section 6.4.1): what this one reads or does before is up to
-    /// date. 0: it has no lease.
+    /// When this leader's lease ends (section 6.4.1). No other replica can lead before that, so the state that
+    /// this replica reads until then is up to date. 0: this replica has no lease.
     pub fn lease_until(&self) -> Millis {
         if !self.is_established_leader() {
             return 0;
@@ -236,8 +239,9 @@
             last_heard_at: peer.last_heard_at,
         })
     }
-    /// Whether this replica has applied all that it could know to be committed: it leads within its lease, or
-    /// has heard a leader within `timeout` milliseconds and lacks nothing of what that leader has committed.
+    /// Whether this replica has applied every entry that it can know to be committed: it leads within its
+    /// lease, or it has heard a leader within `timeout` milliseconds and has applied every entry up to that
+    /// leader's commit index.
     pub fn is_current(&self, now: Millis, timeout: Millis) -> bool {
         if self.role == Role::Leader {
             return self.lease_until() > now;
@@ -248,7 +252,8 @@
         let is_commit_known = self.durable.term_at(self.leader_commit_index) == Some(self.durable.term);
         has_live_leader && is_commit_known && self.applied_index >= self.leader_commit_index
     }
-    /// The leader, if it was heard within `timeout` milliseconds: a silent one may lead no longer.
+    /// The leader, if this replica heard it within `timeout` milliseconds: a silent leader may have been
+    /// replaced.
     pub fn leader_within(&self, now: Millis, timeout: Millis) -> Option<&Member> {
         let is_live = self.role == Role::Leader
             || self.leader_heard_at.is_some_and(|heard_at| now < heard_at + timeout);
@@ -257,7 +262,7 @@
 
     // ---- events ----
 
-    /// Time has passed.
+    /// Starts an election or sends heartbeats if either is due at `now`.
     pub fn tick(&mut self, now: Millis) -> Effects {
         let mut effects = Effects::default();
         match self.role {
@@ -269,14 +274,14 @@
         effects
     }
 
-    /// Whether this replica should ask others to let it take part: no leader was heard within the election
-    /// timeout.
+    /// Whether this replica should send [`Message::Join`] to others: it has heard no leader within the
+    /// election timeout.
     pub fn wants_to_join(&self, now: Millis) -> bool {
         let silent_for = self.leader_heard_at.map_or(Millis::MAX, |heard_at| now.saturating_sub(heard_at));
         self.role != Role::Leader && silent_for > self.timing.election_timeout_ms
     }
 
-    /// All records handed out up to the entry `index` are on disk.
+    /// Reports that all records handed out up to the entry `index` are on disk.
     pub fn on_persisted(&mut self, now: Millis, index: Index) -> Effects {
         let mut effects = Effects::default();
         self.persisted_index = index.min(self.durable.last_index());
@@ -287,7 +292,8 @@
         effects
     }
 
-    /// The disk fails or has not answered for long (`true`), or works again.
+    /// Reports whether the disk is impaired: it fails or has not answered for long. An impaired leader steps
+    /// down.
     pub fn set_impaired(&mut self, now: Millis, impaired: bool) -> Effects {
         let mut effects = Effects::default();
         self.impaired = impaired;
@@ -298,8 +304,8 @@
         effects
     }
 
-    /// Proposes an entry. Returns its index. It may still be lost: another leader's entry may be committed at
-    /// its index.
+    /// Proposes an entry and returns its index. The entry may still be lost: another leader's entry may be
+    /// committed at the same index.
     ///
     /// # Errors
     ///
@@ -314,7 +320,7 @@
         Ok((index, effects))
     }
 
-    /// Begins a joint membership change; the leader completes it by itself (section 4.3).
+    /// Begins a joint membership change, which the leader completes without further calls (section 4.3).
     ///
     /// # Errors
     ///
@@ -334,8 +340,8 @@
         Ok(effects)
     }
 
-    /// Replaces all entries up to `index`, which has to be applied, by a snapshot with the state machine's
-    /// `data`.
+    /// Replaces all entries up to `index` by a snapshot with the state machine's `data`. Does nothing if the
+    /// entry at `index` has not been applied.
     pub fn compact(&mut self, index: Index, leaders: Vec<String>, data: Vec<u8>) -> Effects {
         let mut effects = Effects::default();
         let Some(term) = self.durable.term_at(index).filter(|_| index <= self.applied_index) else {
@@ -347,8 +353,8 @@
         effects
     }
 
-    /// The leader asks the voter with the most up-to-date log to start an election, and steps down (section
-    /// 3.10).
+    /// Asks the voter with the most up-to-date log to start an election, and steps down (section 3.10). Does
+    /// nothing if this replica does not lead.
     pub fn transfer_leadership(&mut self, now: Millis) -> Effects {
         let mut effects = Effects::default();
         if self.role == Role::Leader {
@@ -357,7 +363,7 @@
         effects
     }
 
-    /// Takes a message from another replica.
+    /// Handles a message from another replica.
     pub fn step(&mut self, now: Millis, from: Member, message: Message) -> Effects {
         let mut effects = Effects::default();
         if from.id == self.me.id {
@@ -369,7 +375,7 @@
                 self.on_vote_request(
                     now,
                     from,
-                    VoteQuestion { term, pre, leadership_transfer, log },
+                    VoteRequestFields { term, pre, leadership_transfer, log },
                     &mut effects,
                 );
             }
--- a/crates/coordination/src/replica/peer.rs
+++ b/crates/coordination/src/replica/peer.rs
@@ -8,18 +8,19 @@
 pub(super) struct Peer {
     pub(super) member: Member,
     pub(super) progress: ReplicationProgress,
-    /// When the newest message that it answered was sent, by this leader's clock. The lease rests on it.
+    /// When the leader sent the newest message that the peer has answered, by the leader's clock. The lease is
+    /// computed from it.
     pub(super) last_answered_sent_at: Millis,
-    /// When it last joined or answered.
+    /// When the peer last asked to join or answered a message.
     pub(super) last_heard_at: Millis,
-    /// When entries that it has not answered were sent.
+    /// When the leader sent entries that the peer has not answered yet.
     pub(super) in_flight_since: Option<Millis>,
-    /// A snapshot that is on its way to it.
+    /// The snapshot transfer to the peer, if one is in progress.
     pub(super) transfer: Option<Transfer>,
 }
 
 impl Peer {
-    /// A replica of whose log nothing is known yet.
+    /// A peer of whose log nothing is known yet; `last` is the leader's last index.
     pub(super) fn new(member: Member, last: Index, now: Millis) -> Peer {
         Peer {
             member,
@@ -31,7 +32,7 @@
         }
     }
 
-    /// It answered a message that was sent at `sent_at`.
+    /// Records the peer's reply to a message that the leader sent at `sent_at`.
     pub(super) fn record_reply(&mut self, now: Millis, member: &Member, sent_at: Millis) {
         self.last_heard_at = now;
         self.last_answered_sent_at = self.last_answered_sent_at.max(sent_at);
--- a/crates/coordination/src/replica/snapshot_transfer.rs
+++ b/crates/coordination/src/replica/snapshot_transfer.rs
@@ -1,13 +1,13 @@
-//! Snapshots on their way to a follower (section 5.3): encoded once, sent in chunks one after another,
-//! resumed where they broke off.
+//! Transfer of snapshots to followers (section 5.3): a snapshot is encoded once and sent chunk by chunk; an
+//! interrupted transfer resumes after the last acknowledged chunk.
 
 use super::{Effects, Outgoing, Replica, Role};
 use crate::record::Record;
 use crate::types::{Member, Message, Millis, Snapshot, SnapshotChunk, SnapshotId, StoreId, Term};
 use std::sync::Arc;
 
-/// Bytes of one chunk: on a link of 10 Mbit/s a heartbeat behind it waits for 0.1 s, well within the election
-/// timeout.
+/// The bytes of one chunk. On a link of 10 Mbit/s a heartbeat behind a chunk waits for 0.1 s, well within the
+/// election timeout.
 pub const SNAPSHOT_CHUNK_BYTES: usize = 128 * 1024;
 
 /// An encoded snapshot that a leader sends.
@@ -39,17 +39,17 @@
     }
 }
 
-/// How far a follower has a snapshot, as its leader knows.
+/// The leader's record of a transfer: how much of the snapshot the follower has.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct Transfer {
     id: SnapshotId,
-    /// Bytes that the follower has acknowledged.
+    /// How many bytes the follower has acknowledged, from the start without gaps.
     received: u64,
-    /// When the chunk after them was sent.
+    /// When the chunk after those bytes was sent; `None` if it has not been sent yet.
     chunk_sent_at: Option<Millis>,
 }
 
-/// The first bytes of a snapshot, on a follower.
+/// The bytes of a snapshot that a follower has received so far, from the start without gaps.
 #[derive(Debug)]
 pub(super) struct PartialSnapshot {
     id: SnapshotId,
@@ -57,7 +57,7 @@
 }
 
 impl PartialSnapshot {
-    /// Appends the chunk that comes next; others are ignored.
+    /// Appends the chunk if it is the next one; ignores it otherwise.
     fn add(&mut self, chunk: &SnapshotChunk) {
         let fits = self.bytes.len() + chunk.bytes.len() <= self.id.length as usize;
         if chunk.offset == self.bytes.len() as u64 && fits {
@@ -81,17 +81,17 @@
     pub(super) term: Term,
     /// The last entry that the snapshot covers.
     pub(super) index: u64,
-    /// Bytes that have come, from the start without gaps.
+    /// How many bytes the follower has, from the start without gaps.
     pub(super) received: u64,
-    /// When the chunk was sent.
+    /// When the leader sent the chunk, by the leader's clock.
     pub(super) sent_at: Millis,
 }
 
 // ---- the leader's side ----
 
 impl Replica {
-    /// Whether a store that still answers is being sent a snapshot. A newer snapshot would make it begin
-    /// again.
+    /// Whether this leader is sending a snapshot to a store that still answers. A newer snapshot would restart
+    /// that transfer.
     pub fn is_sending_snapshot(&self, now: Millis) -> bool {
         let timeout = 2 * self.timing.election_timeout_ms;
         self.peers.values().any(|peer| peer.transfer.is_some() && now < peer.last_heard_at + timeout)
@@ -110,7 +110,7 @@
         }
     }
 
-    /// Sends the next chunk of the snapshot; while one is on its way, a heartbeat without bytes.
+    /// Sends the next chunk of the snapshot, or a heartbeat without bytes while a chunk is in flight.
     pub(super) fn send_snapshot_chunk(&mut self, now: Millis, to: StoreId, effects: &mut Effects) {
         let encoded = self.encoded_snapshot();
         let term = self.durable.term;
@@ -158,7 +158,7 @@
         }
     }
 
-    /// Whether a reply belongs to this replica's leadership. One of a later term ends that.
+    /// Whether this replica still leads in the term of a reply. A reply of a later term makes it step down.
     pub(super) fn is_reply_to_this_leader(&mut self, now: Millis, term: Term, effects: &mut Effects) -> bool {
         if term > self.durable.term {
             self.enter_term(now, term, None, effects);
@@ -203,8 +203,8 @@
         effects.messages.push(Outgoing { to: from, message, after_save: true });
     }
 
-    /// Puts a snapshot in the place of the entries that it covers. Entries after it that follow on it stay:
-    /// this replica may have acknowledged them.
+    /// Replaces the entries that a snapshot covers by the snapshot. Keeps the entries after it if the log agrees
+    /// with the snapshot: this replica may have acknowledged them.
     fn install(&mut self, from: Member, snapshot: Snapshot, sent_at: Millis, effects: &mut Effects) {
         let index = snapshot.index;
         let keep_tail = self.durable.term_at(index) == Some(snapshot.term);
--- a/crates/coordination/src/replica/withdrawal.rs
+++ b/crates/coordination/src/replica/withdrawal.rs
@@ -1,28 +1,28 @@
-//! Voters that end in order: they leave the membership first, where another store can take their place.
+//! Orderly shutdown of a voter: it leaves the membership first, if another store can take its place.
 
 use super::{Effects, Outgoing, Replica, Role};
 use crate::types::{Member, Message, Millis, StoreId, Term};
 
-/// How long a voter's request to leave counts, unless it is repeated.
+/// How long a voter's request to leave stays valid unless the voter repeats it.
 const LEAVE_REQUEST_TTL_MS: Millis = 1_000;
-/// A learner that was not heard for so long is not counted on to take a voter's place.
+/// A learner that was not heard for this long is not considered as a voter's replacement.
 const LEARNER_TIMEOUT_MS: Millis = 600;
 
-/// What became of this replica's request to leave.
+/// The outcome of this replica's request to leave.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum Departure {
-    /// There is no answer yet.
+    /// The leader has not answered yet.
     #[default]
     AwaitingReply,
-    /// Another store is about to take its place.
+    /// The membership is about to go on without the replica.
     AwaitingReplacement,
-    /// It is out of the membership, or no store could take its place: the process may end.
+    /// The replica is out of the membership, or no store can take its place: the process may end.
     Permitted,
 }
 
 impl Replica {
-    /// This replica's process is about to end. Called repeatedly, until [`Replica::departure`] permits the
-    /// end.
+    /// Requests that this replica be removed from the membership before its process ends. The caller repeats the
+    /// call until [`Replica::departure`] returns [`Departure::Permitted`].
     pub fn leave(&mut self, now: Millis) -> Effects {
         let mut effects = Effects::default();
         if !self.membership.contains(self.me.id) {
@@ -38,23 +38,23 @@
         effects
     }
 
-    /// What became of this replica's request to leave.
+    /// The outcome of this replica's request to leave.
     pub fn departure(&self) -> Departure {
         self.departure
     }
 
-    /// Whether a voter has asked this leader lately to be taken out of the membership.
+    /// Whether a voter has a valid request to leave with this leader.
     pub fn is_leaving(&self, now: Millis, id: StoreId) -> bool {
         self.leave_requests.get(&id).is_some_and(|requested_at| now < requested_at + LEAVE_REQUEST_TTL_MS)
     }
 
-    /// Stores without a vote that this leader has heard lately.
+    /// The stores without a vote that this leader has heard within the learner timeout.
     pub fn learners(&self, now: Millis) -> impl Iterator<Item = StoreId> {
         let learners = self.peers.values().filter(|peer| !self.membership.contains(peer.member.id));
         learners.filter(move |peer| now < peer.last_heard_at + LEARNER_TIMEOUT_MS).map(|peer| peer.member.id)
     }
 
-    /// Whether the membership will go on without that voter as soon as it can.
+    /// Whether the leader will remove the voter from the membership as soon as it can.
     fn will_replace(&self, now: Millis, id: StoreId) -> bool {
         let is_even = self.membership.voters.len().is_multiple_of(2) && self.membership.voters.len() > 2;
         let can_change = self.membership.is_joint() || is_even || self.learners(now).next().is_some();
--- a/crates/coordination/src/types.rs
+++ b/crates/coordination/src/types.rs
@@ -9,16 +9,16 @@
 pub use crate::consensus::{Index, Term};
 
 /// The identity of a store, which is the data directory of one replica. A directory that was lost and created
-/// again is another store.
+/// again is a different store.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct StoreId(pub u64);
 
-/// A store and where its replica is reached.
+/// A store and the addresses of its replica.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 pub struct Member {
     /// The store.
     pub id: StoreId,
-    /// The machine's name, for people and for the platform.
+    /// The machine's name, for operators and for the platform.
     pub name: String,
     /// `ip:port` for messages between replicas.
     pub address: String,
@@ -26,8 +26,8 @@
     pub control_address: String,
 }
 
-/// The voters. During a change both the new and the old ones have to agree (joint consensus, section 4.3 of
-/// Ongaro's thesis).
+/// The voters of a group. During a change a majority of the new voters and a majority of the old ones both have
+/// to agree (joint consensus, section 4.3 of Ongaro's thesis).
 ///
 /// ```
 /// use pathbank_coordination::types::{Member, Membership, StoreId};
@@ -79,7 +79,8 @@
         self.groups().all(|group| quorum::has_majority(group, |member| agrees(member.id)))
     }
 
-    /// The highest index that a majority of every group has. `match_index`: each store's.
+    /// The highest index up to which a majority of every group has the log. `match_index` returns the match
+    /// index of a store.
     pub fn quorum_match_index(&self, match_index: impl Fn(StoreId) -> Index) -> Index {
         let of_group = |group: &[Member]| {
             quorum::majority_match_index(group.iter().map(|member| match_index(member.id)))
@@ -99,7 +100,7 @@
 pub enum Payload {
     /// A leader's first entry of its term, with the name of its machine.
     LeaderStart(String),
-    /// Another membership; it counts as soon as it is in a replica's log, committed or not.
+    /// A new membership; a replica uses it as soon as the entry is in its log, committed or not.
     Membership(Membership),
     /// A command of the replicated state machine.
     Command(Vec<u8>),
@@ -133,7 +134,7 @@
     }
 }
 
-/// The state that the log up to an entry leads to.
+/// The state that results from applying the log up to an entry.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Snapshot {
     /// The last entry covered.
@@ -142,7 +143,7 @@
     pub term: Term,
     /// The voters at that point.
     pub membership: Membership,
-    /// The machines that led up to that point, in order.
+    /// The names of the machines that led up to that point, in order.
     pub leaders: Vec<String>,
     /// The state machine's own encoding.
     pub data: Vec<u8>,
@@ -153,11 +154,11 @@
 pub enum Message {
     /// Requests a vote, or a pre-vote.
     VoteRequest {
-        /// The candidate's term; of a pre-vote the one that it would begin.
+        /// The candidate's term; in a pre-vote the term that it would begin.
         term: Term,
         /// A pre-vote: asks whether the vote would be granted, and changes nothing.
         pre: bool,
-        /// The leader asked the candidate to campaign: voters need not protect its lease.
+        /// The leader asked the candidate to campaign, so voters need not wait for the leader's lease to end.
         leadership_transfer: bool,
         /// The candidate's last entry.
         last_index: Index,
@@ -166,9 +167,9 @@
     },
     /// The answer to a [`Message::VoteRequest`].
     VoteReply {
-        /// The voter's term; of a granted pre-vote the one requested.
+        /// The voter's term; in a granted pre-vote the requested term.
         term: Term,
-        /// Answers a pre-vote.
+        /// Whether this answers a pre-vote.
         pre: bool,
         /// Whether the vote was granted.
         granted: bool,
@@ -183,7 +184,7 @@
         previous_term: Term,
         /// The entries, in order.
         entries: Vec<Entry>,
-        /// All up to here is committed.
+        /// The leader's commit index.
         commit: Index,
         /// When the leader sent it, by the leader's clock.
         sent_at: Millis,
@@ -194,13 +195,14 @@
         term: Term,
         /// Whether the log matched at `previous_index`.
         accepted: bool,
-        /// Accepted: all up to here is on this follower's disk. Otherwise: where the leader should try next.
+        /// If accepted, every entry up to this index is on the follower's disk; otherwise the index that the
+        /// leader should try next.
         index: Index,
         /// `sent_at` of the message that this answers.
         sent_at: Millis,
     },
-    /// A chunk of a snapshot, in place of entries that the leader no longer has. Without bytes it is a
-    /// heartbeat that asks how much has been received.
+    /// A chunk of a snapshot, sent in place of entries that the leader no longer has. A chunk without bytes is a
+    /// heartbeat that asks how many bytes the follower has received.
     SnapshotChunk(SnapshotChunk),
     /// The answer to [`Message::SnapshotChunk`].
     SnapshotReply {
@@ -208,7 +210,7 @@
         term: Term,
         /// The last entry that the snapshot covers.
         index: Index,
-        /// Bytes of the encoded snapshot that were received, from its start without gaps.
+        /// How many bytes of the encoded snapshot the follower has, from the start without gaps.
         received: u64,
         /// `sent_at` of the chunk that this answers.
         sent_at: Millis,
@@ -218,15 +220,15 @@
         /// The leader's term.
         term: Term,
     },
-    /// A store that hears no leader asks to take part.
+    /// A store that hears no leader asks to join the group.
     Join,
-    /// A voter whose process is about to end asks the leader to be taken out of the membership first.
+    /// A voter whose process is about to end asks the leader to remove it from the membership first.
     Leave,
     /// The leader's answer to [`Message::Leave`].
     LeaveReply {
         /// The leader's term.
         term: Term,
-        /// Another store is about to take the voter's place: it should run until it is out of the membership.
+        /// Whether the membership is about to go on without the voter, which should keep running until then.
         replacing: bool,
     },
 }
@@ -246,7 +248,7 @@
     pub sent_at: Millis,
 }
 
-/// The identity of an encoded snapshot, whichever leader sends it.
+/// The identity of an encoded snapshot; the same for every leader that sends it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct SnapshotId {
     /// The last entry covered.
