--- a/crates/coordination/src/batch.rs
+++ b/crates/coordination/src/batch.rs
@@ -1,9 +1,10 @@
-//! Batches of records on disk. One sync covers one batch: the next one is written only after it is saved.
+//! Batches of records on disk. Each batch is synced before the next one is written.
 //!
 //! A batch has a header with a checksum of its own (magic bytes, the format, the batch's number, the body's
-//! length and checksum) and a body. That tells two kinds of corruption apart. The last batch may be torn by a
-//! loss of power: it was never reported as saved, and is cut off. A broken batch with a later one after it
-//! had been saved: the file is damaged, and what it held was acknowledged to others.
+//! length and checksum) and a body. The header's checksum distinguishes two kinds of corruption. A loss of
+//! power may tear the last batch, which was never reported as saved and is cut off. A broken batch that is
+//! followed by another one had been saved: the file is damaged, and the broken batch may hold records that
+//! were acknowledged to others.
 
 use crate::record::Record;
 
@@ -14,15 +15,15 @@
 const HEADER_BYTES: usize = 4 + 4 + 8 + 4 + 4 + 4;
 /// Length and checksum before each record of the legacy format.
 const LEGACY_HEADER_BYTES: usize = 8;
-/// A longer body is damage.
+/// A record of the legacy format with a longer body is treated as damage.
 const MAX_LEGACY_BODY_BYTES: usize = 256 * 1024 * 1024;
 
 /// How a file ends.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum TailState {
-    /// With a complete batch.
+    /// The file ends with a complete batch.
     Complete,
-    /// With a batch that was being written.
+    /// The file ends with a batch whose write was interrupted.
     Torn,
     /// A batch that had been saved cannot be read.
     Damaged,
@@ -37,19 +38,19 @@
     pub intact_bytes: usize,
     /// The number of the next batch.
     pub next_number: u64,
-    /// How it ends.
+    /// How the file ends.
     pub tail: TailState,
-    /// It has the legacy format, and should be rewritten.
+    /// Whether the file has the legacy format and should be rewritten.
     pub is_legacy_format: bool,
 }
 
-/// An intact file that this version cannot read. It is left as it is.
+/// Why this version cannot read an intact file. The file is left unchanged.
 #[derive(Debug, PartialEq, Eq, thiserror::Error)]
 pub enum UnreadableLog {
-    /// Its format is a newer one.
+    /// The file has a newer format.
     #[error("the log has format {0}, and this program knows formats up to {FORMAT}; start the newer program")]
     UnknownFormat(u32),
-    /// A record is of no kind that this version knows.
+    /// A batch holds a record of an unknown kind.
     #[error("batch {0} of the log is intact and holds a record that this program does not know")]
     UnknownRecord(u64),
 }
@@ -74,7 +75,7 @@
         bytes
     }
 
-    /// The header at the start of `bytes`, if an intact one stands there.
+    /// The header at the start of `bytes`; `None` if there is no intact header.
     fn decode(bytes: &[u8]) -> Option<Header> {
         let bytes = bytes.get(..HEADER_BYTES)?;
         let u32_at = |at: usize| u32::from_le_bytes([bytes[at], bytes[at + 1], bytes[at + 2], bytes[at + 3]]);
@@ -86,7 +87,7 @@
     }
 }
 
-/// The bytes of a batch.
+/// Encodes a batch.
 #[expect(
     clippy::expect_used,
     reason = "a record has no sequence of unknown length, postcard's only error here"
@@ -101,7 +102,7 @@
     bytes
 }
 
-/// Reads the bytes of a file. Damage is not an error but a [`TailState`].
+/// Decodes the bytes of a file. Damage is reported as a [`TailState`], not as an error.
 ///
 /// ```
 /// use pathbank_coordination::batch::{TailState, decode, encode};
@@ -145,13 +146,13 @@
     Ok(contents)
 }
 
-/// A batch that was read.
+/// A decoded batch and its length in bytes.
 struct DecodedBatch {
     records: Vec<Record>,
     length: usize,
 }
 
-/// The batch of that number at the start of `bytes`; `None`: there is no intact one.
+/// Decodes the batch `number` at the start of `bytes`; `None` if there is no intact one.
 fn decode_batch(bytes: &[u8], number: u64) -> Result<Option<DecodedBatch>, UnreadableLog> {
     let Some(header) = Header::decode(bytes) else { return Ok(None) };
     if header.format > FORMAT {
@@ -166,8 +167,8 @@
     Ok(Some(DecodedBatch { records, length }))
 }
 
-/// The tail that begins with a broken batch `number` at the start of `bytes`. The first batch of a file is
-/// always saved before the file gets its name.
+/// Classifies the tail of a file that begins with a broken batch `number` at the start of `bytes`. A broken
+/// first batch is always damage: a file gets its name only after its first batch is saved.
 fn classify_tail(bytes: &[u8], number: u64) -> TailState {
     let magic_positions =
         bytes.windows(MAGIC.len()).enumerate().skip(1).filter(|(_, window)| *window == MAGIC);
@@ -176,8 +177,8 @@
     if was_saved { TailState::Damaged } else { TailState::Torn }
 }
 
-/// Reads a file of the legacy format: a length, a checksum and a body for each record. It cannot tell a torn
-/// tail from damage.
+/// Decodes a file of the legacy format: a length, a checksum and a body for each record. This format does not
+/// distinguish a torn tail from damage.
 fn decode_legacy_format(bytes: &[u8]) -> DecodedLog {
     let mut records = Vec::new();
     let mut intact_bytes = 0;
--- a/crates/coordination/src/compaction.rs
+++ b/crates/coordination/src/compaction.rs
@@ -1,25 +1,26 @@
-//! When a log is replaced by a snapshot (chapter 5 of Ongaro's thesis).
+//! Decides when a snapshot replaces a log (chapter 5 of Ongaro's thesis).
 
-/// A log below this many bytes is kept, whatever its snapshot takes.
+/// A log shorter than this, in bytes, is kept even if its snapshot is small.
 const MIN_LOG_BYTES: usize = 1024 * 1024;
 /// A log is kept up to this many times the size of its snapshot.
 const MAX_LOG_PER_SNAPSHOT: usize = 4;
-/// All entries are applied again after a start, which must not hold up a recovery.
+/// A log reaching this many applied entries is compacted: a restart applies them all again, which delays
+/// recovery.
 const MAX_LOG_ENTRIES: u64 = 1_000;
-/// While a snapshot is in transfer, the log may grow to this many times its limits: the receiver needs the
-/// entries after that snapshot, or it has to begin again.
+/// While a snapshot is in transfer, the log may grow to this many times its limits: without the entries after
+/// that snapshot the receiver would have to start over with a newer one.
 const TRANSFER_ALLOWANCE: usize = 4;
 
 /// The size of a log after its snapshot.
 #[derive(Clone, Copy, Debug)]
 pub struct LogSize {
-    /// Applied entries.
+    /// The number of applied entries.
     pub entries: u64,
-    /// Their bytes.
+    /// The bytes of these entries.
     pub bytes: usize,
-    /// Bytes of the snapshot.
+    /// The bytes of the snapshot.
     pub snapshot_bytes: usize,
-    /// A store is being sent that snapshot.
+    /// Whether that snapshot is being sent to a store.
     pub snapshot_in_transfer: bool,
 }
 
--- a/crates/coordination/src/consensus/election.rs
+++ b/crates/coordination/src/consensus/election.rs
@@ -16,8 +16,8 @@
     Leader,
 }
 
-/// The last entry of a log. Of two logs the one whose last entry has the later term is more up to date, then
-/// the longer one (section 3.6.1); the order of the fields gives that order.
+/// The last entry of a log. The log whose last entry has the later term is more up to date; with equal terms,
+/// the longer log is (section 3.6.1). The derived order relies on the order of the fields.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord)]
 pub struct LogPosition {
     /// The last entry's term.
@@ -26,7 +26,7 @@
     pub index: Index,
 }
 
-/// A candidate requests a vote.
+/// A candidate's request for a vote.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct VoteRequest<Id> {
     /// The candidate.
@@ -48,7 +48,7 @@
     pub voted_for: Option<Id>,
     /// Its role.
     pub role: Role,
-    /// It leads, or has heard a leader within the election timeout.
+    /// Whether the voter leads, or has heard a leader within the election timeout.
     pub has_live_leader: bool,
     /// Its last entry.
     pub log: LogPosition,
@@ -91,13 +91,13 @@
 }
 
 impl<Id: Ord> VoteTally<Id> {
-    /// A candidate votes for itself first.
+    /// A tally that starts with the candidate's vote for itself.
     pub fn with_own_vote(candidate: Id) -> VoteTally<Id> {
         VoteTally { granted: BTreeSet::from([candidate]) }
     }
 
-    /// Records a granted vote. Returns whether it counts: it is the voter's first, and the replica still has
-    /// the role that requested it, which `pre` tells.
+    /// Records a granted vote, or pre-vote if `pre` is set. Returns whether it counts: it is the voter's
+    /// first in this election, and the replica still has the role that requested it.
     pub fn record(&mut self, voter: Id, pre: bool, role: Role) -> bool {
         let requested_by = if pre { Role::PreCandidate } else { Role::Candidate };
         role == requested_by && self.granted.insert(voter)
--- a/crates/coordination/src/consensus/lease.rs
+++ b/crates/coordination/src/consensus/lease.rs
@@ -1,9 +1,10 @@
 //! Leases between clocks that drift (section 6.4.1).
 
-/// How long the grantor of a lease has to wait by its own clock until the lease has expired by its holder's
-/// clock too: the grantor's may be fast while the holder's is slow. In the unit of `lease`.
+/// How long the grantor of a lease has to wait, by its own clock, until the lease has also expired by the
+/// lease holder's clock. The grantor's clock may be fast while the holder's is slow. The result has the unit
+/// of `lease`.
 ///
-/// `drift_ppm`: by how much a clock may be fast or slow, in parts per million.
+/// `drift_ppm`: how fast or slow a clock may be, in parts per million.
 ///
 /// ```
 /// use pathbank_coordination::consensus::lease::grantor_wait;
--- a/crates/coordination/src/consensus/log_tail.rs
+++ b/crates/coordination/src/consensus/log_tail.rs
@@ -1,4 +1,4 @@
-//! The entries of a log after its base, the last entry that a snapshot covers (section 5.1).
+//! The entries of a log after its base. The base is the last entry that the snapshot covers (section 5.1).
 
 use super::election::LogPosition;
 use super::{Index, Term};
@@ -43,7 +43,7 @@
 }
 
 impl<Entry> LogTail<Entry> {
-    /// A log without entries after that one.
+    /// A log whose base is the given entry, with no entries after it.
     pub fn after(index: Index, term: Term) -> LogTail<Entry> {
         LogTail { base: LogPosition { term, index }, entries: Vec::new() }
     }
@@ -53,7 +53,7 @@
         self.base
     }
 
-    /// Entries after the base.
+    /// The number of entries after the base.
     pub fn len(&self) -> usize {
         self.entries.len()
     }
@@ -68,7 +68,7 @@
         &self.entries
     }
 
-    /// The entries after an index; all of them where that is at or before the base.
+    /// The entries after an index; all entries if the index is at or before the base.
     pub fn entries_after(&self, index: Index) -> &[Entry] {
         let skipped = index.saturating_sub(self.base.index) as usize;
         self.entries.get(skipped..).unwrap_or_default()
@@ -90,8 +90,8 @@
         self.entries.truncate(last.saturating_sub(self.base.index) as usize);
     }
 
-    /// Puts an entry at its index, in place of that one and all after it (section 3.5). One that would leave
-    /// a gap is ignored.
+    /// Inserts an entry at its index and removes the entries from that index on (section 3.5). Ignores an
+    /// entry that would leave a gap.
     pub fn insert(&mut self, index: Index, entry: Entry) {
         self.truncate(index.saturating_sub(1));
         if index == self.last_index() + 1 {
@@ -129,8 +129,9 @@
         self.base = LogPosition { term, index };
     }
 
-    /// How many of a leader's entries, which follow `previous`, this log has already. Committed entries are
-    /// never replaced, so they count as present; a late message thus removes nothing (section 3.5).
+    /// How many of a leader's entries, which start after the index `previous`, this log already has.
+    /// Committed entries count as present because they are never replaced, so a late message removes nothing
+    /// (section 3.5).
     pub fn matching_prefix(&self, committed: Index, previous: Index, entries: &[Entry]) -> usize {
         let is_present = |(entry, index): &(&Entry, Index)| {
             *index <= committed || self.term_at(*index) == Some(entry.term())
--- a/crates/coordination/src/consensus/quorum.rs
+++ b/crates/coordination/src/consensus/quorum.rs
@@ -2,7 +2,7 @@
 
 use super::{Index, Term};
 
-/// Voters that are a majority of a group of so many.
+/// How many voters are a majority of a group of `voters`.
 pub fn majority(voters: usize) -> usize {
     voters / 2 + 1
 }
@@ -17,7 +17,7 @@
     agreeing >= majority(voters)
 }
 
-/// The highest index that a majority of a group has. `match_indexes`: each voter's.
+/// The highest index up to which a majority of a group has the log, given each voter's match index.
 ///
 /// ```
 /// use pathbank_coordination::consensus::quorum::majority_match_index;
@@ -31,9 +31,9 @@
     descending.get(majority(descending.len()) - 1).copied().unwrap_or(0)
 }
 
-/// Whether a leader of `term` may commit all up to `candidate`, which a majority has. Entries of earlier
-/// terms are committed only by one of its own after them (section 3.6.2): a majority that has them may still
-/// be overridden by a log with a later term.
+/// Whether a leader of `term` may commit every entry up to `candidate`, which a majority has. Entries of
+/// earlier terms are committed only together with a later entry of the leader's own term (section 3.6.2):
+/// even if a majority has them, a leader whose log ends with a later term may still overwrite them.
 pub fn may_commit(candidate: Index, committed: Index, term_of_candidate: Option<Term>, term: Term) -> bool {
     candidate > committed && term_of_candidate == Some(term)
 }
--- a/crates/coordination/src/consensus/replication_progress.rs
+++ b/crates/coordination/src/consensus/replication_progress.rs
@@ -2,36 +2,38 @@
 
 use super::Index;
 
-/// Where another replica's log is known to match the leader's, and where to go on.
+/// How far another replica's log is known to match the leader's, and which entry to send next.
 ///
 /// Invariant: `match_index < next_index`.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct ReplicationProgress {
     /// The next entry to send.
     pub next_index: Index,
-    /// All up to here is known to be on the other replica's disk.
+    /// Every entry up to this index is known to be on the other replica's disk.
     pub match_index: Index,
 }
 
 impl ReplicationProgress {
-    /// Nothing is known; the first attempt is the entry after `last`.
+    /// The progress of a replica of whose log nothing is known. The first entry to send is the one after
+    /// `last`.
     pub fn after(last: Index) -> ReplicationProgress {
         ReplicationProgress { next_index: last + 1, match_index: 0 }
     }
 
-    /// The replica has all up to `index`. Entries that were sent meanwhile are not sent again.
+    /// Records that the replica has every entry up to `index`. Entries sent in the meantime are not sent
+    /// again.
     pub fn on_accepted(&mut self, index: Index) {
         self.match_index = self.match_index.max(index);
         self.next_index = self.next_index.max(self.match_index + 1);
     }
 
-    /// What was sent counts as lost: goes on after what matched.
+    /// Treats the entries in flight as lost: sending resumes after `match_index`.
     pub fn resend_after_match(&mut self) {
         self.next_index = self.match_index + 1;
     }
 
-    /// The logs do not match before `next_index`. `next_attempt`: where the replica proposes to go on; never
-    /// at or before what matched, which a late rejection does not undo.
+    /// Records that the logs do not match before `next_index`. The replica proposes to continue at
+    /// `next_attempt`. A late rejection never moves `next_index` to `match_index` or before.
     pub fn on_rejected(&mut self, next_attempt: Index) {
         self.next_index = next_attempt.min(self.next_index).max(self.match_index + 1);
     }
--- a/crates/coordination/src/fencing.rs
+++ b/crates/coordination/src/fencing.rs
@@ -1,24 +1,24 @@
-//! When a leader may act outside the group, and with which fencing token.
+//! Decides when a leader may act outside the group, and with which fencing token.
 //!
 //! The token is the leader's term: each term has at most one leader, and a later leader has a later term. A
 //! leader acts only within its lease. A leader that led before and lost the leadership to another one waits
-//! first, so that two leaders do not act by turns.
+//! first, so that two leaders do not take turns acting.
 
 use crate::types::{Millis, Term};
 
-/// How many past leaders are kept; changes further back are older than any lease.
+/// How many past leaders are kept; earlier changes of leader are older than any lease.
 const MAX_PAST_LEADERS: usize = 64;
 
-/// The right to act until a time.
+/// The right of a leader to act until a given time.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Permit {
-    /// Goes with every act; receivers reject older ones.
+    /// The token that the leader sends with every action; receivers reject older tokens.
     pub fencing_token: Term,
-    /// No act at or after this time.
+    /// The leader must not act at or after this time.
     pub valid_until: Millis,
 }
 
-/// Follows who led, and decides whether this leader may act.
+/// Tracks the machines that have led, and decides whether the present leader may act.
 ///
 /// ```
 /// use pathbank_coordination::fencing::FencingGuard;
@@ -31,9 +31,9 @@
 /// ```
 #[derive(Clone, Debug, Default)]
 pub struct FencingGuard {
-    /// The machines that led, in order; terms of one machine in a row count once.
+    /// The names of the machines that led, in order. Consecutive terms of one machine count once.
     leaders: Vec<String>,
-    /// When this machine was first seen to lead, in which term.
+    /// The last term in which this machine led, and when it was first seen to lead in that term.
     leading_since: Option<(Term, Millis)>,
 }
 
@@ -43,7 +43,7 @@
         self.leaders = leaders;
     }
 
-    /// The machines that led, for a snapshot.
+    /// The names of the machines that led, to be stored in a snapshot.
     pub fn leaders(&self) -> Vec<String> {
         self.leaders.clone()
     }
@@ -57,16 +57,16 @@
         self.leaders.drain(..surplus);
     }
 
-    /// Whether `name` led, and another machine after it, before it leads now.
+    /// Whether `name` led earlier and lost the leadership to another machine in between.
     fn has_led_before(&self, name: &str) -> bool {
         let earlier = self.leaders.split_last().map_or(&[][..], |(_, earlier)| earlier);
         earlier.iter().any(|leader| leader == name)
     }
 
-    /// The permit of the leader `name` of `term`, whose lease ends at `lease_until`; `None`: it may not act
-    /// now.
+    /// The permit of the leader `name` of `term`, whose lease ends at `lease_until`. Returns `None` if the
+    /// leader may not act now.
     ///
-    /// `returning_leader_wait`: for how long a leader that led before does not act, milliseconds.
+    /// `returning_leader_wait`: how long a machine that led before waits until it acts again, milliseconds.
     pub fn permit(
         &mut self,
         name: &str,
--- a/crates/coordination/src/gossip/datagram.rs
+++ b/crates/coordination/src/gossip/datagram.rs
@@ -1,12 +1,12 @@
-//! The messages between nodes and their bytes, big-endian: the format's byte, a checksum of all that follows,
-//! the header's fields, then records or digests. Each datagram is decoded once; one that is truncated, of
-//! another fleet, corrupted or of a later format is an error.
+//! The messages between nodes and their big-endian encoding: the format byte, a checksum of all bytes after
+//! the checksum, the header's fields, then records or digests. Each datagram is decoded once. A datagram that
+//! is truncated, corrupted, of another fleet or of a later format is an error.
 
 use super::types::{Incarnation, NodeId, NodeRecord, NodeState, NodeStatus};
 use super::view::MAX_BLOCKS;
 use ring::digest;
 
-/// No datagram is longer.
+/// Maximum length of a datagram.
 pub const MAX_DATAGRAM_BYTES: usize = 256;
 /// The first byte of each datagram of this format; other datagrams on the same socket begin differently.
 pub const FORMAT: u8 = 0xf1;
@@ -15,9 +15,9 @@
 const BLOCK_DIGEST_BYTES: usize = 3;
 const INCARNATION_BYTES: usize = Incarnation::BITS as usize / 8;
 const CHECKSUM_BYTES: usize = 4;
-/// Records in one datagram.
+/// Maximum number of records in one datagram.
 pub const MAX_RECORDS: usize = (MAX_DATAGRAM_BYTES - HEADER_BYTES) / RECORD_BYTES;
-/// In the place of a subject, where a message has none.
+/// The encoded subject of a message that has none.
 const NO_SUBJECT: NodeId = NodeId::MAX;
 
 /// The key of a fleet's checksums: nodes of different fleets do not take each other's datagrams. It guards
@@ -46,11 +46,11 @@
 /// The kinds of messages. The first three are SWIM's ping, ack and ping-req.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Body {
-    /// To be acknowledged under the same sequence number.
+    /// Asks the receiver for an acknowledgement with the same sequence number.
     Probe(Vec<(NodeId, NodeRecord)>),
     /// Acknowledges a probe.
     Ack {
-        /// The node that was probed; not the sender where the probe was an indirect one.
+        /// The node that was probed; in the answer to an indirect probe this is not the sender.
         subject: NodeId,
         /// Piggybacked records.
         records: Vec<(NodeId, NodeRecord)>,
@@ -77,13 +77,14 @@
     pub to: NodeId,
     /// The sender's incarnation.
     pub incarnation: Incarnation,
-    /// The sender's view was complete at some time since its start.
+    /// Whether the sender has joined: its view was complete at some time since its start, or it no longer
+    /// waits for that.
     pub joined: bool,
     /// The number of a probe, and of its acknowledgement; 0 where none is expected.
     pub sequence: u32,
     /// The digest of the sender's view.
     pub digest: u64,
-    /// What the sender reports of itself.
+    /// The sender's status.
     pub status: NodeStatus,
     /// The message.
     pub body: Body,
@@ -92,22 +93,22 @@
 /// Why bytes are not a datagram.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum DecodeError {
-    /// The first byte is of no format that this version knows.
+    /// The first byte names a format that this version does not know.
     #[error("unknown format")]
     UnknownFormat,
-    /// Too short or too long.
+    /// The datagram is too short or too long.
     #[error("too short or too long")]
     Length,
-    /// Of another fleet, or corrupted.
+    /// The datagram is corrupted or of another fleet.
     #[error("the checksum does not match")]
     Checksum,
-    /// The checksum matches, and a field has a value that this version does not know.
+    /// The checksum matches, but a field has a value that this version does not know.
     #[error("unknown kind, state or count")]
     Malformed,
 }
 
 impl Datagram {
-    /// The bytes, with the checksum by the fleet's key.
+    /// Encodes the datagram, with a checksum made with the fleet's key.
     pub fn encode(&self, key: &FleetKey) -> Vec<u8> {
         let (kind, subject) = match &self.body {
             Body::Probe(_) => (1, NO_SUBJECT),
@@ -152,7 +153,7 @@
         out
     }
 
-    /// Reads the bytes of a datagram.
+    /// Decodes a datagram.
     ///
     /// # Errors
     ///
@@ -203,8 +204,7 @@
     out.extend(&bytes[bytes.len() - INCARNATION_BYTES..]);
 }
 
-/// Fields that are read one after another. Their length is checked by the caller; after their end there are
-/// zeros.
+/// Reads fields one after another. The caller checks the length; reading beyond the end yields zeros.
 struct Fields<'a>(&'a [u8]);
 
 impl Fields<'_> {
--- a/crates/coordination/src/gossip/dissemination.rs
+++ b/crates/coordination/src/gossip/dissemination.rs
@@ -1,4 +1,4 @@
-//! Which records are piggybacked on the datagrams that leave anyway (SWIM, section 4.1).
+//! Chooses the records that are piggybacked on other messages (SWIM, section 4.1).
 
 use super::datagram::MAX_RECORDS;
 use super::types::{NodeId, NodeRecord, NodeState};
@@ -15,13 +15,14 @@
 }
 
 impl Dissemination {
-    /// A node's record changed: it is passed on from the start.
+    /// Starts to pass on a node's changed record.
     pub(super) fn enqueue(&mut self, node: NodeId) {
         self.transmissions.insert(node, 0);
     }
 
-    /// The records for a datagram to a node: its own one first if it has a reason to refute it, then those
-    /// that were sent least.
+    /// The records for a datagram to a node: first the record of that node if it says that the node is
+    /// suspect, dead or has left, so that the node can refute it; then the records that were sent least
+    /// often.
     pub(super) fn piggyback(&mut self, to: NodeId, view: &View) -> Vec<(NodeId, NodeRecord)> {
         let mut records = Vec::with_capacity(MAX_RECORDS);
         let receivers_own = view.record(to).filter(|known| !known.incarnation.is_unknown());
--- a/crates/coordination/src/gossip/local_health.rs
+++ b/crates/coordination/src/gossip/local_health.rs
@@ -1,9 +1,9 @@
-//! How well this node itself hears others (Lifeguard's local health multiplier).
+//! Estimates whether this node itself is slow or cut off (Lifeguard's local health multiplier).
 
-/// The worst score.
+/// The score of a node in the worst health.
 const MAX_SCORE: u32 = 8;
 
-/// A score from 0, healthy. Each point makes the node wait for one interval more before it suspects others.
+/// A score from 0 (healthy). For each point, the node waits one interval longer before it suspects others.
 #[derive(Clone, Copy, Debug, Default)]
 pub(super) struct LocalHealth(u32);
 
@@ -13,12 +13,12 @@
         u64::from(self.0)
     }
 
-    /// The node may be at fault itself.
+    /// Records a sign that this node may be the faulty one.
     pub(super) fn degrade(&mut self) {
         self.0 = (self.0 + 1).min(MAX_SCORE);
     }
 
-    /// A probe was answered.
+    /// Records that a probe of this node was answered.
     pub(super) fn improve(&mut self) {
         self.0 = self.0.saturating_sub(1);
     }
--- a/crates/coordination/src/gossip/mod.rs
+++ b/crates/coordination/src/gossip/mod.rs
@@ -1,14 +1,15 @@
-//! A view of which nodes run, kept by the nodes themselves by gossip, after SWIM (Das, Gupta and Motivala,
-//! 2002), with the local health multiplier of Lifeguard (Dadgar and others, 2017). No I/O and no clock:
-//! datagrams, times and a seed are passed in, datagrams and changes come out. `docs/design/fleet.md` states
-//! the bound on convergence and why it holds.
+//! Failure detection by gossip: each node keeps a view of which nodes run, after SWIM (Das, Gupta and
+//! Motivala, 2002), with the local health multiplier of Lifeguard (Dadgar and others, 2017). The module does
+//! no I/O and reads no clock: the caller passes in datagrams, times and a seed, and receives datagrams and
+//! changes. `docs/design/fleet.md` states the bound on convergence and why it holds.
 //!
-//! A view is an opinion: no rule of a protocol may rest on it.
+//! A view may be wrong, so no rule of a protocol may depend on it.
 //!
-//! * [`node`]: the node's part: [`node::GossipNode`] and its two entries, `tick` and `step`.
-//! * [`timing`]: the intervals that the bound on convergence rests on.
-//! * [`view`]: what is known of all nodes, and its digests.
-//! * [`datagram`]: the messages and their bytes.
+//! * [`node`]: the protocol of one node: [`node::GossipNode`] and its two main entry points, `tick` and
+//!   `step`.
+//! * [`timing`]: the intervals, and the bound on convergence that follows from them.
+//! * [`view`]: the records that a node has of all nodes, and digests of them.
+//! * [`datagram`]: the messages and their encoding.
 //!
 //! ```
 //! use pathbank_coordination::gossip::node::GossipNode;
--- a/crates/coordination/src/gossip/node.rs
+++ b/crates/coordination/src/gossip/node.rs
@@ -1,6 +1,6 @@
-//! One node's part in the view. It probes one other node in each interval, suspects those that do not answer,
-//! declares dead those that do not refute the suspicion, passes on what it learns, and repairs differing
-//! views.
+//! The gossip protocol of one node. In each interval the node probes one other node. It suspects nodes that
+//! do not answer, declares nodes dead that do not refute the suspicion, passes changed records on, and
+//! repairs views that differ.
 
 use super::datagram::{Body, Datagram};
 use super::dissemination::Dissemination;
@@ -13,41 +13,41 @@
 use super::view::View;
 use std::collections::BTreeMap;
 
-/// While probes are at their last attempt, more than one node is probed in an interval: so many at most
-/// beside the first. Where most of a fleet ends at once, the others have to find each dead node within a few
-/// intervals.
+/// While probes are at their last attempt, a node starts more than one probe in an interval, at most this
+/// many beside the first. If most of a fleet stops at once, the remaining nodes have to find each dead node
+/// within a few intervals.
 const MAX_EXTRA_PROBES: usize = 3;
 
-/// What a call asks its caller to do.
+/// The results of a call, which the caller has to handle.
 #[derive(Debug, Default)]
 pub struct Output {
-    /// To be sent, in order.
+    /// Datagrams to send, in order.
     pub datagrams: Vec<Datagram>,
-    /// Records that changed, to be reported to operators.
+    /// Changed records, to be reported to operators.
     pub changes: Vec<Change>,
 }
 
-/// The last datagram of another node.
+/// The last datagram received from another node.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct LastContact {
-    /// When it came.
+    /// When the datagram arrived.
     pub at: Micros,
-    /// What the node reported of itself.
+    /// The status that the node reported.
     pub status: NodeStatus,
     /// The digest of the node's view.
     pub digest: u64,
 }
 
-/// One node's part in the view.
+/// One node of the failure detector.
 #[derive(Debug)]
 pub struct GossipNode {
     id: NodeId,
     incarnation: Incarnation,
     timing: GossipTiming,
     status: NodeStatus,
-    /// It announced its shutdown.
+    /// Whether this node has announced its shutdown.
     left: bool,
-    /// Its view was complete at some time since its start, or [`JOIN_INTERVALS`] are over.
+    /// Whether this node's view was complete at some time since its start, or [`JOIN_INTERVALS`] have passed.
     joined: bool,
     join_deadline: Micros,
     view: View,
@@ -58,15 +58,15 @@
     repairs: RepairBudget,
     local_health: LocalHealth,
     last_contacts: BTreeMap<NodeId, LastContact>,
-    /// When any node was heard last.
+    /// When this node last heard any other node.
     last_heard_at: Micros,
     next_interval_at: Micros,
     last_tick_at: Micros,
 }
 
 impl GossipNode {
-    /// The node `id` of so many. `seconds`: the wall clock, by which its incarnation is greater than earlier
-    /// ones.
+    /// Creates the node `id` of `node_count` nodes. `seconds` is the time of the wall clock; it makes the
+    /// incarnation greater than those of earlier starts.
     pub fn new(
         id: NodeId,
         node_count: usize,
@@ -88,7 +88,7 @@
             joined: false,
             join_deadline: now + JOIN_INTERVALS * timing.probe_interval_us,
             view,
-            // Not in step with nodes that start at the same moment.
+            // Nodes that start at the same moment must not probe at the same moments.
             next_interval_at: now + rng.u64(0..timing.probe_interval_us.max(1)),
             rng,
             probes: Probes::default(),
@@ -107,22 +107,22 @@
         node
     }
 
-    /// What it knows of all nodes.
+    /// This node's view of all nodes.
     pub fn view(&self) -> &View {
         &self.view
     }
 
-    /// Its own incarnation.
+    /// This node's incarnation.
     pub fn incarnation(&self) -> Incarnation {
         self.incarnation
     }
 
-    /// The last datagram of a node, if there was one.
+    /// The last datagram received from a node, if there was one.
     pub fn last_contact(&self, node: NodeId) -> Option<&LastContact> {
         self.last_contacts.get(&node)
     }
 
-    /// Reports this of itself in each datagram from now on.
+    /// Sets the status that this node reports in each datagram.
     pub fn set_status(&mut self, status: NodeStatus) {
         self.status = status;
     }
@@ -136,7 +136,7 @@
 
     // ---- events ----
 
-    /// Time has passed: probes, timeouts.
+    /// Starts and retries the probes that are due at `now`, and handles timeouts.
     pub fn tick(&mut self, now: Micros) -> Output {
         let mut out = Output::default();
         self.recover_from_stall(now);
@@ -149,7 +149,8 @@
         out
     }
 
-    /// A datagram came. The caller has checked by the address that the sender is the one it names.
+    /// Handles a datagram. The caller has checked that it came from the address of the node that it names as
+    /// its sender.
     pub fn step(&mut self, now: Micros, datagram: Datagram) -> Output {
         let mut out = Output::default();
         let Datagram { from, to, incarnation, joined, sequence, digest, status, body } = datagram;
@@ -159,10 +160,10 @@
         }
         self.last_heard_at = now;
         let known = self.view.record(from).unwrap_or_default();
-        // A suspicion of this incarnation overrides it: the node has to refute that in a later one.
+        // A known suspicion of this incarnation stays: the node has to refute it with a later incarnation.
         let state = if joined { NodeState::Alive } else { NodeState::Joining };
         self.merge(now, from, NodeRecord { incarnation, state }, Cause::DirectContact, &mut out);
-        // A late datagram of a former incarnation does not describe this one.
+        // A late datagram of an earlier incarnation does not describe the present one.
         if incarnation >= known.incarnation {
             self.last_contacts.insert(from, LastContact { at: now, status, digest });
         }
@@ -194,7 +195,7 @@
         out
     }
 
-    /// The process shuts down: a few others get to know it at once.
+    /// Announces this node's shutdown to a few other nodes.
     pub fn leave(&mut self, now: Micros) -> Output {
         let mut out = Output::default();
         self.left = true;
@@ -207,8 +208,8 @@
 
     // ---- probing (SWIM, section 4.1) ----
 
-    /// A node that was not scheduled for long has missed acknowledgements, and refutations that went to
-    /// others.
+    /// Detects that this node was not scheduled for long. Such a node has missed acknowledgements, and
+    /// refutations that were sent to others.
     fn recover_from_stall(&mut self, now: Micros) {
         let stalled = now.saturating_sub(self.last_tick_at);
         self.last_tick_at = now;
@@ -236,13 +237,13 @@
         }
     }
 
-    /// How long a probe may take.
+    /// How long a probe may wait for its acknowledgement.
     fn ack_timeout(&self) -> Micros {
         self.timing.probe_interval_us * (ACK_TIMEOUT_INTERVALS + self.local_health.extra_intervals())
     }
 
-    /// Further attempts for probes without an acknowledgement: indirect probes, with the last one a direct
-    /// one too.
+    /// Retries probes without an acknowledgement by indirect probes; the last attempt adds another direct
+    /// probe.
     fn retry_probes(&mut self, now: Micros, out: &mut Output) {
         let ack_timeout = self.ack_timeout();
         for at in 0..self.probes.pending.len() {
@@ -265,7 +266,7 @@
     fn expire_probes(&mut self, now: Micros, out: &mut Output) {
         for probe in self.probes.take_expired(now, self.ack_timeout()) {
             let PendingProbe { target, incarnation, sent_at, .. } = probe;
-            // Where nobody was heard since, this node may be at fault itself.
+            // If this node has heard no other node since it sent the probe, this node may be the faulty one.
             if self.last_heard_at <= sent_at {
                 self.local_health.degrade();
             }
@@ -276,7 +277,8 @@
         }
     }
 
-    /// Those that this node found suspect itself learn of it in each interval, and may refute it.
+    /// Probes the nodes that this node itself suspects, once in each interval, so that they learn of the
+    /// suspicion and can refute it.
     fn probe_suspects(&mut self, out: &mut Output) {
         let found_here = |node: &NodeId| {
             self.view.evidence(*node).is_some_and(|evidence| evidence.cause == Cause::ProbeTimeout)
@@ -304,7 +306,7 @@
         }
     }
 
-    /// So many other running nodes, drawn at random, without that one.
+    /// Up to `count` other running nodes, drawn at random, except the node `without`.
     fn random_running(&mut self, count: usize, without: NodeId) -> Vec<NodeId> {
         let others = self.view.running().filter(|other| *other != self.id && *other != without);
         let others: Vec<NodeId> = others.collect();
@@ -327,7 +329,7 @@
         }
     }
 
-    /// Takes a record that is greater than the known one, and passes it on.
+    /// Replaces the known record if the new one is greater, and passes the new record on.
     fn merge(&mut self, now: Micros, node: NodeId, record: NodeRecord, cause: Cause, out: &mut Output) {
         let Some(change) = self.view.merge(now, node, record, cause) else { return };
         self.dissemination.enqueue(node);
@@ -346,7 +348,7 @@
         self.merge(now, self.id, record, Cause::DirectContact, out);
     }
 
-    /// Takes the records that another node passed on. What contradicts this node's own state it refutes.
+    /// Merges the records that another node passed on. Refutes records that contradict this node's own state.
     fn merge_all(&mut self, now: Micros, from: NodeId, records: &[(NodeId, NodeRecord)], out: &mut Output) {
         for (node, record) in records {
             if *node == self.id {
@@ -357,7 +359,8 @@
         }
     }
 
-    /// Answers a suspicion, a death, or a later incarnation than its own with one that is greater still.
+    /// If `claim` says that this node is suspect or dead, or names a later incarnation than its own, takes an
+    /// incarnation that is greater than the claimed one.
     fn refute(&mut self, now: Micros, claim: NodeRecord, out: &mut Output) {
         let is_wrong = claim.incarnation == self.incarnation && claim.state > NodeState::Alive && !self.left;
         if claim.incarnation > self.incarnation || is_wrong {
@@ -386,7 +389,7 @@
         self.send(to, sequence, Body::Ack { subject, records }, out);
     }
 
-    /// Asks a node whose view differs for the records that differ.
+    /// Asks a node whose view differs from this node's for the differing records.
     fn start_repair(&mut self, peer: NodeId, out: &mut Output) {
         if self.repairs.try_start(peer) {
             let digests = self.view.block_digests();
--- a/crates/coordination/src/gossip/probing.rs
+++ b/crates/coordination/src/gossip/probing.rs
@@ -1,10 +1,11 @@
-//! Probes that wait for an acknowledgement, those that are relayed for others, and who is probed next.
+//! Probes that wait for an acknowledgement, probes relayed for other nodes, and the choice of the next
+//! target.
 
 use super::types::{Incarnation, Micros, NodeId, NodeRecord};
 use super::view::View;
 use std::collections::VecDeque;
 
-/// Indirect probes that this node carries out for others at once.
+/// Maximum number of indirect probes that a node carries out for others at the same time.
 const MAX_RELAYED_PROBES: usize = 64;
 /// Attempts after the first one: indirect probes alone, then those and another direct one.
 pub(super) const RETRY_ATTEMPTS: u32 = 2;
@@ -14,7 +15,7 @@
 pub(super) struct PendingProbe {
     pub(super) target: NodeId,
     pub(super) sequence: u32,
-    /// The incarnation that was probed: a later one is not suspected for it.
+    /// The incarnation that was probed: a later incarnation is not suspected if this probe fails.
     pub(super) incarnation: Incarnation,
     pub(super) sent_at: Micros,
     /// Attempts after the first one, at most [`RETRY_ATTEMPTS`].
@@ -37,14 +38,14 @@
     pub(super) requester_sequence: u32,
 }
 
-/// What an acknowledgement answered.
+/// The probe that an acknowledgement answers.
 #[derive(Debug)]
 pub(super) enum Acknowledged {
     /// A probe of this node.
     Own,
-    /// A probe that it carried out for another node.
+    /// A probe that this node carried out for another node.
     Relayed(RelayedProbe),
-    /// None that is still pending.
+    /// No probe that is still pending.
     Nothing,
 }
 
@@ -56,7 +57,8 @@
     last_sequence: u32,
     /// Running nodes in a random order, each probed once before the order is drawn again (SWIM, section 4.3).
     round: VecDeque<NodeId>,
-    /// The same of nodes that are not thought to run.
+    /// Nodes that are not thought to run, in a random order, each probed once before the order is drawn
+    /// again.
     rejoin_round: VecDeque<NodeId>,
 }
 
@@ -141,7 +143,7 @@
         self.pending.extract_if(.., |probe| now >= probe.sent_at + ack_timeout).collect()
     }
 
-    /// Probes that have had their last attempt.
+    /// How many probes have had their last attempt.
     pub(super) fn on_last_attempt(&self) -> usize {
         self.pending.iter().filter(|probe| probe.retries == RETRY_ATTEMPTS).count()
     }
--- a/crates/coordination/src/gossip/repair.rs
+++ b/crates/coordination/src/gossip/repair.rs
@@ -4,9 +4,9 @@
 use super::types::{NodeId, NodeRecord};
 use super::view::View;
 
-/// Repairs that a node starts in one probe interval, and at most one with each peer.
+/// Maximum number of repairs that a node starts in one probe interval; at most one of them with each peer.
 const MAX_REPAIRS_PER_INTERVAL: u32 = 4;
-/// Datagrams that answer one list of digests.
+/// Maximum number of datagrams that answer one list of digests.
 const MAX_REPAIR_DATAGRAMS: usize = 4;
 
 /// The repairs that were started in this probe interval.
@@ -34,8 +34,8 @@
     }
 }
 
-/// The records of blocks whose digests differ from a peer's. Of a large difference only some datagrams are
-/// sent, drawn at random, so that the rest comes with later repairs.
+/// The records of blocks whose digests differ from a peer's. If they need too many datagrams, some of these
+/// are drawn at random, and later repairs send the rest.
 pub(super) fn repair_datagrams(view: &View, digests: &[u32], rng: &mut fastrand::Rng) -> Vec<Body> {
     let differing = view.differing(digests);
     let mut chunks: Vec<Vec<(NodeId, NodeRecord)>> =
--- a/crates/coordination/src/gossip/suspicion.rs
+++ b/crates/coordination/src/gossip/suspicion.rs
@@ -1,9 +1,9 @@
-//! Suspects, and until when each may refute (SWIM, section 4.2).
+//! The suspects, and the time by which each has to refute the suspicion (SWIM, section 4.2).
 
 use super::types::{Micros, NodeId};
 use std::collections::BTreeMap;
 
-/// The suspects by node, each with the end of its timeout.
+/// The suspects, each with its deadline.
 #[derive(Debug, Default)]
 pub(super) struct Suspicions {
     deadlines: BTreeMap<NodeId, Micros>,
@@ -18,7 +18,7 @@
         self.deadlines.remove(&node);
     }
 
-    /// Gives all suspects that much more time.
+    /// Extends the deadline of every suspect.
     pub(super) fn extend_all(&mut self, by: Micros) {
         self.deadlines.values_mut().for_each(|deadline| *deadline += by);
     }
@@ -31,7 +31,7 @@
         self.deadlines.values().copied()
     }
 
-    /// Suspects whose timeout is over.
+    /// The suspects whose deadline has passed.
     pub(super) fn expired(&self, now: Micros) -> Vec<NodeId> {
         self.deadlines.iter().filter(|(_, deadline)| now >= **deadline).map(|(node, _)| *node).collect()
     }
--- a/crates/coordination/src/gossip/timing.rs
+++ b/crates/coordination/src/gossip/timing.rs
@@ -2,23 +2,23 @@
 
 use super::types::Micros;
 
-/// A probe is given up after this many intervals, and local health more: one lost datagram, or one round of
-/// them, does not make a node suspect.
+/// A probe fails after this many intervals plus the extra ones of [`super::local_health`]. One lost datagram,
+/// or the loss of all datagrams of one attempt, does not make a node suspect.
 pub(super) const ACK_TIMEOUT_INTERVALS: u64 = 2;
-/// A suspect has this many intervals to refute, and as many again for each tenfold of the fleet beyond ten:
-/// the suspicion has to reach it, and its refutation has to come back.
+/// How many intervals a suspect has to refute the suspicion, in a fleet of up to ten nodes. Each tenfold size
+/// adds as many again: the suspicion has to reach the suspect, and the refutation has to come back.
 const SUSPICION_INTERVALS: f64 = 3.0;
-/// A node takes part like all others after this many intervals, whether its view is complete or not.
+/// A node counts as joined after this many intervals even if its view is not complete.
 pub(super) const JOIN_INTERVALS: u64 = 10;
-/// A node that was not ticked for this many intervals has missed what was sent meanwhile.
+/// A node that was not ticked for more than this many intervals has missed datagrams.
 pub(super) const STALL_INTERVALS: u64 = 3;
 
-/// The intervals of the failure detector. All nodes of a fleet have to have the same.
+/// The intervals of the failure detector. All nodes of a fleet must have the same values.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct GossipTiming {
-    /// Each node probes one other node in each of these (SWIM's protocol period).
+    /// The interval in which each node probes one other node (SWIM's protocol period).
     pub probe_interval_us: Micros,
-    /// Nodes that are asked to probe one that did not answer (SWIM's k).
+    /// How many nodes are asked to probe a node that did not answer (SWIM's k).
     pub indirect_probes: usize,
 }
 
@@ -29,10 +29,10 @@
 }
 
 impl GossipTiming {
-    /// How long after the last fault all views of so many nodes are the same and true, with one datagram in
-    /// ten lost, microseconds. A dead node is probed within 7 intervals, suspected after two more and
-    /// declared dead after the suspicion's timeout; all learn of it in one and a half intervals for each
-    /// doubling of the fleet.
+    /// How long after the last fault the views of `node_count` nodes are all the same and correct, with one
+    /// datagram in ten lost, microseconds. A dead node is probed within 7 intervals, suspected after two more
+    /// and declared dead after the suspicion timeout. All nodes learn of it within one and a half intervals
+    /// for each doubling of the fleet.
     pub fn convergence_bound(&self, node_count: usize) -> Micros {
         let doublings = f64::from(usize::BITS - node_count.leading_zeros());
         let intervals =
@@ -40,7 +40,7 @@
         (intervals * self.probe_interval_us as f64) as Micros
     }
 
-    /// How long a suspect among so many nodes has to refute, microseconds.
+    /// How long a suspect among `node_count` nodes has to refute the suspicion, microseconds.
     pub(super) fn suspicion_timeout(&self, node_count: usize) -> Micros {
         (suspicion_intervals(node_count) * self.probe_interval_us as f64) as Micros
     }
--- a/crates/coordination/src/gossip/types.rs
+++ b/crates/coordination/src/gossip/types.rs
@@ -1,13 +1,14 @@
-//! What nodes know of each other: incarnations, states, records, and why a record came to be.
+//! The data that nodes keep about each other: incarnations, states, records, and the cause of each change.
 
 /// Microseconds of the node's own monotonic clock.
 pub type Micros = u64;
 /// A node's index in the list of nodes that every node is configured with.
 pub type NodeId = u16;
 
-/// One incarnation of a node (SWIM, section 4.2): the time of its start, in seconds of its wall clock, and
-/// how often it has refuted a suspicion or a death since. The greater one of two is the later one, whatever
-/// the clock showed: a node that learns of a greater incarnation of its own takes the next one.
+/// An incarnation of a node (SWIM, section 4.2): the time of its start, in seconds of its wall clock, and how
+/// often the node has refuted a suspicion or a declaration of death since. The greater of two incarnations is
+/// the later one even if the clock went back: a node that learns of a greater incarnation of itself takes the
+/// one after that.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord)]
 pub struct Incarnation(u64);
 
@@ -22,12 +23,12 @@
         Incarnation((seconds.clamp(1, u64::from(u32::MAX))) << Incarnation::REFUTATION_BITS)
     }
 
-    /// An incarnation by its bits on the wire.
+    /// The incarnation with these bits on the wire.
     pub fn from_bits(bits: u64) -> Incarnation {
         Incarnation(bits & Incarnation::MAX)
     }
 
-    /// Its bits on the wire.
+    /// The incarnation's bits on the wire.
     pub fn bits(self) -> u64 {
         self.0
     }
@@ -37,45 +38,45 @@
         self.0 >> Incarnation::REFUTATION_BITS
     }
 
-    /// The incarnation by which a node refutes what is claimed of this one.
+    /// The next incarnation, by which a node refutes a claim about this one.
     pub fn next(self) -> Incarnation {
         Incarnation((self.0 + 1).min(Incarnation::MAX))
     }
 
-    /// Nothing was ever heard of that node.
+    /// Whether nothing was ever heard of the node.
     pub fn is_unknown(self) -> bool {
         self.0 == 0
     }
 }
 
-/// The state of one incarnation of a node, in the order of precedence: the later one overrides the earlier
-/// one.
+/// The state of one incarnation of a node, in ascending order of precedence: of two states, the later in this
+/// list overrides the earlier.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord)]
 pub enum NodeState {
-    /// It runs, and its view is not complete yet.
+    /// The node runs, but its view is not complete yet.
     #[default]
     Joining,
-    /// It runs.
+    /// The node runs.
     Alive,
-    /// It did not answer a probe. Unless it refutes that in time, it is declared dead.
+    /// The node did not answer a probe. It is declared dead unless it refutes the suspicion in time.
     Suspect,
-    /// It did not refute the suspicion in time.
+    /// The node did not refute the suspicion in time.
     Dead,
-    /// It announced that it shuts down.
+    /// The node announced its shutdown.
     Left,
 }
 
 impl NodeState {
-    /// All of them, in the order of their bytes on the wire.
+    /// All states, in the order of their bytes on the wire.
     pub const ALL: [NodeState; 5] =
         [NodeState::Joining, NodeState::Alive, NodeState::Suspect, NodeState::Dead, NodeState::Left];
 
-    /// Whether the node takes part: it is probed, and gets updates.
+    /// Whether the node counts as running: running nodes are probed and receive updates.
     pub fn is_running(self) -> bool {
         matches!(self, NodeState::Joining | NodeState::Alive | NodeState::Suspect)
     }
 
-    /// Its name, for operators.
+    /// The state's name, for operators.
     pub fn name(self) -> &'static str {
         match self {
             NodeState::Joining => "joining",
@@ -87,10 +88,10 @@
     }
 }
 
-/// What is known of a node. The greater one of two records overrides the other.
+/// The known state of a node. The greater of two records overrides the other.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord)]
 pub struct NodeRecord {
-    /// Its latest known incarnation.
+    /// The node's latest known incarnation.
     pub incarnation: Incarnation,
     /// The state of that incarnation.
     pub state: NodeState,
@@ -106,29 +107,29 @@
     }
 }
 
-/// What a node reports of itself in every datagram.
+/// The status that a node reports in every datagram.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct NodeStatus {
-    /// The version of its list of storage nodes.
+    /// The version of the node's list of storage nodes.
     pub node_list_version: u32,
-    /// The last revision of the configuration in force there; 0 for a node without replicated configuration.
+    /// The revision of the configuration in force on the node; 0 for a node without replicated configuration.
     pub configuration_revision: u32,
-    /// It takes no new clients.
+    /// Whether the node accepts no new clients.
     pub draining: bool,
-    /// Its load, from 0, none, to 3.
+    /// The node's load, from 0 (none) to 3.
     pub pressure: u8,
 }
 
-/// Why a record of a node was taken.
+/// Why the record of a node was replaced.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Cause {
-    /// A datagram of the node itself.
+    /// A datagram from the node itself.
     DirectContact,
-    /// It answered neither a direct nor an indirect probe of this node.
+    /// The node answered neither a direct nor an indirect probe of this node.
     ProbeTimeout,
-    /// It did not refute the suspicion in time.
+    /// The node did not refute the suspicion in time.
     SuspicionTimeout,
-    /// That node passed the record on.
+    /// The given node passed the record on.
     GossipFrom(NodeId),
 }
 
@@ -141,6 +142,6 @@
     pub before: NodeRecord,
     /// The record now.
     pub after: NodeRecord,
-    /// Why it was taken.
+    /// Why the record was replaced.
     pub cause: Cause,
 }
--- a/crates/coordination/src/gossip/view.rs
+++ b/crates/coordination/src/gossip/view.rs
@@ -1,17 +1,17 @@
-//! What is known of all nodes, and its digests. A digest covers who runs, and since which start: suspicions
-//! and refutations come and go without a node being in or out, and are no part of it.
+//! One node's records of all nodes, and digests of them. A digest covers which nodes run and when each was
+//! started. It does not cover suspicions and refutations, which do not change whether a node is running.
 
 use super::types::{Cause, Change, Micros, NodeId, NodeRecord};
 
-/// A view is divided into at most this many blocks, so that the digests of all fit into one datagram.
+/// A view is divided into at most this many blocks, so that the digests of all blocks fit into one datagram.
 pub const MAX_BLOCKS: usize = 64;
 
-/// Since when a record has been known, and why.
+/// When and why a record was last replaced.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Evidence {
-    /// When it was taken.
+    /// When the record was replaced.
     pub since: Micros,
-    /// Why it was taken.
+    /// Why the record was replaced.
     pub cause: Cause,
 }
 
@@ -21,7 +21,7 @@
     evidence: Option<Evidence>,
 }
 
-/// What one node knows of all of them.
+/// One node's records of all nodes.
 #[derive(Clone, Debug)]
 pub struct View {
     entries: Vec<Entry>,
@@ -29,7 +29,8 @@
     running_count: usize,
 }
 
-/// Spreads a record's bits: views that differ in one record differ in their digests.
+/// The part of one record in the digest of a view. Its bits are mixed so that views that differ in one record
+/// have different digests.
 fn record_digest(node: NodeId, record: NodeRecord) -> u64 {
     if record.incarnation.is_unknown() {
         return 0;
@@ -43,7 +44,7 @@
 }
 
 impl View {
-    /// A view of so many nodes, of which nothing is known yet.
+    /// A view of `node_count` nodes, of which nothing is known yet.
     pub fn new(node_count: usize) -> View {
         View { entries: vec![Entry::default(); node_count], digest: 0, running_count: 0 }
     }
@@ -53,12 +54,12 @@
         self.entries.len()
     }
 
-    /// The record of a node; `None`: there is no such node.
+    /// The record of a node; `None` if there is no such node.
     pub fn record(&self, node: NodeId) -> Option<NodeRecord> {
         self.entries.get(usize::from(node)).map(|entry| entry.record)
     }
 
-    /// Since when a node's record has been known, and why; `None`: nothing was ever heard of it.
+    /// When and why a node's record was last replaced; `None` if nothing was ever heard of the node.
     pub fn evidence(&self, node: NodeId) -> Option<Evidence> {
         self.entries.get(usize::from(node))?.evidence
     }
@@ -108,7 +109,7 @@
         self.records().filter(|(node, record)| differs(node) && !record.incarnation.is_unknown()).collect()
     }
 
-    /// Takes a record if it is greater than the known one. Returns the change, if there is one.
+    /// Replaces the known record if the new one is greater. Returns the change, if there is one.
     pub fn merge(&mut self, now: Micros, node: NodeId, record: NodeRecord, cause: Cause) -> Option<Change> {
         let entry = self.entries.get_mut(usize::from(node))?;
         let before = entry.record;
--- a/crates/coordination/src/lib.rs
+++ b/crates/coordination/src/lib.rs
@@ -1,17 +1,20 @@
 //! Coordination for small groups of machines with disks: a replicated log, leases with fencing tokens, and
-//! gossip. Free of I/O (but for [`store`]), of clocks and of randomness: all three are passed in.
+//! gossip. Except for [`store`], the crate does no I/O. It reads no clock and draws no random seed: the
+//! caller passes in messages, times and seeds.
 //!
 //! * [`consensus`]: the rules of Raft, for any replicated log.
-//! * [`replica`]: one replica of a log, with leases and joint membership changes. Events go in through one
-//!   method each; what is to be done comes out as [`replica::Effects`].
-//! * [`membership_changes`]: which store joins the voters, replaces one or leaves.
-//! * [`record`]: the records that make up a replica's durable state, and [`batch`] their checksummed form.
+//! * [`replica`]: one replica of a log, with leases and joint membership changes. Each kind of event has a
+//!   method, which returns the actions for the caller to carry out as [`replica::Effects`].
+//! * [`membership_changes`]: decides which store joins the voters, replaces a voter or leaves.
+//! * [`record`]: the records that make up a replica's durable state.
+//! * [`batch`]: the checksummed form of those records on disk.
 //! * [`store`]: the append-only file of those records (the one module that does I/O).
-//! * [`compaction`]: when a log is replaced by a snapshot.
-//! * [`fencing`]: when a leader may act outside the group, and with which fencing token.
-//! * [`recent_peers`]: addresses of replicas that sent a message lately.
-//! * [`gossip`]: a view of which machines run, after SWIM; an opinion, on which no rule rests.
-//! * [`state_comparison`]: digests of the replicas' state machines, and which replica differs.
+//! * [`compaction`]: decides when a snapshot replaces a log.
+//! * [`fencing`]: decides when a leader may act outside the group, and with which fencing token.
+//! * [`recent_peers`]: addresses of replicas that sent a message recently.
+//! * [`gossip`]: each machine's view of which machines run, after SWIM. The view may be wrong, so no rule of
+//!   the other modules depends on it.
+//! * [`state_comparison`]: finds a replica whose state differs, by digests of the state machines.
 //! * [`digest`]: the digest by which content is compared.
 //! * [`types`]: members, entries, snapshots and messages.
 //!
--- a/crates/coordination/src/membership_changes.rs
+++ b/crates/coordination/src/membership_changes.rs
@@ -1,21 +1,21 @@
-//! Which store joins the voters, replaces one or leaves them. The leader decides it, one joint change at a
-//! time (section 4.3 of Ongaro's thesis).
+//! Decides which store joins the voters, replaces a voter or leaves. The leader decides, and makes one joint
+//! change at a time (section 4.3 of Ongaro's thesis).
 //!
-//! The voters keep an odd number. An even number needs one voter more for a majority and tolerates no more
-//! failures, so that a voter that leaves while another one is lost would cost the quorum. Further stores are
-//! learners: they follow the log without a vote, and take a voter's place in one joint change.
+//! The number of voters is kept odd. An even number needs one more voter for a majority but tolerates no more
+//! failures: if a voter left while another one was lost, the group could lose its quorum. The other stores
+//! are learners, which receive the log without a vote and can replace a voter in one joint change.
 
 use crate::consensus::quorum;
 use crate::replica::{Effects, PeerStatus, Replica};
 use crate::types::{Index, Member, Millis, StoreId};
 
-/// A voter that was not heard for so long counts as lost.
+/// A voter that was not heard for this long counts as lost.
 pub const VOTER_TIMEOUT_MS: Millis = 2_500;
 /// A learner has caught up when it lacks no more entries than this.
 const MAX_LEARNER_LAG: Index = 2;
 
-/// The voters that should follow the present ones; `None`: there is nothing to change, or it cannot be
-/// changed now.
+/// The voters that should replace the present ones. Returns `None` if no change is needed or none is possible
+/// now.
 pub fn next_voters(replica: &Replica, now: Millis) -> Option<Vec<Member>> {
     if !replica.is_established_leader() || replica.membership().is_joint() {
         return None;
@@ -36,7 +36,7 @@
     replica: &'a Replica,
     now: Millis,
     voters: &'a [Member],
-    /// Learners that answer and have caught up.
+    /// The learners that answer and have caught up.
     learners: Vec<&'a Member>,
 }
 
@@ -68,11 +68,11 @@
         leaving.or_else(|| self.voters.iter().find(|voter| self.is_lost(voter.id)))
     }
 
-    /// A learner in the place of a voter, in one change.
+    /// The voters with one of them replaced by a learner.
     fn replacement(&self) -> Option<Vec<Member>> {
         let voter_at_address_of =
             |learner: &Member| self.voters.iter().find(|voter| voter.address == learner.address);
-        // A new store at a voter's address: that voter's disk was lost.
+        // A new store at a voter's address shows that the voter's disk was lost.
         let at_same_address =
             self.learners.iter().find_map(|learner| Some((*learner, voter_at_address_of(learner)?)));
         let (learner, replaced) = match at_same_address {
@@ -82,17 +82,18 @@
         Some(self.without(replaced.id).chain([learner.clone()]).collect())
     }
 
-    /// The voters with as many learners more as make their number odd.
+    /// The voters and as many learners as it takes to reach the next odd number.
     fn growth(&self) -> Option<Vec<Member>> {
         let wanted = if self.voters.len().is_multiple_of(2) { 1 } else { 2 };
         let joining = self.learners.get(..wanted)?;
         Some(self.voters.iter().chain(joining.iter().copied()).cloned().collect())
     }
 
-    /// An even number of voters tolerates no more failures than the number without the departing one.
+    /// The voters without the departing one, if their number is even: one voter fewer tolerates as many
+    /// failures.
     fn reduction(&self) -> Option<Vec<Member>> {
         let departing = self.departing().filter(|_| self.voters.len().is_multiple_of(2))?;
-        // Of two voters the one that stays would have the only replica.
+        // Of two voters, the remaining one would hold the only replica.
         let is_pair = self.voters.len() == 2 && !self.is_lost(departing.id);
         (!is_pair).then(|| self.without(departing.id).collect())
     }
@@ -101,7 +102,7 @@
         self.voters.iter().filter(move |voter| voter.id != id).cloned()
     }
 
-    /// Whether a majority of these voters answers and does not leave.
+    /// Whether a majority of these voters answers and has not asked to leave.
     fn has_live_majority(&self, voters: &[Member]) -> bool {
         let is_live = |member: &Member| {
             let is_learner = self.learners.iter().any(|learner| learner.id == member.id);
--- a/crates/coordination/src/recent_peers.rs
+++ b/crates/coordination/src/recent_peers.rs
@@ -1,14 +1,14 @@
-//! Addresses of replicas that sent a message lately, whether they are in the membership or not.
+//! Addresses of replicas that sent a message recently, whether they are in the membership or not.
 
 use crate::types::Millis;
 use std::collections::BTreeMap;
 
 /// How long a peer is kept after its last message.
 const PEER_RETENTION_MS: Millis = 30_000;
-/// Beyond this many the one that was heard longest ago is removed.
+/// Maximum number of peers; a new peer beyond it replaces the peer that was heard longest ago.
 const MAX_PEERS: usize = 64;
 
-/// Peers by address.
+/// When each peer, by address, last sent a message.
 ///
 /// ```
 /// use pathbank_coordination::recent_peers::RecentPeers;
@@ -40,12 +40,12 @@
         true
     }
 
-    /// Removes the peers whose retention is over.
+    /// Removes the peers whose retention time is over.
     pub fn expire(&mut self, now: Millis) {
         self.last_heard_at.retain(|_, last_heard_at| now < *last_heard_at + PEER_RETENTION_MS);
     }
 
-    /// The addresses.
+    /// The addresses of the peers.
     pub fn addresses(&self) -> impl Iterator<Item = &str> {
         self.last_heard_at.keys().map(String::as_str)
     }
--- a/crates/coordination/src/record.rs
+++ b/crates/coordination/src/record.rs
@@ -33,16 +33,16 @@
     },
 }
 
-/// All that a replica must never lose (section 3.8 of Ongaro's thesis).
+/// The state that a replica must never lose (section 3.8 of Ongaro's thesis).
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct DurableState {
-    /// Which store it is; `None`: nothing was ever saved.
+    /// The identity of the store; `None` if nothing was ever saved.
     pub id: Option<StoreId>,
     /// The voters of the first start of the system.
     pub initial: Membership,
     /// The latest term that this replica has seen.
     pub term: Term,
-    /// Whom it has voted for in that term.
+    /// The candidate that this replica has voted for in that term, if any.
     pub voted_for: Option<StoreId>,
     /// The newest snapshot.
     pub snapshot: Snapshot,
@@ -51,8 +51,8 @@
 }
 
 impl DurableState {
-    /// Applies a record. Nothing else changes durable state, and the disk holds the same records in the same
-    /// order.
+    /// Applies a record. Durable state changes in no other way, so that it always equals the result of the
+    /// records on disk and those still to be saved, in the same order.
     pub fn apply(&mut self, record: Record) {
         match record {
             Record::Identity { id, initial } => (self.id, self.initial) = (Some(id), initial),
@@ -92,7 +92,7 @@
         self.log.term_at(index)
     }
 
-    /// The state as the records of a new file.
+    /// The records of a new file that holds this state.
     pub fn records(&self) -> Vec<Record> {
         let id = self.id.unwrap_or(StoreId(0));
         let mut records = vec![Record::Identity { id, initial: self.initial.clone() }];
--- a/crates/coordination/src/replica/election.rs
+++ b/crates/coordination/src/replica/election.rs
@@ -190,8 +190,8 @@
         }
     }
 
-    /// Becomes leader and appends an entry of its term: entries of earlier terms are committed only with one of
-    /// the leader's own term (section 3.6.2).
+    /// Becomes leader and appends an entry of its term: entries of earlier terms are committed only with one
+    /// of the leader's own term (section 3.6.2).
     fn become_leader(&mut self, now: Millis, effects: &mut Effects) {
         self.role = Role::Leader;
         self.leader = None;
--- a/crates/coordination/src/replica/leader.rs
+++ b/crates/coordination/src/replica/leader.rs
@@ -1,5 +1,5 @@
-//! The leader's side of replication (section 3.5): sends entries to the peers, records which of them each peer
-//! has saved, and advances the commit index.
+//! The leader's side of replication (section 3.5): sends entries to the peers, records which of them each
+//! peer has saved, and advances the commit index.
 
 use super::peer::Peer;
 use super::{Effects, Outgoing, Replica, Role};
@@ -35,8 +35,8 @@
         }
     }
 
-    /// When heartbeats are due, sends them, or steps down if no quorum of peers answers (check quorum, section
-    /// 6.2).
+    /// When heartbeats are due, sends them, or steps down if no quorum of peers answers (check quorum,
+    /// section 6.2).
     pub(super) fn tick_leader(&mut self, now: Millis, effects: &mut Effects) {
         if now < self.next_heartbeat_at {
             return;
@@ -58,8 +58,8 @@
         ids.into_iter().for_each(|id| self.send_append(now, id, heartbeat, effects));
     }
 
-    /// Sends the entries that a peer lacks. With `heartbeat`, sends a message without entries if there are none
-    /// to send.
+    /// Sends the entries that a peer lacks. With `heartbeat`, sends a message without entries if there are
+    /// none to send.
     pub(super) fn send_append(&mut self, now: Millis, id: StoreId, heartbeat: bool, effects: &mut Effects) {
         let timeout = RESEND_HEARTBEATS * self.timing.heartbeat_interval_ms;
         let Some(peer) = self.peers.get_mut(&id) else { return };
--- a/crates/coordination/src/replica/log.rs
+++ b/crates/coordination/src/replica/log.rs
@@ -52,8 +52,8 @@
         self.membership = self.membership_at(Index::MAX);
     }
 
-    /// Hands out a limited number of the next committed entries. A leader that applied a long log at once would
-    /// send no heartbeats meanwhile and be deposed.
+    /// Hands out a limited number of the next committed entries. A leader that applied a long log at once
+    /// would send no heartbeats meanwhile and be deposed.
     pub(super) fn hand_out_committed(&mut self, effects: &mut Effects) {
         let mut bytes = 0;
         while self.has_more_to_apply()
@@ -73,9 +73,9 @@
         self.applied_index < self.commit_index && self.awaits_preparation().is_none()
     }
 
-    /// Hands out commands longer than `bytes` only once [`Replica::set_prepared`] was called for them: a caller
-    /// whose state machine takes long to apply them prepares them outside its event loop. There is no limit
-    /// until this is called.
+    /// Hands out commands longer than `bytes` only once [`Replica::set_prepared`] was called for them: a
+    /// caller whose state machine takes long to apply them prepares them outside its event loop. There is no
+    /// limit until this is called.
     pub fn set_max_unprepared_bytes(&mut self, bytes: usize) {
         self.max_unprepared_bytes = bytes;
     }
@@ -91,7 +91,8 @@
         (is_long && !self.prepared.contains(&next.index)).then_some(next)
     }
 
-    /// Records that the caller has prepared the entry at `index`. [`Replica::apply_more`] hands the entry out.
+    /// Records that the caller has prepared the entry at `index`. [`Replica::apply_more`] hands the entry
+    /// out.
     pub fn set_prepared(&mut self, index: Index) {
         self.prepared.insert(index);
     }
--- a/crates/coordination/src/replica/mod.rs
+++ b/crates/coordination/src/replica/mod.rs
@@ -138,8 +138,8 @@
 }
 
 impl Replica {
-    /// Starts a replica from the durable state read from disk. `random` seeds the election timeouts and has to
-    /// differ at each start.
+    /// Starts a replica from the durable state read from disk. `random` seeds the election timeouts and has
+    /// to differ at each start.
     pub fn new(me: Member, timing: Timing, durable: DurableState, now: Millis, random: u64) -> Replica {
         let last = durable.last_index();
         let mut replica = Replica {
@@ -212,8 +212,8 @@
     pub fn is_established_leader(&self) -> bool {
         self.role == Role::Leader && self.applied_index >= self.term_start_index
     }
-    /// When this leader's lease ends (section 6.4.1). No other replica can lead before that, so the state that
-    /// this replica reads until then is up to date. 0: this replica has no lease.
+    /// When this leader's lease ends (section 6.4.1). No other replica can lead before that, so the state
+    /// that this replica reads until then is up to date. 0: this replica has no lease.
     pub fn lease_until(&self) -> Millis {
         if !self.is_established_leader() {
             return 0;
--- a/crates/coordination/src/replica/peer.rs
+++ b/crates/coordination/src/replica/peer.rs
@@ -8,8 +8,8 @@
 pub(super) struct Peer {
     pub(super) member: Member,
     pub(super) progress: ReplicationProgress,
-    /// When the leader sent the newest message that the peer has answered, by the leader's clock. The lease is
-    /// computed from it.
+    /// When the leader sent the newest message that the peer has answered, by the leader's clock. The lease
+    /// is computed from it.
     pub(super) last_answered_sent_at: Millis,
     /// When the peer last asked to join or answered a message.
     pub(super) last_heard_at: Millis,
--- a/crates/coordination/src/replica/snapshot_transfer.rs
+++ b/crates/coordination/src/replica/snapshot_transfer.rs
@@ -90,8 +90,8 @@
 // ---- the leader's side ----
 
 impl Replica {
-    /// Whether this leader is sending a snapshot to a store that still answers. A newer snapshot would restart
-    /// that transfer.
+    /// Whether this leader is sending a snapshot to a store that still answers. A newer snapshot would
+    /// restart that transfer.
     pub fn is_sending_snapshot(&self, now: Millis) -> bool {
         let timeout = 2 * self.timing.election_timeout_ms;
         self.peers.values().any(|peer| peer.transfer.is_some() && now < peer.last_heard_at + timeout)
@@ -203,8 +203,8 @@
         effects.messages.push(Outgoing { to: from, message, after_save: true });
     }
 
-    /// Replaces the entries that a snapshot covers by the snapshot. Keeps the entries after it if the log agrees
-    /// with the snapshot: this replica may have acknowledged them.
+    /// Replaces the entries that a snapshot covers by the snapshot. Keeps the entries after it if the log
+    /// agrees with the snapshot: this replica may have acknowledged them.
     fn install(&mut self, from: Member, snapshot: Snapshot, sent_at: Millis, effects: &mut Effects) {
         let index = snapshot.index;
         let keep_tail = self.durable.term_at(index) == Some(snapshot.term);
--- a/crates/coordination/src/replica/withdrawal.rs
+++ b/crates/coordination/src/replica/withdrawal.rs
@@ -21,8 +21,8 @@
 }
 
 impl Replica {
-    /// Requests that this replica be removed from the membership before its process ends. The caller repeats the
-    /// call until [`Replica::departure`] returns [`Departure::Permitted`].
+    /// Requests that this replica be removed from the membership before its process ends. The caller repeats
+    /// the call until [`Replica::departure`] returns [`Departure::Permitted`].
     pub fn leave(&mut self, now: Millis) -> Effects {
         let mut effects = Effects::default();
         if !self.membership.contains(self.me.id) {
--- a/crates/coordination/src/state_comparison.rs
+++ b/crates/coordination/src/state_comparison.rs
@@ -1,37 +1,38 @@
-//! Comparison of the state machines of a group. Replicas that apply the same log come to the same state; one that does not
-//! (memory that was damaged, a program that applies a command otherwise) is found by the digests that all replicas make at
-//! the same index.
+//! Comparison of the state machines of a group. Replicas that apply the same log reach the same state. A
+//! replica may differ because its memory was damaged or because its program applies a command differently. To
+//! find it, all replicas compute a digest of their state at the same index.
 //!
-//! The leader names an index that it has not applied yet, or has just applied. Each replica makes its digest when it has
-//! applied exactly that entry, and sends it to all others, so that each judges for itself. Digests of different formats are
-//! never compared: programs of two versions may store the same state in different forms.
+//! The leader chooses an index that it has not applied yet, or has just applied. Each replica computes its
+//! digest when that entry is the last one it has applied, and sends the digest to all others; each replica
+//! then decides whether its own state differs. Digests of different formats are never compared: programs of
+//! two versions may store the same state in different forms.
 
 use crate::types::{Index, Membership, StoreId, Term};
 use std::collections::BTreeMap;
 use std::fmt;
 
-/// Identifies a comparison: a later one replaces an earlier one.
+/// Identifies a comparison. A comparison with a greater id replaces one with a smaller id.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord)]
 pub struct ComparisonId {
-    /// The term of the leader that asked for it.
+    /// The term of the leader that requested the comparison.
     pub term: Term,
-    /// Its number in that term, from 1.
+    /// The number of the comparison in that term, from 1.
     pub number: u64,
 }
 
-/// A leader asks all replicas for their digests.
+/// A leader's request for the digests of all replicas.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct ComparisonRequest {
     /// The comparison.
     pub id: ComparisonId,
-    /// The entry after which the digest is made.
+    /// The index of the entry after which the digest is computed.
     pub index: Index,
 }
 
 /// The digest of a replica's state machine.
 #[derive(Clone, Copy, PartialEq, Eq)]
 pub struct StateDigest {
-    /// The form of the state that the digest covers.
+    /// The version of the encoding that the digest covers.
     pub format: u32,
     /// The first 128 bits of a SHA-256.
     pub digest: u128,
@@ -48,26 +49,26 @@
 pub struct ComparisonReport {
     /// The replica.
     pub store: StoreId,
-    /// What it answers.
+    /// The request that the report answers.
     pub request: ComparisonRequest,
-    /// Its digest.
+    /// The digest of the replica's state.
     pub state: StateDigest,
 }
 
-/// What a replica knows of its own state.
+/// The result of a comparison for one replica.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Verdict {
     /// Not enough replicas of the same format have reported.
     Undecided,
-    /// A majority has the same state.
+    /// A majority has the same state as this replica.
     Agrees,
-    /// A majority has another state, with this digest.
+    /// A majority has a different state, with this digest.
     Differs(u128),
-    /// The states differ, and none can be that of a majority.
+    /// The states differ, and no state can be that of a majority.
     NoMajority,
 }
 
-/// The comparison that goes on, as one replica sees it.
+/// The comparison in progress, as one replica sees it.
 ///
 /// ```
 /// use pathbank_coordination::state_comparison::*;
@@ -90,38 +91,39 @@
 pub struct StateComparison {
     request: Option<ComparisonRequest>,
     reports: BTreeMap<StoreId, StateDigest>,
-    /// The own digest is being made, or is made.
+    /// Whether this replica's digest has been requested from the state machine.
     own_requested: bool,
 }
 
 impl StateComparison {
-    /// The comparison that goes on; `None`: there was none yet.
+    /// The request of the newest comparison; `None` if there was none yet.
     pub fn request(&self) -> Option<ComparisonRequest> {
         self.request
     }
 
-    /// The next comparison that the leader of `term` asks for.
+    /// The id of the next comparison that the leader of `term` requests.
     pub fn next_id(&self, term: Term) -> ComparisonId {
         let last = self.request.map(|request| request.id).filter(|id| id.term == term);
         ComparisonId { term, number: last.map_or(0, |id| id.number) + 1 }
     }
 
-    /// Takes a request, unless a later comparison goes on.
+    /// Begins the requested comparison, unless it is older than or the same as the one in progress.
     pub fn begin(&mut self, request: ComparisonRequest) {
         if self.request.is_none_or(|known| known.id < request.id) {
             *self = StateComparison { request: Some(request), ..StateComparison::default() };
         }
     }
 
-    /// Whether the digest of this replica's state is to be made now, as `applied` is the last entry that it applied. It is
-    /// asked for once.
+    /// The request, if this replica's digest has to be computed now because `applied` is the requested index.
+    /// Returns each request only once.
     pub fn take_due(&mut self, applied: Index) -> Option<ComparisonRequest> {
         let due = self.request.filter(|request| request.index == applied && !self.own_requested)?;
         self.own_requested = true;
         Some(due)
     }
 
-    /// Takes a report, of this replica or of another one. It may come before the request.
+    /// Records a report of this or another replica. A report may arrive before the request and then begins
+    /// the comparison.
     pub fn record(&mut self, report: ComparisonReport) {
         self.begin(report.request);
         if self.request == Some(report.request) {
@@ -129,7 +131,7 @@
         }
     }
 
-    /// What the reports so far say of the replica `me`.
+    /// The verdict on the replica `me` by the reports received so far.
     pub fn verdict(&self, me: StoreId, membership: &Membership) -> Verdict {
         let Some(own) = self.reports.get(&me) else { return Verdict::Undecided };
         let has = |id: StoreId, digest: u128| {
@@ -141,8 +143,8 @@
         if let Some(majority) = majority {
             return if *majority == own.digest { Verdict::Agrees } else { Verdict::Differs(*majority) };
         }
-        // Digests of other formats and voters that are silent may be those of a majority. A store that has not joined yet
-        // knows no voters.
+        // Voters that have not reported, or that reported another format, may still make up a majority. A
+        // store that has not joined yet knows no voters.
         let may_decide = |digest: Option<u128>| {
             membership.has_quorum(|id| {
                 self.reports.get(&id).is_none_or(|state| {
--- a/crates/coordination/src/store.rs
+++ b/crates/coordination/src/store.rs
@@ -1,12 +1,12 @@
 //! The append-only file of a replica's records, in batches of one sync each ([`crate::batch`]).
 //!
 //! A file that has grown long is replaced: a new one is written beside it, synced, and renamed over it; then
-//! the directory is synced. The first batch is written the same way, so a file with its name has a complete
-//! first batch. What a failed write left is cut off before the next one.
+//! the directory is synced. The first batch is written the same way, so a file under the final name has a
+//! complete first batch. The remains of a failed write are cut off before the next write.
 //!
-//! A file in which a saved batch cannot be read is a lost store: it is set aside as [`DAMAGED_FILE`], and the
-//! directory becomes a new store. It must not go on under the old identity with less than that has
-//! acknowledged.
+//! If a saved batch cannot be read, the store is lost: the file is renamed to [`DAMAGED_FILE`], and the
+//! directory becomes a new store. It must not continue under the old identity, because it lacks entries that
+//! the old store has acknowledged.
 
 use crate::batch::{self, DecodedLog, TailState, UnreadableLog};
 use crate::record::{DurableState, Record};
@@ -19,9 +19,9 @@
 /// The name under which a damaged file is set aside.
 pub const DAMAGED_FILE: &str = "replica.log.damaged";
 
-/// The name under which the log of a replica is set aside whose state differed from that of its group.
+/// The name under which a log is set aside if the replica's state differed from that of its group.
 pub const DIVERGED_FILE: &str = "replica.log.diverged";
-/// The state itself, as the state machine encodes it.
+/// The name of the file with the state that differed, as the state machine encodes it.
 pub const DIVERGED_STATE_FILE: &str = "state.diverged";
 
 /// The open log.
@@ -44,10 +44,10 @@
     directory: PathBuf,
     /// `None`: nothing was saved yet.
     file: Option<File>,
-    /// All before this offset is intact and synced.
+    /// Every byte before this offset is intact and synced.
     length: u64,
     next_number: u64,
-    /// The directory was not synced since the file got its name.
+    /// Whether the directory still has to be synced after the file was renamed.
     directory_unsynced: bool,
 }
 
@@ -56,8 +56,8 @@
 pub struct OpenedLog {
     /// The replica's state.
     pub durable: DurableState,
-    /// A store of this directory was damaged or differed from its group, now or before: the store that begins here is
-    /// another one.
+    /// Whether a store in this directory was damaged or differed from its group, now or earlier. If so, this
+    /// directory holds a new store.
     pub previous_store_lost: bool,
 }
 
@@ -67,7 +67,7 @@
     /// The directory or the file cannot be read or written.
     #[error(transparent)]
     Io(#[from] io::Error),
-    /// The file is intact, and this version cannot read it.
+    /// The file is intact, but this version cannot read it.
     #[error(transparent)]
     Unreadable(#[from] UnreadableLog),
 }
@@ -97,7 +97,7 @@
         Ok((log, OpenedLog { durable, previous_store_lost }))
     }
 
-    /// Reads the file; `None`: there is none, or it is empty.
+    /// Reads the file. Returns `None` if there is no file or it is empty.
     fn read(&mut self) -> Result<Option<DecodedLog>, OpenError> {
         let path = self.directory.join(LOG_FILE);
         if !path.try_exists()? {
@@ -113,7 +113,8 @@
         Ok(Some(batch::decode(&bytes)?))
     }
 
-    /// Goes on from what the file held.
+    /// Restores `durable` from the contents of the file: sets a damaged file aside, rewrites one of the
+    /// legacy format, and cuts off a torn batch.
     fn recover(&mut self, contents: DecodedLog, durable: &mut DurableState) -> io::Result<()> {
         if contents.tail == TailState::Damaged {
             return self.set_aside(contents.intact_bytes);
@@ -130,7 +131,7 @@
         Ok(())
     }
 
-    /// Renames a damaged file, for operators to look at; the directory goes on without it.
+    /// Renames a damaged file, which is kept for operators to examine.
     fn set_aside(&mut self, intact_bytes: usize) -> io::Result<()> {
         tracing::error!(
             directory = %self.directory.display(),
@@ -143,12 +144,12 @@
         self.sync_directory()
     }
 
-    /// Sets the log of a replica that differs from its group aside, with the state that differed. The directory becomes a
-    /// new store when it is opened next.
+    /// Sets aside the log of a replica that differs from its group, along with the `state` that differed. The
+    /// directory becomes a new store when it is opened next.
     ///
     /// # Errors
     ///
-    /// The same call may be made again.
+    /// A file cannot be written, renamed or synced. The caller may repeat the call.
     pub fn set_diverged_aside(&mut self, state: &[u8]) -> io::Result<()> {
         let mut file = File::create(self.directory.join(DIVERGED_STATE_FILE))?;
         file.write_all(state)?;
@@ -171,7 +172,8 @@
     ///
     /// # Errors
     ///
-    /// None of the records counts as saved, and the same call may be made again.
+    /// The file cannot be written or synced. None of the records counts as saved, and the caller may repeat
+    /// the call.
     pub fn append(&mut self, records: &[Record]) -> io::Result<()> {
         let bytes = batch::encode(self.next_number, records);
         let Some(file) = self.file.as_mut() else { return self.replace(&bytes) };
@@ -189,12 +191,13 @@
     ///
     /// # Errors
     ///
-    /// The old file or the new one is in place, and the same call may be made again.
+    /// A file cannot be written, renamed or synced. Either the old or the new file is in place, and the
+    /// caller may repeat the call.
     pub fn rewrite(&mut self, durable: &DurableState) -> io::Result<()> {
         self.replace(&batch::encode(1, &durable.records()))
     }
 
-    /// Writes a new file of one batch, and gives it its name after it is synced.
+    /// Writes a new file of one batch, syncs it, and renames it over the log file.
     fn replace(&mut self, bytes: &[u8]) -> io::Result<()> {
         let new_path = self.directory.join(NEW_FILE);
         let mut file =
@@ -207,8 +210,8 @@
         self.sync_directory()
     }
 
-    /// Until the directory of a renamed file is synced, a loss of power may bring the old file back, and
-    /// nothing that is appended counts.
+    /// Syncs the directory after a file was renamed. Until then a loss of power may bring the old file back,
+    /// so appended records do not count as saved.
     fn sync_directory(&mut self) -> io::Result<()> {
         if self.directory_unsynced {
             File::open(&self.directory)?.sync_all()?;
--- a/crates/coordination/src/types.rs
+++ b/crates/coordination/src/types.rs
@@ -26,8 +26,8 @@
     pub control_address: String,
 }
 
-/// The voters of a group. During a change a majority of the new voters and a majority of the old ones both have
-/// to agree (joint consensus, section 4.3 of Ongaro's thesis).
+/// The voters of a group. During a change a majority of the new voters and a majority of the old ones both
+/// have to agree (joint consensus, section 4.3 of Ongaro's thesis).
 ///
 /// ```
 /// use pathbank_coordination::types::{Member, Membership, StoreId};
@@ -201,8 +201,8 @@
         /// `sent_at` of the message that this answers.
         sent_at: Millis,
     },
-    /// A chunk of a snapshot, sent in place of entries that the leader no longer has. A chunk without bytes is a
-    /// heartbeat that asks how many bytes the follower has received.
+    /// A chunk of a snapshot, sent in place of entries that the leader no longer has. A chunk without bytes
+    /// is a heartbeat that asks how many bytes the follower has received.
     SnapshotChunk(SnapshotChunk),
     /// The answer to [`Message::SnapshotChunk`].
     SnapshotReply {
