--- a/crates/coordination/tests/common/mod.rs
+++ b/crates/coordination/tests/common/mod.rs
@@ -1,5 +1,5 @@
-//! A cluster of replicas in one process: virtual time, links that delay, lose and partition, disks that sync
-//! late and lose what was not synced.
+//! A cluster of replicas in one process and in virtual time. Links delay and lose messages and can be
+//! partitioned; disks sync late and lose writes that were not synced.
 
 #![allow(dead_code)]
 
@@ -16,8 +16,9 @@
 use pathbank_coordination::types::{Entry, Index, Member, Membership, Message, Payload, StoreId};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// How long a message takes, and how long a sync takes.
+/// How long a message takes at least.
 pub const LINK_DELAY_MS: u64 = 2;
+/// How long a sync takes unless a test sets [`Machine::sync_ms`].
 pub const SYNC_MS: u64 = 3;
 
 struct PendingWrite {
@@ -31,41 +32,41 @@
     pub replica: Option<Replica>,
     pub disk: DurableState,
     writes: Vec<PendingWrite>,
-    /// Commands in the order in which they were applied.
+    /// The state of the state machine: the applied commands in order.
     pub applied: Vec<(Index, Vec<u8>)>,
     pub disk_stalled: bool,
     /// How long a sync takes.
     pub sync_ms: u64,
-    /// The process is paused until then: nothing is read, no timer fires.
+    /// Until this time the process is paused: it reads nothing, and no timer fires.
     pub paused_until: u64,
-    /// Processor time to apply one entry.
+    /// The processor time to apply one entry, microseconds.
     pub apply_us_per_entry: u64,
-    /// Its processor is busy until then.
+    /// The time until which the processor is busy.
     busy_until: u64,
-    /// Processor time that does not add up to a millisecond yet.
+    /// Processor time that has not added up to a whole millisecond yet.
     unaccounted_us: u64,
-    /// The last entry that it applied, a command or not.
+    /// The index of the last applied entry of any kind.
     last_applied: Index,
-    /// It applies commands that contain this otherwise than the others do.
+    /// The machine applies commands that contain these bytes differently from the others.
     pub misapplies: Option<&'static [u8]>,
-    /// The form of its digests.
+    /// The format of the machine's state digests.
     pub digest_format: u32,
     pub comparison: StateComparison,
-    /// How often it became a new store because its state differed.
+    /// How often the machine became a new store because its state differed.
     pub set_aside: usize,
-    /// It has found that no state is that of a majority.
+    /// Whether the machine has found that no state is that of a majority.
     pub saw_no_majority: bool,
-    /// The command that is being prepared, and when that ends.
+    /// The index of the command that is being prepared, and when the preparation ends.
     preparing: Option<(Index, u64)>,
-    /// Who led, as far as this machine has applied.
+    /// The past leaders, as of the last entry that the machine has applied.
     pub fence: FencingGuard,
-    /// When it received SIGTERM; it ends as soon as it may.
+    /// When the process received SIGTERM. It ends as soon as it is permitted to.
     sigterm_at: Option<u64>,
 }
 
-/// A process ends this long after SIGTERM, whether it left the membership or not.
+/// A process ends this long after SIGTERM even if it is still in the membership.
 pub const SHUTDOWN_TIMEOUT_MS: u64 = 3_000;
-/// And this long after SIGTERM without any reply.
+/// A process without any reply to its request to leave ends this long after SIGTERM.
 const LEAVE_REPLY_TIMEOUT_MS: u64 = 600;
 
 pub struct Cluster {
@@ -76,34 +77,34 @@
     pub partitions: BTreeSet<(usize, usize)>,
     pub loss_in_1000: u64,
     random: fastrand::Rng,
-    /// Acknowledged commands by index, as the leader of the time reported them.
+    /// Acknowledged commands by index, as reported by the leader at the time.
     pub acknowledged: BTreeMap<Index, Vec<u8>>,
     proposed: BTreeMap<(usize, Index), (u64, Vec<u8>)>,
     next_store: u64,
-    /// 0: unlimited.
+    /// The bandwidth of each link; 0 is unlimited.
     pub bandwidth_bytes_per_ms: u64,
-    /// When a link has transmitted all that was sent on it.
+    /// When each link has transmitted everything that was sent on it.
     link_free_at: BTreeMap<(usize, usize), u64>,
-    /// How often another machine began to lead.
+    /// How often the leadership passed to another machine.
     pub leader_changes: usize,
     last_leader: Option<usize>,
-    /// Who led each term.
+    /// The machine that led each term.
     leaders: BTreeMap<u64, usize>,
-    /// Machines prepare each command for so long before it is applied; `None`: they apply it at once.
+    /// How long machines prepare each command before they apply it; `None`: they apply it at once.
     pub preparation_ms: Option<u64>,
-    /// The leader asks for a comparison of the states this often; `None`: never.
+    /// The interval at which the leader requests a comparison of the states; `None`: it requests none.
     pub comparison_interval_ms: Option<u64>,
     comparisons_in_transit: BTreeMap<(u64, u64), (usize, ComparisonMessage)>,
 }
 
-/// What machines say about their states.
+/// The messages of a state comparison.
 #[derive(Clone, Copy)]
 enum ComparisonMessage {
     Request(ComparisonRequest),
     Report(ComparisonReport),
 }
 
-/// Bytes of a message, roughly.
+/// The approximate size of a message, bytes.
 fn size(message: &Message) -> u64 {
     match message {
         Message::SnapshotChunk(chunk) => chunk.bytes.len() as u64 + 100,
@@ -201,13 +202,13 @@
         state.replica = Some(Replica::new(me, Timing::default(), disk, self.now, random));
     }
 
-    /// The process is killed: a part of the writes under way is on disk, in order.
+    /// Kills the process. A random number of the pending writes, in order, reach the disk.
     pub fn kill(&mut self, machine: usize) {
         let kept = self.random.usize(0..=self.machines[machine].writes.len());
         self.stop(machine, kept);
     }
 
-    /// The machine loses power: what was synced is there, and maybe a part of what followed.
+    /// Cuts the machine's power. The synced writes stay, and maybe some of those that followed.
     pub fn power_off(&mut self, machine: usize) {
         self.kill(machine);
     }
@@ -222,7 +223,7 @@
         }
     }
 
-    /// The machine loses power and its disk.
+    /// Cuts the machine's power and replaces its disk by an empty one.
     pub fn wipe(&mut self, machine: usize) {
         self.stop(machine, 0);
         let id = StoreId(self.next_store_id());
@@ -240,13 +241,14 @@
         leaders.max_by_key(|(_, machine)| machine.replica.as_ref().map(Replica::term)).map(|(at, _)| at)
     }
 
-    /// Proposes at the leader; once committed the command counts as acknowledged.
+    /// Proposes a command to the leader. Returns whether there was a leader; the command counts as
+    /// acknowledged once it is committed.
     pub fn propose(&mut self, command: &[u8]) -> bool {
         let leader = self.leader();
         leader.is_some_and(|leader| self.propose_at(leader, command).is_some())
     }
 
-    /// Proposes at a machine, if it leads. Returns the index.
+    /// Proposes a command to a machine. Returns the index, or `None` if the machine does not lead.
     pub fn propose_at(&mut self, machine: usize, command: &[u8]) -> Option<Index> {
         let replica = self.machines[machine].replica.as_mut()?;
         let term = replica.term();
@@ -297,12 +299,12 @@
         for entry in effects.committed {
             self.apply(machine, entry);
         }
-        // Links are written by the same thread: messages leave when the processor is free again.
+        // The same thread writes to the links, so messages leave when the processor is free again.
         self.charge(machine, takes_us);
         self.send(machine, &me, go);
     }
 
-    /// Occupies the machine's processor: meanwhile nothing is read there, and no timer fires.
+    /// Occupies the machine's processor. Meanwhile the machine reads nothing, and no timer fires.
     pub fn charge(&mut self, machine: usize, microseconds: u64) {
         let state = &mut self.machines[machine];
         state.unaccounted_us += microseconds;
@@ -350,12 +352,12 @@
         }
     }
 
-    /// Paused, until it is resumed or killed.
+    /// Whether the machine is paused.
     fn is_suspended(&self, machine: usize) -> bool {
         self.now < self.machines[machine].paused_until
     }
 
-    /// Paused, or its processor is busy.
+    /// Whether the machine is paused or its processor is busy.
     pub fn is_paused(&self, machine: usize) -> bool {
         self.now < self.runnable_at(machine)
     }
@@ -365,7 +367,7 @@
         state.paused_until.max(state.busy_until)
     }
 
-    /// Resumes a paused machine, which then gets the messages that were queued meanwhile.
+    /// Resumes a paused machine, which then receives the messages that were queued in the meantime.
     pub fn resume(&mut self, machine: usize) {
         self.machines[machine].paused_until = 0;
         let queued =
@@ -381,7 +383,7 @@
         let Some(leader) = self.leader() else { return false };
         let Some(replica) = self.machines[leader].replica.as_ref() else { return false };
         let has_all = |machine: &Machine| machine.disk.last_index() >= replica.durable().last_index();
-        let is_there = |id| {
+        let is_up_to_date = |id| {
             let mut stores = self.machines.iter().enumerate();
             stores.any(|(at, machine)| {
                 let runs = machine.replica.as_ref().is_some_and(|replica| replica.me().id == id);
@@ -391,10 +393,10 @@
         let membership = replica.membership();
         self.partitions.is_empty()
             && !membership.is_joint()
-            && membership.members().all(|voter| is_there(voter.id))
+            && membership.members().all(|voter| is_up_to_date(voter.id))
     }
 
-    /// When a link has transmitted a message.
+    /// Sends a message on a link and returns when the link has transmitted it.
     fn transmitted_at(&mut self, link: (usize, usize), message: &Message) -> u64 {
         if self.bandwidth_bytes_per_ms == 0 {
             return self.now;
@@ -418,7 +420,7 @@
     fn continue_shutdown(&mut self, machine: usize) {
         let Some(since) = self.machines[machine].sigterm_at else { return };
         if self.now.is_multiple_of(25) {
-            self.with(machine, pathbank_coordination::replica::Replica::leave);
+            self.with_replica(machine, pathbank_coordination::replica::Replica::leave);
         }
         let Some(replica) = self.machines[machine].replica.as_ref() else { return };
         let ends = match replica.departure() {
@@ -427,12 +429,12 @@
             Departure::AwaitingReply => self.now >= since + LEAVE_REPLY_TIMEOUT_MS,
         };
         if ends {
-            self.with(machine, pathbank_coordination::replica::Replica::transfer_leadership);
+            self.with_replica(machine, pathbank_coordination::replica::Replica::transfer_leadership);
             self.kill(machine);
         }
     }
 
-    /// No term has two leaders.
+    /// Checks that no term has two leaders.
     fn check_one_leader_per_term(&mut self) {
         for (machine, state) in self.machines.iter().enumerate() {
             let Some(replica) = state.replica.as_ref().filter(|replica| replica.role() == Role::Leader)
@@ -458,7 +460,7 @@
         Some(replica.membership().voters.len())
     }
 
-    /// One millisecond passes.
+    /// Advances the time by one millisecond.
     pub fn step(&mut self) {
         self.now += 1;
         while let Some((&(at, sequence), _)) = self.in_transit.first_key_value() {
@@ -467,23 +469,23 @@
             }
             let (target, from, message) = self.in_transit.remove(&(at, sequence)).unwrap();
             if self.is_paused(target) {
-                // It stays in the machine's socket buffer until it runs again.
+                // The message stays in the machine's socket buffer until the machine runs again.
                 self.in_transit.insert((self.runnable_at(target), sequence), (target, from, message));
                 continue;
             }
-            self.with(target, |replica, now| replica.step(now, from, message));
+            self.with_replica(target, |replica, now| replica.step(now, from, message));
         }
         for machine in 0..self.machines.len() {
             if self.is_paused(machine) {
                 continue;
             }
             self.sync(machine);
-            self.with(machine, pathbank_coordination::replica::Replica::tick);
-            self.with(machine, |replica, now| {
+            self.with_replica(machine, pathbank_coordination::replica::Replica::tick);
+            self.with_replica(machine, |replica, now| {
                 membership_changes::reconcile(replica, now).unwrap_or_default()
             });
             self.prepare(machine);
-            self.with(machine, |replica, _| replica.apply_more());
+            self.with_replica(machine, |replica, _| replica.apply_more());
             if self.now.is_multiple_of(100) {
                 self.request_join(machine);
             }
@@ -498,13 +500,13 @@
 
     // ---- comparisons of the states ----
 
-    /// Changes one command that a machine has applied: memory that was damaged.
+    /// Changes one command that a machine has applied, as damaged memory would.
     pub fn damage_state(&mut self, machine: usize) {
         let (_, command) = self.machines[machine].applied.first_mut().expect("something is applied");
         command[0] ^= 1;
     }
 
-    /// As the leader, asks for a comparison when it is due.
+    /// Requests a comparison if the machine leads and a comparison is due.
     fn compare(&mut self, machine: usize) {
         let is_due = self.comparison_interval_ms.is_some_and(|interval| self.now.is_multiple_of(interval));
         if !is_due || self.leader() != Some(machine) {
@@ -519,7 +521,7 @@
         self.digest_if_due(machine);
     }
 
-    /// Makes the digest of a machine's state where it is asked for.
+    /// Sends the digest of a machine's state if a comparison needs it now.
     fn digest_if_due(&mut self, machine: usize) {
         let state = &mut self.machines[machine];
         let Some(replica) = state.replica.as_ref() else { return };
@@ -557,16 +559,17 @@
             }
             self.digest_if_due(target);
         }
-        (0..self.machines.len()).for_each(|machine| self.judge(machine));
+        (0..self.machines.len()).for_each(|machine| self.act_on_verdict(machine));
     }
 
-    /// A machine whose state differs from a majority's goes on as a new store; a leader hands over first.
-    fn judge(&mut self, machine: usize) {
+    /// Restarts a machine as a new store if its state differs from that of a majority. A leader transfers its
+    /// leadership first.
+    fn act_on_verdict(&mut self, machine: usize) {
         let state = &self.machines[machine];
         let Some(replica) = state.replica.as_ref() else { return };
         match state.comparison.verdict(replica.me().id, replica.membership()) {
             Verdict::Differs(_) => {
-                self.with(machine, pathbank_coordination::replica::Replica::transfer_leadership);
+                self.with_replica(machine, pathbank_coordination::replica::Replica::transfer_leadership);
                 self.wipe(machine);
                 self.machines[machine].misapplies = None;
                 self.machines[machine].set_aside += 1;
@@ -577,14 +580,14 @@
         }
     }
 
-    /// Whether all running machines have applied the same.
+    /// Whether all running machines have applied the same commands.
     pub fn has_one_state(&self) -> bool {
         let mut running = self.machines.iter().filter(|machine| machine.replica.is_some());
         let Some(first) = running.next() else { return true };
         running.all(|machine| machine.applied == first.applied)
     }
 
-    /// Prepares the command that a machine awaits, beside everything else that it does.
+    /// Prepares the command that a machine has to apply next, while the machine continues its other work.
     fn prepare(&mut self, machine: usize) {
         let Some(takes_ms) = self.preparation_ms else { return };
         let now = self.now;
@@ -599,7 +602,7 @@
         }
     }
 
-    fn with(&mut self, machine: usize, event: impl FnOnce(&mut Replica, u64) -> Effects) {
+    fn with_replica(&mut self, machine: usize, event: impl FnOnce(&mut Replica, u64) -> Effects) {
         let now = self.now;
         if let Some(replica) = self.machines[machine].replica.as_mut() {
             let effects = event(replica, now);
@@ -616,7 +619,7 @@
             write.records.into_iter().for_each(|record| self.machines[machine].disk.apply(record));
             let me = member(machine, self.machines[machine].disk.id.unwrap().0);
             self.send(machine, &me, write.waiting_messages);
-            self.with(machine, |replica, now| replica.on_persisted(now, write.last_index));
+            self.with_replica(machine, |replica, now| replica.on_persisted(now, write.last_index));
         }
     }
 
@@ -636,12 +639,13 @@
         self.check();
     }
 
-    /// Runs without the check that all machines apply the same: the states of some differ.
+    /// Runs without checking that all machines apply the same commands, for tests in which some states
+    /// differ.
     pub fn run_unchecked(&mut self, milliseconds: u64) {
         (0..milliseconds).for_each(|_| self.step());
     }
 
-    /// Runs until there is an established leader; `false`: none within the time.
+    /// Runs until there is an established leader. Returns whether there was one within the time.
     pub fn run_until_leader(&mut self, milliseconds: u64) -> bool {
         for _ in 0..milliseconds {
             self.step();
@@ -663,7 +667,8 @@
         self.machines[machine].disk.id.unwrap()
     }
 
-    /// All machines apply the same command at an index, and acknowledged ones are among them.
+    /// Checks that all machines applied the same command at each index, and that no acknowledged command was
+    /// replaced.
     pub fn check(&self) {
         let mut known: BTreeMap<Index, &Vec<u8>> = BTreeMap::new();
         for (machine, state) in self.machines.iter().enumerate() {
@@ -680,7 +685,7 @@
         self.check_one_lease();
     }
 
-    /// No two leaders hold a lease at once.
+    /// Checks that no two leaders hold a lease at the same time.
     fn check_one_lease(&self) {
         let leased = self.machines.iter().filter(|machine| {
             machine.replica.as_ref().is_some_and(|r| r.role() == Role::Leader && r.lease_until() > self.now)
@@ -688,13 +693,13 @@
         assert!(leased.count() <= 1, "two leaders hold a lease");
     }
 
-    /// The leader has all that was acknowledged.
+    /// Checks that the leader has applied every acknowledged command.
     pub fn check_no_acknowledged_entry_is_lost(&self) {
         let leader = self.leader().expect("a leader");
         let applied: BTreeMap<Index, &Vec<u8>> =
             self.machines[leader].applied.iter().map(|(index, command)| (*index, command)).collect();
         for (index, command) in &self.acknowledged {
-            assert_eq!(applied.get(index), Some(&command), "acknowledged at {index} and lost");
+            assert_eq!(applied.get(index), Some(&command), "the acknowledged command at {index} was lost");
         }
     }
 }
--- a/crates/coordination/tests/event_orders.rs
+++ b/crates/coordination/tests/event_orders.rs
@@ -1,6 +1,6 @@
 //! All permutations of a few events on a small cluster: a store joins, a voter leaves, a disk is lost, a
-//! process crashes, logs are compacted. In each of them no term has two leaders, no acknowledged entry is
-//! lost, and there is a leader at the end.
+//! process crashes, logs are compacted. In each order no term may have two leaders, no acknowledged entry may
+//! be lost, and the cluster must have a leader at the end.
 
 #![allow(clippy::unwrap_used, clippy::expect_used, reason = "a test fails by a panic")]
 
@@ -16,18 +16,19 @@
     Join,
     /// A voter gets SIGTERM, and starts again.
     Leave(usize),
-    /// A disk is lost where another loss is tolerated, or else the process crashes; it starts again.
+    /// A machine loses its disk, or only its process if the cluster would not tolerate another lost disk; it
+    /// starts again.
     Wipe(usize),
     /// A process crashes and starts again.
     Crash(usize),
-    /// All compact their logs.
+    /// All machines compact their logs.
     Compact,
 }
 
 const SPARE: usize = 3;
-/// A machine restarts after this.
+/// A stopped machine restarts after this time.
 const RESTART_DELAY_MS: u64 = 300;
-/// There has to be a leader this long after the last event.
+/// The cluster must have a leader this long after the last event.
 const LEADER_TIMEOUT_MS: u64 = 6_000;
 
 /// All permutations of some events.
@@ -95,19 +96,19 @@
 #[test_case(1_300, 1; "more than a second apart, the second leaves")]
 #[test_case(1_300, 2; "more than a second apart, the third leaves")]
 fn all_permutations_of_five_events_lose_nothing(gap: u64, departing: usize) {
-    for who in 0..9 {
-        let (wiped, crashed) = (who % 3, who / 3);
+    for combination in 0..9 {
+        let (wiped, crashed) = (combination % 3, combination / 3);
         let events =
             [Event::Join, Event::Leave(departing), Event::Wipe(wiped), Event::Crash(crashed), Event::Compact];
         permutations(&events).iter().enumerate().for_each(|(seed, order)| run_order(order, gap, seed as u64));
     }
 }
 
-/// Two replacements, one after the other, with a disk loss and a crash at each position between them.
+/// All orders of five events: a store joins, two voters leave, a disk is lost and a process crashes.
 #[test]
 fn all_permutations_of_two_departures_a_disk_loss_and_a_crash_lose_nothing() {
-    for who in 0..9 {
-        let (wiped, crashed) = (who % 3, who / 3);
+    for combination in 0..9 {
+        let (wiped, crashed) = (combination % 3, combination / 3);
         let events =
             [Event::Join, Event::Leave(0), Event::Leave(1), Event::Wipe(wiped), Event::Crash(crashed)];
         permutations(&events).iter().enumerate().for_each(|(seed, order)| run_order(order, 700, seed as u64));
--- a/crates/coordination/tests/fencing.rs
+++ b/crates/coordination/tests/fencing.rs
@@ -1,4 +1,4 @@
-//! When a leader may act, and with which token.
+//! Rules by which a leader may act, and the fencing token of its permit.
 
 #![allow(clippy::unwrap_used, clippy::expect_used, reason = "a test fails by a panic")]
 
@@ -23,7 +23,7 @@
 }
 
 #[test]
-fn a_new_leader_and_a_reelected_one_act_at_once() {
+fn a_first_time_leader_and_one_reelected_in_a_row_act_at_once() {
     let mut guard = FencingGuard::default();
     ["a", "b"].iter().for_each(|name| guard.record_leader(name));
     assert!(guard.permit("b", 2, 9_000, 3_000, 1_000).is_some());
--- a/crates/coordination/tests/membership_changes.rs
+++ b/crates/coordination/tests/membership_changes.rs
@@ -1,5 +1,5 @@
-//! Stores that join, leave and replace voters, with a further failure at any time of it: while a quorum
-//! remains, there is a leader again and no acknowledged entry is lost.
+//! Stores join, leave and replace voters, while another machine fails at any time of the change. As long as a
+//! quorum remains, the cluster must elect a leader again and lose no acknowledged entry.
 
 #![allow(clippy::unwrap_used, clippy::expect_used, reason = "a test fails by a panic")]
 
@@ -11,20 +11,20 @@
 /// How a machine fails.
 #[derive(Clone, Copy, Debug, PartialEq)]
 enum Loss {
-    /// It restarts with an empty disk.
+    /// The machine restarts with an empty disk.
     Wipe,
-    /// It stays down.
+    /// The machine stays down.
     Dark,
-    /// Its process is killed and restarts.
+    /// The machine's process is killed and restarts.
     Kill,
 }
 
 const LOSSES: [Loss; 3] = [Loss::Wipe, Loss::Dark, Loss::Kill];
-/// The machine that is not among the first voters.
+/// The machine that is not one of the first voters.
 const SPARE: usize = 3;
-/// A failed machine restarts after this.
+/// A failed machine restarts after this time.
 const RESTART_DELAY_MS: u64 = 1_000;
-/// There has to be a leader this long after a failure.
+/// The cluster must have a leader this long after a failure.
 const LEADER_TIMEOUT_MS: u64 = 6_000;
 
 fn cluster_with_spare(seed: u64) -> Cluster {
@@ -62,7 +62,8 @@
     acknowledge(cluster, 1);
 }
 
-/// A planned replacement, the new machine first, then SIGTERM at the old one; after that another voter fails.
+/// A planned replacement: the new machine starts, then the old one receives SIGTERM. After that another voter
+/// fails.
 #[test_case(300; "0.3 s after the new one started")]
 #[test_case(1_000; "1 s after")]
 #[test_case(2_000; "2 s after")]
@@ -148,7 +149,7 @@
     assert_eq!(cluster.voters().len(), 3);
 }
 
-/// The new store crashes as a learner, during the departure of an old one.
+/// A new store crashes while it is a learner and an old voter is leaving.
 #[test]
 fn a_learner_crash_at_any_time_during_a_departure_is_survived() {
     for gap in (0..900).step_by(20) {
@@ -175,7 +176,7 @@
         acknowledge(&mut cluster, 3);
         (0..2).for_each(|machine| cluster.terminate(machine));
         cluster.run(common::SHUTDOWN_TIMEOUT_MS + 500);
-        // Two of five departed: the others have a quorum.
+        // Two of five voters have left; the other three are a quorum.
         assert!(cluster.run_until_leader(LEADER_TIMEOUT_MS));
         cluster.check_no_acknowledged_entry_is_lost();
         acknowledge(&mut cluster, 1);
@@ -200,7 +201,7 @@
     assert_recovers(&mut cluster, other, Loss::Dark, "another one goes dark");
 }
 
-/// The leader is partitioned at any time of a membership change.
+/// The leader is partitioned from the others at any time of a membership change.
 #[test]
 fn a_leader_partitioned_at_any_time_of_a_membership_change_loses_nothing() {
     for gap in (0..60).step_by(2) {
@@ -229,7 +230,8 @@
     (0..2).for_each(|machine| cluster.kill(machine));
     cluster.run(6_000);
     assert_eq!(cluster.voter_count(), Some(5), "two that are down are not replaced");
-    // Both disks that may be lost are lost among those that hold the newest entry, while the others return.
+    // Of the machines with the newest entry two lose their disks, the most that is tolerated, while the
+    // others restart.
     acknowledge(&mut cluster, 2);
     (2..4).for_each(|machine| cluster.wipe(machine));
     (0..4).for_each(|machine| cluster.start(machine));
--- a/crates/coordination/tests/preparation.rs
+++ b/crates/coordination/tests/preparation.rs
@@ -1,4 +1,5 @@
-//! Long commands that the caller prepares beside its event loop: they are handed out once they are prepared, in order.
+//! Long commands that the caller prepares outside its event loop: a replica hands them out once they are
+//! prepared, in the order of the log.
 
 #![allow(clippy::unwrap_used, clippy::expect_used, reason = "a test fails by a panic")]
 
@@ -12,7 +13,7 @@
 };
 use test_case::test_case;
 
-/// Commands above this are long, bytes.
+/// A command longer than this, in bytes, has to be prepared.
 const LIMIT: usize = 10;
 const LONG: usize = LIMIT + 1;
 
@@ -64,7 +65,7 @@
 }
 
 #[test]
-fn a_command_that_is_not_committed_awaits_nothing() {
+fn an_uncommitted_command_does_not_have_to_be_prepared() {
     let (mut replica, effects) = follower(&[LONG], 0);
     assert!(handed_out(&effects).is_empty());
     assert_eq!(awaited(&replica), None);
@@ -82,7 +83,7 @@
 }
 
 #[test]
-fn a_snapshot_takes_the_place_of_a_command_that_is_being_prepared() {
+fn a_snapshot_replaces_a_command_that_is_being_prepared() {
     let (mut replica, _) = follower(&[LONG, 1], 2);
     assert_eq!(awaited(&replica), Some(1));
     let (membership, leaders) = (Membership::of(voters()), Vec::new());
@@ -97,11 +98,11 @@
     assert!(handed_out(&replica.apply_more()).is_empty(), "the snapshot covers it");
 }
 
-/// The group goes on while every machine prepares each command for a second, and the leader is lost meanwhile.
+/// Each machine takes a second to prepare each command, and the leader fails in the meantime.
 #[test_case(0)]
 #[test_case(1)]
 #[test_case(2)]
-fn a_group_whose_commands_take_a_second_keeps_what_it_acknowledged(seed: u64) {
+fn a_group_that_prepares_commands_for_a_second_loses_no_acknowledged_entry(seed: u64) {
     let mut cluster = Cluster::new(3, 0, seed);
     cluster.preparation_ms = Some(1_000);
     assert!(cluster.run_until_leader(4_000));
--- a/crates/coordination/tests/recent_peers.rs
+++ b/crates/coordination/tests/recent_peers.rs
@@ -1,4 +1,4 @@
-//! Peers that sent a message lately, after hundreds of replaced machines.
+//! Retention of recent peers while hundreds of machines are replaced.
 
 #![allow(clippy::unwrap_used, clippy::expect_used, reason = "a test fails by a panic")]
 
--- a/crates/coordination/tests/recovery.rs
+++ b/crates/coordination/tests/recovery.rs
@@ -1,4 +1,4 @@
-//! Cores that restart with a long log, on small processors.
+//! Restarts of cores with a long log on slow processors.
 
 #![allow(clippy::unwrap_used, clippy::expect_used, reason = "a test fails by a panic")]
 
@@ -9,11 +9,12 @@
 
 const CORES: usize = 3;
 const ENTRIES: usize = 800;
-/// Processor time to apply one entry with half a processor.
+/// The time to apply one entry with half a processor.
 const APPLY_US_PER_ENTRY: u64 = 2_500;
-/// A follower is current while it has heard its leader within this.
+/// A follower is current only if it has heard its leader within this time.
 const LEADER_TIMEOUT_MS: u64 = 1_500;
-/// No vote is granted for 0.4 s after a start, and an election timer runs for 0.8 s at most.
+/// Upper bound of an election after a restart: no vote is granted for 0.4 s, and an election timer runs for
+/// at most 0.8 s.
 const ELECTION_TIMEOUT_MS: u64 = 1_300;
 
 fn is_current(cluster: &Cluster, core: usize) -> bool {
@@ -44,8 +45,8 @@
     }
 }
 
-// A leader that applied its whole log at once sent no heartbeats meanwhile and was deposed by the next one,
-// which did the same; the cluster was current only after several elections.
+// Guards against a leader that applies its whole log at once: it sent no heartbeats meanwhile and was deposed
+// by the next leader, which did the same. The cluster was current only after several elections.
 #[test]
 fn a_leader_keeps_leading_while_it_applies_a_long_log() {
     for seed in 0..20 {
@@ -81,8 +82,8 @@
     Killed,
 }
 
-/// A core that restarts on a small processor replays its log while the others keep their leader and accept
-/// commands, and is current within the time of its replay.
+/// A core on a slow processor restarts and replays its log. The others keep their leader and accept commands,
+/// and the core is current again within the time that its replay takes.
 #[test_case(false, Fault::Nothing; "a follower starts again")]
 #[test_case(false, Fault::SlowDisks; "a follower, with slow disks")]
 #[test_case(false, Fault::Loss; "a follower, with messages that get lost")]
--- a/crates/coordination/tests/snapshots.rs
+++ b/crates/coordination/tests/snapshots.rs
@@ -1,4 +1,5 @@
-//! Snapshot transfers: in chunks, resumed, beside heartbeats; and the entries that a follower keeps.
+//! Snapshot transfers: chunks, resumption, heartbeats during a transfer, and the entries that a follower
+//! keeps.
 
 #![allow(clippy::unwrap_used, clippy::expect_used, reason = "a test fails by a panic")]
 
@@ -57,7 +58,7 @@
     })
 }
 
-/// The leader relies on acknowledged entries: a late snapshot must not remove them.
+/// The leader counts on entries that a follower has acknowledged, so a late snapshot must not remove them.
 #[test]
 fn a_late_snapshot_keeps_acknowledged_entries_after_it() {
     let mut replica = follower();
@@ -106,7 +107,8 @@
     assert!(chunk(&mut replica, new, 0, &new_bytes).install.is_some());
 }
 
-/// A follower restarts far behind, over a link of 10 Mbit/s, while ten commands a second are proposed.
+/// A follower whose log is far behind restarts on a link of 10 Mbit/s while ten commands per second are
+/// proposed.
 #[test_case(1; "1 MB")]
 #[test_case(4; "4 MB")]
 #[test_case(16; "16 MB")]
--- a/crates/coordination/tests/state_comparison.rs
+++ b/crates/coordination/tests/state_comparison.rs
@@ -1,4 +1,5 @@
-//! A replica whose state differs is found, gives up its part, and comes back with the state of its group.
+//! State comparison: a replica whose state differs from that of its group is found, sets its log aside, and
+//! joins again as a new store with the state of the group.
 
 #![allow(clippy::unwrap_used, clippy::expect_used, reason = "a test fails by a panic")]
 
@@ -7,9 +8,10 @@
 use common::Cluster;
 use test_case::test_case;
 
-/// Between comparisons, milliseconds.
+/// The interval between comparisons, milliseconds.
 const INTERVAL_MS: u64 = 1_000;
-/// A difference is found within two comparisons, and a new store has caught up and votes soon after.
+/// Time for a repair, milliseconds: a difference is found within two comparisons, and soon after that the new
+/// store has caught up and is a voter.
 const REPAIR_MS: u64 = 8_000;
 
 fn cluster(founders: usize, joining: usize, seed: u64) -> Cluster {
@@ -49,12 +51,15 @@
     assert!(cluster.has_one_state());
     cluster.check_no_acknowledged_entry_is_lost();
     let voters = cluster.voters();
-    assert!(damaged.iter().all(|machine| voters.contains(&cluster.store(*machine))), "they vote again");
+    assert!(
+        damaged.iter().all(|machine| voters.contains(&cluster.store(*machine))),
+        "the repaired machines are voters again"
+    );
     assert!(cluster.machines.iter().all(|machine| !machine.saw_no_majority));
 }
 
 #[test]
-fn equal_states_are_left_alone() {
+fn replicas_with_equal_states_are_not_reset() {
     let mut cluster = cluster(3, 2, 1);
     assert_repaired(&mut cluster, &[]);
 }
@@ -62,7 +67,7 @@
 #[test_case(1)]
 #[test_case(2)]
 #[test_case(3)]
-fn a_follower_whose_state_was_damaged(seed: u64) {
+fn a_follower_with_a_damaged_state_is_repaired(seed: u64) {
     let mut cluster = cluster(3, 0, seed);
     let damaged = follower(&cluster);
     cluster.damage_state(damaged);
@@ -72,7 +77,7 @@
 #[test_case(4)]
 #[test_case(5)]
 #[test_case(6)]
-fn a_leader_whose_state_was_damaged(seed: u64) {
+fn a_leader_with_a_damaged_state_is_repaired(seed: u64) {
     let mut cluster = cluster(3, 0, seed);
     let damaged = cluster.leader().unwrap();
     cluster.damage_state(damaged);
@@ -81,7 +86,7 @@
 
 #[test_case(7)]
 #[test_case(8)]
-fn two_of_five_whose_states_were_damaged(seed: u64) {
+fn two_of_five_with_damaged_states_are_repaired(seed: u64) {
     let mut cluster = cluster(3, 2, seed);
     let leader = cluster.leader().unwrap();
     let other = follower(&cluster);
@@ -90,7 +95,7 @@
 }
 
 #[test]
-fn a_state_that_differs_while_commands_come_without_a_pause() {
+fn a_damaged_state_is_repaired_during_continuous_commands() {
     let mut cluster = cluster(3, 0, 9);
     let damaged = follower(&cluster);
     cluster.damage_state(damaged);
@@ -102,7 +107,7 @@
 }
 
 #[test]
-fn a_state_that_differs_in_a_snapshot() {
+fn a_damaged_state_in_a_snapshot_is_repaired() {
     let mut cluster = cluster(3, 0, 10);
     let damaged = follower(&cluster);
     cluster.damage_state(damaged);
@@ -114,7 +119,7 @@
 }
 
 #[test]
-fn a_state_that_differs_while_the_membership_changes() {
+fn a_damaged_state_is_repaired_during_a_membership_change() {
     let mut cluster = cluster(3, 1, 11);
     let leader = cluster.leader().unwrap();
     let voters = cluster.voters();
@@ -129,9 +134,9 @@
     assert_repaired(&mut cluster, &[damaged]);
 }
 
-/// Each of three has another state: nothing can be told, so nothing is thrown away.
+/// Each of three replicas has a different state: no majority shows which one is right, so none is reset.
 #[test]
-fn without_a_majority_nothing_is_thrown_away() {
+fn without_a_majority_no_replica_is_reset() {
     let mut cluster = cluster(3, 0, 12);
     cluster.damage_state(0);
     cluster.damage_state(1);
@@ -140,7 +145,7 @@
     assert!(cluster.machines.iter().all(|machine| machine.saw_no_majority && machine.set_aside == 0));
 }
 
-/// One of three programs stores the same state in another form.
+/// One of three programs encodes the same state in a different format.
 #[test]
 fn digests_of_different_formats_are_never_compared() {
     let mut cluster = cluster(3, 0, 13);
@@ -152,12 +157,13 @@
     assert_repaired(&mut cluster, &[]);
 }
 
-/// Over drawn histories of losses, partitions, lost disks and compaction, one machine applies one command otherwise.
+/// One machine applies one command differently, during random histories of lost messages, crashes,
+/// partitions, lost disks and compaction.
 #[test_case(0..100; "part 1")]
 #[test_case(100..200; "part 2")]
 #[test_case(200..300; "part 3")]
 #[test_case(300..400; "part 4")]
-fn a_machine_that_applies_a_command_otherwise_is_found(seeds: std::ops::Range<u64>) {
+fn a_machine_that_applies_a_command_differently_is_repaired(seeds: std::ops::Range<u64>) {
     for seed in seeds {
         let mut random = fastrand::Rng::with_seed(seed);
         let mut cluster = cluster(3, 2, seed);
--- a/crates/coordination/tests/store.rs
+++ b/crates/coordination/tests/store.rs
@@ -55,7 +55,7 @@
     assert_eq!((durable.last_index(), durable.position().term), (2, 2));
 }
 
-/// A file of ten saved batches: the identity, and an entry in each other one.
+/// A file of ten saved batches: the first holds the identity, each of the others an entry.
 fn log_of_ten_batches(directory: &DataDirectory) -> Vec<u8> {
     let (mut log, _) = LogFile::open(&directory.path).unwrap();
     log.append(&[identity()]).unwrap();
@@ -120,7 +120,7 @@
 }
 
 #[test]
-fn a_new_store_after_damage_knows_of_the_lost_one() {
+fn a_new_store_after_damage_reports_the_lost_store() {
     let directory = DataDirectory::new("anew");
     let mut bytes = log_of_ten_batches(&directory);
     bytes[40] ^= 4;
@@ -147,7 +147,7 @@
     assert_eq!(decode(&bytes), Err(UnreadableLog::UnknownFormat(3)));
 }
 
-/// A record as the first format had it: length, checksum, body.
+/// Encodes a record in the legacy format: length, checksum, body.
 fn legacy_record(record: &Record) -> Vec<u8> {
     let body = postcard::to_allocvec(record).unwrap();
     let checksum = crc32fast::hash(&body) ^ 0x5eed_1e55;
@@ -211,7 +211,8 @@
     assert_eq!(durable.last_index(), 3, "never with a gap");
 }
 
-/// Replicas with another state than their group keep it for engineers, and begin anew.
+/// A replica whose state differs from that of its group keeps the state for engineers to examine, and starts
+/// over as a new store.
 #[test]
 fn a_log_with_another_state_is_set_aside_and_the_directory_becomes_a_new_store() {
     let directory = DataDirectory::new("diverged");
--- a/crates/coordination/tests/stored_form.rs
+++ b/crates/coordination/tests/stored_form.rs
@@ -46,7 +46,7 @@
     entry(index, term, Payload::Command(format!("command {index}").into_bytes()))
 }
 
-/// What the log was first written with: the state up to a snapshot, and one entry after it.
+/// The state in the first batch of the fixture log: a snapshot, and one entry after it.
 fn compacted() -> DurableState {
     let initial = Membership::of(members([1, 2, 3]));
     let snapshot = Snapshot {
@@ -63,7 +63,8 @@
     durable
 }
 
-/// The batches that were appended to it: votes, a leader's start, a joint membership, commands, one replaced.
+/// The batches appended after the first one: votes, a leader's start, a joint membership, and commands, of
+/// which one is replaced.
 fn batches() -> [Vec<Record>; 4] {
     let joint = Membership { voters: members([1, 2, 4]), outgoing: members([1, 2, 3]) };
     [
--- a/crates/coordination/tests/votes.rs
+++ b/crates/coordination/tests/votes.rs
@@ -131,8 +131,8 @@
     replica(log, 0)
 }
 
-/// After a power loss of all a new leader does not know yet how far the log is committed: a follower that has
-/// applied all that the leader has committed may still lack acknowledged entries.
+/// After a power loss of all machines, a new leader does not know yet how far the log is committed. A
+/// follower that has applied every entry up to the leader's commit index may still lack acknowledged entries.
 #[test]
 fn a_follower_is_not_current_before_its_leader_commits_in_its_term() {
     let leader_timeout = 1_500;
