--- a/crates/coordination/src/gossip/node.rs
+++ b/crates/coordination/src/gossip/node.rs
@@ -88,7 +88,7 @@
             joined: false,
             join_deadline: now + JOIN_INTERVALS * timing.probe_interval_us,
             view,
-            // Nodes that start at the same moment must not probe at the same moments.
+            // Nodes that start at the same moment must not probe in step.
             next_interval_at: now + rng.u64(0..timing.probe_interval_us.max(1)),
             rng,
             probes: Probes::default(),
--- a/crates/coordination/src/gossip/timing.rs
+++ b/crates/coordination/src/gossip/timing.rs
@@ -5,8 +5,8 @@
 /// A probe fails after this many intervals plus the extra ones of [`super::local_health`]. One lost datagram,
 /// or the loss of all datagrams of one attempt, does not make a node suspect.
 pub(super) const ACK_TIMEOUT_INTERVALS: u64 = 2;
-/// How many intervals a suspect has to refute the suspicion, in a fleet of up to ten nodes. Each tenfold size
-/// adds as many again: the suspicion has to reach the suspect, and the refutation has to come back.
+/// How many intervals a suspect has to refute the suspicion, in a fleet of up to ten nodes. A fleet ten times
+/// as large adds as many again: the suspicion has to reach the suspect, and the refutation has to come back.
 const SUSPICION_INTERVALS: f64 = 3.0;
 /// A node counts as joined after this many intervals even if its view is not complete.
 pub(super) const JOIN_INTERVALS: u64 = 10;
--- a/crates/coordination/src/replica/mod.rs
+++ b/crates/coordination/src/replica/mod.rs
@@ -212,8 +212,8 @@
     pub fn is_established_leader(&self) -> bool {
         self.role == Role::Leader && self.applied_index >= self.term_start_index
     }
-    /// When this leader's lease ends (section 6.4.1). No other replica can lead before that, so the state
-    /// that this replica reads until then is up to date. 0: this replica has no lease.
+    /// When this leader's lease ends (section 6.4.1). No other replica can lead before that, so what
+    /// this replica reads or does until then is up to date. 0: this replica has no lease.
     pub fn lease_until(&self) -> Millis {
         if !self.is_established_leader() {
             return 0;
--- a/crates/coordination/src/replica/withdrawal.rs
+++ b/crates/coordination/src/replica/withdrawal.rs
@@ -43,7 +43,7 @@
         self.departure
     }
 
-    /// Whether a voter has a valid request to leave with this leader.
+    /// Whether a voter has asked this leader to leave and the request is still valid.
     pub fn is_leaving(&self, now: Millis, id: StoreId) -> bool {
         self.leave_requests.get(&id).is_some_and(|requested_at| now < requested_at + LEAVE_REQUEST_TTL_MS)
     }
--- a/crates/coordination/src/state_comparison.rs
+++ b/crates/coordination/src/state_comparison.rs
@@ -91,7 +91,7 @@
 pub struct StateComparison {
     request: Option<ComparisonRequest>,
     reports: BTreeMap<StoreId, StateDigest>,
-    /// Whether this replica's digest has been requested from the state machine.
+    /// Whether [`StateComparison::take_due`] has returned the request.
     own_requested: bool,
 }
 
--- a/crates/coordination/src/store.rs
+++ b/crates/coordination/src/store.rs
@@ -5,8 +5,8 @@
 //! complete first batch. The remains of a failed write are cut off before the next write.
 //!
 //! If a saved batch cannot be read, the store is lost: the file is renamed to [`DAMAGED_FILE`], and the
-//! directory becomes a new store. It must not continue under the old identity, because it lacks entries that
-//! the old store has acknowledged.
+//! directory becomes a new store. It must not continue under the old identity, because it may lack entries
+//! that the old store has acknowledged.
 
 use crate::batch::{self, DecodedLog, TailState, UnreadableLog};
 use crate::record::{DurableState, Record};
--- a/crates/coordination/src/types.rs
+++ b/crates/coordination/src/types.rs
@@ -143,7 +143,7 @@
     pub term: Term,
     /// The voters at that point.
     pub membership: Membership,
-    /// The names of the machines that led up to that point, in order.
+    /// The names of the machines that were leaders until that point, in order.
     pub leaders: Vec<String>,
     /// The state machine's own encoding.
     pub data: Vec<u8>,
--- a/crates/coordination/tests/cluster.rs
+++ b/crates/coordination/tests/cluster.rs
@@ -23,7 +23,7 @@
     assert_eq!(cluster.acknowledged.len(), before + count, "all are acknowledged");
 }
 
-fn assert_leader_and_nothing_lost(cluster: &mut Cluster, within: u64) {
+fn assert_leader_and_no_entry_lost(cluster: &mut Cluster, within: u64) {
     assert!(cluster.run_until_leader(within), "a leader within {within} ms");
     cluster.check_no_acknowledged_entry_is_lost();
     assert!(cluster.propose(b"afterwards"));
@@ -35,7 +35,7 @@
 fn the_first_start_forms_one_cluster_that_accepts_commands() {
     let mut cluster = cluster_with_leader(3, 0, 1);
     acknowledge_commands(&mut cluster, 10, "first");
-    assert_leader_and_nothing_lost(&mut cluster, 100);
+    assert_leader_and_no_entry_lost(&mut cluster, 100);
 }
 
 #[test]
@@ -52,7 +52,7 @@
     let mut cluster = cluster_with_leader(3, 0, 3);
     acknowledge_commands(&mut cluster, 5, "before");
     cluster.kill(machine);
-    assert_leader_and_nothing_lost(&mut cluster, 3_000);
+    assert_leader_and_no_entry_lost(&mut cluster, 3_000);
     cluster.start(machine);
     cluster.run(2_000);
     cluster.check_no_acknowledged_entry_is_lost();
@@ -65,7 +65,7 @@
     (0..3).for_each(|machine| cluster.power_off(machine));
     cluster.run(500);
     (0..3).for_each(|machine| cluster.start(machine));
-    assert_leader_and_nothing_lost(&mut cluster, 4_000);
+    assert_leader_and_no_entry_lost(&mut cluster, 4_000);
 }
 
 #[test_case(0; "the first")]
@@ -78,7 +78,7 @@
     (0..3).for_each(|machine| cluster.power_off(machine));
     cluster.run(500);
     (0..3).for_each(|machine| cluster.start(machine));
-    assert_leader_and_nothing_lost(&mut cluster, 4_000);
+    assert_leader_and_no_entry_lost(&mut cluster, 4_000);
 }
 
 #[test_case(0, 1; "first then second")]
@@ -98,7 +98,7 @@
     (0..3).for_each(|machine| cluster.power_off(machine));
     cluster.run(1_000);
     (0..3).for_each(|machine| cluster.start(machine));
-    assert_leader_and_nothing_lost(&mut cluster, 4_000);
+    assert_leader_and_no_entry_lost(&mut cluster, 4_000);
     cluster.run(4_000);
     assert!(cluster.voters().contains(&cluster.store(second)), "and so did the other one");
 }
@@ -113,7 +113,7 @@
     (0..5).for_each(|machine| cluster.power_off(machine));
     cluster.run(500);
     (0..5).for_each(|machine| cluster.start(machine));
-    assert_leader_and_nothing_lost(&mut cluster, 4_000);
+    assert_leader_and_no_entry_lost(&mut cluster, 4_000);
     cluster.run(6_000);
     assert_eq!(cluster.voters().len(), 5);
 }
@@ -157,7 +157,7 @@
     cluster.run(4_000);
     assert_ne!(cluster.leader(), Some(old));
     cluster.partitions.clear();
-    assert_leader_and_nothing_lost(&mut cluster, 4_000);
+    assert_leader_and_no_entry_lost(&mut cluster, 4_000);
 }
 
 #[test]
@@ -167,7 +167,7 @@
     cluster.machines[leader].disk_stalled = true;
     acknowledge_commands(&mut cluster, 3, "stalled");
     cluster.power_off(leader);
-    assert_leader_and_nothing_lost(&mut cluster, 4_000);
+    assert_leader_and_no_entry_lost(&mut cluster, 4_000);
 }
 
 #[test]
@@ -219,7 +219,7 @@
         }
         inject_fault(&mut cluster, &mut random);
         cluster.partitions.clear();
-        // A machine that lost its disk counts again once its new store is a voter.
+        // After a lost disk the next fault is injected once the new store is a voter.
         cluster.run(4_500);
         assert!(cluster.run_until_leader(6_000), "seed {seed}: a leader after round {round}");
         cluster.check_no_acknowledged_entry_is_lost();
--- a/crates/coordination/tests/consensus.rs
+++ b/crates/coordination/tests/consensus.rs
@@ -1,4 +1,4 @@
-//! The rules of Raft, one by one.
+//! Each rule of Raft in [`pathbank_coordination::consensus`], without a replica.
 
 #![allow(clippy::unwrap_used, clippy::expect_used, reason = "a test fails by a panic")]
 
--- a/crates/coordination/tests/event_orders.rs
+++ b/crates/coordination/tests/event_orders.rs
@@ -14,7 +14,7 @@
 enum Event {
     /// The fourth machine starts.
     Join,
-    /// A voter gets SIGTERM, and starts again.
+    /// A voter receives SIGTERM and starts again.
     Leave(usize),
     /// A machine loses its disk, or only its process if the cluster would not tolerate another lost disk; it
     /// starts again.
--- a/crates/coordination/tests/store.rs
+++ b/crates/coordination/tests/store.rs
@@ -1,4 +1,4 @@
-//! The log file after a loss of power, a torn write, damage and a failed write.
+//! Recovery of the log file after a loss of power, a torn write, damage or a failed write.
 
 #![allow(clippy::unwrap_used, clippy::expect_used, reason = "a test fails by a panic")]
 
--- a/crates/coordination/tests/votes.rs
+++ b/crates/coordination/tests/votes.rs
@@ -1,4 +1,4 @@
-//! A single replica: votes, persistence, leases.
+//! Votes, persistence and leases of a single replica.
 
 #![allow(clippy::unwrap_used, clippy::expect_used, reason = "a test fails by a panic")]
 
