--- a/src/net/agree/backup.rs
+++ b/src/net/agree/backup.rs
@@ -1,6 +1,6 @@
-//! A backup: one file with all documents and the entries that led to them, and the disk of a new cluster's
-//! only voter that is made from it. The first line is a header, each further line one entry with the digest
-//! of all up to it.
+//! Backups: one file with all documents and the log entries behind them. Restoring a backup creates the database of a
+//! new cluster's only voter. The file's first line is a header; each further line is one entry with the digest of the
+//! log up to it.
 
 use super::database::{DatabaseError, Record, VoterDatabase, digest_of};
 use crate::agree::archive::DigestChain;
@@ -14,9 +14,9 @@
 use thiserror::Error;
 
 const FORMAT: u64 = 1;
-/// The first entry's line in the file.
+/// The line of the first entry in the file, counted from 1.
 const FIRST_ENTRY_LINE: usize = 2;
-/// The most that a voter's disk may hold which the operators' program opens, bytes.
+/// Limit on the size of a database that the operators' program opens, in bytes.
 pub const MAX_DISK_BYTES: u64 = 1 << 40;
 
 /// Why a backup cannot be written or restored.
@@ -26,20 +26,20 @@
     #[error(transparent)]
     File(#[from] io::Error),
     /// The file has no line.
-    #[error("it is empty")]
+    #[error("the file is empty")]
     Empty,
-    /// A line is not what a backup holds there.
+    /// A line cannot be parsed.
     #[error("line {line}: {problem}")]
     Line {
         /// Counted from 1.
         line: usize,
-        /// What is wrong with it.
+        /// Why it cannot be parsed.
         problem: serde_json::Error,
     },
-    /// Another program wrote it.
-    #[error("it has form {0}, this program knows {FORMAT}")]
+    /// The file's format is not the one of this program.
+    #[error("the file has format {0}, this program reads format {FORMAT}")]
     Format(u64),
-    /// An entry does not follow on those before it.
+    /// An entry's digest does not match the entries up to it.
     #[error("line {line}: entry {index} is not what was written")]
     Changed {
         /// Counted from 1.
@@ -47,12 +47,12 @@
         /// The entry.
         index: Index,
     },
-    /// Its entries do not end where its header says.
+    /// The entries do not end where the header says.
     #[error("its entries are not all there, or not those that its first line is of")]
     Incomplete,
 }
 
-/// The file's first line.
+/// The first line of a backup's file.
 #[derive(Serialize, Deserialize)]
 struct Header {
     form: u64,
@@ -69,7 +69,7 @@
     let header = Header { form: FORMAT, cluster: cluster.to_string(), state, term };
     let written = write_lines(file, &header, records);
     if written.is_err() {
-        // A part of a backup must not pass for one, nor stand in the next one's way.
+        // A partial backup must not be taken for a complete one, and must not prevent the next one.
         let _ = fs::remove_file(to);
     }
     Ok(written?)
@@ -84,19 +84,19 @@
     file.into_inner().map_err(io::IntoInnerError::into_error)?.sync_all()
 }
 
-/// What a backup holds, checked against the digests of its entries.
+/// A backup whose entries match their digests.
 pub struct Backup {
-    /// The cluster that it was taken of.
+    /// The cluster from which it was taken.
     pub cluster: String,
     state: DocumentState,
     term: Term,
-    /// The entry that the first one here follows on, where older ones had been moved away.
+    /// The entry before the first one, with its digest, if older entries had been moved away.
     base: Option<(Index, Digest)>,
     entries: Vec<Entry>,
 }
 
 impl Backup {
-    /// Reads and checks a backup's file.
+    /// Reads and verifies a backup's file.
     pub fn read(from: &Path) -> Result<Backup, BackupError> {
         let mut lines = BufReader::new(File::open(from)?).lines();
         let first = lines.next().ok_or(BackupError::Empty)??;
@@ -114,7 +114,7 @@
         reader.finish(header)
     }
 
-    /// Makes the disk of a new cluster's only voter. Returns its last entry.
+    /// Creates the database of a new cluster's only voter. Returns the last entry of its log.
     pub fn restore(self, directory: &Path, id: VoterId, address: &str) -> Result<Index, DatabaseError> {
         VoterDatabase::create(directory, id)?;
         let (mut disk, _) = VoterDatabase::open(directory, MAX_DISK_BYTES)?;
@@ -129,26 +129,26 @@
             .collect();
         disk.save(&entries)?;
         let (term, last) = (self.term + 1, self.state.applied() + 1);
-        let alone = Command::Voters(Voters::from([(id, address.to_string())]));
+        let membership = Command::Voters(Voters::from([(id, address.to_string())]));
         disk.save(&[
             PersistentChange::Snapshot {
                 state: Box::new(self.state),
                 term: snapshot_term,
                 replaces_after: None,
             },
-            PersistentChange::Append(last, Entry { term, command: alone }),
+            PersistentChange::Append(last, Entry { term, command: membership }),
         ])?;
-        // Whoever comes has to have read all of it.
+        // A process gets a lease only once it has applied all of these entries.
         disk.save(&[PersistentChange::Vote { term, voted: None }, PersistentChange::Barrier(last)])?;
         Ok(last)
     }
 }
 
-/// Follows a backup's entries from line to line.
+/// Reads and verifies a backup's entries line by line.
 #[derive(Default)]
 struct EntryReader {
     entries: Vec<Entry>,
-    /// What the entries read so far come to, where they begin with the first of all.
+    /// The state after the entries read so far, if they begin with the log's first entry.
     state: DocumentState,
     chain: DigestChain,
     base: Option<(Index, Digest)>,
@@ -157,7 +157,7 @@
 impl EntryReader {
     fn read(&mut self, line: usize, record: Record) -> Result<(), BackupError> {
         let digest = digest_of(&record.digest);
-        // Where the oldest ones had been moved away, the first one is what the others follow on.
+        // If the oldest entries had been moved away, the first line is only the base of the following entries.
         if line == FIRST_ENTRY_LINE && record.index > 1 {
             self.base = digest.map(|digest| (record.index, digest));
             if self.base.is_some() {
@@ -182,7 +182,7 @@
         if end != (header.state.applied(), *header.state.digest()) {
             return Err(BackupError::Incomplete);
         }
-        // Documents that no entries here tell of are taken as the header has them.
+        // If entries are missing, the state cannot be computed from them and is taken from the header.
         let state = if base.is_some() { header.state } else { state };
         Ok(Backup { cluster: header.cluster, state, term: header.term, base, entries })
     }
--- a/src/net/agree/call.rs
+++ b/src/net/agree/call.rs
@@ -1,4 +1,4 @@
-//! One call to a voter and its answer, over HTTP/1.1: JSON both ways, bounded in bytes and time.
+//! The client of the voters' protocol: JSON over HTTP/1.1, with limits on the size and duration of a call.
 
 use super::wire::{CLUSTER_HEADER, MAX_MESSAGE_BYTES};
 use bytes::Bytes;
@@ -14,33 +14,33 @@
 
 const MAX_IDLE_CONNECTIONS_PER_VOTER: usize = 1;
 
-/// Why a call gave no answer.
+/// Why a call failed.
 #[derive(Debug, Error)]
 pub enum CallError {
-    /// The answer did not come in time.
+    /// The answer did not arrive in time.
     #[error("no answer in time")]
     TimedOut,
-    /// The log names no address for that voter.
+    /// Neither the log nor the configuration has an address of the voter.
     #[error("it has no address")]
     NoAddress,
-    /// The request cannot be made of that address and path.
+    /// The address and path do not make a valid request.
     #[error(transparent)]
     Request(#[from] hyper::http::Error),
     /// The connection failed.
     #[error("{0}")]
     Connection(#[from] hyper_util::client::legacy::Error),
-    /// The answer broke off, or is too large.
+    /// The answer's body was cut off or is too large.
     #[error("{0}")]
     Body(Box<dyn std::error::Error + Send + Sync>),
-    /// The voter's own words, and its status.
+    /// The voter refused the call: the status and text of its answer.
     #[error("{0}: {1}")]
     Refused(StatusCode, String),
-    /// The JSON of the question or the answer.
+    /// The request could not be written as JSON, or the answer not parsed.
     #[error("an unreadable answer: {0}")]
     Unreadable(#[from] serde_json::Error),
 }
 
-/// Calls voters of one cluster; connections are kept for the next call.
+/// Calls voters of one cluster and reuses their connections.
 #[derive(Clone)]
 pub struct Caller {
     client: Client<HttpConnector, Full<Bytes>>,
@@ -48,7 +48,7 @@
 }
 
 impl Caller {
-    /// For voters of that cluster.
+    /// Creates a client for the voters of a cluster.
     pub fn new(cluster: &str) -> Caller {
         let mut connector = HttpConnector::new();
         connector.set_nodelay(true);
@@ -58,8 +58,8 @@
         Caller { client, cluster: cluster.to_string() }
     }
 
-    /// Sends a question and reads the answer, within that time. Dropped before its end, the call and its connection are
-    /// given up.
+    /// Sends `request` to `path` and returns the answer, within `max_time`. Dropping the future cancels the call and
+    /// closes its connection.
     ///
     /// # Errors
     ///
@@ -68,10 +68,10 @@
         &self,
         address: &str,
         path: &str,
-        question: &impl Serialize,
+        request: &impl Serialize,
         max_time: Duration,
     ) -> Result<A, CallError> {
-        let body = serde_json::to_vec(question)?;
+        let body = serde_json::to_vec(request)?;
         let request = Request::builder()
             .method(Method::POST)
             .uri(format!("http://{address}{path}"))
--- a/src/net/agree/command/cluster.rs
+++ b/src/net/agree/command/cluster.rs
@@ -1,4 +1,4 @@
-//! Calls to the voters of a cluster: to each of them, to its leader, or to any that has what is asked for.
+//! Calls to the voters of a cluster: to each of them, to the leader, or to any that has the requested entries.
 
 use super::super::call::Caller;
 use super::super::database::Record;
@@ -15,11 +15,11 @@
 use serde::de::DeserializeOwned;
 use tokio::time::{Duration, Instant, sleep};
 
-/// For one call to one voter.
+/// Timeout of one call to one voter.
 pub(super) const CALL_TIMEOUT: Duration = Duration::from_secs(8);
-/// For the leader, or a voter that has what is asked for, to be found.
+/// Limit on the search for the leader, or for a voter that has the requested entries.
 const SEARCH_TIMEOUT: Duration = Duration::from_secs(10);
-/// For a voter to say how far it is where others are asked as well.
+/// Timeout of a status call when all voters are asked.
 const STATUS_TIMEOUT: Duration = Duration::from_secs(2);
 pub(super) const RETRY_INTERVAL: Duration = Duration::from_millis(100);
 const RECORDS_PER_REQUEST: usize = 1_000;
@@ -33,7 +33,7 @@
 }
 
 impl Cluster {
-    /// By the command line, or by the agreement's file.
+    /// The cluster of the command line, or of the agreement's configuration file.
     pub(super) fn new(arguments: &Arguments) -> Result<Cluster> {
         let file = || Agreement::from_environment()?.ok_or(CommandError::AgreementOff);
         let (name, addresses) = match (&arguments.cluster, &arguments.at[..]) {
@@ -52,23 +52,23 @@
         &self,
         address: &str,
         path: &str,
-        question: &impl Serialize,
+        request: &impl Serialize,
     ) -> Result<A> {
-        self.call_within(address, path, question, CALL_TIMEOUT).await
+        self.call_within(address, path, request, CALL_TIMEOUT).await
     }
 
     async fn call_within<A: DeserializeOwned>(
         &self,
         address: &str,
         path: &str,
-        question: &impl Serialize,
+        request: &impl Serialize,
         timeout: Duration,
     ) -> Result<A> {
-        let answer = self.caller.call(address, path, question, timeout).await;
+        let answer = self.caller.call(address, path, request, timeout).await;
         answer.map_err(|problem| CommandError::Call { address: address.to_string(), problem })
     }
 
-    /// The status of each voter, asked at once.
+    /// The status of each voter. All voters are asked concurrently.
     pub(super) async fn statuses(&self, timeout: Duration) -> Vec<(String, Result<VoterStatus>)> {
         let asked = self.addresses.iter().map(|address| async move {
             (address.clone(), self.call_within(address, STATUS_PATH, &(), timeout).await)
@@ -76,17 +76,17 @@
         futures_util::future::join_all(asked).await
     }
 
-    /// Asks one voter after the other until one answers as the leader. `not_leader`: that answer is another voter's.
+    /// Calls one voter after another until the leader answers. `not_leader`: whether an answer is not the leader's.
     pub(super) async fn call_leader<A: DeserializeOwned>(
         &self,
         path: &str,
-        question: &impl Serialize,
+        request: &impl Serialize,
         not_leader: impl Fn(&A) -> bool,
     ) -> Result<A> {
         let (deadline, mut last) = (Instant::now() + SEARCH_TIMEOUT, CommandError::NoAnswer);
         loop {
             for address in &self.addresses {
-                match self.call::<A>(address, path, question).await {
+                match self.call::<A>(address, path, request).await {
                     Ok(answer) if not_leader(&answer) => last = CommandError::NoLeaderInTime,
                     Ok(answer) => return Ok(answer),
                     Err(problem) => last = problem,
@@ -99,7 +99,7 @@
         }
     }
 
-    /// The documents, linearizable or as the first voter that answers has them.
+    /// The state, from a linearizable read or from the first voter that answers.
     pub(super) async fn state(&self, linearizable: bool) -> Result<DocumentState> {
         let not_leader = |reply: &StateReply| !matches!(reply, StateReply::State(_));
         match self.call_leader(STATE_PATH, &StateRequest { linearizable }, not_leader).await? {
@@ -108,7 +108,7 @@
         }
     }
 
-    /// The largest index that any voter that answers has: the others may not have heard yet of the last commits.
+    /// The largest `index` of all voters that answer: some may not know of the last commits yet.
     pub(super) async fn furthest(&self, index: impl Fn(&VoterStatus) -> Index) -> Result<Index> {
         let deadline = Instant::now() + SEARCH_TIMEOUT;
         loop {
@@ -129,13 +129,13 @@
         }
     }
 
-    /// All records after one that are committed at any voter that answers.
+    /// All records after `after` up to the largest commit index of the voters that answer.
     pub(super) async fn all_records(&self, after: Index) -> Result<Vec<Record>> {
         let through = self.furthest(|status| status.commit).await?;
         self.records(after, through).await
     }
 
-    /// The records after one, at least up to another, from the first voter that has them all.
+    /// The records after `after`, at least up to `through`, from the first voter that has them all.
     pub(super) async fn records(&self, after: Index, through: Index) -> Result<Vec<Record>> {
         let deadline = Instant::now() + SEARCH_TIMEOUT;
         loop {
@@ -154,7 +154,7 @@
         }
     }
 
-    /// `None`: that voter lags, and does not have all of them yet.
+    /// The records from one voter. `None`: the voter lags and does not have all of them yet.
     async fn records_of(&self, address: &str, after: Index, through: Index) -> Result<Option<Vec<Record>>> {
         let (mut records, mut last_read) = (Vec::new(), after);
         while last_read < through {
--- a/src/net/agree/command/documents.rs
+++ b/src/net/agree/command/documents.rs
@@ -47,7 +47,7 @@
     let records = cluster.all_records(after).await?;
     if let Some(first) = records.first().filter(|first| first.index != after + 1) {
         let (from, to) = (after + 1, first.index - 1);
-        eprintln!("pathbank agree: entries {from} to {to} are not at this voter");
+        eprintln!("pathbank agree: the voter that answered does not have entries {from} to {to}");
     }
     print_records(output, &records, only)
 }
@@ -83,7 +83,7 @@
         None => cluster.state(false).await?.applied(),
     };
     loop {
-        // Voters may be away for a while.
+        // Voters may be unavailable for a while.
         if let Ok(records) = cluster.all_records(last).await {
             last = records.last().map_or(last, |record| record.index);
             print_records(output, &records, None)?;
--- a/src/net/agree/command/error.rs
+++ b/src/net/agree/command/error.rs
@@ -1,4 +1,4 @@
-//! Why a command of operators fails, in the words that they read.
+//! Errors of the operators' commands, with the texts that the commands print.
 
 use super::super::backup::BackupError;
 use super::super::call::CallError;
@@ -13,9 +13,9 @@
 
 #[derive(Debug, Error)]
 pub(super) enum CommandError {
-    #[error("the agreement's file is off; name voters with --at and --cluster")]
+    #[error("the agreement's configuration file turns it off: name voters with --at and --cluster")]
     AgreementOff,
-    #[error("--cluster goes with --at")]
+    #[error("--cluster requires --at")]
     ClusterWithoutVoters,
     #[error(transparent)]
     Config(#[from] ConfigError),
@@ -23,7 +23,7 @@
     Call { address: String, problem: CallError },
     #[error(transparent)]
     Database(#[from] DatabaseError),
-    /// Standard output, or the runtime.
+    /// Writing to standard output or creating the runtime failed.
     #[error(transparent)]
     Io(#[from] io::Error),
     #[error(transparent)]
@@ -34,42 +34,44 @@
     EditJson { path: PathBuf, problem: serde_json::Error },
     #[error("{}: {problem}", path.display())]
     Backup { path: PathBuf, problem: BackupError },
-    #[error("no voter answers")]
+    #[error("no voter answered")]
     NoAnswer,
-    #[error("not every voter answers")]
+    #[error("some voters did not answer")]
     NotEveryVoterAnswers,
-    #[error("no voter leads now")]
+    #[error("there is no leader now")]
     NoLeader,
-    #[error("no voter leads now: ask again, or see `status`")]
+    #[error("no leader was found in time: try again, or see `status`")]
     NoLeaderInTime,
-    #[error("no voter that answers has all entries up to {0}")]
+    #[error("no voter that answered has all entries up to {0}")]
     VotersLag(Index),
     #[error("there is no document {0}")]
     NoDocument(String),
     #[error("{document} has no version {version}")]
     NoVersion { document: String, version: u64 },
-    #[error("this voter has no entries from before it came, or they were moved away; ask another one")]
+    #[error(
+        "the voter lacks the first entries: they were written before it joined, or were moved away; ask another voter"
+    )]
     HistoryIncomplete,
     #[error(transparent)]
     Parse(#[from] ParseError),
-    #[error("either a document with its changes is due, or --file")]
+    #[error("expected either a document with its changes, or --file")]
     NoChanges,
-    #[error("refused: {0}")]
+    #[error("the edit was rejected: {0}")]
     Rejected(EditRejection),
-    #[error("it is not known whether it counts: send the same again with --id {id}")]
+    #[error("it is unknown whether the edit was committed: send it again with --id {id}")]
     EditUnknown { id: u64 },
-    #[error("--add NUMBER=ADDRESS is due")]
+    #[error("--add: expected NUMBER=ADDRESS")]
     NoAddress,
-    #[error("{0} is no voter's number")]
+    #[error("{0} is not a valid voter number")]
     NotANumber(String),
-    #[error("{0} is no voter")]
+    #[error("{0} is not a voter")]
     NotAVoter(VoterId),
-    #[error("one change at a time")]
+    #[error("only one voter can be added or removed at a time")]
     TwoChanges,
-    /// The leader's own words.
+    /// The leader's reason for refusing a membership change.
     #[error("{0}")]
     NotNow(String),
-    #[error("it is not known whether it counts: see `voters`")]
+    #[error("it is unknown whether the change was committed: see `voters`")]
     MembershipUnknown,
     #[error("{at}: entry {index} is not what was written")]
     Corrupt { at: String, index: Index },
--- a/src/net/agree/command/membership.rs
+++ b/src/net/agree/command/membership.rs
@@ -1,4 +1,4 @@
-//! `status` and `voters`: how the voters stand, and who votes.
+//! `status` and `voters`: the status of each voter, and the membership.
 
 use super::super::wire::{ProposalOutcome, VOTERS_PATH, VoterStatus};
 use super::cluster::{CALL_TIMEOUT, Cluster};
@@ -16,9 +16,9 @@
                 let value = json!({"at": address, "status": status});
                 output.print(&status_text(&address, &status), &value)?;
             }
-            Err(problem) => {
-                let problem = problem.to_string();
-                output.print(&problem, &json!({"at": address, "problem": problem}))?;
+            Err(error) => {
+                let error = error.to_string();
+                output.print(&error, &json!({"at": address, "problem": error}))?;
                 all_answer = false;
             }
         }
--- a/src/net/agree/command/mod.rs
+++ b/src/net/agree/command/mod.rs
@@ -1,5 +1,5 @@
-//! `pathbank agree`: what operators ask voters, and what they do with the database of a stopped voter. `arguments` is the
-//! command line, `cluster` makes the calls, `output` prints; each family of commands has a module of its own.
+//! `pathbank agree`: operators' requests to voters, and work on the database of a stopped voter. `arguments` is the
+//! command line, `cluster` makes the calls, and `output` prints results. Each group of commands has its own module.
 
 mod arguments;
 mod cluster;
@@ -17,7 +17,7 @@
 use output::Output;
 use std::process::ExitCode;
 
-/// Carries out one command. `args` begin with the program's name.
+/// Runs one command. `args` begins with the program's name.
 pub fn run(args: impl IntoIterator<Item = String>) -> ExitCode {
     let arguments: Arguments = match command_line::read(args) {
         Ok(arguments) => arguments,
--- a/src/net/agree/command/output.rs
+++ b/src/net/agree/command/output.rs
@@ -1,4 +1,4 @@
-//! Prints results: text, or one JSON object a line.
+//! Prints results as text, or as one JSON object per line.
 
 use super::error::CommandError;
 use serde::Serialize;
@@ -9,12 +9,12 @@
 }
 
 impl Output {
-    /// One result in both forms, of which one is printed.
+    /// Prints a result: `value` as JSON if JSON was requested, otherwise `text`.
     pub(super) fn print(&self, text: &str, value: &impl Serialize) -> Result<(), CommandError> {
         let line = if self.json { serde_json::to_string(value)? } else { text.trim_end().to_string() };
         let mut stdout = std::io::stdout().lock();
         match writeln!(stdout, "{line}").and_then(|()| stdout.flush()) {
-            // Whoever has read enough closes the pipe.
+            // The reader closed the pipe, for instance `head`.
             Err(problem) if problem.kind() == ErrorKind::BrokenPipe => std::process::exit(0),
             done => Ok(done?),
         }
--- a/src/net/agree/command/proposal.rs
+++ b/src/net/agree/command/proposal.rs
@@ -11,7 +11,7 @@
 use std::time::{SystemTime, UNIX_EPOCH};
 use tokio::time::sleep;
 
-/// As the command line has it.
+/// The arguments of `propose`.
 pub(super) struct Proposal<'a> {
     pub(super) document: Option<&'a str>,
     pub(super) changes: &'a [String],
@@ -22,7 +22,7 @@
     pub(super) id: Option<u64>,
 }
 
-/// `wait`: until the edit is in force, not only committed.
+/// Proposes an edit and waits until it is committed, or with `wait` until it is in force.
 pub(super) async fn propose(
     cluster: &Cluster,
     output: &Output,
@@ -35,7 +35,7 @@
     let entry = match cluster.call_leader(PROPOSE_PATH, &edit, not_leader).await {
         Ok(ProposalOutcome::Entry(entry)) => entry,
         Ok(ProposalOutcome::Rejected(rejection)) => return Err(CommandError::Rejected(rejection)),
-        // A voter may have accepted it that was lost before it could answer.
+        // A voter may have accepted the edit and failed before it answered.
         Ok(_) | Err(CommandError::Call { .. }) => return Err(CommandError::EditUnknown { id }),
         Err(problem) => return Err(problem),
     };
--- a/src/net/agree/command/storage.rs
+++ b/src/net/agree/command/storage.rs
@@ -1,4 +1,4 @@
-//! `init`, `verify`, `backup` and `restore`: databases of voters, and backups.
+//! `init`, `verify`, `backup` and `restore`: work on voters' databases and backups.
 
 use super::super::archive::Archive;
 use super::super::backup::{self, Backup, MAX_DISK_BYTES};
@@ -12,7 +12,8 @@
 use serde_json::json;
 use std::path::Path;
 
-/// Few digits, since they are read out; the file that lists the voters rejects two of one number.
+/// Voter numbers are below this, to have few digits, since operators read them out. The configuration file rejects
+/// duplicate numbers.
 const MAX_VOTER_ID: VoterId = 1 << 48;
 
 fn new_voter_id() -> VoterId {
@@ -25,7 +26,7 @@
     output.print(&id.to_string(), &json!({"voter": id}))
 }
 
-/// The database and archive of a voter that does not run.
+/// Verifies the database and archive of a stopped voter.
 pub(super) fn verify_stopped(output: &Output, directory: &Path) -> Result<(), CommandError> {
     let (database, _) = VoterDatabase::open(directory, MAX_DISK_BYTES)?;
     let mut chain = DigestChain::default();
@@ -33,7 +34,7 @@
     print_verification(output, &directory.display().to_string(), &database.verify(chain)?.finish())
 }
 
-/// Each voter's own verification; fails with the last that failed.
+/// Has each voter verify its log. Returns the last error, if any.
 pub(super) async fn verify_running(cluster: &Cluster, output: &Output) -> Result<(), CommandError> {
     let mut problem = None;
     for address in &cluster.addresses {
@@ -65,7 +66,7 @@
 pub(super) async fn back_up(cluster: &Cluster, output: &Output, to: &Path) -> Result<(), CommandError> {
     let state = cluster.state(true).await?;
     let applied = state.applied();
-    // The state is the leader's; a voter that lags does not have its last entries.
+    // The state is the leader's, so the records must come from a voter that has all of its entries.
     let mut records = cluster.records(0, applied).await?;
     records.retain(|record| record.index <= applied);
     let count = records.len();
--- a/src/net/agree/database.rs
+++ b/src/net/agree/database.rs
@@ -1,6 +1,6 @@
-//! The database of a voter: one file of redb, where a batch is whole or not there at all after a crash at any byte, and is
-//! synced before `save` returns. Each entry of the log is kept with the digest of all before it, so that a changed past
-//! shows; a snapshot of the state beside them spares reading all of them at a start. Old entries move to the archive.
+//! A voter's database: one redb file. A batch is atomic, also if the process crashes at any byte, and is synced before
+//! `save` returns. Each log entry is stored with the digest of the log up to it, so that a later change of an entry is
+//! detected. A snapshot of the state avoids reading all entries at a start. Old entries move to the archive.
 
 mod bounded;
 
@@ -25,9 +25,9 @@
 
 const LOG: TableDefinition<u64, &[u8]> = TableDefinition::new("log");
 const META: TableDefinition<&str, &[u8]> = TableDefinition::new("meta");
-/// The last incarnation that was heard of each peer.
+/// The last known incarnation of each peer.
 const PEER_INCARNATIONS: TableDefinition<u64, u64> = TableDefinition::new("known");
-/// The digest up to an entry behind which the log goes on without it.
+/// The digest of the log up to an entry that is not in the log itself and precedes one that is.
 const BASES: TableDefinition<u64, &[u8]> = TableDefinition::new("bases");
 const FILE: &str = "agree.redb";
 const SCHEMA: u64 = 1;
@@ -36,19 +36,19 @@
 /// Why a voter's database or archive cannot be used.
 #[derive(Debug, Error)]
 pub enum DatabaseError {
-    /// No file is there: a voter that has lost its database is not this voter any more.
+    /// There is no file. A voter that has lost its database must not continue under its number.
     #[error("{}: no voter's disk is there; `pathbank agree init` makes a new voter", .0.display())]
     Absent(PathBuf),
-    /// A new database is never made over an old one.
+    /// There is a file already. A new database never replaces an old one.
     #[error("{}: a voter's disk is there already", .0.display())]
     Exists(PathBuf),
-    /// The content is damaged, or another program's.
+    /// The content is damaged or was written by another program.
     #[error("the disk is foreign or damaged: {what}")]
     Foreign {
-        /// What is wrong with it.
+        /// The problem with the content.
         what: String,
     },
-    /// The file has another schema than this program's.
+    /// The file's schema is not the one of this program.
     #[error("the disk has form {0}, this program knows {SCHEMA}")]
     Schema(u64),
     /// The database failed.
@@ -60,8 +60,8 @@
 }
 
 impl<E: Into<redb::Error>> From<E> for DatabaseError {
-    fn from(problem: E) -> Self {
-        DatabaseError::Redb(problem.into())
+    fn from(error: E) -> Self {
+        DatabaseError::Redb(error.into())
     }
 }
 
@@ -82,23 +82,23 @@
     term: Term,
 }
 
-/// An entry with the digest of the log up to it, as peers, operators, archive and backup have it.
+/// An entry with the digest of the log up to it, as the archive, backups and answers to operators contain it.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Record {
-    /// Of the entry.
+    /// The entry's index.
     pub index: Index,
-    /// Of this entry and all before it, SHA-256 in hexadecimal digits.
+    /// The digest of the log up to this entry, SHA-256 in hexadecimal digits.
     pub digest: String,
     /// The entry.
     pub entry: Entry,
 }
 
-/// A digest in hexadecimal digits.
+/// Formats a digest in hexadecimal digits.
 pub fn hex(digest: &Digest) -> String {
     digest.iter().map(|byte| format!("{byte:02x}")).collect()
 }
 
-/// An entry, with the digest of the log up to it.
+/// The index of an entry, and the digest of the log up to it.
 #[derive(Clone, Copy, Debug, Default)]
 struct LogPosition {
     index: Index,
@@ -112,21 +112,21 @@
     id: VoterId,
     /// The log's last entry.
     last: LogPosition,
-    /// The last entry that the saved state has applied: the log goes on behind it.
+    /// The last entry that the saved state has applied.
     base: LogPosition,
 }
 
-/// The file of the database in a voter's folder.
+/// The path of the database in a voter's folder.
 pub fn path(folder: &Path) -> PathBuf {
     folder.join(FILE)
 }
 
 impl VoterDatabase {
-    /// Makes the database of a new voter.
+    /// Creates the database of a new voter.
     ///
     /// # Errors
     ///
-    /// There is one already, or the folder or file cannot be written.
+    /// The folder has a database already, or the folder or file cannot be written.
     pub fn create(folder: &Path, id: VoterId) -> Result<(), DatabaseError> {
         let path = path(folder);
         std::fs::create_dir_all(folder).map_err(DatabaseError::Io)?;
@@ -137,13 +137,11 @@
                     .create_with_backend(redb::backends::FileBackend::new(file)?)?;
                 VoterDatabase::begin(&database, id)?;
                 drop(database);
-                // The folder too has to know the file after a crash.
+                // The folder is synced too, so that the file is found after a crash.
                 std::fs::File::open(folder).and_then(|folder| folder.sync_all()).map_err(DatabaseError::Io)
             }
-            Err(problem) if problem.kind() == io::ErrorKind::AlreadyExists => {
-                Err(DatabaseError::Exists(path))
-            }
-            Err(problem) => Err(DatabaseError::Io(problem)),
+            Err(error) if error.kind() == io::ErrorKind::AlreadyExists => Err(DatabaseError::Exists(path)),
+            Err(error) => Err(DatabaseError::Io(error)),
         }
     }
 
@@ -161,34 +159,35 @@
         Ok(())
     }
 
-    /// Opens a voter's database for one more incarnation, which is saved before this returns. The file may grow to `max_bytes`.
+    /// Opens a voter's database for a new incarnation, which is saved before this returns. The file may grow to
+    /// `max_bytes`.
     ///
     /// # Errors
     ///
-    /// No file, another process has it, or the content is not a voter's or damaged.
+    /// There is no file, another process has it open, or its content is damaged or not a voter's.
     pub fn open(folder: &Path, max_bytes: u64) -> Result<(VoterDatabase, PersistentState), DatabaseError> {
         let path = path(folder);
         let file = match OpenOptions::new().read(true).write(true).open(&path) {
             Ok(file) => file,
-            Err(problem) if problem.kind() == io::ErrorKind::NotFound => {
+            Err(error) if error.kind() == io::ErrorKind::NotFound => {
                 return Err(DatabaseError::Absent(path));
             }
-            Err(problem) => return Err(DatabaseError::Io(problem)),
+            Err(error) => return Err(DatabaseError::Io(error)),
         };
-        // An empty file would be taken for a new one.
+        // redb would initialize an empty file as a new database.
         if file.metadata().map_err(DatabaseError::Io)?.len() == 0 {
             return Err(foreign("the file is empty"));
         }
-        // One process at a time, for as long as the file is open.
+        // The lock admits one process at a time, for as long as the file is open.
         match file.try_lock() {
             Ok(()) => {}
             Err(TryLockError::WouldBlock) => return Err(foreign("another process has it")),
-            Err(TryLockError::Error(problem)) => return Err(DatabaseError::Io(problem)),
+            Err(TryLockError::Error(error)) => return Err(DatabaseError::Io(error)),
         }
         VoterDatabase::on(BoundedBackend { inner: redb::backends::FileBackend::new(file)?, max_bytes })
     }
 
-    /// Opens a database on anything that holds bytes, as [`VoterDatabase::open`] does on a file.
+    /// Opens a database on any storage backend, as [`VoterDatabase::open`] does on a file.
     pub fn on(backend: impl StorageBackend) -> Result<(VoterDatabase, PersistentState), DatabaseError> {
         let database = redb::Builder::new().set_cache_size(CACHE_BYTES).create_with_backend(backend)?;
         let mut disk =
@@ -197,12 +196,12 @@
         Ok((disk, saved))
     }
 
-    /// The voter's number, drawn when the database was made.
+    /// The voter's number, chosen when the database was created.
     pub fn id(&self) -> VoterId {
         self.id
     }
 
-    /// Reads all of it, and counts this run before anything is sent in it.
+    /// Reads the persistent state, and saves the new incarnation before the voter sends anything.
     fn load(&mut self) -> Result<PersistentState, DatabaseError> {
         let read = self.database.begin_read()?;
         let mut saved = self.load_state(&read)?;
@@ -216,7 +215,7 @@
         Ok(saved)
     }
 
-    /// All but the entries of the log.
+    /// Reads the persistent state without the entries of the log.
     fn load_state(&mut self, read: &ReadTransaction) -> Result<PersistentState, DatabaseError> {
         let meta = read.open_table(META).map_err(|_| foreign("it is no voter's"))?;
         let schema: u64 = get(&meta, "schema")?.ok_or_else(|| foreign("it has no form"))?;
@@ -243,7 +242,7 @@
         Ok(saved)
     }
 
-    /// The entries behind the saved state, each of which has to follow on the one before it.
+    /// Reads the entries after the saved state, and verifies that each follows the one before it.
     fn load_log(&mut self, read: &ReadTransaction, tail: &mut LogTail<Entry>) -> Result<(), DatabaseError> {
         let log = read.open_table(LOG)?;
         for row in log.range(self.base.index + 1..)? {
@@ -259,11 +258,11 @@
         Ok(())
     }
 
-    /// Saves all of it in one transaction, synced when this returns.
+    /// Saves the changes in one transaction, which is synced when this returns.
     ///
     /// # Errors
     ///
-    /// Nothing is known of what was saved: the database has to be opened anew.
+    /// The transaction failed. It is unknown whether it was saved, so the database must be opened again.
     pub fn save(&mut self, changes: &[PersistentChange]) -> Result<(), DatabaseError> {
         if changes.is_empty() {
             return Ok(());
@@ -312,7 +311,7 @@
         Ok(())
     }
 
-    /// Drops the entries behind that one.
+    /// Removes the entries after `last`.
     fn truncate(&mut self, write: &WriteTransaction, last: Index) -> Result<(), DatabaseError> {
         let mut log = write.open_table(LOG)?;
         log.retain_in(last + 1.., |_, _| false)?;
@@ -324,7 +323,7 @@
         Ok(())
     }
 
-    /// Entries after that one, at most so many, committed or not.
+    /// Up to `max_records` entries after `after`, committed or not.
     pub fn records(&self, after: Index, max_records: usize) -> Result<Vec<Record>, DatabaseError> {
         let log = self.database.begin_read()?.open_table(LOG)?;
         let record = |row: Result<_, redb::StorageError>| {
@@ -335,7 +334,7 @@
         log.range(after + 1..)?.take(max_records).map(record).collect()
     }
 
-    /// Verifies every entry's digest from where the archive ended, and the saved state's with them.
+    /// Verifies the digest of every entry after the archive's last one, and that of the saved state.
     pub fn verify(&self, mut chain: DigestChain) -> Result<DigestChain, DatabaseError> {
         let read = self.database.begin_read()?;
         let (log, bases) = (read.open_table(LOG)?, read.open_table(BASES)?);
@@ -356,8 +355,9 @@
         Ok(chain)
     }
 
-    /// Copies old entries to the archive, a segment at a time, and drops them here once they are there.
-    /// `keep`: as many of the entries that the saved state stands for stay; `None`: all.
+    /// Copies the oldest entries to the archive as one segment, and removes them here once the segment is synced.
+    /// Returns the segment, if entries were moved. `keep`: how many entries stay that the saved state includes; `None`:
+    /// all.
     pub fn archive(
         &mut self,
         archive: &Archive,
@@ -367,22 +367,22 @@
         let Some(range) = archive::next_segment(first, self.base.index, keep) else { return Ok(None) };
         let (before, records) = self.oldest(range)?;
         let Some(last) = records.last() else { return Ok(None) };
-        let span = EntryRange { from: first, to: last.index };
+        let archived = EntryRange { from: first, to: last.index };
         archive.keep(&before, &records)?;
         let write = self.database.begin_write()?;
-        write.open_table(LOG)?.retain_in(..=span.to, |_, _| false)?;
-        put(&mut write.open_table(BASES)?, span.to, &last.digest)?;
+        write.open_table(LOG)?.retain_in(..=archived.to, |_, _| false)?;
+        put(&mut write.open_table(BASES)?, archived.to, &last.digest)?;
         write.commit()?;
-        Ok(Some(span))
+        Ok(Some(archived))
     }
 
-    /// The first entry that is here.
+    /// The first entry of the log.
     fn first(&self) -> Result<Option<Index>, DatabaseError> {
         Ok(self.database.begin_read()?.open_table(LOG)?.first()?.map(|(index, _)| index.value()))
     }
 
-    /// The log's first entries, as far as they follow on one another and fit into a segment, and the digest
-    /// before them.
+    /// The digest before the log's first entries, and those entries of `range`, as far as they are consecutive and fit
+    /// into a segment.
     fn oldest(&self, range: EntryRange) -> Result<(Digest, Vec<Record>), DatabaseError> {
         let read = self.database.begin_read()?;
         let (log, bases) = (read.open_table(LOG)?, read.open_table(BASES)?);
@@ -402,7 +402,7 @@
         Ok((before, records))
     }
 
-    /// For a disk that holds nothing yet: its log begins behind that entry, whose digest is this.
+    /// Makes the log of an empty database begin after the entry `index`, up to which the log's digest is `digest`.
     pub fn begin_behind(&mut self, index: Index, digest: Digest) -> Result<(), DatabaseError> {
         let write = self.database.begin_write()?;
         put(&mut write.open_table(BASES)?, index, &hex(&digest))?;
@@ -412,7 +412,7 @@
     }
 }
 
-/// The digest of all up to there, where that was noted.
+/// The digest of the log up to `index`, if it is stored as a base.
 fn base_at(
     bases: &impl ReadableTable<u64, &'static [u8]>,
     index: Index,
@@ -423,8 +423,8 @@
 
 pub(super) fn digest_of(text: &str) -> Option<Digest> {
     let mut digest = Digest::default();
-    for (place, byte) in digest.iter_mut().enumerate() {
-        *byte = u8::from_str_radix(text.get(2 * place..2 * place + 2)?, 16).ok()?;
+    for (position, byte) in digest.iter_mut().enumerate() {
+        *byte = u8::from_str_radix(text.get(2 * position..2 * position + 2)?, 16).ok()?;
     }
     Some(digest)
 }
@@ -444,7 +444,7 @@
     value
         .map(|value| serde_json::from_slice(value.value()))
         .transpose()
-        .map_err(|problem| foreign(format!("{key}: {problem}")))
+        .map_err(|error| foreign(format!("{key}: {error}")))
 }
 
 fn put<'k, K: redb::Key + 'static>(
--- a/src/net/agree/database/bounded.rs
+++ b/src/net/agree/database/bounded.rs
@@ -1,9 +1,9 @@
-//! A file of redb with a limit on its length.
+//! A storage backend of redb with a limit on its length.
 
 use redb::StorageBackend;
 use std::io;
 
-/// Refuses to let the file grow beyond its limit, as a full disk would.
+/// Rejects growth beyond `max_bytes`, as a full disk would.
 #[derive(Debug)]
 pub(super) struct BoundedBackend<B> {
     pub(super) inner: B,
--- a/src/net/agree/database/tests.rs
+++ b/src/net/agree/database/tests.rs
@@ -30,7 +30,7 @@
     disk.verify(DigestChain::default()).unwrap().finish()
 }
 
-/// Batches as a voter writes them: votes, entries, cuts, snapshots of its own and of others.
+/// Batches as a voter writes them: votes, entries, truncations, its own snapshots and a leader's snapshot.
 fn batches() -> Vec<Vec<PersistentChange>> {
     vec![
         vec![PersistentChange::Vote { term: 3, voted: Some(9) }, PersistentChange::PeerIncarnation(9, 4)],
@@ -54,11 +54,10 @@
     ]
 }
 
-/// What is loaded is as if it had been kept in memory, but that memory may hold entries from before the
-/// ledger.
-fn same(loaded: &PersistentState, kept: &PersistentState) -> bool {
-    let cut = (loaded.log.base().index - kept.log.base().index) as usize;
-    let rest = kept.log.entries().get(cut..).unwrap_or_default();
+/// Whether the loaded state equals the one kept in memory, which may also have entries from before the snapshot.
+fn is_same_state(loaded: &PersistentState, kept: &PersistentState) -> bool {
+    let before_base = (loaded.log.base().index - kept.log.base().index) as usize;
+    let rest = kept.log.entries().get(before_base..).unwrap_or_default();
     (loaded.term, loaded.voted, loaded.barrier, &loaded.peer_incarnations)
         == (kept.term, kept.voted, kept.barrier, &kept.peer_incarnations)
         && loaded.state == kept.state
@@ -92,15 +91,16 @@
             [image.bytes.clone(), image.synced.clone()]
         };
         for bytes in images {
-            let (disk, loaded) = VoterDatabase::on(MemoryDisk::of(bytes))
-                .unwrap_or_else(|problem| panic!("{left}: {problem}"));
-            // What was acknowledged is on disk; the batch that it died in is there completely or not at all.
-            let is = (done..=(done + 1).min(batches.len())).find(|state| same(&loaded, &states[*state]));
+            let (disk, loaded) =
+                VoterDatabase::on(MemoryDisk::of(bytes)).unwrap_or_else(|error| panic!("{left}: {error}"));
+            // Acknowledged batches are on disk; the batch that was being written is there completely or not at all.
+            let found_state =
+                (done..=(done + 1).min(batches.len())).find(|state| is_same_state(&loaded, &states[*state]));
             assert!(
-                is.is_some(),
-                "died after {left} of {total_bytes} bytes, {done} batches done: {loaded:?}"
+                found_state.is_some(),
+                "crashed after {left} of {total_bytes} bytes, {done} batches done: {loaded:?}"
             );
-            if is == Some(done) {
+            if found_state == Some(done) {
                 before += 1
             } else {
                 after += 1
@@ -112,7 +112,7 @@
 }
 
 #[test]
-fn a_full_disk_is_an_error_and_loses_nothing() {
+fn a_full_disk_is_an_error_and_loses_no_saved_change() {
     let memory = new_database();
     let (mut disk, _) = VoterDatabase::on(memory.clone()).unwrap();
     disk.save(&[PersistentChange::Append(1, entry(1)), PersistentChange::Vote { term: 2, voted: Some(1) }])
@@ -149,8 +149,8 @@
     assert_eq!(found(&disk).corrupt, Some(2));
 }
 
-/// Twenty entries on disk that a ledger stands for, and two more; an archive that is empty.
-fn twenty(name: &str) -> (MemoryDisk, VoterDatabase, Archive, PathBuf) {
+/// A database of twenty entries that the snapshot includes and two later ones, with an empty archive.
+fn twenty_two_entries(name: &str) -> (MemoryDisk, VoterDatabase, Archive, PathBuf) {
     let (memory, folder) =
         (new_database(), std::env::temp_dir().join(format!("pathbank-{name}-{}", std::process::id())));
     let _ = std::fs::remove_dir_all(&folder);
@@ -162,9 +162,8 @@
     (memory, disk, Archive::beside(&folder), folder)
 }
 
-/// What is in the archive and behind it on disk, as a check of both finds it, and by reading one record after
-/// another.
-fn both(disk: &VoterDatabase, archive: &Archive) -> (Verification, Vec<Index>) {
+/// The verification of archive and log, and the indexes of all their records.
+fn verify_and_read(disk: &VoterDatabase, archive: &Archive) -> (Verification, Vec<Index>) {
     let mut chain = DigestChain::default();
     archive.follow(&mut chain).unwrap();
     let (mut all, mut at) = (Vec::new(), 0);
@@ -186,22 +185,22 @@
 
 #[test]
 fn archiving_loses_no_entry_wherever_the_machine_crashes() {
-    let span = |from, to| Some(EntryRange { from, to });
-    let (memory, mut disk, archive, folder) = twenty("archive");
+    let range = |from, to| Some(EntryRange { from, to });
+    let (memory, mut disk, archive, folder) = twenty_two_entries("archive");
     assert_eq!(disk.archive(&archive, None).unwrap(), None);
-    for due in [span(1, 6), span(7, 12), None] {
+    for due in [range(1, 6), range(7, 12), None] {
         assert_eq!(disk.archive(&archive, Some(6)).unwrap(), due);
-        assert_eq!(both(&disk, &archive), (INTACT, (1..=22).collect()), "{due:?}");
+        assert_eq!(verify_and_read(&disk, &archive), (INTACT, (1..=22).collect()), "{due:?}");
     }
     drop(disk);
     let (mut disk, saved) = VoterDatabase::on(memory).unwrap();
     assert_eq!((saved.log.base().index, saved.log.len()), (20, 2));
     disk.save(&[PersistentChange::Append(23, entry(23))]).unwrap();
-    assert_eq!(both(&disk, &archive).0, Verification { entries: 23, last: 23, ..INTACT });
+    assert_eq!(verify_and_read(&disk, &archive).0, Verification { entries: 23, last: 23, ..INTACT });
     std::fs::remove_dir_all(&folder).unwrap();
-    let mut lefts = (0, 0);
+    let mut crashed_and_done = (0, 0);
     for left in (0..).step_by(997) {
-        let (memory, mut disk, archive, folder) = twenty(&format!("archive-{left}"));
+        let (memory, mut disk, archive, folder) = twenty_two_entries(&format!("archive-{left}"));
         memory.image().left = Some(left);
         let done = disk.archive(&archive, Some(6)).is_ok();
         let images = {
@@ -211,55 +210,58 @@
         for bytes in images {
             let (mut disk, _) =
                 VoterDatabase::on(MemoryDisk::of(bytes)).unwrap_or_else(|e| panic!("{left}: {e}"));
-            assert_eq!(both(&disk, &archive), (INTACT, (1..=22).collect()), "{left}");
-            // It goes on where it stopped.
+            assert_eq!(verify_and_read(&disk, &archive), (INTACT, (1..=22).collect()), "{left}");
+            // Archiving continues where it stopped.
             while disk.archive(&archive, Some(6)).unwrap().is_some() {}
-            assert_eq!(both(&disk, &archive), (INTACT, (1..=22).collect()), "{left}");
+            assert_eq!(verify_and_read(&disk, &archive), (INTACT, (1..=22).collect()), "{left}");
             assert_eq!(archive.segments().unwrap().len(), 2, "{left}");
         }
         std::fs::remove_dir_all(&folder).unwrap();
-        lefts = if done { (lefts.0, lefts.1 + 1) } else { (lefts.0 + 1, 0) };
+        crashed_and_done =
+            if done { (crashed_and_done.0, crashed_and_done.1 + 1) } else { (crashed_and_done.0 + 1, 0) };
         if done {
             break;
         }
     }
-    assert!(lefts.0 > 3 && lefts.1 == 1, "{lefts:?}");
+    assert!(crashed_and_done.0 > 3 && crashed_and_done.1 == 1, "{crashed_and_done:?}");
 }
 
 #[test]
 fn verification_finds_archives_that_were_changed_truncated_or_moved_away() {
-    let (_paper, mut disk, archive, folder) = twenty("changed");
+    let (_memory, mut disk, archive, folder) = twenty_two_entries("changed");
     while disk.archive(&archive, Some(6)).unwrap().is_some() {}
-    let at = |span: EntryRange| folder.join("archive").join(span.name());
-    let spans = archive.segments().unwrap();
-    let texts: Vec<String> = spans.iter().map(|span| std::fs::read_to_string(at(*span)).unwrap()).collect();
+    let at = |range: EntryRange| folder.join("archive").join(range.name());
+    let ranges = archive.segments().unwrap();
+    let texts: Vec<String> =
+        ranges.iter().map(|range| std::fs::read_to_string(at(*range)).unwrap()).collect();
     let gap = |entries, gap| Verification { entries, gaps: vec![gap], ..INTACT };
-    let wrong = |entries, gaps, wrong| Verification { entries, last: wrong - 1, gaps, corrupt: Some(wrong) };
+    let corrupt =
+        |entries, gaps, index| Verification { entries, last: index - 1, gaps, corrupt: Some(index) };
     let lines = |text: &str, count: usize| {
         text.lines().take(count).map(|line| format!("{line}\n")).collect::<String>()
     };
     let forged = texts[0].replacen("a test", "a lie!", 3).replacen("a lie!", "a test", 2);
-    // Which segment, what is in its place (`None`: it was moved away), and what is found.
+    // The changed segment, the text in its place (`None`: it was moved away), and the expected result.
     for (segment, text, due) in [
         (0, None, gap(16, (1, 6))),
         (1, None, gap(16, (7, 12))),
-        (0, Some(forged), wrong(2, vec![], 3)),
-        (1, Some(lines(&texts[1], 4)), wrong(9, vec![], 10)),
-        (1, Some(lines(&texts[1], 4) + "{\"index\":"), wrong(9, vec![], 10)),
-        (1, Some(String::new()), wrong(6, vec![], 7)),
-        (1, Some(texts[0].clone()), wrong(6, vec![], 7)),
+        (0, Some(forged), corrupt(2, vec![], 3)),
+        (1, Some(lines(&texts[1], 4)), corrupt(9, vec![], 10)),
+        (1, Some(lines(&texts[1], 4) + "{\"index\":"), corrupt(9, vec![], 10)),
+        (1, Some(String::new()), corrupt(6, vec![], 7)),
+        (1, Some(texts[0].clone()), corrupt(6, vec![], 7)),
     ] {
         match &text {
-            Some(text) => std::fs::write(at(spans[segment]), text).unwrap(),
-            None => std::fs::remove_file(at(spans[segment])).unwrap(),
+            Some(text) => std::fs::write(at(ranges[segment]), text).unwrap(),
+            None => std::fs::remove_file(at(ranges[segment])).unwrap(),
         }
         let mut chain = DigestChain::default();
         archive.follow(&mut chain).unwrap();
         assert_eq!(disk.verify(chain).unwrap().finish(), due, "{text:?}");
-        std::fs::write(at(spans[segment]), &texts[segment]).unwrap();
+        std::fs::write(at(ranges[segment]), &texts[segment]).unwrap();
     }
-    assert_eq!(both(&disk, &archive).0, INTACT);
-    // A file in the folder's place: nothing leaves, and what is here stays.
+    assert_eq!(verify_and_read(&disk, &archive).0, INTACT);
+    // With a file in the archive folder's place, archiving fails and the log keeps its entries.
     std::fs::remove_dir_all(folder.join("archive")).unwrap();
     std::fs::write(folder.join("archive"), "").unwrap();
     assert!(matches!(disk.archive(&archive, Some(2)), Err(DatabaseError::Io(_))));
@@ -268,7 +270,7 @@
 }
 
 #[test]
-fn files_that_are_no_voters_database_are_rejected() {
+fn files_that_are_not_a_voters_database_are_rejected() {
     let folder = std::env::temp_dir().join(format!("pathbank-disk-{}", std::process::id()));
     let open = || VoterDatabase::open(&folder, 1 << 30);
     assert!(matches!(open(), Err(DatabaseError::Absent(_))));
@@ -276,7 +278,7 @@
     assert!(matches!(VoterDatabase::create(&folder, 6), Err(DatabaseError::Exists(_))));
     let (disk, saved) = open().unwrap();
     assert_eq!((disk.id(), saved.incarnation >> 32), (5, 1));
-    assert!(matches!(open(), Err(DatabaseError::Foreign { .. })), "two processes have it");
+    assert!(matches!(open(), Err(DatabaseError::Foreign { .. })), "another process has the file open");
     drop(disk);
     assert_eq!(open().unwrap().1.incarnation >> 32, 2);
     let total_bytes = std::fs::read(path(&folder)).unwrap();
@@ -287,12 +289,12 @@
     for (what, bytes) in [
         ("empty", &b""[..]),
         ("a text", b"not a database"),
-        ("cut", &total_bytes[..total_bytes.len() / 3]),
+        ("truncated", &total_bytes[..total_bytes.len() / 3]),
         ("zeroes", &[0; 9000]),
     ] {
         assert!(of(bytes).is_err(), "{what}");
     }
-    // Another database, and one of a later form.
+    // A database of another program, and one with a later schema.
     for (key, value) in [("other", "1"), ("schema", "9")] {
         std::fs::remove_file(path(&folder)).unwrap();
         let database = Database::create(path(&folder)).unwrap();
--- a/src/net/agree/lease_renewal.rs
+++ b/src/net/agree/lease_renewal.rs
@@ -1,5 +1,5 @@
-//! Keeps this process's leases alive: asks each voter for its grant several times in each lease, and publishes what came
-//! of it. A majority's grants make the lease (Raft thesis, section 6.4.1, from the side of the one that holds it).
+//! Renews this process's leases: requests a grant from each voter several times in each lease, and publishes the
+//! resulting view. The process holds a lease once a majority has granted it (Raft thesis, section 6.4.1).
 
 use super::call::{CallError, Caller};
 use super::runtime::{duration, lock};
@@ -17,16 +17,16 @@
 use tokio::time::{Duration, sleep};
 
 const RENEWALS_PER_LEASE: u32 = 4;
-/// Between two requests of a process that lacks entries.
+/// The interval between requests while the process lacks entries.
 const CATCH_UP_INTERVAL: Duration = Duration::from_millis(5);
 const MAX_RENEWAL_BACKOFF: Duration = Duration::from_secs(1);
-/// The backoff grows with the root of the failures in a row, up to this many.
+/// The backoff grows with the square root of the number of failures in a row, up to this number.
 const MAX_BACKOFF_FAILURES: u32 = 6;
-/// After a time-out the next request may take twice as long, this many times at most: a reply carries the entries that
-/// the process lacks, which on a slow machine takes its time.
+/// The timeout doubles after each timeout, up to this many times: a reply contains the entries that the process lacks,
+/// which a slow machine takes long to send and apply.
 const MAX_TIMEOUT_DOUBLINGS: u32 = 3;
 
-/// Whether a reply left entries to ask for.
+/// Whether the process may lack further entries after a reply.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Progress {
     UpToDate,
@@ -39,7 +39,7 @@
     pace: Pace,
     handle: Handle,
     holder: Mutex<LeaseHolder>,
-    /// What the core acts on.
+    /// The view on which the core acts.
     view: Arc<Mutex<LeaseView>>,
     membership_changed: watch::Sender<()>,
 }
@@ -62,7 +62,7 @@
         self.view.clone()
     }
 
-    /// One task for each voter, as the log names them.
+    /// Runs one task for each voter of the current membership.
     pub(super) async fn run(self: Arc<Self>) {
         let mut membership_changed = self.membership_changed.subscribe();
         let mut tasks: BTreeMap<VoterId, JoinHandle<()>> = BTreeMap::new();
@@ -84,13 +84,14 @@
         }
     }
 
-    /// Asks one voter for its grant, again and again.
+    /// Requests a grant from one voter repeatedly.
     async fn renew_at(self: Arc<Self>, id: VoterId) {
         let lease = duration(self.config.times.lease);
         let (mut failures, mut timeout_doublings) = (0u32, 0u32);
         loop {
             let (request, address) = {
-                // The core has seen this view since the last reply: what the request says is prepared it keeps to.
+                // The core has had this view since the last reply, so it acts by all entries that the request calls
+                // prepared.
                 let holder = lock(&self.holder);
                 (holder.renew(self.pace.now()), self.config.address(id, holder.voters()))
             };
@@ -111,8 +112,8 @@
                         Progress::UpToDate => lease / RENEWALS_PER_LEASE,
                     }
                 }
-                Err(problem) => {
-                    debug!("lease renewal failed: voter {id}: {problem}");
+                Err(error) => {
+                    debug!("lease renewal failed: voter {id}: {error}");
                     failures = (failures + 1).min(MAX_BACKOFF_FAILURES);
                     let backoff = (lease / RENEWALS_PER_LEASE).mul_f64(f64::from(failures).sqrt());
                     backoff.min(MAX_RENEWAL_BACKOFF)
@@ -133,7 +134,7 @@
         let now = self.pace.now();
         let changed = before.state().applied() != holder.view().state().applied()
             || before.level(now) != holder.view().level(now);
-        // Published under the holder's lock: the next request must not leave before the core can see this view.
+        // Published under the holder's lock, so that the next request is not sent before the core can see this view.
         *lock(&self.view) = holder.view().clone();
         if *holder.voters() != voters {
             self.membership_changed.send_replace(());
--- a/src/net/agree/mod.rs
+++ b/src/net/agree/mod.rs
@@ -1,6 +1,6 @@
-//! The agreement on real sockets and disks: `runtime` starts its thread; `voter_service` runs the voter with its `database`
-//! and `archive`; `lease_renewal` keeps the leases of this process; `wire` and `call` are the protocol between them,
-//! `serve` its server; `command` and `backup` are the operators' program.
+//! Runs the agreement on sockets and disks. `runtime` starts its thread, `voter_service` runs the voter with its
+//! `database` and `archive`, and `lease_renewal` renews the leases of this process. `wire` defines the protocol between
+//! them, `call` is its client and `serve` its server. `command` and `backup` implement the operators' program.
 
 pub mod archive;
 mod backup;
--- a/src/net/agree/runtime.rs
+++ b/src/net/agree/runtime.rs
@@ -1,5 +1,5 @@
-//! The thread of the agreement: a runtime of its own for the voter of this process, where it has one, and for its
-//! leases, so that no client's request waits for a database.
+//! Starts the thread of the agreement. It has its own runtime for this process's leases and its voter, if there is one,
+//! so that no client's request waits for the database.
 
 use super::call::Caller;
 use super::lease_renewal::LeaseRenewal;
@@ -17,16 +17,17 @@
 use std::time::{Duration, SystemTime, UNIX_EPOCH};
 
 const THREAD_NAME: &str = "agree";
-/// Where the process id goes in a holder's start: two processes that start in one microsecond differ by it.
+/// The position of the process id in a holder's start number, so that two processes that start in the same microsecond
+/// differ.
 const PROCESS_ID_SHIFT: u32 = 44;
 
-/// Starts the thread. The view that it returns says at any moment what this process may act on; `handle` gets
-/// `Input::AgreementChanged` when it changes.
+/// Starts the thread. Returns the view on which this process acts, which the thread keeps current; `handle` gets
+/// `Input::AgreementChanged` when the view changes.
 ///
 /// # Errors
 ///
-/// The runtime or the thread cannot be made. A voter that cannot listen or read its database is no error: it tries
-/// again while the process serves, since another process of this host may have both until it ends.
+/// The runtime or the thread cannot be created. A voter that cannot listen or open its database is not an error: it
+/// retries while the process serves, since an earlier process of this host may hold both until it ends.
 pub fn start(
     config: Agreement,
     process: &str,
@@ -52,7 +53,7 @@
     Ok(view)
 }
 
-/// Two processes of one host hold leases of their own, also where one follows the other.
+/// The identifier of this process as a lease holder. Processes of one host have different ones, also after a restart.
 fn holder_id(process: &str) -> HolderId {
     let process_id = u64::from(std::process::id()) << PROCESS_ID_SHIFT;
     HolderId { head: process.to_string(), start: unix_time_us() ^ process_id }
--- a/src/net/agree/serve.rs
+++ b/src/net/agree/serve.rs
@@ -1,4 +1,4 @@
-//! The server of a voter: axum's routes over connections that are bounded in number, time and bytes.
+//! A voter's HTTP server: routes of axum, with limits on the number of connections, header time and body size.
 
 use super::voter_service::{VoterError, VoterService};
 use super::wire::{self, CLUSTER_HEADER, MAX_MESSAGE_BYTES, MessageEnvelope, RecordsRequest, StateRequest};
@@ -22,9 +22,9 @@
 use tokio::sync::Semaphore;
 use tokio::time::{Duration, sleep};
 
-/// For a request's head; idle connections are closed after it too.
+/// Timeout for reading a request's head, and for idle connections.
 const REQUEST_HEAD_TIMEOUT: Duration = Duration::from_secs(10);
-/// Between two tries to accept a connection where the system refuses.
+/// The interval between retries after a failed accept.
 const ACCEPT_RETRY_INTERVAL: Duration = Duration::from_millis(100);
 const MAX_RECORDS_PER_ANSWER: usize = 1_000;
 
@@ -35,22 +35,22 @@
     let slots = Arc::new(Semaphore::new(voter.max_connections()));
     let router = router(voter);
     loop {
-        // Beyond the limit connections wait in the kernel.
+        // Further connections wait in the kernel's backlog.
         let Ok(slot) = slots.clone().acquire_owned().await else { return };
         match listener.accept().await {
             Ok((stream, _)) => {
-                let _ = stream.set_nodelay(true); // it only answers later without
+                let _ = stream.set_nodelay(true); // a failure only delays answers
                 let service = TowerToHyperService::new(router.clone());
                 tokio::spawn(async move {
                     let _slot = slot;
                     let mut http = hyper::server::conn::http1::Builder::new();
                     http.timer(TokioTimer::new()).header_read_timeout(REQUEST_HEAD_TIMEOUT);
-                    // How a caller's connection ends tells nothing.
+                    // Errors of a client's connection are ignored.
                     let _ = http.serve_connection(TokioIo::new(stream), service).await;
                 });
             }
-            Err(problem) => {
-                event!(ACCEPT_FAILED, problem:%);
+            Err(error) => {
+                event!(ACCEPT_FAILED, problem:% = error);
                 sleep(ACCEPT_RETRY_INTERVAL).await;
             }
         }
@@ -72,7 +72,7 @@
         .with_state(voter)
 }
 
-/// Rejects processes of another cluster that came here by accident.
+/// Rejects calls from processes of another cluster.
 async fn reject_other_clusters(State(voter): Voter, request: Request, next: Next) -> Response {
     let named = request.headers().get(CLUSTER_HEADER).and_then(|name| name.to_str().ok());
     match named == Some(voter.cluster()) {
@@ -82,7 +82,7 @@
 }
 
 fn read<T: DeserializeOwned>(body: &Bytes) -> Result<T, (StatusCode, String)> {
-    serde_json::from_slice(body).map_err(|problem| (StatusCode::BAD_REQUEST, problem.to_string()))
+    serde_json::from_slice(body).map_err(|error| (StatusCode::BAD_REQUEST, error.to_string()))
 }
 
 fn answer<T: Serialize>(answer: Result<T, VoterError>) -> Response {
@@ -93,35 +93,35 @@
     };
     match answer {
         Ok(answer) => axum::Json(answer).into_response(),
-        Err(problem) => (status, problem.to_string()).into_response(),
+        Err(error) => (status, error.to_string()).into_response(),
     }
 }
 
 async fn step(State(voter): Voter, body: Bytes) -> Response {
     match read::<MessageEnvelope>(&body) {
         Ok(envelope) => answer(voter.step(envelope)),
-        Err(bad) => bad.into_response(),
+        Err(rejection) => rejection.into_response(),
     }
 }
 
 async fn renew(State(voter): Voter, body: Bytes) -> Response {
     match read::<Message>(&body) {
         Ok(request) => answer(voter.renew(request)),
-        Err(bad) => bad.into_response(),
+        Err(rejection) => rejection.into_response(),
     }
 }
 
 async fn propose(State(voter): Voter, body: Bytes) -> Response {
     match read::<Edit>(&body) {
         Ok(edit) => answer(voter.propose(edit).await),
-        Err(bad) => bad.into_response(),
+        Err(rejection) => rejection.into_response(),
     }
 }
 
 async fn change_membership(State(voter): Voter, body: Bytes) -> Response {
     match read::<Voters>(&body) {
         Ok(voters) => answer(voter.change_membership(voters).await),
-        Err(bad) => bad.into_response(),
+        Err(rejection) => rejection.into_response(),
     }
 }
 
@@ -132,14 +132,14 @@
 async fn state(State(voter): Voter, body: Bytes) -> Response {
     match read::<StateRequest>(&body) {
         Ok(request) => answer(voter.state(request.linearizable).await),
-        Err(bad) => bad.into_response(),
+        Err(rejection) => rejection.into_response(),
     }
 }
 
 async fn records(State(voter): Voter, body: Bytes) -> Response {
     match read::<RecordsRequest>(&body) {
         Ok(request) => answer(voter.records(request.after, request.most.min(MAX_RECORDS_PER_ANSWER)).await),
-        Err(bad) => bad.into_response(),
+        Err(rejection) => rejection.into_response(),
     }
 }
 
--- a/src/net/agree/tests.rs
+++ b/src/net/agree/tests.rs
@@ -22,19 +22,19 @@
     Path::new(env!("CARGO_MANIFEST_DIR")).join("tests/fixtures").join(name)
 }
 
-/// A folder of one test, removed at its end.
-struct Folder(PathBuf);
+/// A temporary folder of one test, removed when dropped.
+struct TestFolder(PathBuf);
 
-impl Folder {
-    fn new(name: &str) -> Folder {
+impl TestFolder {
+    fn new(name: &str) -> TestFolder {
         let path = std::env::temp_dir().join(format!("pathbank-stored-{name}-{}", std::process::id()));
         fs::create_dir_all(&path).unwrap();
-        Folder(path)
+        TestFolder(path)
     }
 
-    /// With a copy of the voter's database and archive, since opening the database changes it.
-    fn of_voter(name: &str) -> Folder {
-        let folder = Folder::new(name);
+    /// A folder with a copy of the stored database and archive, since opening the database changes it.
+    fn of_voter(name: &str) -> TestFolder {
+        let folder = TestFolder::new(name);
         let copy = |name: &str| fs::copy(fixture("agreement").join(name), folder.0.join(name)).unwrap();
         fs::create_dir_all(folder.0.join("archive")).unwrap();
         copy("agree.redb");
@@ -43,7 +43,7 @@
     }
 }
 
-impl Drop for Folder {
+impl Drop for TestFolder {
     fn drop(&mut self) {
         let _ = fs::remove_dir_all(&self.0);
     }
@@ -57,12 +57,12 @@
 
 #[test]
 fn the_stored_database_and_archive_have_the_vote_the_log_and_the_state() {
-    let folder = Folder::of_voter("database");
+    let folder = TestFolder::of_voter("database");
     let (disk, saved) = VoterDatabase::open(&folder.0, 1 << 30).unwrap();
     assert_eq!(disk.id(), VOTER);
     assert_eq!((saved.term, saved.voted, saved.barrier), (3, Some(72), 9));
     assert_eq!(saved.peer_incarnations, [(72, 5 << 32 | 77)].into());
-    // One start made the fixture, this is the second.
+    // The database was opened once to write the fixture; this is the second time.
     assert_eq!(saved.incarnation >> 32, 2);
     assert_eq!((&saved.state, saved.state_term), (&state(11), 2));
     assert_eq!((saved.log.base().index, saved.log.last_index()), (11, 14));
@@ -81,7 +81,7 @@
 
 #[test]
 fn the_same_changes_saved_by_this_program_give_the_stored_log_state_and_segment() {
-    let (stored, written) = (Folder::of_voter("stored"), Folder::new("written"));
+    let (stored, written) = (TestFolder::of_voter("stored"), TestFolder::new("written"));
     VoterDatabase::create(&written.0, VOTER).unwrap();
     let (mut disk, _) = VoterDatabase::open(&written.0, 1 << 30).unwrap();
     for batch in batches() {
@@ -90,7 +90,7 @@
     let archive = Archive::beside(&written.0);
     assert_eq!(disk.archive(&archive, Some(KEEP)).unwrap(), Some(EntryRange { from: 1, to: 4 }));
     assert_eq!(disk.archive(&archive, Some(KEEP)).unwrap(), None);
-    let segment = |folder: &Folder| {
+    let segment = |folder: &TestFolder| {
         fs::read(folder.0.join("archive/00000000000000000001-00000000000000000004.jsonl")).unwrap()
     };
     assert_eq!(segment(&written), segment(&stored));
@@ -106,7 +106,7 @@
 
 #[test]
 fn the_stored_state_has_its_documents_in_force_and_the_results_of_edits() {
-    let folder = Folder::of_voter("state");
+    let folder = TestFolder::of_voter("state");
     let (_, saved) = VoterDatabase::open(&folder.0, 1 << 30).unwrap();
     let state = saved.state;
     assert_eq!((state.applied(), state.active(), state.prepared()), (11, 9, 9));
@@ -116,8 +116,8 @@
     assert_eq!(value("class/read", "attempts"), Some(Value::Attempts(3)));
     assert_eq!(value("nodes", "n7"), Some(Value::Node(false)));
     assert_eq!(state.result(1), Some(&Ok(2)));
-    assert!(matches!(state.result(5), Some(Err(_))), "its base was an old version");
-    assert_eq!(state.result(6), None, "behind the snapshot");
+    assert!(matches!(state.result(5), Some(Err(_))), "the edit's base was an old version");
+    assert_eq!(state.result(6), None, "the edit follows the snapshot");
     let versions: Vec<(&str, u64)> =
         state.documents().map(|(name, Document { version, .. })| (name, *version)).collect();
     assert_eq!(versions, [("class/read", 2), ("nodes", 1), ("plan/gold", 1)]);
@@ -125,7 +125,7 @@
 
 #[test]
 fn a_stored_backup_is_restored_and_written_again_as_the_same_bytes() {
-    let (folder, stored) = (Folder::new("backup"), fixture("agreement-backup.jsonl"));
+    let (folder, stored) = (TestFolder::new("backup"), fixture("agreement-backup.jsonl"));
     let backup = Backup::read(&stored).unwrap();
     assert_eq!(backup.cluster, "few");
     let directory = folder.0.join("restored");
@@ -143,7 +143,8 @@
     serde_json::to_string(&serde_json::from_str::<T>(json).unwrap()).unwrap()
 }
 
-/// Both ways: this program writes the same bytes for the same values, and reads those bytes as these values.
+/// This program writes the stored bytes for the same values, and parses the stored bytes into values that it writes as
+/// the same bytes.
 #[test]
 fn messages_of_the_protocol_have_the_stored_bytes() {
     let stored = fs::read_to_string(fixture("agreement-messages.tsv")).unwrap();
@@ -164,7 +165,7 @@
             "records asked" => read_and_write::<RecordsRequest>(json),
             "records" => read_and_write::<RecordsReply>(json),
             "verified" => read_and_write::<Verification>(json),
-            other => panic!("{other}: no such kind"),
+            other => panic!("unknown kind of message: {other}"),
         };
         assert_eq!(again, json, "{kind}");
     }
--- a/src/net/agree/tests/samples.rs
+++ b/src/net/agree/tests/samples.rs
@@ -1,4 +1,4 @@
-//! Values that the program which wrote `tests/fixtures/agreement` put there.
+//! The values in `tests/fixtures/agreement`, as the program that wrote the fixtures had them.
 
 use crate::agree::archive::Verification;
 use crate::agree::document::{DocumentChange, Edit, EditRejection, Repeats, Value};
@@ -30,8 +30,8 @@
     Voters::from([(VOTER, "10.0.0.1:7000".to_string()), (72, "10.0.0.2:7000".to_string())])
 }
 
-/// A log of fourteen entries: each kind of command and of value, an edit that is refused and one that is not
-/// in force.
+/// A log of fourteen entries with each kind of command and value, an edit that is rejected and one that is not in
+/// force.
 pub fn entries() -> Vec<Entry> {
     let commands = [
         (1, Command::Noop),
@@ -58,15 +58,16 @@
     state
 }
 
-/// What the voter saved, batch by batch; its older entries leave for the archive afterwards.
+/// The batches that the voter saved; it then moved older entries to the archive.
 pub fn batches() -> Vec<Vec<PersistentChange>> {
-    let put = (1..).zip(entries()).map(|(index, entry)| PersistentChange::Append(index, entry)).collect();
+    let append_all =
+        (1..).zip(entries()).map(|(index, entry)| PersistentChange::Append(index, entry)).collect();
     vec![
         vec![
             PersistentChange::Vote { term: 1, voted: Some(VOTER) },
             PersistentChange::PeerIncarnation(72, 5 << 32 | 77),
         ],
-        put,
+        append_all,
         vec![PersistentChange::Vote { term: 3, voted: Some(72) }, PersistentChange::Barrier(9)],
         vec![PersistentChange::Snapshot { state: Box::new(state(11)), term: 2, replaces_after: None }],
     ]
@@ -84,7 +85,7 @@
     serde_json::to_string(value).unwrap()
 }
 
-/// Each kind of message, and of what operators are answered, by name.
+/// Each kind of message, including answers to operators, by name.
 #[allow(clippy::too_many_lines, reason = "a table of samples")]
 pub fn messages() -> Vec<(&'static str, String)> {
     let holder = HolderId { head: "n1".into(), start: 1_764_000_000_123_456 };
--- a/src/net/agree/voter_service/host.rs
+++ b/src/net/agree/voter_service/host.rs
@@ -1,4 +1,4 @@
-//! One voter with its open database, and what was last reported of it.
+//! A voter with its open database, and the values that its events last reported.
 
 use super::super::archive::Archive;
 use super::super::database::{DatabaseError, VoterDatabase, hex};
@@ -9,7 +9,7 @@
 use crate::event;
 use std::collections::BTreeSet;
 
-/// What the events LEADER and REVISION last said.
+/// The values of the last LEADER and REVISION events.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 struct Reported {
     leader: Option<VoterId>,
@@ -17,11 +17,12 @@
     active: Index,
 }
 
+/// A voter with its open database.
 pub(super) struct VoterHost {
     pub(super) voter: Voter,
     pub(super) database: VoterDatabase,
     reported: Reported,
-    /// Peers that run on an older copy of their database, as far as reported.
+    /// Peers that were reported to run on an older copy of their database.
     reported_stale_peers: BTreeSet<VoterId>,
 }
 
@@ -31,7 +32,7 @@
         VoterHost { voter, database, reported, reported_stale_peers: BTreeSet::new() }
     }
 
-    /// Saves these, and moves old entries to the archive where a snapshot stands for them.
+    /// Saves the changes, and after a snapshot moves old entries to the archive.
     pub(super) fn save(
         &mut self,
         changes: &[PersistentChange],
@@ -44,23 +45,24 @@
         Ok(())
     }
 
-    /// Moves a segment at most. What fails is tried again with the next snapshot: an entry leaves the database only when
-    /// it is in the archive.
+    /// Moves at most one segment to the archive. A failure is retried after the next snapshot; an entry is removed from
+    /// the database only once it is in the archive.
     fn archive(&mut self, settings: &VoterSettings) {
         match self.database.archive(&Archive::beside(&settings.directory), settings.keep_entries) {
             Ok(None) => {}
             Ok(Some(range)) => event!(ARCHIVED, from = range.from, to = range.to),
-            Err(problem) => event!(ARCHIVE_ILL, problem:%),
+            Err(error) => event!(ARCHIVE_ILL, problem:% = error),
         }
     }
 
-    /// Once for each peer: it goes on sending until an operator ends it.
+    /// Reports a stale peer once; the peer continues to send until an operator stops it.
     pub(super) fn report_stale_peer(&mut self, peer: Option<VoterId>) {
         if let Some(voter) = peer.filter(|peer| self.reported_stale_peers.insert(*peer)) {
             event!(OLD_DISK, voter);
         }
     }
 
+    /// Emits events for a change of leader, term or active revision.
     pub(super) fn report_changes(&mut self) {
         let (voter, state) = (&self.voter, self.voter.state());
         let now = Reported { leader: voter.leader(), term: voter.term(), active: state.active() };
--- a/src/net/agree/voter_service/inspection.rs
+++ b/src/net/agree/voter_service/inspection.rs
@@ -1,4 +1,4 @@
-//! What operators ask of a voter: its status, the committed entries, and a check of all digests.
+//! Requests of operators to a voter: its status, the committed entries, and a verification of all digests.
 
 use super::super::archive::Archive;
 use super::super::database::{self, DatabaseError, hex};
@@ -30,14 +30,15 @@
         })
     }
 
-    /// Committed entries after that one, at most so many: from the archive as far as it goes, then from the log.
+    /// Up to `max_records` committed entries after `after`, from the archive if it has any of them, otherwise from the
+    /// log.
     pub(in super::super) async fn records(
         &self,
         after: Index,
         max_records: usize,
     ) -> Result<RecordsReply, VoterError> {
         let archive = self.archive();
-        let archived = read_aside(move || archive.records(after, max_records)).await?;
+        let archived = read_blocking(move || archive.records(after, max_records)).await?;
         let guard = lock(&self.host);
         let host = guard.as_ref().ok_or(VoterError::Unavailable)?;
         let commit = host.voter.commit();
@@ -49,10 +50,11 @@
         Ok(RecordsReply { records, commit })
     }
 
-    /// The archive is read beside the voter's work; a segment that is added meanwhile is read with the log.
+    /// Verifies the archive on a blocking thread while the voter runs, then the segments added meanwhile and the log
+    /// under the voter's lock.
     pub(in super::super) async fn verify(&self) -> Result<Verification, VoterError> {
         let archive = self.archive();
-        let mut chain = read_aside(move || {
+        let mut chain = read_blocking(move || {
             let mut chain = DigestChain::default();
             archive.follow(&mut chain).map(|()| chain)
         })
@@ -68,9 +70,9 @@
     }
 }
 
-/// Reads files on a thread of their own, so that the voter's timers go on.
-async fn read_aside<T: Send + 'static>(
+/// Reads files on a blocking thread, so that the voter's timers are not delayed.
+async fn read_blocking<T: Send + 'static>(
     read: impl FnOnce() -> Result<T, DatabaseError> + Send + 'static,
 ) -> Result<T, DatabaseError> {
-    tokio::task::spawn_blocking(read).await.unwrap_or_else(|problem| Err(database::foreign(problem)))
+    tokio::task::spawn_blocking(read).await.unwrap_or_else(|error| Err(database::foreign(error)))
 }
--- a/src/net/agree/voter_service/links.rs
+++ b/src/net/agree/voter_service/links.rs
@@ -1,5 +1,5 @@
-//! Links to the peers: one task for each, which sends one message at a time, takes the answers back, and waits longer
-//! after each failure.
+//! Links to the peers. One task per peer sends one message at a time, passes the answers to the voter, and backs off
+//! after failures.
 
 use super::super::runtime::{duration, lock};
 use super::super::wire::{MESSAGE_PATH, MessageEnvelope, MessageReply};
@@ -11,7 +11,7 @@
 use tokio::sync::mpsc;
 use tokio::time::{Duration, sleep};
 
-/// Messages to one peer behind the one that is being sent; the last of them stands for all.
+/// Messages to one peer that wait while another is sent. Only the last of them is sent.
 const MAX_QUEUED_MESSAGES: usize = 8;
 /// The backoff starts at a heartbeat interval and doubles with each failure up to this.
 const MAX_BACKOFF: Duration = Duration::from_secs(1);
@@ -21,7 +21,7 @@
 pub(super) struct PeerLinks(Mutex<BTreeMap<VoterId, mpsc::Sender<Message>>>);
 
 impl PeerLinks {
-    /// Queues a message. One that does not fit is lost, as the network may lose any: the next heartbeat repeats it.
+    /// Queues a message. If the queue is full, the message is dropped, and the next heartbeat makes up for it.
     pub(super) fn send(&self, service: &Arc<VoterService>, to: VoterId, message: Message) {
         let mut links = lock(&self.0);
         let link = links.entry(to).or_insert_with(|| {
@@ -36,7 +36,7 @@
 async fn run(service: Arc<VoterService>, to: VoterId, mut messages: mpsc::Receiver<Message>) {
     let mut failures: u32 = 0;
     while let Some(mut message) = messages.recv().await {
-        // A later message holds what the earlier ones say.
+        // A later message supersedes earlier ones.
         while let Ok(later) = messages.try_recv() {
             message = later;
         }
@@ -48,8 +48,8 @@
                 failures = 0;
                 step_replies(&service, to, reply);
             }
-            Err(problem) => {
-                debug!("message to peer failed: voter {to} at {address}: {problem}");
+            Err(error) => {
+                debug!("message to peer failed: voter {to} at {address}: {error}");
                 failures = (failures + 1).min(MAX_BACKOFF_DOUBLINGS);
                 let backoff = duration(service.config.times.heartbeat_interval * (1 << failures) / 2);
                 sleep(backoff.min(MAX_BACKOFF).mul_f64(0.5 + fastrand::f64() / 2.0)).await;
@@ -58,7 +58,8 @@
     }
 }
 
-/// `None`: the voter's database cannot be used, or the peer has no address.
+/// The peer's address, the timeout of the call and the message in its envelope. `None`: the voter's database cannot be
+/// used, or the peer has no address.
 fn address_and_envelope(
     service: &VoterService,
     to: VoterId,
@@ -76,7 +77,7 @@
 fn step_replies(service: &Arc<VoterService>, from: VoterId, reply: MessageReply) {
     let MessageReply { incarnation, messages } = reply;
     for message in messages {
-        // A database that was lost meanwhile is opened again by the timers.
+        // If the database fails here, the timers open it again.
         let _ = service
             .update(|voter, now| ((), voter.step(now, fastrand::u64(..), (from, incarnation), message)));
     }
--- a/src/net/agree/voter_service/mod.rs
+++ b/src/net/agree/voter_service/mod.rs
@@ -1,6 +1,6 @@
-//! The voter of this process with its database: what it must not forget is on disk before any message that rests on it
-//! leaves. `host` ties the two together, `links` carries messages to the peers, `requests` waits for proposals to
-//! commit, `inspection` answers operators.
+//! Runs the voter of this process with its database: changes of its persistent state are on disk before any message
+//! that depends on them is sent. `host` combines voter and database, `links` sends messages to the peers, `requests`
+//! waits for proposals to be committed, and `inspection` answers operators.
 
 mod host;
 mod inspection;
@@ -25,28 +25,30 @@
 use tokio::sync::watch;
 use tokio::time::{Duration, Instant, sleep, sleep_until};
 
-/// At the latest the voter's timers are looked at after this.
+/// The longest time between two ticks of the voter.
 const MAX_TICK_INTERVAL: Duration = Duration::from_millis(100);
+/// The shortest time between two ticks of the voter.
 const MIN_TICK_INTERVAL: Duration = Duration::from_millis(1);
-/// A database that cannot be used is opened again after a backoff, which doubles up to the longest: each time all of it is
-/// read and the leader sends its entries once more, beside the leases of this process.
+/// The first backoff before a failed database is opened again. Each attempt reads all of it and has the leader send its
+/// entries again, on the thread that also renews this process's leases.
 const MIN_REOPEN_BACKOFF: Duration = Duration::from_secs(1);
+/// The backoff doubles up to this.
 const MAX_REOPEN_BACKOFF: Duration = Duration::from_secs(4);
-/// A database that was in use for this long resets the backoff.
+/// A database that was usable for this long resets the backoff.
 const REOPEN_BACKOFF_RESET: Duration = Duration::from_secs(10);
 
 /// Why a voter does not answer.
 #[derive(Debug, Error)]
 pub(super) enum VoterError {
-    /// Its database cannot be used now; it is opened again after a while.
+    /// The database cannot be used now; it is opened again after a backoff.
     #[error("the voter's disk cannot be used")]
     Unavailable,
-    /// What was asked for cannot be read.
+    /// Reading the requested data failed.
     #[error(transparent)]
     Database(#[from] DatabaseError),
 }
 
-/// The voter, its peers and those who wait for it.
+/// The voter of this process, with its links to peers and its pending requests.
 pub(super) struct VoterService {
     config: Agreement,
     settings: VoterSettings,
@@ -55,12 +57,12 @@
     host: Mutex<Option<VoterHost>>,
     links: PeerLinks,
     caller: Caller,
-    /// The last committed entry, for those who wait for one.
+    /// The last committed entry, for requests that wait for a commit.
     commits: watch::Sender<Index>,
 }
 
 impl VoterService {
-    /// `None`: this process has no voter.
+    /// Creates the service. `None`: the configuration has no voter for this process.
     pub(super) fn new(config: Agreement, caller: Caller, pace: Pace) -> Option<VoterService> {
         let settings = config.voter.clone()?;
         let (host, links, commits) = (Mutex::default(), PeerLinks::default(), watch::Sender::new(0));
@@ -75,7 +77,8 @@
         self.settings.max_connections
     }
 
-    /// Listens, and opens the database: whoever has the address has the database too.
+    /// Binds the listener, then opens the database, so that only the process that has the address uses the database.
+    /// `None`: the address cannot be bound.
     pub(super) fn bind(&self) -> Option<TcpListener> {
         let bound = TcpListener::bind(self.settings.listen);
         match bound.and_then(|listener| listener.set_nonblocking(true).map(|()| listener)) {
@@ -85,14 +88,14 @@
                 log_started(&self.config.cluster, Some(&listener), id);
                 Some(listener)
             }
-            Err(problem) => {
-                event!(VOTER_ILL, problem:%);
+            Err(error) => {
+                event!(VOTER_ILL, problem:% = error);
                 None
             }
         }
     }
 
-    /// Serves peers, lease holders and operators from when it can listen.
+    /// Serves peers, lease holders and operators. Without a listener, binds one first, and retries until that succeeds.
     pub(super) async fn run(self: Arc<Self>, mut listener: Option<TcpListener>) {
         let listener = loop {
             if let Some(listener) = listener.take() {
@@ -106,11 +109,11 @@
                 tokio::spawn(self.clone().run_timers());
                 serve::serve(listener, self).await;
             }
-            Err(problem) => event!(ACCEPT_FAILED, problem:%),
+            Err(error) => event!(ACCEPT_FAILED, problem:% = error),
         }
     }
 
-    /// Opens the database, where it is not open.
+    /// Opens the database, unless it is open.
     fn open(&self) {
         let mut host = lock(&self.host);
         if host.is_some() {
@@ -124,11 +127,11 @@
                 let voter = Voter::new(id, &self.config.voters, times, saved, now, fastrand::u64(..));
                 *host = Some(VoterHost::new(voter, database));
             }
-            Err(problem) => event!(VOTER_ILL, problem:%),
+            Err(error) => event!(VOTER_ILL, problem:% = error),
         }
     }
 
-    /// Ticks the voter, and opens the database anew where it was lost.
+    /// Ticks the voter, and opens the database again after a failure.
     async fn run_timers(self: Arc<Self>) {
         let (mut opened_at, mut backoff) = (Instant::now(), MIN_REOPEN_BACKOFF);
         loop {
@@ -145,55 +148,61 @@
             };
             let wait = duration(next_tick_at.saturating_sub(self.pace.now()));
             sleep(wait.clamp(MIN_TICK_INTERVAL, MAX_TICK_INTERVAL)).await;
-            // A database that was lost meanwhile is seen above.
+            // If the database fails here, the next iteration opens it again.
             let _ = self.update(|voter, now| ((), voter.tick(now, fastrand::u64(..))));
         }
     }
 
-    /// Has the voter do something, saves what it must not forget, and sends its messages to the peers.
+    /// Calls the voter, saves the changes of its persistent state, and sends its messages to the peers.
     fn update<T>(
         self: &Arc<Self>,
         action: impl FnOnce(&mut Voter, Micros) -> (T, Output),
     ) -> Result<T, VoterError> {
-        let (done, messages) = self.save_update(action)?;
+        let (result, messages) = self.save_update(action)?;
         self.send(messages, None);
-        Ok(done)
+        Ok(result)
     }
 
-    /// Has the voter do something and saves what it must not forget; the caller sends its messages.
+    /// Calls the voter and saves the changes of its persistent state. The caller sends its messages.
     fn save_update<T>(
         &self,
         action: impl FnOnce(&mut Voter, Micros) -> (T, Output),
     ) -> Result<(T, Vec<(Recipient, Message)>), VoterError> {
         let mut guard = lock(&self.host);
         let host = guard.as_mut().ok_or(VoterError::Unavailable)?;
-        let (done, output) = action(&mut host.voter, self.pace.now());
+        let (result, output) = action(&mut host.voter, self.pace.now());
         host.report_stale_peer(output.stale_peer);
-        if let Err(problem) = host.save(&output.save, &self.settings) {
-            // The voter's memory may be ahead of its database: it is read anew before it sends anything.
-            event!(VOTER_ILL, problem:%);
+        if let Err(error) = host.save(&output.save, &self.settings) {
+            // The voter may be ahead of its database, so it is dropped and created again from the database before
+            // anything else is sent.
+            event!(VOTER_ILL, problem:% = error);
             *guard = None;
             return Err(VoterError::Unavailable);
         }
         host.report_changes();
         let commit = host.voter.commit();
         self.commits.send_if_modified(|known| std::mem::replace(known, commit) != commit);
-        Ok((done, output.send))
+        Ok((result, output.send))
     }
 
-    /// Sends what is for peers by their links, and returns what answers `asker`.
-    fn send(self: &Arc<Self>, messages: Vec<(Recipient, Message)>, asker: Option<VoterId>) -> Vec<Message> {
+    /// Sends messages to peers over their links. Returns the messages to `requester`, or to a lease holder, which are
+    /// the answer to its request.
+    fn send(
+        self: &Arc<Self>,
+        messages: Vec<(Recipient, Message)>,
+        requester: Option<VoterId>,
+    ) -> Vec<Message> {
         let mut replies = Vec::new();
         for (recipient, message) in messages {
             match recipient {
-                Recipient::Voter(id) if Some(id) != asker => self.links.send(self, id, message),
+                Recipient::Voter(id) if Some(id) != requester => self.links.send(self, id, message),
                 Recipient::Voter(_) | Recipient::LeaseHolder(_) => replies.push(message),
             }
         }
         replies
     }
 
-    /// Takes a message of another voter, and returns what answers it.
+    /// Handles a message of another voter, and returns the answer.
     pub(super) fn step(self: &Arc<Self>, envelope: MessageEnvelope) -> Result<MessageReply, VoterError> {
         let MessageEnvelope { from, incarnation, message } = envelope;
         let (incarnation, messages) = self.save_update(|voter, now| {
@@ -203,7 +212,7 @@
         Ok(MessageReply { incarnation, messages: self.send(messages, Some(from)) })
     }
 
-    /// Answers a process that asks for its lease. Other messages are answered as if there were no voter.
+    /// Answers a lease request. Any other message is an error, as if this process had no voter.
     pub(super) fn renew(self: &Arc<Self>, request: Message) -> Result<Message, VoterError> {
         let Message::LeaseRequest { holder, requested_at, prepared } = request else {
             return Err(VoterError::Unavailable);
--- a/src/net/agree/voter_service/requests.rs
+++ b/src/net/agree/voter_service/requests.rs
@@ -1,4 +1,4 @@
-//! Proposals and linearizable reads: appended by the voter where it leads, and answered once they are committed.
+//! Proposals and linearizable reads. The voter appends them if it is the leader, and answers once they are committed.
 
 use super::super::runtime::lock;
 use super::super::wire::{ProposalOutcome, StateReply};
@@ -10,7 +10,7 @@
 use tokio::sync::watch;
 use tokio::time::{Duration, Instant, timeout_at};
 
-/// Whoever proposes hears after this what became of it, or that it is not known.
+/// Limit on the time that a request waits for its entry to be committed; after it, the outcome is unknown.
 const COMMIT_TIMEOUT: Duration = Duration::from_secs(5);
 
 impl VoterService {
@@ -36,7 +36,7 @@
         Ok(self.wait_for(&mut commits, outcome).await.unwrap_or(ProposalOutcome::Unknown))
     }
 
-    /// Proposes another group of voters, and waits until it is committed.
+    /// Proposes a new membership, and waits until it is committed.
     pub(in super::super) async fn change_membership(
         self: &Arc<Self>,
         voters: Voters,
@@ -58,8 +58,9 @@
         Ok(self.wait_for(&mut commits, outcome).await.unwrap_or(ProposalOutcome::Unknown))
     }
 
-    /// The state as this voter has it, which may be old; linearizable: with all that was committed before the call, by an
-    /// entry that changes nothing and is committed after it (section 6.4 has the read index; this writes instead).
+    /// The state of this voter, which may be stale. If `linearizable`, it includes all entries that were committed
+    /// before the call: the voter first commits an entry that changes nothing, in place of the read index of section
+    /// 6.4.
     pub(in super::super) async fn state(
         self: &Arc<Self>,
         linearizable: bool,
@@ -68,12 +69,12 @@
             return self.local_state();
         }
         let mut commits = self.commits.subscribe();
-        let asked = self.update(|voter, now| match voter.propose_read_barrier(now) {
+        let barrier = self.update(|voter, now| match voter.propose_read_barrier(now) {
             Ok((index, output)) => (Ok((index, voter.term())), output),
             Err(refused) => (Err(refused), Output::default()),
         })?;
-        let (index, term) = match asked {
-            Ok(asked) => asked,
+        let (index, term) = match barrier {
+            Ok(barrier) => barrier,
             Err(NotLeader(leader)) => return Ok(StateReply::NotLeader(leader)),
         };
         let still_leads = |voter: &Voter| voter.term() == term && voter.is_leader();
@@ -91,7 +92,7 @@
         Ok(StateReply::State(Box::new(host.voter.state().clone())))
     }
 
-    /// Looks after each commit until `outcome` is known. `None`: the time-out passed, or the database was lost.
+    /// Evaluates `outcome` after each commit until it is known. `None`: the timeout passed, or the database failed.
     async fn wait_for<T>(
         &self,
         commits: &mut watch::Receiver<Index>,
@@ -102,7 +103,7 @@
             if let Some(found) = outcome(&lock(&self.host).as_ref()?.voter) {
                 return Some(found);
             }
-            // A voter that leads no more may see no commit for long.
+            // A voter that is no longer the leader may see no commit for a long time.
             let next = (Instant::now() + MAX_TICK_INTERVAL).min(deadline);
             if timeout_at(next, commits.changed()).await.is_err() && Instant::now() >= deadline {
                 return None;
--- a/src/net/agree/wire.rs
+++ b/src/net/agree/wire.rs
@@ -1,5 +1,5 @@
-//! The protocol of a voter with its peers, with processes that hold leases and with operators. Every call is a POST with a
-//! JSON body; the path has the protocol's version.
+//! The protocol between a voter and its peers, lease holders and operators. Every call is a POST with a JSON body; the
+//! path includes the protocol's version.
 
 use super::database::Record;
 use crate::agree::document::EditRejection;
@@ -8,26 +8,26 @@
 use crate::agree::{Index, Message, Term, VoterId};
 use serde::{Deserialize, Serialize};
 
-/// The header that names the cluster; a voter of another one rejects the call.
+/// The header with the cluster's name. A voter of another cluster rejects the call.
 pub const CLUSTER_HEADER: &str = "x-pathbank-cluster";
-/// The largest body: a snapshot of all documents fits.
+/// Limit on the size of a body, large enough for a snapshot of all documents.
 pub const MAX_MESSAGE_BYTES: usize = 16 * 1024 * 1024;
 
-/// [`MessageEnvelope`] to [`MessageReply`].
+/// Takes a [`MessageEnvelope`], returns a [`MessageReply`].
 pub const MESSAGE_PATH: &str = "/agree/1/hear";
-/// [`Message::LeaseRequest`] to [`Message::LeaseReply`].
+/// Takes a [`Message::LeaseRequest`], returns a [`Message::LeaseReply`].
 pub const RENEW_PATH: &str = "/agree/1/renew";
-/// An [`Edit`](crate::agree::document::Edit) to a [`ProposalOutcome`].
+/// Takes an [`Edit`](crate::agree::document::Edit), returns a [`ProposalOutcome`].
 pub const PROPOSE_PATH: &str = "/agree/1/propose";
-/// [`Voters`] to a [`ProposalOutcome`].
+/// Takes [`Voters`], returns a [`ProposalOutcome`].
 pub const VOTERS_PATH: &str = "/agree/1/voters";
-/// To a [`VoterStatus`].
+/// Returns a [`VoterStatus`].
 pub const STATUS_PATH: &str = "/agree/1/status";
-/// [`StateRequest`] to [`StateReply`].
+/// Takes a [`StateRequest`], returns a [`StateReply`].
 pub const STATE_PATH: &str = "/agree/1/ledger";
-/// [`RecordsRequest`] to [`RecordsReply`].
+/// Takes a [`RecordsRequest`], returns a [`RecordsReply`].
 pub const RECORDS_PATH: &str = "/agree/1/records";
-/// To a [`Verification`](crate::agree::archive::Verification).
+/// Returns a [`Verification`](crate::agree::archive::Verification).
 pub const VERIFY_PATH: &str = "/agree/1/verify";
 
 /// A message from one voter to another.
@@ -35,70 +35,71 @@
 pub struct MessageEnvelope {
     /// The sender.
     pub from: VoterId,
-    /// Of the sender.
+    /// The sender's incarnation.
     #[serde(rename = "starts")]
     pub incarnation: Incarnation,
-    /// What it says.
+    /// The message.
     pub message: Message,
 }
 
-/// The messages that a voter answers at once.
+/// A voter's immediate answer to a [`MessageEnvelope`].
 #[derive(Debug, Default, Serialize, Deserialize)]
 pub struct MessageReply {
-    /// Of the voter that answers.
+    /// The incarnation of the answering voter.
     #[serde(rename = "starts")]
     pub incarnation: Incarnation,
-    /// To the sender of the [`MessageEnvelope`].
+    /// Messages to the sender of the envelope.
     pub messages: Vec<Message>,
 }
 
-/// What became of a proposal.
+/// The outcome of a proposal.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum ProposalOutcome {
-    /// It is committed as this entry, and comes into force once no process can act against it.
+    /// The proposal is committed as this entry, and comes into force once every process that may still act has prepared
+    /// for it.
     Entry(Index),
-    /// It is committed and changes nothing.
+    /// The edit is committed and rejected: it changes nothing.
     Rejected(EditRejection),
-    /// The voter does not lead; the leader, as far as it knows.
+    /// The voter is not the leader. Holds the leader, if the voter knows it.
     NotLeader(Option<VoterId>),
-    /// The leader changed or the time ran out: it may still be committed. The same edit can be sent again.
+    /// The leader changed or the timeout passed: the proposal may still be committed. The same edit can be sent again.
     Unknown,
-    /// The membership cannot be changed now: the reason.
+    /// The membership cannot be changed now. Holds the reason.
     NotNow(String),
 }
 
-/// How a voter stands.
+/// The status of a voter.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct VoterStatus {
-    /// The voter.
+    /// The voter's number.
     pub id: VoterId,
-    /// How often its database was opened.
+    /// How often the voter's database was opened.
     #[serde(rename = "starts")]
     pub incarnation: Incarnation,
-    /// Its current term.
+    /// The voter's current term.
     pub term: Term,
-    /// The leader, as far as it knows.
+    /// The leader, if the voter knows it.
     pub leader: Option<VoterId>,
-    /// The last entry of its log.
+    /// The last entry of the voter's log.
     pub last: Index,
-    /// The last entry that it knows to be committed.
+    /// The last entry that the voter knows to be committed.
     pub commit: Index,
     /// The last committed edit.
     pub prepared: Index,
     /// The last edit in force.
     pub active: Index,
-    /// Of all entries up to `commit`, SHA-256 in hexadecimal digits.
+    /// The digest of all entries up to `commit`, SHA-256 in hexadecimal digits.
     pub digest: String,
-    /// The membership and its addresses.
+    /// The membership, with each voter's address.
     pub voters: Voters,
-    /// The size of its database's file.
+    /// The size of the database's file, in bytes.
     pub disk_bytes: u64,
 }
 
-/// Asks for all documents.
+/// A request for all documents.
 #[derive(Debug, Serialize, Deserialize)]
 pub struct StateRequest {
-    /// Nothing that was committed before the call may be missing; only the leader can answer.
+    /// Whether the answer must include everything that was committed before the call. Only the leader can answer then.
     #[serde(rename = "sure")]
     pub linearizable: bool,
 }
@@ -109,25 +110,25 @@
     /// All documents.
     #[serde(rename = "Ledger")]
     State(Box<DocumentState>),
-    /// The voter does not lead; the leader, as far as it knows.
+    /// The voter is not the leader. Holds the leader, if the voter knows it.
     NotLeader(Option<VoterId>),
-    /// The leader changed or the time ran out.
+    /// The leader changed or the timeout passed.
     Unknown,
 }
 
-/// Asks for committed entries.
+/// A request for committed entries.
 #[derive(Debug, Serialize, Deserialize)]
 pub struct RecordsRequest {
-    /// The entry in front of the first that is wanted.
+    /// The entry before the first requested one.
     pub after: Index,
-    /// Entries at most; the voter has a limit of its own.
+    /// Limit on the number of entries; the voter has its own limit too.
     pub most: usize,
 }
 
 /// The answer to a [`RecordsRequest`].
 #[derive(Debug, Serialize, Deserialize)]
 pub struct RecordsReply {
-    /// In their order; maybe fewer than were wanted.
+    /// Consecutive entries in log order, possibly fewer than requested.
     pub records: Vec<Record>,
     /// The last entry that the voter knows to be committed.
     pub commit: Index,
--- a/tests/stored_data.rs
+++ b/tests/stored_data.rs
@@ -1,5 +1,5 @@
-//! Files of the storage proxy as the program of commit 5480d97 wrote them (`tests/fixtures`): the ids of requests and the
-//! spool of the log. The agreement's files are read by the tests of `src/net/agree`.
+//! Reads files that the storage proxy of commit 5480d97 wrote (`tests/fixtures`): the ids of requests and the spool of
+//! the event log. The tests of `src/net/agree` read the agreement's files.
 
 #![allow(clippy::unwrap_used, clippy::expect_used, reason = "a test fails by a panic")]
 
@@ -19,7 +19,7 @@
     Path::new(env!("CARGO_MANIFEST_DIR")).join("tests/fixtures").join(name)
 }
 
-/// A folder of one test with a copy of that fixture.
+/// A temporary folder of one test with a copy of the fixture.
 fn copy_of(name: &str) -> PathBuf {
     let folder = std::env::temp_dir().join(format!("pathbank-stored-{name}-{}", std::process::id()));
     fs::create_dir_all(&folder).unwrap();
@@ -47,7 +47,7 @@
     let stored = fs::read(fixture("ids")).unwrap();
     let header = Header::decode(&stored).unwrap();
     assert_eq!(header.records, 8);
-    // Numbers begin at 1: the ring's first place is the last to be written.
+    // Records are numbered from 1, so the first place of the ring is written last and still empty.
     let mut written = header.encode().to_vec();
     written.extend([0; RECORD]);
     for (number, id) in (1..).zip(["a", "b", "c"]) {
