--- a/src/net/discovery.rs
+++ b/src/net/discovery.rs
@@ -1,4 +1,5 @@
-//! Discovery: the list of nodes as this head last had it, then a watch on its changes.
+//! Discovery of storage nodes: starts from the node list in the configuration file, then watches the
+//! discovery service for changes.
 
 use crate::config::{ListedState, NodeList};
 use crate::core::{Handle, Input};
@@ -19,103 +20,119 @@
 use tokio::sync::{mpsc, watch};
 use tokio::time::{Duration, Instant, sleep, timeout, timeout_at};
 
-/// A watch that is silent for longer than its beat and a quarter of it is broken, though its connection
-/// stands.
-const SILENCE: Duration = Duration::from_micros(BEAT * 5 / 4);
-/// From the call to the watch's first list. The service works through its calls in turn and fails those that
-/// waited too long by itself: a call without any answer is taken to be a watch that has fallen silent.
-const CALL: Duration = Duration::from_micros(BEAT * 3 / 2);
-/// One on which something comes, but neither a list nor a beat is whole for so long, tells nothing either.
-const WHOLE: Duration = Duration::from_micros(TOLD);
-const CONNECT: Duration = Duration::from_secs(2);
-/// No list is longer; a head has little memory, and 1,024 nodes take 300 kB, indented.
-const MOST_LIST: usize = 1024 * 1024;
-/// Where lists are pushed, what the agent has counts as told at once, and the agent answers at once: a broken
-/// watch is renewed after a part of the time in which sends to a node have to end, and a call waits for its
-/// answer for another.
-const RENEW_PART: u32 = 10;
-const CALL_PARTS: u32 = 4;
-const RENEW_MOST: Duration = Duration::from_millis(700);
+/// A watch that receives no byte for one and a quarter heartbeat intervals has failed, even if its connection
+/// is open.
+const SILENCE_TIMEOUT: Duration = Duration::from_micros(BEAT * 5 / 4);
+/// Time from the request to the first list of a watch. The service handles requests in order and itself fails
+/// those that waited too long, so a request without any answer is treated like a watch that has gone silent.
+const FIRST_LIST_TIMEOUT: Duration = Duration::from_micros(BEAT * 3 / 2);
+/// A watch that receives bytes but completes neither a list nor a heartbeat within this time has failed too.
+const MESSAGE_TIMEOUT: Duration = Duration::from_micros(TOLD);
+/// Time to establish the TCP connection to the discovery service.
+const CONNECT_TIMEOUT: Duration = Duration::from_secs(2);
+/// Limit on the bytes of a list. A host has little memory, and 1,024 nodes take 300 kB of indented JSON.
+const MAX_LIST_BYTES: usize = 1024 * 1024;
+/// Where lists are pushed, a change counts as told as soon as the agent has it, and the agent answers at
+/// once. A failed watch is therefore reopened after this fraction (one tenth) of the time within which sends
+/// to a node must end.
+const RECONNECT_DIVISOR: u32 = 10;
+/// Where lists are pushed, a request waits this many reconnect delays for its first list.
+const FIRST_LIST_RECONNECT_DELAYS: u32 = 4;
+/// Longest delay before a failed watch is reopened.
+const MAX_RECONNECT_DELAY: Duration = Duration::from_millis(700);
 
+/// Why a watch failed or could not be opened.
 #[derive(Debug, PartialEq)]
-enum Broken {
+enum WatchError {
     Call(String),
     Status(StatusCode),
     Silent,
-    /// A call has got no answer, or none that came to a list.
+    /// A request got no answer in time, or none that completed a list.
     Unanswered,
     LongList,
     BadList(String),
     Ended,
 }
 
-impl fmt::Display for Broken {
+impl fmt::Display for WatchError {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            Broken::Call(why) => write!(f, "the call failed: {why}"),
-            Broken::Status(status) => write!(f, "answered {status}"),
-            Broken::Silent => write!(f, "silent past its beat"),
-            Broken::Unanswered => write!(f, "a call got no list in time"),
-            Broken::LongList => write!(f, "a list is too long"),
-            Broken::BadList(why) => write!(f, "a list is unreadable: {why}"),
-            Broken::Ended => write!(f, "the watch ended"),
+            WatchError::Call(reason) => write!(f, "the call failed: {reason}"),
+            WatchError::Status(status) => write!(f, "answered {status}"),
+            WatchError::Silent => write!(f, "silent past its beat"),
+            WatchError::Unanswered => write!(f, "a call got no list in time"),
+            WatchError::LongList => write!(f, "a list is too long"),
+            WatchError::BadList(reason) => write!(f, "a list is unreadable: {reason}"),
+            WatchError::Ended => write!(f, "the watch ended"),
         }
     }
 }
 
-/// Watches the node list and passes it to the core.
+/// Watches the node list of the discovery service and passes each update to the core.
 pub struct Discovery {
-    /// Where discovery is; a new configuration may tell another place.
+    /// Address of the discovery service; a new configuration may change it.
     pub address: watch::Receiver<SocketAddr>,
-    /// The list of the configuration file.
+    /// The node list of the configuration file.
     pub known: NodeList,
-    /// The core.
+    /// Sends the updates to the core.
     pub handle: Handle,
-    /// The module asks for the watch; otherwise it is kept up unasked.
+    /// Whether a watch is opened only when the policy module asks for one; otherwise it is always kept open.
     pub on_demand: bool,
-    /// How long sends to a node may go on that is to get none.
+    /// Time within which sends to a node must end once it is to receive none; zero if there is no such limit.
     pub stop_within: Duration,
 }
 
-type Opening = Pin<Box<dyn Future<Output = Result<(Watch, NodeList), Broken>> + Send>>;
+type Opening = Pin<Box<dyn Future<Output = Result<(Watch, NodeList), WatchError>> + Send>>;
 
 impl Discovery {
-    /// Runs until the core ends.
+    /// Runs until the core ends. Each message on `wanted` asks for a watch, if none is open.
     pub async fn run(self, mut wanted: mpsc::UnboundedReceiver<()>) {
-        let Discovery { address: mut place, known, handle, on_demand, stop_within } = self;
-        let mut held = Held { version: known.version, ..Held::default() };
+        let Discovery { address: mut address_updates, known, handle, on_demand, stop_within } = self;
+        let mut list_state = ListState { version: known.version, ..ListState::default() };
         handle.send(Input::Nodes { news: ListUpdate::Cached, nodes: known.servers });
-        let tell = |news| handle.send(Input::Nodes { news, nodes: Vec::new() });
+        let notify = |news| handle.send(Input::Nodes { news, nodes: Vec::new() });
         if !on_demand {
-            // The agent may know more from the first moment on.
-            tell(ListUpdate::Failed);
+            // The agent may already know more than the configuration file.
+            notify(ListUpdate::Failed);
         }
-        let renew = if stop_within.is_zero() { RENEW_MOST } else { RENEW_MOST.min(stop_within / RENEW_PART) };
-        let call = if on_demand || stop_within.is_zero() { CALL } else { renew * CALL_PARTS };
-        let mut address = *place.borrow_and_update();
-        // The watch that stands stays until the one at the new address does, so that no change is missed
-        // between.
-        let (mut stands, mut moving): (Option<Watch>, bool) = (None, false);
-        let mut told: Option<Broken> = None;
-        let mut opening = (!on_demand).then(|| open(address, held.version, Duration::ZERO, call));
+        let reconnect_delay = if stop_within.is_zero() {
+            MAX_RECONNECT_DELAY
+        } else {
+            MAX_RECONNECT_DELAY.min(stop_within / RECONNECT_DIVISOR)
+        };
+        let first_list_timeout = if on_demand || stop_within.is_zero() {
+            FIRST_LIST_TIMEOUT
+        } else {
+            reconnect_delay * FIRST_LIST_RECONNECT_DELAYS
+        };
+        let mut address = *address_updates.borrow_and_update();
+        // After a change of address, the current watch stays until the one at the new address is open, so
+        // that no change is missed in between.
+        let (mut current, mut moving): (Option<Watch>, bool) = (None, false);
+        let mut last_error: Option<WatchError> = None;
+        let mut opening =
+            (!on_demand).then(|| open(address, list_state.version, Duration::ZERO, first_list_timeout));
         loop {
-            let stood = stands.is_some();
-            let broken = tokio::select! {
-                moved = place.changed() => {
+            let had_watch = current.is_some();
+            let error = tokio::select! {
+                moved = address_updates.changed() => {
                     if moved.is_err() {
                         return;
                     }
-                    address = *place.borrow_and_update();
+                    address = *address_updates.borrow_and_update();
                     event!(WATCH_MOVES, address:%);
-                    (moving, opening) = (true, (!on_demand).then(|| open(address, held.version, Duration::ZERO, call)));
-                    tell(ListUpdate::Moved);
+                    moving = true;
+                    opening = (!on_demand)
+                        .then(|| open(address, list_state.version, Duration::ZERO, first_list_timeout));
+                    notify(ListUpdate::Moved);
                     continue;
                 }
                 asked = wanted.recv() => match asked {
                     None => return,
                     Some(()) => {
-                        if (moving || stands.is_none()) && opening.is_none() {
-                            opening = Some(open(address, held.version, Duration::ZERO, call));
+                        if (moving || current.is_none()) && opening.is_none() {
+                            let after = list_state.version;
+                            opening = Some(open(address, after, Duration::ZERO, first_list_timeout));
                         }
                         continue;
                     }
@@ -124,86 +141,94 @@
                     opening = None;
                     match opened {
                         Some(Ok((watch, mut list))) => {
-                            event!(WATCH, version = held.version, address:%);
-                            (stands, moving, told) = (Some(watch), false, None);
-                            // What was missed comes first: with the watch the list is whole.
-                            if let Some(news) = held.news(&mut list, true) {
+                            event!(WATCH, version = list_state.version, address:%);
+                            (current, moving, last_error) = (Some(watch), false, None);
+                            // The core gets the missed changes first: `Subscribed` says that its list is
+                            // complete.
+                            if let Some(news) = list_state.accept(&mut list, true) {
                                 handle.send(Input::Nodes { news, nodes: list.servers });
                             }
-                            tell(ListUpdate::Subscribed);
+                            notify(ListUpdate::Subscribed);
                             continue;
                         }
-                        Some(Err(broken)) => broken,
+                        Some(Err(error)) => error,
                         None => continue,
                     }
                 }
-                line = async { stands.as_mut()?.next().await.into() }, if stands.is_some() => match line {
+                next = async { current.as_mut()?.next().await.into() }, if current.is_some() => match next {
                     Some(Ok(Some(mut list))) => {
-                        if let Some(news) = held.news(&mut list, false) {
+                        if let Some(news) = list_state.accept(&mut list, false) {
                             handle.send(Input::Nodes { news, nodes: list.servers });
                         }
                         continue;
                     }
                     Some(Ok(None)) => {
-                        tell(ListUpdate::Heartbeat);
+                        notify(ListUpdate::Heartbeat);
                         continue;
                     }
-                    Some(Err(broken)) => {
-                        stands = None;
-                        broken
+                    Some(Err(error)) => {
+                        current = None;
+                        error
                     }
                     None => continue,
                 },
             };
-            // An agent that gives no answer at once has none.
-            let silent = broken == Broken::Silent || on_demand && broken == Broken::Unanswered;
-            // Calls that go on to fail in the same way are told once.
-            if stood || on_demand || told.as_ref() != Some(&broken) {
-                event!(WATCH_BROKE, version = held.version, reason:% = broken);
+            // An agent answers at once, so a request to it without an answer is an ordinary failure.
+            let silent = error == WatchError::Silent || on_demand && error == WatchError::Unanswered;
+            // Requests that keep failing in the same way are logged once.
+            if had_watch || on_demand || last_error.as_ref() != Some(&error) {
+                event!(WATCH_BROKE, version = list_state.version, reason:% = error);
             }
-            told = Some(broken);
+            last_error = Some(error);
             if opening.is_none() && !on_demand {
-                let wait = if silent { Duration::ZERO } else { renew };
-                opening = Some(open(address, held.version, wait, call));
+                let wait = if silent { Duration::ZERO } else { reconnect_delay };
+                opening = Some(open(address, list_state.version, wait, first_list_timeout));
             }
             if opening.is_none() {
-                // Whatever was asked while the watch stood is answered by this failure.
+                // This failure answers every request for a watch that came while the watch was open.
                 while wanted.try_recv().is_ok() {}
             }
-            if stands.is_none() || moving {
-                tell(if silent { ListUpdate::TimedOut } else { ListUpdate::Failed });
+            if current.is_none() || moving {
+                notify(if silent { ListUpdate::TimedOut } else { ListUpdate::Failed });
             }
         }
     }
 }
 
-/// A watch stands once its first line has come.
-fn open(address: SocketAddr, after: u64, wait: Duration, most: Duration) -> Opening {
+/// Opens a watch after a delay of `wait`. The watch is open once its first list has arrived, which may take
+/// up to `limit`.
+fn open(address: SocketAddr, after: u64, wait: Duration, limit: Duration) -> Opening {
     Box::pin(async move {
         sleep(wait).await;
-        match timeout(most, call(address, after)).await {
-            Ok(Err(Broken::Silent)) | Err(_) => Err(Broken::Unanswered),
+        match timeout(limit, call(address, after)).await {
+            Ok(Err(WatchError::Silent)) | Err(_) => Err(WatchError::Unanswered),
             Ok(done) => done,
         }
     })
 }
 
-async fn call(address: SocketAddr, after: u64) -> Result<(Watch, NodeList), Broken> {
+/// Requests the changes after version `after` and waits for the first list.
+async fn call(address: SocketAddr, after: u64) -> Result<(Watch, NodeList), WatchError> {
     let mut http = HttpConnector::new();
-    http.set_connect_timeout(Some(CONNECT));
+    http.set_connect_timeout(Some(CONNECT_TIMEOUT));
     http.set_nodelay(true);
-    // A client of its own for each watch: dropped with it, so that no connection outlives a broken one.
+    // Each watch has its own client, which is dropped with it, so that no connection outlives a failed watch.
     let client: Client<_, Empty<Bytes>> =
         Client::builder(TokioExecutor::new()).retry_canceled_requests(false).build(http);
-    let failed = |why: &dyn fmt::Display| Broken::Call(why.to_string());
+    let failed = |error: &dyn fmt::Display| WatchError::Call(error.to_string());
     let uri: Uri =
         format!("http://{address}/discovery/hosts?watch=1&after={after}").parse().map_err(|e| failed(&e))?;
     let answer = client.get(uri).await.map_err(|e| failed(&e))?;
     if answer.status() != StatusCode::OK {
-        return Err(Broken::Status(answer.status()));
+        return Err(WatchError::Status(answer.status()));
     }
     let now = Instant::now();
-    let mut watch = Watch { body: answer.into_body(), reader: ListReader::default(), heard: now, whole: now };
+    let mut watch = Watch {
+        body: answer.into_body(),
+        reader: ListReader::default(),
+        last_read_at: now,
+        last_message_at: now,
+    };
     loop {
         if let Some(list) = watch.next().await? {
             return Ok((watch, list));
@@ -211,36 +236,39 @@
     }
 }
 
+/// An open watch on the node list.
 struct Watch {
     body: Incoming,
     reader: ListReader,
-    /// When a byte last came, and when a list or a beat was last whole.
-    heard: Instant,
-    whole: Instant,
+    /// When the last bytes arrived.
+    last_read_at: Instant,
+    /// When the last list or heartbeat was complete.
+    last_message_at: Instant,
 }
 
 impl Watch {
-    /// The next list, or `None` for a beat. May be dropped while it waits, and loses nothing.
-    async fn next(&mut self) -> Result<Option<NodeList>, Broken> {
+    /// Returns the next list, or `None` for a heartbeat. Cancel-safe: dropping the future loses no data.
+    async fn next(&mut self) -> Result<Option<NodeList>, WatchError> {
         loop {
             let list = match self.reader.next()? {
-                Next::List(list) => Some(list),
-                Next::Beat => None,
-                Next::Incomplete => {
+                Scan::List(list) => Some(list),
+                Scan::Heartbeat => None,
+                Scan::Incomplete => {
                     self.read().await?;
                     continue;
                 }
             };
-            self.whole = Instant::now();
+            self.last_message_at = Instant::now();
             return Ok(list);
         }
     }
 
-    async fn read(&mut self) -> Result<(), Broken> {
-        let until = (self.heard + SILENCE).min(self.whole + WHOLE);
+    /// Reads one frame of the body into the reader.
+    async fn read(&mut self) -> Result<(), WatchError> {
+        let until = (self.last_read_at + SILENCE_TIMEOUT).min(self.last_message_at + MESSAGE_TIMEOUT);
         let frame = timeout_at(until, self.body.frame()).await;
-        let Some(Ok(frame)) = frame.map_err(|_| Broken::Silent)? else { return Err(Broken::Ended) };
-        self.heard = Instant::now();
+        let Some(Ok(frame)) = frame.map_err(|_| WatchError::Silent)? else { return Err(WatchError::Ended) };
+        self.last_read_at = Instant::now();
         if let Ok(data) = frame.into_data() {
             self.reader.add(&data)?;
         }
@@ -248,19 +276,22 @@
     }
 }
 
-/// What is held of the list: its version, and which nodes leave by it, with their last starts.
+/// State of the list that the core holds: its version, and the start time of each node that is leaving
+/// service.
 #[derive(Debug, Default)]
-struct Held {
+struct ListState {
     version: u64,
     leaving: BTreeMap<String, u64>,
 }
 
-impl Held {
-    /// What is news in a list. Changes that are no newer than what is held are none: a late one would undo a
-    /// later one. A whole list that is older is none on a watch that has told a newer one; as the first of
-    /// another watch it may be all that discovery has since it began anew, and stands, but brings back no
-    /// node that is known to leave.
-    fn news(&mut self, list: &mut NodeList, first: bool) -> Option<ListUpdate> {
+impl ListState {
+    /// Decides whether the core gets `list`, and as which kind of update; `None` drops it.
+    ///
+    /// Changes that are no newer than the held version are dropped, since a late change would undo a later
+    /// one. An older full list is dropped on a watch that has sent a newer one. As the first list of a new
+    /// watch (`first`), it may be all that a restarted discovery service has, so it is accepted; a node that
+    /// is known to be leaving then stays `Terminating`, unless the list has it with another start time.
+    fn accept(&mut self, list: &mut NodeList, first: bool) -> Option<ListUpdate> {
         let older = list.version < self.version;
         if list.full && older && !first {
             return None;
@@ -289,72 +320,76 @@
     }
 }
 
-/// Cuts what comes into lists: JSON objects, on one line or over many, with empty lines between them as
-/// beats.
+/// Splits the received bytes into lists. A list is a JSON object on one line or on several; an empty line
+/// between objects is a heartbeat.
 #[derive(Debug, Default)]
 struct ListReader {
     pending: BytesMut,
-    /// How far `pending` has been looked at; braces and brackets that are open there, and whether a string
-    /// is.
-    seen: usize,
-    open: usize,
-    string: bool,
+    /// Number of bytes of `pending` that have been scanned.
+    scanned: usize,
+    /// Number of braces and brackets that are open there.
+    depth: usize,
+    /// Whether a string is open there.
+    in_string: bool,
+    /// Whether the last byte was a backslash that escapes the next one.
     escaped: bool,
-    /// Something else than white space has come since the last list or beat.
+    /// Whether a byte other than white space has arrived since the last list or heartbeat.
     begun: bool,
 }
 
+/// Result of scanning the received bytes.
 #[derive(Debug)]
-enum Next {
+enum Scan {
     List(NodeList),
-    Beat,
-    /// What has come is not whole yet.
+    Heartbeat,
+    /// Neither a list nor a heartbeat is complete yet.
     Incomplete,
 }
 
 impl ListReader {
-    fn add(&mut self, data: &[u8]) -> Result<(), Broken> {
+    fn add(&mut self, data: &[u8]) -> Result<(), WatchError> {
         self.pending.extend_from_slice(data);
-        if self.pending.len() > MOST_LIST { Err(Broken::LongList) } else { Ok(()) }
+        if self.pending.len() > MAX_LIST_BYTES { Err(WatchError::LongList) } else { Ok(()) }
     }
 
-    fn next(&mut self) -> Result<Next, Broken> {
-        while let Some(byte) = self.pending.get(self.seen) {
-            self.seen += 1;
+    fn next(&mut self) -> Result<Scan, WatchError> {
+        while let Some(byte) = self.pending.get(self.scanned) {
+            self.scanned += 1;
             match byte {
                 _ if self.escaped => self.escaped = false,
-                b'\\' if self.string => self.escaped = true,
-                b'"' => self.string = !self.string,
-                _ if self.string => {}
-                b'{' | b'[' => self.open += 1,
+                b'\\' if self.in_string => self.escaped = true,
+                b'"' => self.in_string = !self.in_string,
+                _ if self.in_string => {}
+                b'{' | b'[' => self.depth += 1,
                 b'}' | b']' => {
-                    self.open = self.open.saturating_sub(1);
-                    if self.open == 0 {
-                        return self.cut().map(Next::List);
+                    self.depth = self.depth.saturating_sub(1);
+                    if self.depth == 0 {
+                        return self.take_list().map(Scan::List);
                     }
                 }
-                // Outside of an object a line's end ends what stands on it.
-                b'\n' if self.open == 0 && self.begun => return self.cut().map(Next::List),
-                b'\n' if self.open == 0 => {
-                    self.pending.advance(self.seen);
-                    self.seen = 0;
-                    return Ok(Next::Beat);
+                // Outside an object, a newline ends the text on its line.
+                b'\n' if self.depth == 0 && self.begun => return self.take_list().map(Scan::List),
+                b'\n' if self.depth == 0 => {
+                    self.pending.advance(self.scanned);
+                    self.scanned = 0;
+                    return Ok(Scan::Heartbeat);
                 }
                 _ => {}
             }
             self.begun |= !byte.is_ascii_whitespace();
         }
-        Ok(Next::Incomplete)
+        Ok(Scan::Incomplete)
     }
 
-    fn cut(&mut self) -> Result<NodeList, Broken> {
-        let text = self.pending.split_to(self.seen);
-        // What is left of its line is no beat.
+    /// Takes the scanned bytes out of `pending` and parses them as a list.
+    fn take_list(&mut self) -> Result<NodeList, WatchError> {
+        let text = self.pending.split_to(self.scanned);
+        // The rest of the list's own line is not a heartbeat.
         let rest = self.pending.iter().take_while(|byte| matches!(byte, b' ' | b'\t' | b'\r')).count();
         let line = rest + usize::from(self.pending.get(rest) == Some(&b'\n'));
         self.pending.advance(line);
         *self = ListReader { pending: std::mem::take(&mut self.pending), ..ListReader::default() };
-        serde_json::from_slice(&text).map_err(|error| Broken::BadList(error.to_string()))
+        serde_json::from_slice(&text).map_err(|error| WatchError::BadList(error.to_string()))
     }
 }
 
--- a/src/net/fleet/command.rs
+++ b/src/net/fleet/command.rs
@@ -1,4 +1,5 @@
-//! `pathbank fleet`: what a head thinks of the others, asked on its operators' line.
+//! The `pathbank fleet` command: shows one host's view of the other hosts, which it asks for on that host's
+//! operators' line.
 
 use crate::command_line;
 use clap::{Parser, Subcommand};
@@ -10,97 +11,108 @@
 use std::process::ExitCode;
 use std::time::Duration;
 
-const CALL_TIME: Duration = Duration::from_secs(5);
-const AGAIN: Duration = Duration::from_millis(500);
+/// Time to connect, and time to wait for each read of the answer.
+const CALL_TIMEOUT: Duration = Duration::from_secs(5);
+/// Pause between two queries of `watch`.
+const WATCH_INTERVAL: Duration = Duration::from_millis(500);
 
-/// The view of the fleet as one head has it.
+/// Show which hosts run, as seen by one host.
 #[derive(Parser)]
 #[command(name = "pathbank fleet")]
-struct Line {
+struct Arguments {
     #[command(subcommand)]
-    what: What,
-    /// That head's operators' line (`ops` in its configuration).
+    command: Command,
+    /// Address of that host's operators' line (`ops` in its configuration).
     #[arg(long, global = true)]
     at: Option<SocketAddr>,
-    /// One JSON object a line.
+    /// Print one JSON object per line.
     #[arg(long, global = true)]
     json: bool,
 }
 
 #[derive(Subcommand)]
-enum What {
-    /// All heads, with what is thought of each.
+enum Command {
+    /// Show the state of all hosts.
     Show,
-    /// Tells each change, until it is ended.
+    /// Print each change until interrupted.
     Watch,
-    /// Why a head is thought of as it is: by whose word, since when, when it was last heard.
+    /// Explain the state of one host: which host reported it, since when, and when the host was last heard.
     Explain { head: u16 },
 }
 
-type Done<T = ()> = Result<T, String>;
+/// The result of a query; the error is a message for the operator.
+type QueryResult<T = ()> = Result<T, String>;
 
-/// `args` begin with the program's name.
+/// Runs the command. `args` begin with the program's name.
 pub fn run(args: impl IntoIterator<Item = String>) -> ExitCode {
-    let line: Line = match command_line::read(args) {
-        Ok(line) => line,
-        Err(end) => return end,
+    let arguments: Arguments = match command_line::read(args) {
+        Ok(arguments) => arguments,
+        Err(exit_code) => return exit_code,
     };
-    match carry_out(&line) {
+    match execute(&arguments) {
         Ok(()) => ExitCode::SUCCESS,
-        Err(problem) => {
-            eprintln!("pathbank fleet: {problem}");
+        Err(error) => {
+            eprintln!("pathbank fleet: {error}");
             ExitCode::FAILURE
         }
     }
 }
 
-fn carry_out(line: &Line) -> Done {
-    let at = line.at.ok_or("name the head's operators' line: --at ADDRESS")?;
-    match line.what {
-        What::Show => ask(at, "FLEET")?.iter().try_for_each(|told| say(line, told)),
-        What::Explain { head } => {
-            ask(at, &format!("FLEET {head}"))?.iter().try_for_each(|told| say(line, told))
+fn execute(arguments: &Arguments) -> QueryResult {
+    let address = arguments.at.ok_or("the address of the host's operators' line is missing: --at ADDRESS")?;
+    match arguments.command {
+        Command::Show => ask(address, "FLEET")?.iter().try_for_each(|line| print(arguments, line)),
+        Command::Explain { head } => {
+            ask(address, &format!("FLEET {head}"))?.iter().try_for_each(|line| print(arguments, line))
         }
-        What::Watch => watch(line, at),
+        Command::Watch => watch(arguments, address),
     }
 }
 
-fn watch(line: &Line, at: SocketAddr) -> Done {
+/// Queries the host again and again and prints each line whose state has changed.
+fn watch(arguments: &Arguments, address: SocketAddr) -> QueryResult {
     let mut known = BTreeMap::new();
     loop {
-        // A head that is gone for a while is no end of the watch.
-        for told in ask(at, "FLEET").unwrap_or_default().iter().skip(1) {
-            // What a head is thought to be, without what changes from moment to moment.
-            let words: Vec<&str> = told.split(' ').take(7).collect();
+        // The watch continues while the host can't be reached.
+        for line in ask(address, "FLEET").unwrap_or_default().iter().skip(1) {
+            // The first seven words hold the host's state; the rest changes all the time.
+            let words: Vec<&str> = line.split(' ').take(7).collect();
             if let [_, head, ..] = words[..]
                 && known.insert(head.to_string(), words.join(" ")) != Some(words.join(" "))
             {
-                say(line, told)?;
+                print(arguments, line)?;
             }
         }
-        std::thread::sleep(AGAIN);
+        std::thread::sleep(WATCH_INTERVAL);
     }
 }
 
-/// The answer's lines, without its end.
-pub fn ask(at: SocketAddr, words: &str) -> Done<Vec<String>> {
-    let told = |problem: std::io::Error| format!("{at}: {problem}");
-    let mut stream = TcpStream::connect_timeout(&at, CALL_TIME).map_err(told)?;
-    stream.set_nodelay(true).map_err(told)?;
-    stream.set_read_timeout(Some(CALL_TIME)).map_err(told)?;
-    stream.write_all(format!("{words}\n").as_bytes()).map_err(told)?;
+/// Sends the query `words` to the operators' line at `at` and returns the lines of the answer, without its
+/// end marker.
+///
+/// # Errors
+///
+/// Returns a message if the connection fails or times out, if the host answers `ERR`, or if the answer is
+/// incomplete.
+pub fn ask(at: SocketAddr, words: &str) -> QueryResult<Vec<String>> {
+    let message = |error: std::io::Error| format!("{at}: {error}");
+    let mut stream = TcpStream::connect_timeout(&at, CALL_TIMEOUT).map_err(message)?;
+    stream.set_nodelay(true).map_err(message)?;
+    stream.set_read_timeout(Some(CALL_TIMEOUT)).map_err(message)?;
+    stream.write_all(format!("{words}\n").as_bytes()).map_err(message)?;
     let mut text = String::new();
-    stream.read_to_string(&mut text).map_err(told)?;
+    stream.read_to_string(&mut text).map_err(message)?;
     if let Some(reason) = text.strip_prefix("ERR ") {
         return Err(format!("{at}: {}", reason.trim_end()));
     }
-    let whole = text.strip_suffix("END\n").ok_or(format!("{at}: the answer is cut"))?;
+    let whole = text.strip_suffix("END\n").ok_or(format!("{at}: the answer is incomplete"))?;
     Ok(whole.lines().map(|line| line.strip_prefix("OK ").unwrap_or(line).to_string()).collect())
 }
 
-/// Words come in pairs, but for a head's state.
-fn pairs(told: &str) -> serde_json::Value {
-    let words: Vec<&str> = told.split(' ').collect();
+/// Converts a line of the answer to a JSON object. The line is a list of names and values, except that a
+/// host's state follows its number without a name.
+fn pairs(line: &str) -> serde_json::Value {
+    let words: Vec<&str> = line.split(' ').collect();
     let (mut object, mut rest) = (serde_json::Map::new(), &words[..]);
     if let ["head", number, state, others @ ..] = rest {
         object.insert("head".into(), json!(number));
@@ -109,20 +121,21 @@
     }
     for pair in rest.chunks(2) {
         if let [name, value] = pair {
-            // The second view is the one that the other head last told of.
+            // In a host's line, `view` says whether the view that this host last reported is the same.
             object.insert((*name).into(), json!(value));
         }
     }
     serde_json::Value::Object(object)
 }
 
-fn say(line: &Line, told: &str) -> Done {
-    let out: &dyn Display = if line.json { &pairs(told) } else { &told };
+/// Prints a line of the answer as text or JSON.
+fn print(arguments: &Arguments, line: &str) -> QueryResult {
+    let output: &dyn Display = if arguments.json { &pairs(line) } else { &line };
     let mut stdout = std::io::stdout().lock();
-    // Whoever has read enough closes the pipe: that is no fault.
-    match writeln!(stdout, "{out}").and_then(|()| stdout.flush()) {
-        Err(problem) if problem.kind() == std::io::ErrorKind::BrokenPipe => std::process::exit(0),
-        done => done.map_err(|problem| problem.to_string()),
+    // A reader that has read enough closes the pipe, which is not an error.
+    match writeln!(stdout, "{output}").and_then(|()| stdout.flush()) {
+        Err(error) if error.kind() == std::io::ErrorKind::BrokenPipe => std::process::exit(0),
+        result => result.map_err(|error| error.to_string()),
     }
 }
 
--- a/src/net/fleet/command/tests.rs
+++ b/src/net/fleet/command/tests.rs
@@ -1,8 +1,8 @@
 use super::*;
 
 #[test]
-fn an_answers_line_is_an_object() {
-    for (told, object) in [
+fn a_line_of_the_answer_becomes_a_json_object() {
+    for (line, object) in [
         ("view 0f running 2 of 3 own 0", json!({"view": "0f", "running": "2", "of": "3", "own": "0"})),
         ("head 2 unknown", json!({"head": "2", "state": "unknown"})),
         (
@@ -11,6 +11,6 @@
                 "why": "told-by-2"}),
         ),
     ] {
-        assert_eq!(pairs(told), object, "{told}");
+        assert_eq!(pairs(line), object, "{line}");
     }
 }
--- a/src/net/fleet/mod.rs
+++ b/src/net/fleet/mod.rs
@@ -1,5 +1,5 @@
-//! The head's part in the fleet's view on real sockets: carried by the datagrams between heads (`net/peers`),
-//! shown on the operators' line.
+//! This host's member of the gossip protocol that tracks which hosts run. The datagrams between hosts
+//! (`net/peers`) carry its messages, and the operators' line shows its view.
 
 pub mod command;
 
@@ -14,18 +14,20 @@
 use std::time::{SystemTime, UNIX_EPOCH};
 use tokio::time::{Duration, Instant};
 
-/// What is to be sent, and to whom.
+/// Encoded datagrams to send, each with the number of the host that receives it.
 pub type Sends = Vec<(u32, Vec<u8>)>;
 
-/// Cheap to copy: the datagrams' task keeps it, the operators' line reads it.
+/// Shared handle to this host's gossip node. The task that handles datagrams drives it; the operators' line
+/// reads it.
 #[derive(Clone, Debug)]
 pub struct Fleet {
-    member: Arc<Mutex<GossipNode>>,
+    node: Arc<Mutex<GossipNode>>,
     own: NodeId,
     key: FleetKey,
     start: Instant,
 }
 
+/// Returns the word that the operators' line and the event log use for the cause of a change.
 pub fn why(cause: Cause) -> String {
     match cause {
         Cause::DirectContact => "heard".into(),
@@ -36,60 +38,72 @@
 }
 
 impl Fleet {
-    /// `None`: it has no place among so many heads.
+    /// Creates the gossip node of host `own` in a fleet of `heads` hosts, numbered from 0.
+    ///
+    /// Returns `None` if `own` is not a number below `heads`, or if there are more hosts than host numbers.
     pub fn new(config: &FleetView, own: u32, heads: usize, seed: u64) -> Option<Fleet> {
         let own = NodeId::try_from(own).ok().filter(|own| usize::from(*own) < heads)?;
         if heads >= usize::from(NodeId::MAX) {
             return None;
         }
         let day = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default().as_secs();
-        let member = GossipNode::new(own, heads, config.timing, 0, day, seed);
-        // Heads that are given another number of heads are of another fleet.
+        let node = GossipNode::new(own, heads, config.timing, 0, day, seed);
+        // The key depends on the number of hosts, so hosts configured with different numbers reject each
+        // other's datagrams.
         let key = FleetKey::derive(&format!("{} {heads}", config.fleet));
-        Some(Fleet { member: Arc::new(Mutex::new(member)), own, key, start: Instant::now() })
+        Some(Fleet { node: Arc::new(Mutex::new(node)), own, key, start: Instant::now() })
     }
 
-    fn member(&self) -> MutexGuard<'_, GossipNode> {
-        self.member.lock().unwrap_or_else(PoisonError::into_inner)
+    fn node(&self) -> MutexGuard<'_, GossipNode> {
+        self.node.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
+    /// Time since this gossip node was created.
     fn now(&self) -> Micros {
         self.start.elapsed().as_micros() as Micros
     }
 
+    /// Returns when [`Fleet::tick`] is due next.
     pub fn next(&self) -> Instant {
-        self.start + Duration::from_micros(self.member().next_tick_at())
+        self.start + Duration::from_micros(self.node().next_tick_at())
     }
 
+    /// Runs the timers that are due and returns the datagrams to send.
     pub fn tick(&self) -> Sends {
-        let out = self.member().tick(self.now());
-        self.carry_out(out)
+        let out = self.node().tick(self.now());
+        self.apply(out)
     }
 
-    /// Whether a datagram is of the view at all: whatever else heads say goes to the module.
+    /// Returns whether a datagram belongs to the gossip protocol. All other datagrams between hosts go to the
+    /// policy module.
     pub fn takes(bytes: &[u8]) -> bool {
         bytes.first() == Some(&FORMAT)
     }
 
-    /// `None`: it is cut, foreign, changed, of a later form, or not the sender's own.
+    /// Handles a datagram from host `from` and returns the datagrams to send.
+    ///
+    /// Returns `None` if the datagram is truncated, altered, from another fleet, of a newer format, or names
+    /// another sender than `from`.
     pub fn hear(&self, from: u32, bytes: &[u8]) -> Option<Sends> {
         let datagram =
             Datagram::decode(bytes, &self.key).ok().filter(|datagram| u32::from(datagram.from) == from)?;
-        let out = self.member().step(self.now(), datagram);
-        Some(self.carry_out(out))
+        let out = self.node().step(self.now(), datagram);
+        Some(self.apply(out))
     }
 
+    /// Leaves the fleet and returns the datagrams that announce it.
     pub fn leave(&self) -> Sends {
-        let out = self.member().leave(self.now());
-        self.carry_out(out)
+        let out = self.node().leave(self.now());
+        self.apply(out)
     }
 
-    /// From here on it tells that it drains, or no longer does.
+    /// Sets whether this host announces that it drains.
     pub fn drains(&self, draining: bool) {
-        self.member().set_status(NodeStatus { draining, ..NodeStatus::default() });
+        self.node().set_status(NodeStatus { draining, ..NodeStatus::default() });
     }
 
-    fn carry_out(&self, out: Output) -> Sends {
+    /// Logs each change of the view and encodes the datagrams.
+    fn apply(&self, out: Output) -> Sends {
         for Change { node: member, before, after, cause } in out.changes {
             let (state, was) = (after.state.name(), before.state.name());
             let (start, spoke_up) = (after.incarnation.start(), after.incarnation.bits() & 0xffff);
@@ -105,10 +119,14 @@
             .collect()
     }
 
-    /// For the operators' line: the view, or what is known of one head.
+    /// Returns the answer on the operators' line: the whole view, or the record of host `only`.
+    ///
+    /// # Errors
+    ///
+    /// Returns the text of the error answer if there is no host `only`.
     pub fn text(&self, only: Option<NodeId>) -> Result<String, String> {
-        let (member, now) = (self.member(), self.now());
-        let view = member.view();
+        let (node, now) = (self.node(), self.now());
+        let view = node.view();
         if let Some(only) = only.filter(|only| usize::from(*only) >= view.node_count()) {
             return Err(format!("there is no head {only}; there are {}", view.node_count()));
         }
@@ -122,7 +140,7 @@
         for (number, record) in view.records().filter(|(number, _)| only.is_none_or(|only| only == *number)) {
             let (state, start, up) =
                 (record.state.name(), record.incarnation.start(), record.incarnation.bits() & 0xffff);
-            let told = match view.evidence(number) {
+            let status = match view.evidence(number) {
                 None => format!("head {number} unknown"),
                 Some(Evidence { since, cause }) => {
                     let since_ms = now.saturating_sub(since) / 1_000;
@@ -132,13 +150,13 @@
                     )
                 }
             };
-            let heard = member.last_contact(number).map_or(String::new(), |contact| {
+            let last_contact = node.last_contact(number).map_or(String::new(), |contact| {
                 let (ago, same) = (now.saturating_sub(contact.at) / 1_000, contact.digest == view.digest());
                 let (same, draining) =
                     (if same { "same" } else { "other" }, u8::from(contact.status.draining));
                 format!(" heard_ms {ago} view {same} draining {draining}")
             });
-            let _ = writeln!(text, "{told}{heard}"); // a text takes whatever is written to it
+            let _ = writeln!(text, "{status}{last_contact}"); // writing to a String cannot fail
         }
         text.push_str("END\n");
         Ok(text)
--- a/src/net/mod.rs
+++ b/src/net/mod.rs
@@ -5,7 +5,6 @@
 pub mod back;
 pub mod body;
 pub mod discovery;
-#[expect(missing_docs, reason = "not documented item by item yet")]
 pub mod fleet;
 pub mod front;
 pub mod grpc;
