--- a/src/classes.rs
+++ b/src/classes.rs
@@ -1,15 +1,15 @@
-//! Numbers for classes and plans that never change their meaning. A class number stands for a name with its rules
-//! (deadline, target, worth, repeats) for as long as the program runs, so that whatever is open keeps the rules that it
-//! came under. Decides numbers; knows neither files nor requests.
+//! Assigns numbers to classes and plans. While the program runs, a class number always stands for the same
+//! name and rules (deadline, target, worth, repeats), so that requests in flight keep the rules under which
+//! they came. This module reads no files and handles no requests.
 
 use crate::config::Names;
 use crate::interface::{Class, Micros, Plan, Settings};
 use std::time::Duration;
 
-/// A class that clients can name no more has no target that others would be measured by.
+/// Target of a class that clients can no longer name: so long that it does not affect other classes.
 const NO_TARGET: Micros = Micros::MAX / 2;
 
-/// What a front looks names up in: those that are in force now.
+/// The names of classes and plans that are in force, by which a front looks up their numbers.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Directory {
     classes: Vec<(String, usize, Duration)>,
@@ -17,12 +17,12 @@
 }
 
 impl Directory {
-    /// The class's number, and how long its clients wait at most.
+    /// Returns the number of a class and its deadline, the longest time that its clients wait.
     pub fn class(&self, name: &str) -> Option<(usize, Duration)> {
         self.classes.iter().find(|(known, ..)| known == name).map(|(_, number, wait)| (*number, *wait))
     }
 
-    /// A plan's number by its name.
+    /// Returns the number of a plan.
     pub fn plan(&self, name: &str) -> Option<usize> {
         self.plans.iter().find(|(known, _)| known == name).map(|(_, number)| *number)
     }
@@ -30,23 +30,25 @@
 
 #[derive(Clone, Debug)]
 struct Row {
-    /// `None`: a class that another front added of its own.
+    /// `None` for a class that another front added itself.
     name: Option<String>,
     class: Class,
     in_force: bool,
 }
 
-/// All that had a number so far. Grows with each set of rules that was not there before, and with nothing else.
+/// All classes and plans that have ever had a number. Grows only when new settings bring a plan name, or a
+/// class name with rules, that is not in it.
 #[derive(Debug)]
 pub struct Numbers {
     rows: Vec<Row>,
     plans: Vec<(String, Plan)>,
-    /// So many first numbers are held by other fronts: their classes stay in force.
+    /// How many of the first numbers other fronts hold; their classes stay in force.
     pinned: usize,
 }
 
 impl Numbers {
-    /// The numbers as the settings of the start count them. `pinned`: other fronts hold some of them.
+    /// Numbers the classes and plans in the order of the settings at startup. If `pinned`, other fronts hold
+    /// these class numbers, so the classes stay in force.
     pub fn new(names: &Names, settings: &Settings, pinned: bool) -> Numbers {
         let row = |(i, class): (usize, &Class)| Row {
             name: names.classes.get(i).cloned(),
@@ -58,8 +60,9 @@
         Numbers { pinned: if pinned { rows.len() } else { 0 }, rows, plans }
     }
 
-    /// Takes new settings over: the same number where name and rules are the same, a new one otherwise. Gives back the
-    /// settings in these numbers, and the names that are in force.
+    /// Adopts new settings. A class keeps its number if its name and rules are the same and gets a new one
+    /// otherwise; a plan keeps the number of its name. Returns the settings in the order of these numbers,
+    /// and the names that are in force.
     pub fn adopt(&mut self, names: &Names, settings: &Settings) -> (Settings, Directory) {
         let pinned = self.pinned;
         self.rows.iter_mut().enumerate().for_each(|(i, row)| row.in_force = i < pinned || row.name.is_none());
@@ -90,13 +93,14 @@
         (Settings { classes: classes.collect(), plans, ..settings.clone() }, directory)
     }
 
-    /// The same with plans.
+    /// Returns the names of all classes and plans, by number.
     pub fn rule_names(&self) -> crate::agree::rules::Names {
         let plans = self.plans.iter().map(|(name, _)| name.clone()).collect();
         crate::agree::rules::Names { classes: self.names(), plans }
     }
 
-    /// Every number's name, for figures and the log; another front's own has none.
+    /// Returns the name of each class by number, for metrics and the log. The name of a class that another
+    /// front added itself is empty.
     pub fn names(&self) -> Vec<String> {
         self.rows.iter().map(|row| row.name.clone().unwrap_or_default()).collect()
     }
--- a/src/classes/tests.rs
+++ b/src/classes/tests.rs
@@ -21,7 +21,7 @@
 }
 
 #[test]
-fn a_number_never_changes_its_meaning_while_classes_come_go_and_come_back() {
+fn a_class_number_keeps_its_meaning_as_classes_change() {
     let (safe, keyed) = (class(1_000, Repeats::Safe), class(2_000, Repeats::Keyed));
     let (names, settings) = given(&[("read", safe.clone()), ("write", keyed.clone())], &[("gold", 0.0)]);
     let mut numbers = Numbers::new(&names, &settings, false);
@@ -31,7 +31,7 @@
         ("in another order", &[("write", keyed.clone()), ("read", safe.clone())], &[1, 0]),
         ("other rules", &[("read", keyed.clone()), ("write", keyed.clone())], &[2, 1]),
         ("dropped and new", &[("read", safe.clone()), ("export", safe)], &[0, 3]),
-        ("back again", &[("read", keyed.clone()), ("write", keyed.clone())], &[2, 1]),
+        ("restored", &[("read", keyed.clone()), ("write", keyed.clone())], &[2, 1]),
         ("fewer", &[("write", keyed)], &[1]),
     ] {
         let (names, settings) = given(classes, &[("gold", 0.0)]);
@@ -49,11 +49,11 @@
         meanings = numbers.rows.iter().map(|row| (row.name.clone().unwrap(), row.class.clone())).collect();
         assert_eq!(directory.class("none"), None);
     }
-    assert_eq!(numbers.rows.len(), 4, "nothing grows where nothing is new");
+    assert_eq!(numbers.rows.len(), 4, "adopting known classes adds no rows");
 }
 
 #[test]
-fn only_what_can_still_be_asked_for_has_an_aim() {
+fn only_classes_in_force_or_held_by_other_fronts_have_a_target() {
     let (fast, slow) = (class(1_000, Repeats::Safe), class(9_000, Repeats::Safe));
     for (pinned, target) in [(false, NO_TARGET), (true, 500)] {
         let (names, mut settings) = given(&[("fast", fast.clone()), ("slow", slow.clone())], &[]);
@@ -67,7 +67,7 @@
 }
 
 #[test]
-fn a_plan_keeps_its_number_and_takes_its_new_figures() {
+fn a_plan_keeps_its_number_and_takes_its_new_settings() {
     let (names, settings) = given(&[], &[("starter", 8.0), ("gold", 0.0)]);
     let mut numbers = Numbers::new(&names, &settings, false);
     let (names, settings) = given(&[], &[("gold", 0.0), ("new", 3.0), ("starter", 6.0)]);
