--- a/tests/fleet_view.rs
+++ b/tests/fleet_view.rs
@@ -1,5 +1,6 @@
-//! The heads' view of the fleet in virtual time: a network that loses, delays, repeats and cuts, heads that
-//! end, stand still and come back, and a look at every head's view. The same seed plays the same run.
+//! Simulation of the gossip protocol in virtual time. The network loses, delays and duplicates datagrams and
+//! partitions; hosts end, pause and restart; and the test compares the views of all hosts. The same seed
+//! gives the same run.
 
 #![allow(clippy::unwrap_used, clippy::expect_used, reason = "a test fails by a panic")]
 
@@ -12,55 +13,60 @@
 const MS: Micros = 1_000;
 const S: Micros = 1_000_000;
 
-/// Deliberate breaks, each of which a seed has to catch.
+/// Deliberate faults in the protocol, each of which a test must detect.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum Break {
+enum Defect {
     None,
-    /// A verdict is answered in the same incarnation.
-    NoLives,
-    /// Those that are thought dead are never asked.
-    NoKnocks,
-    /// Views that differ are never repaired.
+    /// A host refutes its own death without a new incarnation.
+    NoNewIncarnation,
+    /// Hosts that are considered dead are never probed.
+    NoProbesToDead,
+    /// Differing views are never repaired.
     NoRepairs,
-    /// What is learned is not passed on.
-    NoTells,
-    /// Nobody asks for another.
-    NoHelp,
-    /// A head that stood still takes its own late verdicts for good: it is not told how long it was away.
-    NoGrace,
-    /// What the dead said comes back: each head's first life is told in the place of what is known.
-    OldRumours,
-    /// Verdicts within less than the time of a message.
-    Hasty,
+    /// Hosts do not pass on the records that they learn.
+    NoGossip,
+    /// No host sends indirect probes.
+    NoIndirectProbes,
+    /// A host that was paused acts on its own overdue timeouts, because it does not learn how long it was
+    /// paused.
+    NoPauseDetection,
+    /// A dead host is reported as alive in a newer incarnation.
+    DeadReportedAlive,
+    /// Timeouts are shorter than the delay of a message.
+    ShortTimeouts,
 }
 
 struct World {
-    brk: Break,
-    draw: fastrand::Rng,
+    defect: Defect,
+    random: fastrand::Rng,
     now: Micros,
-    serial: u64,
+    event_count: u64,
     events: BTreeMap<(Micros, u64), Event>,
     heads: Vec<Option<GossipNode>>,
-    /// What each one's clock of the day shows more than another's, in seconds.
-    days: Vec<i64>,
-    stopped: BTreeMap<usize, Micros>,
-    /// From one to another, nothing arrives.
+    /// Offset of each host's wall clock, in seconds.
+    clock_offsets: Vec<i64>,
+    paused_until: BTreeMap<usize, Micros>,
+    /// Pairs of sender and receiver between which every datagram is lost.
     cut: BTreeSet<(usize, usize)>,
     loss: u32,
     key: FleetKey,
     bytes: u64,
     longest: usize,
-    /// Since when a head that runs and answers has been thought dead by another, and for how long at the
-    /// most.
-    wronged: BTreeMap<(usize, usize), Micros>,
-    longest_wrong: Micros,
-    wrongs: u64,
-    /// Those who doubted one that runs and answers.
-    doubts: u64,
-    /// Heads that were cut off, stopped or dead of late: nobody is to blame for thinking so.
-    troubled: BTreeMap<usize, Micros>,
-    /// Heads that were cut off or dead of late: they could not know better. One that stood still has to.
-    excused: BTreeMap<usize, Micros>,
+    /// For each pair of observer and host: since when the observer has considered the host dead although the
+    /// host runs and answers.
+    false_deaths: BTreeMap<(usize, usize), Micros>,
+    /// Longest duration of such a false death.
+    longest_false_death: Micros,
+    /// Number of false deaths.
+    false_death_count: u64,
+    /// Number of observations in which a host that runs and answers was suspected.
+    suspicion_count: u64,
+    /// When each host was last partitioned, paused or dead: until the bound has passed after that, other
+    /// hosts may consider it dead.
+    disturbed_at: BTreeMap<usize, Micros>,
+    /// When each host was last partitioned or dead: until the bound has passed after that, its own view may
+    /// be wrong. A pause is no excuse.
+    excused_at: BTreeMap<usize, Micros>,
 }
 
 enum Event {
@@ -72,51 +78,51 @@
 #[derive(Clone, Debug)]
 enum Fault {
     Kill(usize),
-    /// With its clock of the day so many seconds off.
+    /// Starts a host, with its wall clock shifted by so many seconds.
     Start(usize, i64),
     Stop(usize, Micros),
     Cut(Vec<usize>, Vec<usize>),
-    /// These two do not hear each other; all others hear both.
+    /// These two hosts do not hear each other; all others hear both.
     Apart(usize, usize),
     Heal,
     Leave(usize),
-    /// What was said at that time is said again.
+    /// Delivers these bytes to a host.
     Raw(usize, Vec<u8>),
 }
 
 impl World {
-    fn new(seed: u64, heads: usize, loss: u32, brk: Break) -> World {
+    fn new(seed: u64, heads: usize, loss: u32, defect: Defect) -> World {
         let mut world = World {
-            brk,
-            draw: fastrand::Rng::with_seed(seed),
+            defect,
+            random: fastrand::Rng::with_seed(seed),
             now: 1_000 * S,
-            serial: 0,
+            event_count: 0,
             events: BTreeMap::new(),
             heads: (0..heads).map(|_| None).collect(),
-            days: vec![0; heads],
-            stopped: BTreeMap::new(),
+            clock_offsets: vec![0; heads],
+            paused_until: BTreeMap::new(),
             cut: BTreeSet::new(),
             loss,
             key: FleetKey::derive("a fleet"),
             bytes: 0,
             longest: 0,
-            wronged: BTreeMap::new(),
-            longest_wrong: 0,
-            wrongs: 0,
-            doubts: 0,
-            troubled: BTreeMap::new(),
-            excused: BTreeMap::new(),
+            false_deaths: BTreeMap::new(),
+            longest_false_death: 0,
+            false_death_count: 0,
+            suspicion_count: 0,
+            disturbed_at: BTreeMap::new(),
+            excused_at: BTreeMap::new(),
         };
         for head in 0..heads {
-            world.days[head] = world.draw.i64(-40..40);
+            world.clock_offsets[head] = world.random.i64(-40..40);
             world.start(head);
         }
         world
     }
 
     fn after(&mut self, time: Micros, event: Event) {
-        self.serial += 1;
-        self.events.insert((self.now + time, self.serial), event);
+        self.event_count += 1;
+        self.events.insert((self.now + time, self.event_count), event);
     }
 
     fn fault(&mut self, time: Micros, fault: Fault) {
@@ -124,38 +130,38 @@
     }
 
     fn start(&mut self, head: usize) {
-        let seconds = (1_700_000_000 + (self.now / S) as i64 + self.days[head]) as u64;
-        let times = match self.brk {
-            Break::Hasty => GossipTiming { probe_interval_us: MS, ..GossipTiming::default() },
+        let seconds = (1_700_000_000 + (self.now / S) as i64 + self.clock_offsets[head]) as u64;
+        let times = match self.defect {
+            Defect::ShortTimeouts => GossipTiming { probe_interval_us: MS, ..GossipTiming::default() },
             _ => GossipTiming::default(),
         };
-        let seed = self.draw.u64(..);
+        let seed = self.random.u64(..);
         let heads = self.heads.len();
         self.heads[head] = Some(GossipNode::new(head as NodeId, heads, times, self.now, seconds, seed));
         self.after(0, Event::Tick(head));
     }
 
-    /// What a broken head says in place of what it should.
-    fn broken(&self, mut said: Datagram) -> Option<Datagram> {
+    /// Alters a datagram as the deliberate fault demands; `None` drops it.
+    fn apply_defect(&self, mut datagram: Datagram) -> Option<Datagram> {
         let first = |incarnation: Incarnation| Incarnation::from_bits(incarnation.bits() >> 16 << 16);
         let dead = |member: NodeId| {
             let known = |head: &Option<GossipNode>| head.as_ref()?.view().record(member);
-            known(&self.heads[usize::from(said.from)])
+            known(&self.heads[usize::from(datagram.from)])
                 .is_none_or(|known| known.incarnation.is_unknown() || !known.state.is_running())
         };
-        match (self.brk, &mut said.body) {
-            (Break::NoKnocks, Body::Probe(_)) if dead(said.to) => return None,
-            (Break::NoRepairs, Body::BlockDigests(_) | Body::Repair(_)) => return None,
-            (Break::NoHelp, Body::IndirectProbe { .. }) => return None,
+        match (self.defect, &mut datagram.body) {
+            (Defect::NoProbesToDead, Body::Probe(_)) if dead(datagram.to) => return None,
+            (Defect::NoRepairs, Body::BlockDigests(_) | Body::Repair(_)) => return None,
+            (Defect::NoIndirectProbes, Body::IndirectProbe { .. }) => return None,
             (
-                Break::NoTells,
+                Defect::NoGossip,
                 Body::Probe(records) | Body::Ack { records, .. } | Body::IndirectProbe { records, .. },
             ) => {
                 records.clear();
             }
-            (Break::NoLives, _) => said.incarnation = first(said.incarnation),
+            (Defect::NoNewIncarnation, _) => datagram.incarnation = first(datagram.incarnation),
             (
-                Break::OldRumours,
+                Defect::DeadReportedAlive,
                 Body::Probe(records)
                 | Body::Ack { records, .. }
                 | Body::IndirectProbe { records, .. }
@@ -167,28 +173,28 @@
             ),
             _ => {}
         }
-        if self.brk == Break::NoLives
+        if self.defect == Defect::NoNewIncarnation
             && let Body::Probe(records)
             | Body::Ack { records, .. }
             | Body::IndirectProbe { records, .. }
-            | Body::Repair(records) = &mut said.body
+            | Body::Repair(records) = &mut datagram.body
         {
             records.iter_mut().for_each(|(_, record)| record.incarnation = first(record.incarnation));
         }
-        Some(said)
+        Some(datagram)
     }
 
-    fn carry_out(&mut self, head: usize, out: Output) {
-        for said in out.datagrams {
-            let Some(said) = self.broken(said) else { continue };
-            let (to, bytes) = (usize::from(said.to), said.encode(&self.key));
+    fn apply(&mut self, head: usize, out: Output) {
+        for datagram in out.datagrams {
+            let Some(datagram) = self.apply_defect(datagram) else { continue };
+            let (to, bytes) = (usize::from(datagram.to), datagram.encode(&self.key));
             self.bytes += bytes.len() as u64;
             self.longest = self.longest.max(bytes.len());
-            let lost = self.draw.u32(..100) < self.loss || self.cut.contains(&(head, to));
-            let copies = if lost { 0 } else { 1 + usize::from(self.draw.u32(..100) < 3) };
+            let lost = self.random.u32(..100) < self.loss || self.cut.contains(&(head, to));
+            let copies = if lost { 0 } else { 1 + usize::from(self.random.u32(..100) < 3) };
             for _ in 0..copies {
-                let late = if self.draw.u32(..100) < 2 { 400 * MS } else { 6 * MS };
-                let delay = MS / 5 + self.draw.u64(..late);
+                let late = if self.random.u32(..100) < 2 { 400 * MS } else { 6 * MS };
+                let delay = MS / 5 + self.random.u64(..late);
                 self.after(delay, Event::Deliver(to, bytes.clone()));
             }
         }
@@ -199,11 +205,11 @@
             Event::Tick(head) | Event::Deliver(head, _) => Some(*head),
             Event::Fault(_) => None,
         };
-        if let Some(until) = head.and_then(|head| self.stopped.get(&head).copied()) {
+        if let Some(until) = head.and_then(|head| self.paused_until.get(&head).copied()) {
             if until > self.now {
                 return self.after(until - self.now, event);
             }
-            self.stopped.remove(&head.unwrap_or(0));
+            self.paused_until.remove(&head.unwrap_or(0));
         }
         match event {
             Event::Tick(head) => {
@@ -211,84 +217,85 @@
                 let Some(member) = &mut self.heads[head] else { return };
                 let out = member.tick(now);
                 let wait = member.next_tick_at().saturating_sub(now).clamp(MS, 500 * MS);
-                self.carry_out(head, out);
+                self.apply(head, out);
                 self.after(wait, Event::Tick(head));
             }
             Event::Deliver(head, bytes) => {
                 let now = self.now;
                 let Some(member) = &mut self.heads[head] else { return };
-                if let Ok(said) = Datagram::decode(&bytes, &self.key) {
-                    let out = member.step(now, said);
-                    self.carry_out(head, out);
+                if let Ok(datagram) = Datagram::decode(&bytes, &self.key) {
+                    let out = member.step(now, datagram);
+                    self.apply(head, out);
                 }
             }
-            Event::Fault(fault) => self.break_it(fault),
+            Event::Fault(fault) => self.inject(fault),
         }
     }
 
-    fn trouble(&mut self, head: usize, until: Micros) {
-        self.troubled.insert(head, until);
-        self.excused.insert(head, until);
+    fn disturb(&mut self, head: usize, until: Micros) {
+        self.disturbed_at.insert(head, until);
+        self.excused_at.insert(head, until);
     }
 
-    fn break_it(&mut self, fault: Fault) {
+    fn inject(&mut self, fault: Fault) {
         let now = self.now;
         match fault {
             Fault::Kill(head) => {
                 self.heads[head] = None;
                 self.events.retain(|_, event| !matches!(event, Event::Tick(of) if *of == head));
-                self.trouble(head, now);
+                self.disturb(head, now);
             }
             Fault::Start(head, off) => {
-                self.days[head] += off;
-                self.trouble(head, now);
+                self.clock_offsets[head] += off;
+                self.disturb(head, now);
                 self.events.retain(|_, event| !matches!(event, Event::Tick(of) if *of == head));
                 self.start(head);
             }
             Fault::Stop(head, time) => {
-                if self.brk == Break::NoGrace {
-                    // Its times go on as if nothing had been: all that it would have heard comes later.
+                if self.defect == Defect::NoPauseDetection {
+                    // The host's timers go on as if it had not paused, and all that it would have received
+                    // arrives later.
                     let mut at = now;
                     while at < now + time
                         && let Some(member) = &mut self.heads[head]
                     {
                         let out = member.tick(at);
-                        self.carry_out(head, out);
+                        self.apply(head, out);
                         at += 20 * MS;
                     }
                 }
-                self.stopped.insert(head, now + time);
-                self.troubled.insert(head, now + time);
+                self.paused_until.insert(head, now + time);
+                self.disturbed_at.insert(head, now + time);
             }
             Fault::Cut(some, others) => {
                 for one in &some {
                     for other in others.iter().filter(|other| *other != one) {
                         self.cut.insert((*one, *other));
                     }
-                    self.trouble(*one, Micros::MAX);
+                    self.disturb(*one, Micros::MAX);
                 }
-                others.iter().for_each(|other| self.trouble(*other, Micros::MAX));
+                others.iter().for_each(|other| self.disturb(*other, Micros::MAX));
             }
             Fault::Apart(one, other) => {
                 self.cut.extend([(one, other), (other, one)]);
             }
             Fault::Heal => {
                 self.cut.clear();
-                let all = self.troubled.values_mut().chain(self.excused.values_mut());
+                let all = self.disturbed_at.values_mut().chain(self.excused_at.values_mut());
                 all.filter(|at| **at == Micros::MAX).for_each(|at| *at = now);
             }
             Fault::Leave(head) => {
                 if let Some(member) = &mut self.heads[head] {
                     let out = member.leave(now);
-                    self.carry_out(head, out);
+                    self.apply(head, out);
                 }
-                self.break_it(Fault::Kill(head));
+                self.inject(Fault::Kill(head));
             }
             Fault::Raw(head, bytes) => self.after(0, Event::Deliver(head, bytes)),
         }
     }
 
-    /// Every head that runs holds the same view, and it is true.
+    /// Returns whether all running hosts hold the same, correct view.
     fn settled(&self) -> bool {
         let running: BTreeSet<NodeId> =
             (0..).zip(&self.heads).filter(|(_, head)| head.is_some()).map(|(number, _)| number).collect();
@@ -299,30 +306,31 @@
         })
     }
 
-    /// Heads that run and answer, and whom somebody takes for dead. What a fault did is not to blame until it
-    /// must be over.
-    fn look_for_wrongs(&mut self, grace: Micros) {
-        let (mut wronged, mut doubts) = (BTreeMap::new(), 0);
+    /// Records which running hosts others consider dead or suspect. The effects of a fault are not counted
+    /// until `grace` has passed after the fault.
+    fn record_false_deaths(&mut self, grace: Micros) {
+        let (mut false_deaths, mut suspicion_count) = (BTreeMap::new(), 0);
         for (by, member) in self.heads.iter().enumerate().filter_map(|(by, head)| Some((by, head.as_ref()?)))
         {
             for (of, record) in member.view().records() {
                 let of = usize::from(of);
-                let trouble = |head: &usize| {
-                    self.troubled.get(head).is_some_and(|at| self.now < at.saturating_add(grace))
+                let recently_disturbed = |head: &usize| {
+                    self.disturbed_at.get(head).is_some_and(|at| self.now < at.saturating_add(grace))
                 };
-                let excused = self.excused.get(&by).is_some_and(|at| self.now < at.saturating_add(grace));
-                let answers = self.heads[of].is_some() && !trouble(&of) && !excused;
-                doubts += u64::from(answers && record.state == NodeState::Suspect);
+                let excused = self.excused_at.get(&by).is_some_and(|at| self.now < at.saturating_add(grace));
+                let answers = self.heads[of].is_some() && !recently_disturbed(&of) && !excused;
+                suspicion_count += u64::from(answers && record.state == NodeState::Suspect);
                 if answers && record.state == NodeState::Dead {
-                    wronged.insert((by, of), *self.wronged.get(&(by, of)).unwrap_or(&self.now));
+                    false_deaths.insert((by, of), *self.false_deaths.get(&(by, of)).unwrap_or(&self.now));
                 }
             }
         }
-        self.doubts += doubts;
-        self.wrongs += wronged.keys().filter(|pair| !self.wronged.contains_key(pair)).count() as u64;
-        let longest = wronged.values().map(|since| self.now - since).max().unwrap_or(0);
-        self.longest_wrong = self.longest_wrong.max(longest);
-        self.wronged = wronged;
+        self.suspicion_count += suspicion_count;
+        self.false_death_count +=
+            false_deaths.keys().filter(|pair| !self.false_deaths.contains_key(pair)).count() as u64;
+        let longest = false_deaths.values().map(|since| self.now - since).max().unwrap_or(0);
+        self.longest_false_death = self.longest_false_death.max(longest);
+        self.false_deaths = false_deaths;
     }
 
     fn run(&mut self, until: Micros) {
@@ -334,16 +342,17 @@
         self.now = until;
     }
 
-    fn look(&mut self, time: Micros) {
+    fn advance(&mut self, time: Micros) {
         self.run(self.now + time);
-        self.look_for_wrongs(promised(self.heads.len()));
+        self.record_false_deaths(convergence_bound(self.heads.len()));
     }
 
-    /// How long after now the view settles and stays so to the end. `None`: it is not at the end.
-    fn settles(&mut self, within: Micros) -> Option<Micros> {
+    /// Runs for `within` and returns how long it takes until the views agree for the rest of that time, or
+    /// `None` if they disagree at the end.
+    fn convergence_time(&mut self, within: Micros) -> Option<Micros> {
         let (begun, mut last) = (self.now, 0);
         while self.now < begun + within {
-            self.look(25 * MS);
+            self.advance(25 * MS);
             if !self.settled() {
                 last = self.now - begun;
             }
@@ -352,20 +361,20 @@
     }
 }
 
-/// The promise: so long after the last fault, by the number of heads.
-fn promised(heads: usize) -> Micros {
+/// Bound on the time from the last fault until the views agree, by the number of hosts.
+fn convergence_bound(heads: usize) -> Micros {
     GossipTiming::default().convergence_bound(heads)
 }
 
-/// All heads start at one moment; then the faults; then rest. How long until the view has settled.
-fn play(
+/// Starts all hosts at once, injects the faults, and returns how long after the last fault the views agree.
+fn simulate(
     seed: u64,
     heads: usize,
     loss: u32,
-    brk: Break,
+    defect: Defect,
     faults: &[(Micros, Fault)],
 ) -> (World, Option<Micros>) {
-    let mut world = World::new(seed, heads, loss, brk);
+    let mut world = World::new(seed, heads, loss, defect);
     faults.iter().for_each(|(at, fault)| world.fault(*at, fault.clone()));
     let last = faults.iter().map(|(at, fault)| match fault {
         Fault::Stop(_, time) => at + time,
@@ -374,9 +383,9 @@
     let last = last.max().unwrap_or(0);
     let begun = world.now;
     while world.now < begun + last {
-        world.look((begun + last - world.now).min(25 * MS));
+        world.advance((begun + last - world.now).min(25 * MS));
     }
-    let settled = world.settles(2 * promised(heads));
+    let settled = world.convergence_time(2 * convergence_bound(heads));
     (world, settled)
 }
 
@@ -384,20 +393,21 @@
     (0..heads).collect()
 }
 
-/// A cut between two groups, both ways.
-fn between(at: Micros, some: &[usize], others: &[usize]) -> Vec<(Micros, Fault)> {
+/// A partition between two groups, in both directions.
+fn partition(at: Micros, some: &[usize], others: &[usize]) -> Vec<(Micros, Fault)> {
     vec![(at, Fault::Cut(some.to_vec(), others.to_vec())), (at, Fault::Cut(others.to_vec(), some.to_vec()))]
 }
 
-const SETTLED: Micros = 5 * S;
-/// Long enough for verdicts to be passed.
-const LONG: Micros = 8 * S;
+/// Time after the start by which the hosts have converged; the faults begin then.
+const CONVERGED: Micros = 5 * S;
+/// Long enough for hosts to be declared dead.
+const PARTITION_DURATION: Micros = 8 * S;
 
-/// Each hard case, ending with its last fault.
+/// The test cases: a description and the faults of each.
 fn cases(heads: usize) -> Vec<(&'static str, Vec<(Micros, Fault)>)> {
     use Fault::*;
     let (half, third, last, most) = (heads / 2, heads / 3, heads - 1, heads * 7 / 10);
-    let at = |time: Micros, fault: Fault| (SETTLED + time, fault);
+    let at = |time: Micros, fault: Fault| (CONVERGED + time, fault);
     let kill = |time: Micros| (0..most).map(move |head| at(time, Kill(head)));
     let ids = all(heads);
     let three = [&ids[..third], &ids[third..2 * third], &ids[2 * third..]];
@@ -417,26 +427,26 @@
     };
     let key = FleetKey::derive("a fleet");
     let mut cases = vec![
-        ("all start at one moment", vec![]),
+        ("all hosts start at once", vec![]),
         ("one dies", vec![at(0, Kill(last))]),
         ("one leaves", vec![at(0, Leave(last))]),
         ("seven in ten die", kill(0).collect()),
         (
-            "seven in ten die and come back with nothing",
+            "seven in ten die and restart without state",
             kill(0).chain((0..most).map(|head| at(4 * S, Start(head, 0)))).collect(),
         ),
-        ("one comes back within a period", vec![at(0, Kill(last)), at(60 * MS, Start(last, 0))]),
+        ("one restarts within a probe interval", vec![at(0, Kill(last)), at(60 * MS, Start(last, 0))]),
         (
-            "one comes back with its clock an hour behind",
+            "one restarts with its clock an hour behind",
             vec![at(0, Kill(last)), at(3 * S, Start(last, -3_600))],
         ),
-        ("one stands still for 3 s", vec![at(0, Stop(last, 3 * S))]),
+        ("one pauses for 3 s", vec![at(0, Stop(last, 3 * S))]),
         (
-            "one comes and goes every second",
+            "one stops and starts every second",
             (0..6).map(|n| at(n * S, if n % 2 == 0 { Kill(last) } else { Start(last, 0) })).collect(),
         ),
         (
-            "what is foreign, cut, old or for another head",
+            "datagrams that are foreign, truncated, old or for another host",
             vec![
                 at(0, Raw(0, old(0).encode(&FleetKey::derive("another fleet")))),
                 at(0, Raw(0, old(0).encode(&key)[..50].to_vec())),
@@ -444,140 +454,159 @@
                 at(0, Raw(0, old(heads).encode(&key))),
             ],
         ),
-        ("two halves", [between(SETTLED, &ids[..half], &ids[half..]), vec![at(LONG, Heal)]].concat()),
         (
-            "three parts",
+            "a partition into two halves",
+            [partition(CONVERGED, &ids[..half], &ids[half..]), vec![at(PARTITION_DURATION, Heal)]].concat(),
+        ),
+        (
+            "a partition into three parts",
             [
-                between(SETTLED, three[0], three[1]),
-                between(SETTLED + S, three[0], three[2]),
-                between(SETTLED + 2 * S, three[1], three[2]),
-                vec![at(LONG, Heal)],
+                partition(CONVERGED, three[0], three[1]),
+                partition(CONVERGED + S, three[0], three[2]),
+                partition(CONVERGED + 2 * S, three[1], three[2]),
+                vec![at(PARTITION_DURATION, Heal)],
             ]
             .concat(),
         ),
-        ("one way only", vec![at(0, Cut(ids[..half].to_vec(), ids[half..].to_vec())), at(LONG, Heal)]),
-        ("one hears all and is heard by none", vec![at(0, Cut(vec![last], ids.clone())), at(LONG, Heal)]),
-        ("one hears nobody and is heard by all", vec![at(0, Cut(ids.clone(), vec![last])), at(LONG, Heal)]),
+        (
+            "a partition in one direction",
+            vec![at(0, Cut(ids[..half].to_vec(), ids[half..].to_vec())), at(PARTITION_DURATION, Heal)],
+        ),
+        (
+            "one hears all others and none hears it",
+            vec![at(0, Cut(vec![last], ids.clone())), at(PARTITION_DURATION, Heal)],
+        ),
+        (
+            "one hears no other and all hear it",
+            vec![at(0, Cut(ids.clone(), vec![last])), at(PARTITION_DURATION, Heal)],
+        ),
     ];
     let unreachable = [vec![(0, Cut(ids.clone(), ids.clone()))], vec![(6 * S, Heal)]].concat();
-    cases.push(("nobody is reached at the start", unreachable));
-    // Of two, each would be alone.
+    cases.push(("no host reaches another at the start", unreachable));
+    // With two hosts, each would be alone.
     if heads > 2 {
-        cases
-            .push(("two do not hear each other", vec![at(0, Apart(0, last)), at(6 * S, Raw(0, Vec::new()))]));
+        cases.push((
+            "two hosts do not hear each other",
+            vec![at(0, Apart(0, last)), at(6 * S, Raw(0, Vec::new()))],
+        ));
     }
     cases
 }
 
-/// How many seeds: `FLEET_SEEDS` for a long run; and heads: `FLEET_HEADS`.
+/// Reads a number from the environment: `FLEET_SEEDS` sets the number of seeds for a long run, `FLEET_HEADS`
+/// the number of hosts.
 fn number(name: &str, usual: u64) -> u64 {
     std::env::var(name).ok().and_then(|text| text.parse().ok()).unwrap_or(usual)
 }
 
-/// What is wrong with a run, by the promise.
-fn wrong(heads: usize, world: &World, settled: Option<Micros>) -> Option<String> {
-    let most = promised(heads);
+/// Returns how a run violates the bounds, or `None` if it does not.
+fn violation(heads: usize, world: &World, settled: Option<Micros>) -> Option<String> {
+    let most = convergence_bound(heads);
     match settled {
-        None => Some(format!("it never settled in {} ms", 2 * most / MS)),
-        Some(took) if took > most => Some(format!("it settled after {} ms of {}", took / MS, most / MS)),
-        _ if world.longest_wrong > most => {
-            Some(format!("one was wronged for {} ms", world.longest_wrong / MS))
+        None => Some(format!("the views did not agree within {} ms", 2 * most / MS)),
+        Some(took) if took > most => {
+            Some(format!("the views agreed after {} ms, the bound is {} ms", took / MS, most / MS))
         }
-        _ if world.loss == 0 && world.wrongs + world.doubts > 0 => {
-            Some(format!("{} were wronged and {} doubted", world.wrongs, world.doubts))
+        _ if world.longest_false_death > most => {
+            Some(format!("a running host was considered dead for {} ms", world.longest_false_death / MS))
         }
+        _ if world.loss == 0 && world.false_death_count + world.suspicion_count > 0 => Some(format!(
+            "running hosts: {} false deaths and {} suspicions",
+            world.false_death_count, world.suspicion_count
+        )),
         _ if world.longest > MAX_DATAGRAM_BYTES => Some(format!("a datagram had {} bytes", world.longest)),
         _ => None,
     }
 }
 
-fn the_view_settles(heads: usize, loss: u32, seeds: u64) {
+fn assert_views_converge(heads: usize, loss: u32, seeds: u64) {
     for (what, faults) in cases(heads) {
         let mut took = Vec::new();
         for seed in 0..seeds {
-            let (world, settled) = play(seed, heads, loss, Break::None, &faults);
-            let found = wrong(heads, &world, settled);
-            assert_eq!(found, None, "seed {seed}, {heads} heads, {loss}% lost: {what}");
-            took.push((settled.unwrap_or(0) / MS, world.wrongs, world.longest_wrong / MS));
+            let (world, settled) = simulate(seed, heads, loss, Defect::None, &faults);
+            let found = violation(heads, &world, settled);
+            assert_eq!(found, None, "seed {seed}, {heads} hosts, {loss}% lost: {what}");
+            took.push((settled.unwrap_or(0) / MS, world.false_death_count, world.longest_false_death / MS));
         }
-        let (most, wrongs) = (took.iter().max(), took.iter().map(|(_, wrongs, _)| wrongs).sum::<u64>());
+        let (most, false_death_count) =
+            (took.iter().max(), took.iter().map(|(_, false_death_count, _)| false_death_count).sum::<u64>());
         let longest = took.iter().map(|(.., longest)| longest).max();
         println!(
-            "{heads} heads, {loss}% lost, {what}: {most:?} ms at the most, {wrongs} wronged, longest {longest:?} ms"
+            "{heads} hosts, {loss}% lost, {what}: at most {most:?} ms, {false_death_count} false deaths, longest {longest:?} ms"
         );
     }
 }
 
 #[test]
-fn a_head_alone_is_a_fleet() {
-    let (world, settled) = play(1, 1, 0, Break::None, &[]);
+fn a_single_host_converges_without_datagrams() {
+    let (world, settled) = simulate(1, 1, 0, Defect::None, &[]);
     assert_eq!((settled, world.bytes), (Some(0), 0));
 }
 
 #[test]
-fn two_heads_settle_within_the_promise() {
-    the_view_settles(2, 10, number("FLEET_SEEDS", 5));
+fn two_hosts_converge_within_the_bound() {
+    assert_views_converge(2, 10, number("FLEET_SEEDS", 5));
 }
 
 #[test]
-fn a_few_heads_settle_within_the_promise() {
-    the_view_settles(5, 10, number("FLEET_SEEDS", 5));
+fn five_hosts_converge_within_the_bound() {
+    assert_views_converge(5, 10, number("FLEET_SEEDS", 5));
 }
 
 #[test]
-fn thirty_heads_settle_within_the_promise() {
-    the_view_settles(30, 10, number("FLEET_SEEDS", 1));
+fn thirty_hosts_converge_within_the_bound() {
+    assert_views_converge(30, 10, number("FLEET_SEEDS", 1));
 }
 
 #[test]
-fn many_heads_settle_within_the_promise() {
-    the_view_settles(number("FLEET_HEADS", 40) as usize, 10, number("FLEET_SEEDS", 1));
+fn many_hosts_converge_within_the_bound() {
+    assert_views_converge(number("FLEET_HEADS", 40) as usize, 10, number("FLEET_SEEDS", 1));
 }
 
-/// Without losses nobody that answers is ever taken for dead.
+/// Without losses, no host that answers is ever considered dead or suspect.
 #[test]
-fn nobody_is_wronged_where_nothing_is_lost() {
+fn no_running_host_is_considered_dead_without_losses() {
     for (what, faults) in cases(30) {
-        let (world, settled) = play(3, 30, 0, Break::None, &faults);
-        assert_eq!(wrong(30, &world, settled), None, "{what}");
+        let (world, settled) = simulate(3, 30, 0, Defect::None, &faults);
+        assert_eq!(violation(30, &world, settled), None, "{what}");
     }
 }
 
 #[test]
-fn the_same_seed_plays_the_same_run() {
-    let told = || {
-        let (world, settled) = play(7, 20, 10, Break::None, &cases(20)[4].1);
-        (world.bytes, world.serial, settled)
+fn the_same_seed_gives_the_same_run() {
+    let run = || {
+        let (world, settled) = simulate(7, 20, 10, Defect::None, &cases(20)[4].1);
+        (world.bytes, world.event_count, settled)
     };
-    assert_eq!(told(), told());
+    assert_eq!(run(), run());
 }
 
-/// Which case of which seed catches it.
-fn caught(brk: Break, heads: usize, loss: u32, seed: u64) -> Option<(&'static str, String)> {
+/// Returns the first test case that detects the fault, with the violation found.
+fn detecting_case(defect: Defect, heads: usize, loss: u32, seed: u64) -> Option<(&'static str, String)> {
     cases(heads).into_iter().find_map(|(what, faults)| {
-        let (world, settled) = play(seed, heads, loss, brk, &faults);
-        wrong(heads, &world, settled).map(|found| (what, found))
+        let (world, settled) = simulate(seed, heads, loss, defect, &faults);
+        violation(heads, &world, settled).map(|found| (what, found))
     })
 }
 
-macro_rules! breaks {
-    ($($test:ident $brk:ident $heads:literal $loss:literal $seed:literal)*) => {
+macro_rules! defect_tests {
+    ($($test:ident $defect:ident $heads:literal $loss:literal $seed:literal)*) => {
         $(#[test]
         fn $test() {
-            let found = caught(Break::$brk, $heads, $loss, $seed);
-            println!("{:?}: {found:?}", Break::$brk);
-            assert!(found.is_some(), "{:?} goes uncaught", Break::$brk);
+            let found = detecting_case(Defect::$defect, $heads, $loss, $seed);
+            println!("{:?}: {found:?}", Defect::$defect);
+            assert!(found.is_some(), "no test case detects {:?}", Defect::$defect);
         })*
     };
 }
 
-breaks! {
-    verdicts_without_lives_are_caught NoLives 10 0 1
-    nobody_asking_the_dead_is_caught NoKnocks 10 0 1
-    views_that_are_not_repaired_are_caught NoRepairs 60 0 1
-    news_that_is_not_passed_on_is_caught NoTells 60 10 1
-    asking_without_help_is_caught NoHelp 10 0 1
-    late_verdicts_are_caught NoGrace 10 0 1
-    old_rumours_are_caught OldRumours 10 0 1
-    hasty_verdicts_are_caught Hasty 10 0 1
+defect_tests! {
+    refuting_without_a_new_incarnation_is_detected NoNewIncarnation 10 0 1
+    never_probing_dead_hosts_is_detected NoProbesToDead 10 0 1
+    missing_repairs_are_detected NoRepairs 60 0 1
+    missing_gossip_is_detected NoGossip 60 10 1
+    missing_indirect_probes_are_detected NoIndirectProbes 10 0 1
+    acting_on_timeouts_after_a_pause_is_detected NoPauseDetection 10 0 1
+    false_reports_of_dead_hosts_are_detected DeadReportedAlive 10 0 1
+    too_short_timeouts_are_detected ShortTimeouts 10 0 1
 }
