--- a/src/bin/pathbank/fronts.rs
+++ b/src/bin/pathbank/fronts.rs
@@ -3,7 +3,7 @@
 use crate::startup::Proxy;
 use pathbank::config::ClientLimits;
 use pathbank::config::grpc::GrpcFront;
-use pathbank::config::sftp::SecondFront;
+use pathbank::config::sftp::SftpFront;
 use pathbank::event;
 use pathbank::net::ops::{self, Desk};
 use pathbank::net::slots::{Counts, Slots};
@@ -36,8 +36,8 @@
         fronts.tasks.push(tokio::spawn(front::serve(listener, proxy.http.clone(), http_slots.clone())));
         fronts.slots.push(http_slots);
         if let Some(address) = proxy.config.ops {
-            let (figures, lifecycle) = (proxy.handle.figures().clone(), proxy.lifecycle.clone());
-            let desk = Desk { figures, lifecycle, fleet: proxy.fleet.take() };
+            let (metrics, lifecycle) = (proxy.handle.metrics().clone(), proxy.lifecycle.clone());
+            let desk = Desk { metrics, lifecycle, fleet: proxy.fleet.take() };
             let callers = proxy.config.ops_callers;
             event!(OPS_UP, listen:% = ops::start(address, callers, desk)?, callers);
         }
@@ -50,7 +50,7 @@
         Ok(fronts)
     }
 
-    async fn serve_sftp(&mut self, proxy: &Proxy, config: SecondFront) -> Result<(), Box<dyn Error>> {
+    async fn serve_sftp(&mut self, proxy: &Proxy, config: SftpFront) -> Result<(), Box<dyn Error>> {
         let listener = TcpListener::bind(config.listen).await?;
         event!(FILES_UP, listen:% = listener.local_addr()?);
         let front = sftp::front::Front {
--- a/src/bin/pathbank/main.rs
+++ b/src/bin/pathbank/main.rs
@@ -47,7 +47,7 @@
     // The handlers are installed before all else: without them either signal would end the process at once.
     let (mut terminate, hangup) = (signal(SignalKind::terminate())?, signal(SignalKind::hangup())?);
     let mut proxy = Proxy::start(Files::from_environment()?, hangup).await?;
-    let slots = Slots::new(proxy.config.clients).shared(proxy.handle.part());
+    let slots = Slots::new(proxy.config.clients).with_capacity_share(proxy.handle.capacity_share());
     tokio::spawn(slots.clone().watch());
     let listener = proxy.listen().await?;
     let shared = proxy.config.passed_socket.is_some();
@@ -90,16 +90,16 @@
 /// With a passed socket another process of this host may run: nothing is accepted before that process was seen to keep to
 /// its half of the host's limits, or to have ended.
 async fn wait_for_other_process(host: &str, handle: &Handle, ids: &Ids) {
-    let mut report = hot_restart::teller(handle.part(), handle.clone());
+    let mut report = hot_restart::capacity_share_notifier(handle.capacity_share(), handle.clone());
     let Some(mut restart) = HotRestart::join(&std::env::temp_dir(), host).await else {
         // Whatever the cause, half of the limits is safe beside one other process.
         event!(NO_TWINS, folder = std::env::temp_dir().display().to_string());
         return report(true);
     };
     let halved = loop {
-        match restart.look(&mut report) {
+        match restart.check(&mut report) {
             stand if stand.accept => break stand.halved,
-            _ => sleep(hot_restart::SOON).await,
+            _ => sleep(hot_restart::STARTUP_CHECK_INTERVAL).await,
         }
     };
     if let Err(problem) = ids.share(restart.ids()) {
--- a/src/bin/pathbank/reload.rs
+++ b/src/bin/pathbank/reload.rs
@@ -40,7 +40,7 @@
                 let log = Log::from_environment(&config.names, config.memory, config.syslog)?;
                 Ok((config, log))
             });
-            self.handle.figures().loaded(read.is_ok());
+            self.handle.metrics().loaded(read.is_ok());
             match read {
                 Ok((config, log)) => self.apply(&config, log),
                 Err(problem) => event!(RELOAD_FAILED, problem:%),
--- a/src/bin/pathbank/shutdown.rs
+++ b/src/bin/pathbank/shutdown.rs
@@ -21,7 +21,7 @@
 ) {
     event!(LEAVING, open = handle.open());
     lifecycle.end(shared);
-    let Some(last) = lifecycle.last() else { return };
+    let Some(last) = lifecycle.final_answers_at() else { return };
     // Each connection holds a slot: when none is accepted any more and no slot is held, all answers have left.
     let disconnected = async {
         for front in fronts {
--- a/src/bin/pathbank/startup.rs
+++ b/src/bin/pathbank/startup.rs
@@ -7,19 +7,19 @@
 use pathbank::config::agree::Agreement;
 use pathbank::config::fleet::FleetView;
 use pathbank::config::grpc::GrpcFront;
-use pathbank::config::sftp::SecondFront;
+use pathbank::config::sftp::SftpFront;
 use pathbank::config::syslog::Log;
 use pathbank::config::{Config, Talking};
 use pathbank::core::{Agreed, Core, Handle};
 use pathbank::event;
 use pathbank::interface::Reports;
-use pathbank::life::Phase;
+use pathbank::lifecycle_state::Phase;
 use pathbank::logging::{self, Logging};
 use pathbank::net::agree::runtime;
-use pathbank::net::back::{Back, ProbeWork};
+use pathbank::net::back::{NodeClient, ProbeWork};
 use pathbank::net::discovery::Discovery;
 use pathbank::net::fleet::Fleet;
-use pathbank::net::front::Front;
+use pathbank::net::front::HttpFront;
 use pathbank::net::ids::Ids;
 use pathbank::net::lifecycle::Lifecycle;
 use pathbank::net::passed;
@@ -40,7 +40,7 @@
 /// What the files and the environment say.
 pub struct Files {
     config: Config,
-    sftp: Option<SecondFront>,
+    sftp: Option<SftpFront>,
     grpc: Option<GrpcFront>,
     agreement: Option<Agreement>,
     log: Log,
@@ -50,7 +50,7 @@
     /// Reads all files that the environment names.
     pub fn from_environment() -> Result<Files, Box<dyn Error>> {
         let mut config = Config::from_environment()?;
-        let mut sftp = SecondFront::from_environment(&mut config.settings, &config.names)?;
+        let mut sftp = SftpFront::from_environment(&mut config.settings, &config.names)?;
         if let Some(sftp) = &mut sftp {
             config.share_places(&mut sftp.clients);
         }
@@ -77,11 +77,11 @@
     /// The log.
     pub logging: Arc<Logging>,
     /// Connections to storage nodes.
-    pub back: Back,
+    pub back: NodeClient,
     /// The HTTP front.
-    pub http: Front,
+    pub http: HttpFront,
     /// The file of the SFTP front, where it is switched on.
-    pub sftp: Option<SecondFront>,
+    pub sftp: Option<SftpFront>,
     /// The file of the gRPC front, where it is switched on.
     pub grpc: Option<GrpcFront>,
     /// The view of which processes run, where it is switched on.
@@ -94,7 +94,7 @@
     /// Starts the log, the core, its timers, discovery and the reload on SIGHUP.
     pub async fn start(files: Files, hangup: Signal) -> Result<Proxy, Box<dyn Error>> {
         let Files { config, sftp, grpc, agreement, log } = files;
-        let request_log = log.telling.clone();
+        let request_log = log.request_log.clone();
         let logging = Arc::new(logging::start(&config.name, config.log_level, log)?);
         let (mut core, subscriptions) =
             Core::new(config.settings.clone(), config.seed, config.max_open, Clock::start());
@@ -102,13 +102,13 @@
             core.set_request_log(request_log);
         }
         let handle = core.handle();
-        handle.figures().name_classes(&config.names.classes);
+        handle.metrics().name_classes(&config.names.classes);
         let (lifecycle, phase) = Lifecycle::new(config.longest_deadline());
         tokio::spawn(lifecycle.clone().run());
         if config.ops.is_some() {
             core.enable_metrics();
         }
-        let back = Back::new(config.node_connections, handle.part());
+        let back = NodeClient::new(config.node_connections, handle.capacity_share());
         if config.settings.probing {
             let load = config.settings.reports == Reports::Probes;
             core.set_probes(Box::new(ProbeWork { back: back.clone(), load }));
@@ -166,11 +166,11 @@
 fn http_front(
     config: &Config,
     handle: &Handle,
-    back: &Back,
+    back: &NodeClient,
     names: watch::Receiver<Arc<Directory>>,
     phase: &watch::Receiver<Phase>,
-) -> Front {
-    Front {
+) -> HttpFront {
+    HttpFront {
         handle: handle.clone(),
         back: back.clone(),
         names,
@@ -193,7 +193,7 @@
         known: config.known.clone(),
         handle: handle.clone(),
         on_demand: config.settings.must_subscribe,
-        stop_within: Duration::from_micros(config.settings.stop_within),
+        stop_within: Duration::from_micros(config.settings.drain_grace),
     };
     tokio::spawn(discovery.run(subscriptions));
 }
--- a/src/classes.rs
+++ b/src/classes.rs
@@ -96,7 +96,7 @@
         crate::agree::rules::Names { classes: self.names(), plans }
     }
 
-    /// Every number's name, for figures and the log; another front's own has none.
+    /// Every number's name, for metrics and the log; another front's own has none.
     pub fn names(&self) -> Vec<String> {
         self.rows.iter().map(|row| row.name.clone().unwrap_or_default()).collect()
     }
--- a/src/config/grpc.rs
+++ b/src/config/grpc.rs
@@ -81,7 +81,7 @@
     units: Source,
     /// Where metadata names none, one of these by the key.
     shards: Vec<u16>,
-    most_units: f64,
+    max_units: f64,
     most_hosts: f64,
 }
 
@@ -329,7 +329,7 @@
             hosts: self.source("hosts", keys.hosts, "x-hosts", Some("1"))?,
             units: self.source("units", keys.units, "x-units", None)?,
             shards: keys.shards,
-            most_units: settings.most_units.max(1.0),
+            max_units: settings.max_units.max(1.0),
             most_hosts: f64::from(settings.hosts.max(1)),
         };
         for (name, default) in spans {
@@ -364,7 +364,7 @@
             })
         };
         let class = place(&names.classes, "class", &keys.class)?;
-        let most = settings.most_units.max(1.0);
+        let most = settings.max_units.max(1.0);
         let units = self.bounded(&format!("routes[{i}].units"), keys.units.as_ref(), 1.0, 0.0..=most)?;
         let streams = match &keys.request {
             None => false,
@@ -404,7 +404,7 @@
     }
 
     fn units_in(&self, text: &str) -> Option<f64> {
-        text.parse().ok().filter(|units| (0.0..=self.most_units).contains(units))
+        text.parse().ok().filter(|units| (0.0..=self.max_units).contains(units))
     }
 
     /// `Err`: the metadata at fault.
--- a/src/config/sftp.rs
+++ b/src/config/sftp.rs
@@ -17,7 +17,7 @@
 const IDLE_IF_MANY: Duration = Duration::from_secs(60);
 
 #[derive(Debug, PartialEq)]
-pub struct SecondFront {
+pub struct SftpFront {
     pub listen: SocketAddr,
     pub node_port: Option<u16>,
     pub clients: ClientLimits,
@@ -33,11 +33,11 @@
     pub shards: Vec<u16>,
     pub unit_bytes: u64,
     pub hosts: f64,
-    pub most_units: f64,
+    pub max_units: f64,
     pub read: ClassLimits,
     pub write: ClassLimits,
     /// For what must not be done twice: making or emptying a file, adding to its end.
-    pub once: ClassLimits,
+    pub non_repeatable: ClassLimits,
 }
 
 /// The class of a command, and how long its clients wait.
@@ -90,14 +90,14 @@
     hosts: f64,
 }
 
-impl SecondFront {
+impl SftpFront {
     /// The file that `PATHBANK_SFTP` names, which must be there, or the one under `deploy/`. `None`: off.
     pub fn from_environment(
         settings: &mut Settings,
         names: &Names,
-    ) -> Result<Option<SecondFront>, ConfigError> {
+    ) -> Result<Option<SftpFront>, ConfigError> {
         match operators_file("PATHBANK_SFTP", PATH)? {
-            Some(text) => SecondFront::read(&text, settings, names),
+            Some(text) => SftpFront::read(&text, settings, names),
             None => Ok(None),
         }
     }
@@ -107,7 +107,7 @@
         text: &str,
         settings: &mut Settings,
         names: &Names,
-    ) -> Result<Option<SecondFront>, ConfigError> {
+    ) -> Result<Option<SftpFront>, ConfigError> {
         let reader = toml::Deserializer::parse(text).map_err(|e| unreadable("the second front's file", e))?;
         let file: File = serde_path_to_error::deserialize(reader).map_err(|error| {
             unreadable(format!("key {} of the second front's file", error.path()), error.inner().message())
@@ -124,7 +124,7 @@
         }
         // The longest prefix decides.
         rules.sort_by_key(|rule| std::cmp::Reverse(rule.prefix.len()));
-        Ok(Some(SecondFront {
+        Ok(Some(SftpFront {
             listen: file.listen.ok_or(ConfigError::Missing("listen of the second front's file"))?,
             node_port: file.node_port,
             clients: ClientLimits {
@@ -139,7 +139,7 @@
         }))
     }
 
-    pub fn place(&self, path: &str) -> Result<FileTarget<'_>, TargetError> {
+    pub fn target(&self, path: &str) -> Result<FileTarget<'_>, TargetError> {
         let climbs_or_empty = |part: &str| matches!(part, "" | "." | "..");
         let below = path.strip_prefix('/');
         let sound =
@@ -177,7 +177,7 @@
         let plan = place(&names.plans, "plan", &self.plan)?;
         let read = place(&names.classes, "read_class", &self.read_class)?;
         let write = place(&names.classes, "write_class", &self.write_class)?;
-        let once = settings.classes.len();
+        let non_repeatable = settings.classes.len();
         settings.classes.push(Class { repeats: Repeats::Unsafe, ..settings.classes[write].clone() });
         let use_of = |class: usize| ClassLimits {
             class,
@@ -189,17 +189,17 @@
             shards: self.shards,
             unit_bytes: if self.unit_bytes == 0 { 8192 } else { self.unit_bytes },
             hosts: self.hosts.max(1.0),
-            most_units: settings.most_units.max(1.0),
+            max_units: settings.max_units.max(1.0),
             read: use_of(read),
             write: use_of(write),
-            once: use_of(once),
+            non_repeatable: use_of(non_repeatable),
         })
     }
 }
 
 impl PathRule {
     pub fn units(&self, bytes: usize) -> f64 {
-        (bytes as u64).div_ceil(self.unit_bytes).max(1).min(self.most_units as u64) as f64
+        (bytes as u64).div_ceil(self.unit_bytes).max(1).min(self.max_units as u64) as f64
     }
 }
 
--- a/src/config/sftp/tests.rs
+++ b/src/config/sftp/tests.rs
@@ -4,12 +4,12 @@
     shards = [3, 4]\nread_class = \"r\"\nwrite_class = \"w\"\n[[paths]]\nprefix = \"/a/b/\"\nplan = \"p\"\n\
     shards = [5]\nread_class = \"r\"\nwrite_class = \"w\"\nunit_bytes = 10\n";
 
-fn read(text: &str) -> (Settings, Result<Option<SecondFront>, ConfigError>) {
+fn read(text: &str) -> (Settings, Result<Option<SftpFront>, ConfigError>) {
     let class = |repeats| Class { deadline: 3_000_000, repeats, ..Class::default() };
     let classes = vec![class(Repeats::Safe), class(Repeats::Keyed)];
-    let mut settings = Settings { classes, most_units: 8.0, ..Settings::default() };
+    let mut settings = Settings { classes, max_units: 8.0, ..Settings::default() };
     let names = Names { classes: vec!["r".into(), "w".into()], plans: vec!["p".into()], ..Names::default() };
-    let front = SecondFront::read(text, &mut settings, &names);
+    let front = SftpFront::read(text, &mut settings, &names);
     (settings, front)
 }
 
@@ -17,21 +17,21 @@
 fn paths_lead_to_the_longest_prefix_and_a_customer_is_one_volume() {
     let (settings, front) = read(GOOD);
     let front = front.unwrap().unwrap();
-    let (x, y) = (front.place("/a/c1/x").unwrap(), front.place("/a/c1/d/y").unwrap());
+    let (x, y) = (front.target("/a/c1/x").unwrap(), front.target("/a/c1/d/y").unwrap());
     assert_eq!(x.volume, y.volume);
     assert_ne!(x.key, y.key);
-    assert_ne!(x.volume, front.place("/a/c2/x").unwrap().volume);
-    let deep = front.place("/a/b/c1/x").unwrap();
+    assert_ne!(x.volume, front.target("/a/c2/x").unwrap().volume);
+    let deep = front.target("/a/b/c1/x").unwrap();
     assert_eq!(
         (deep.shard, deep.rule.units(0), deep.rule.units(21), deep.rule.units(999)),
         (5, 1.0, 3.0, 8.0)
     );
-    assert_eq!(settings.classes[deep.rule.once.class].repeats, Repeats::Unsafe);
+    assert_eq!(settings.classes[deep.rule.non_repeatable.class].repeats, Repeats::Unsafe);
     assert_eq!(deep.rule.write.wait, Duration::from_secs(3));
     for path in ["", "a/c1/x", "/a/../x", "/a//x", "/a/./x", "/a/c1/\0"] {
-        assert_eq!(front.place(path), Err(TargetError::MalformedPath), "{path:?}");
+        assert_eq!(front.target(path), Err(TargetError::MalformedPath), "{path:?}");
     }
-    assert_eq!(front.place("/z/x"), Err(TargetError::Unmapped));
+    assert_eq!(front.target("/z/x"), Err(TargetError::Unmapped));
 }
 
 #[test]
--- a/src/config/syslog.rs
+++ b/src/config/syslog.rs
@@ -2,7 +2,7 @@
 //! they wait.
 
 use super::{ConfigError, Names, operators_file, unreadable};
-use crate::events::requests::{Kind, Sampling, Telling};
+use crate::events::requests::{RequestLog, Sampling, SamplingRule};
 use crate::logging::tls::{self, Fingerprint};
 use crate::syslog::{delivery, encode};
 use serde::Deserialize;
@@ -42,7 +42,7 @@
     /// A collector that takes nothing for so long is given up.
     pub stall: Duration,
     pub spool: Option<SpoolLimits>,
-    pub telling: Option<Telling>,
+    pub request_log: Option<RequestLog>,
 }
 
 #[derive(Clone, Debug)]
@@ -163,19 +163,19 @@
                 None => Err(wrong(&key, &format!("the settings have no {name:?}"))),
             },
         };
-        let telling = match &file.requests {
+        let request_log = match &file.requests {
             None => None,
             Some(requests) => {
                 let mut kinds = Vec::new();
                 for (i, kind) in requests.kinds.iter().enumerate() {
-                    kinds.push(Kind {
+                    kinds.push(SamplingRule {
                         plan: place(&names.plans, format!("requests.kinds[{i}].plan"), &kind.plan)?,
                         class: place(&names.classes, format!("requests.kinds[{i}].class"), &kind.class)?,
                         one_in: kind.served_one_in,
                     });
                 }
                 let sampling = Sampling { one_in: requests.served_one_in, kinds };
-                Some(Telling::new(names.plans.clone(), names.classes.clone(), sampling))
+                Some(RequestLog::new(names.plans.clone(), names.classes.clone(), sampling))
             }
         };
         let mut collectors = Vec::new();
@@ -208,7 +208,7 @@
             delivery,
             stall: Duration::from_millis(file.stall_ms.unwrap_or(STALL_MS).max(1)),
             spool,
-            telling,
+            request_log,
         })
     }
 }
--- a/src/config/syslog/tests.rs
+++ b/src/config/syslog/tests.rs
@@ -16,11 +16,11 @@
     let log = Log::read(GOOD, &names(), MEMORY).unwrap();
     assert_eq!((log.stderr, log.limits.line, log.queue), (Format::Json, 1024, 100 * 1024));
     assert_eq!((log.collectors.len(), log.delivery.lines_per_second), (2, 10.5));
-    let kind = Kind { plan: None, class: Some(1), one_in: 5 };
-    assert_eq!(log.telling.unwrap().sampling, Sampling { one_in: 100, kinds: vec![kind] });
+    let kind = SamplingRule { plan: None, class: Some(1), one_in: 5 };
+    assert_eq!(log.request_log.unwrap().sampling, Sampling { one_in: 100, kinds: vec![kind] });
     let log = Log::read("", &names(), 1024 * 1024).unwrap();
     assert_eq!((log.stderr, log.queue), (Format::Syslog, 64 * 1024));
-    assert!(log.collectors.is_empty() && log.spool.is_none() && log.telling.is_none());
+    assert!(log.collectors.is_empty() && log.spool.is_none() && log.request_log.is_none());
 }
 
 #[test]
--- a/src/core/attempt.rs
+++ b/src/core/attempt.rs
@@ -2,8 +2,8 @@
 
 use super::handle::{Handle, Input};
 use crate::attempt_end::AttemptEnd;
-use crate::figures::{Count, Figures};
 use crate::interface::{Load, RequestId};
+use crate::metrics::{Count, Metrics};
 use bytes::Bytes;
 use std::fmt;
 use std::future::Future;
@@ -42,7 +42,7 @@
     pub(super) completed_at: OnceLock<Instant>,
     pub(super) client: ClientState,
     pub(super) class: usize,
-    pub(super) figures: Figures,
+    pub(super) metrics: Metrics,
 }
 
 /// The source of an attempt, which knows whether the client has left.
@@ -83,7 +83,7 @@
     /// Marks that the last byte is written, and counts the attempt in the metrics once.
     pub fn mark_complete(&self) {
         if self.completed_at.set(Instant::now()).is_ok() {
-            self.figures.count(self.class, Count::Tries);
+            self.metrics.count(self.class, Count::Tries);
         }
     }
 }
--- a/src/core/handle.rs
+++ b/src/core/handle.rs
@@ -6,9 +6,9 @@
 use super::attempt::{AttemptSource, Report};
 use crate::agree::rules::Names;
 use crate::config::ListedNode;
-use crate::figures::{Count, Figures, InProgress};
-use crate::handover::Part;
+use crate::handover::CapacityShare;
 use crate::interface::{ListUpdate, Load, Micros, NodeId, RequestId, Settings, VolumeId};
+use crate::metrics::{Count, InProgress, Metrics};
 use bytes::Bytes;
 use futures_util::FutureExt;
 use log::debug;
@@ -168,19 +168,19 @@
     pub(super) open: Arc<AtomicUsize>,
     pub(super) max_open: usize,
     pub(super) no_room: Arc<AtomicU64>,
-    pub(super) figures: Figures,
-    pub(super) part: Part,
+    pub(super) metrics: Metrics,
+    pub(super) capacity_share: CapacityShare,
 }
 
 impl Handle {
     /// The share of the host's capacity that this process may use.
-    pub fn part(&self) -> Part {
-        self.part.clone()
+    pub fn capacity_share(&self) -> CapacityShare {
+        self.capacity_share.clone()
     }
 
     /// The metrics that operators read.
-    pub fn figures(&self) -> &Figures {
-        &self.figures
+    pub fn metrics(&self) -> &Metrics {
+        &self.metrics
     }
 
     /// The number of requests that were rejected because too many were open.
@@ -190,9 +190,9 @@
 
     /// Submits a request. `None`: too many are open, and it was rejected.
     pub fn submit(&self, arrival: Arrival, work: Arc<dyn AttemptSource>) -> Option<Pending> {
-        if self.open.load(Ordering::Relaxed) >= self.part.of(self.max_open) {
+        if self.open.load(Ordering::Relaxed) >= self.capacity_share.of(self.max_open) {
             self.no_room.fetch_add(1, Ordering::Relaxed);
-            self.figures.count(arrival.class, Count::Dropped);
+            self.metrics.count(arrival.class, Count::Dropped);
             return None;
         }
         self.open.fetch_add(1, Ordering::Relaxed);
@@ -200,7 +200,7 @@
         let id = self.last_id.fetch_add(1, Ordering::Relaxed) + 1;
         let (answer, pending) = oneshot::channel();
         self.send(Input::Request { id, arrival, work, answer });
-        let open = self.figures.taken();
+        let open = self.metrics.track_open();
         Some(Pending { id, answer: pending, answered: false, handle: self.clone(), _open: open })
     }
 
--- a/src/core/mod.rs
+++ b/src/core/mod.rs
@@ -18,11 +18,11 @@
 use crate::clock::Clock;
 use crate::event;
 use crate::events::pressure::Pressure;
-use crate::events::requests::{Finish, Telling};
-use crate::figures::{Count, Figures};
-use crate::handover::Part;
+use crate::events::requests::{Finish, RequestLog};
+use crate::handover::CapacityShare;
 use crate::index::wheel::{Key, Wheel};
 use crate::interface::*;
+use crate::metrics::{Count, Metrics};
 use crate::policy::Policy;
 use log::{debug, info};
 use nodes::{Node, NodeIds};
@@ -76,13 +76,13 @@
     dispatching: bool,
     /// Reused buffer for the policy's actions.
     actions: Vec<Action>,
-    request_log: Option<Telling>,
+    request_log: Option<RequestLog>,
     /// Sends messages to peers and starts probes; `None` where the settings forbid it.
     peer_sender: Option<PeerSender>,
     probes: Option<Box<dyn AttemptSource>>,
     pressure: Pressure,
     result_counts: ResultCounts,
-    figures: Figures,
+    metrics: Metrics,
     /// When the counts of nodes were last copied into the metrics; `None`: nobody reads the metrics.
     metrics_copied_at: Option<Micros>,
     /// The share of the host's capacity that the policy may use.
@@ -103,10 +103,11 @@
     ) -> (Core, mpsc::UnboundedReceiver<()>) {
         let (queue, inputs) = mpsc::unbounded_channel();
         let (subscribe, wanted) = mpsc::unbounded_channel();
-        let (last_id, open, no_room, figures) =
-            (Arc::default(), Arc::default(), Arc::default(), Figures::default());
-        let (part, handle_figures) = (Part::default(), figures.clone());
-        let handle = Handle { queue, last_id, open, max_open, no_room, figures: handle_figures, part };
+        let (last_id, open, no_room, metrics) =
+            (Arc::default(), Arc::default(), Arc::default(), Metrics::default());
+        let (capacity_share, handle_metrics) = (CapacityShare::default(), metrics.clone());
+        let handle =
+            Handle { queue, last_id, open, max_open, no_room, metrics: handle_metrics, capacity_share };
         let policy = Policy::new(settings.clone(), seed);
         let core = Core {
             policy,
@@ -130,7 +131,7 @@
             probes: None,
             pressure: Pressure::default(),
             result_counts: ResultCounts::default(),
-            figures,
+            metrics,
             metrics_copied_at: None,
             capacity_share: 1.0,
             agreed: None,
@@ -146,7 +147,7 @@
     }
 
     /// Sets which finished requests are reported as log events.
-    pub fn set_request_log(&mut self, request_log: Telling) {
+    pub fn set_request_log(&mut self, request_log: RequestLog) {
         self.request_log = Some(request_log);
     }
 
@@ -177,8 +178,8 @@
         if self.metrics_copied_at.is_some_and(|at| now >= at + METRICS_MIN_INTERVAL) {
             self.metrics_copied_at = Some(now);
             let (known, skipped) = self.policy.node_counts(now);
-            self.figures.set_storage_nodes(known, skipped);
-            self.figures.beat(Instant::now());
+            self.metrics.set_storage_nodes(known, skipped);
+            self.metrics.report_alive(Instant::now());
         }
     }
 
@@ -225,7 +226,7 @@
             Input::BodyComplete { id } => self.body_complete(id),
             Input::Nodes { news, nodes } => self.on_nodes(news, nodes),
             Input::Settings { settings, names } => {
-                self.figures.name_classes(&names.classes);
+                self.metrics.name_classes(&names.classes);
                 self.request_log
                     .iter_mut()
                     .for_each(|request_log| request_log.classes.clone_from(&names.classes));
@@ -294,7 +295,7 @@
             if let Some(answer) = open.answer.take() {
                 let _ = answer.send(Answer::Failed);
                 self.result_counts.counts[Finish::Failed as usize] += 1;
-                self.figures.count(open.class, Count::BadGateway);
+                self.metrics.count(open.class, Count::BadGateway);
             }
         }
         (self.timers, self.list_timer) = (Wheel::new(self.clock.now()), None);
--- a/src/core/nodes.rs
+++ b/src/core/nodes.rs
@@ -55,7 +55,7 @@
             ListUpdate::Subscribed | ListUpdate::Heartbeat | ListUpdate::TimedOut | ListUpdate::Moved
         ) {
             if news == ListUpdate::TimedOut {
-                self.figures.silence();
+                self.metrics.count_silence();
             }
             self.dispatch(Event::Nodes { update: news, nodes: Vec::new() });
             return self.update_list_timer();
@@ -116,12 +116,12 @@
             (true, Some(since)) => {
                 let overdue_ms = (now - since) / 1000;
                 event!(LIST_RENEWED, overdue_ms);
-                self.figures.list(Some(overdue_ms));
+                self.metrics.set_list_state(Some(overdue_ms));
                 self.overdue_since = None;
             }
             (false, None) => {
                 event!(LIST_OVERDUE, open = self.requests.len());
-                self.figures.list(None);
+                self.metrics.set_list_state(None);
                 self.overdue_since = Some(now);
                 let open: Vec<RequestId> = self.requests.keys().copied().collect();
                 open.into_iter().for_each(|id| self.drop_unsent(id, |_| true));
--- a/src/core/requests.rs
+++ b/src/core/requests.rs
@@ -8,8 +8,8 @@
 use crate::clock::micros;
 use crate::event;
 use crate::events::requests::{Finish, Tried, Volume, result_name};
-use crate::figures::Count;
 use crate::interface::*;
+use crate::metrics::Count;
 use bytes::Bytes;
 use log::debug;
 use std::sync::Arc;
@@ -283,7 +283,7 @@
         let RequestRecord { volume, plan, class, units, arrived, attempts: tried } = *record;
         let target = self.settings.classes.get(class).map_or(0, |class| class.target);
         let late = finish == Finish::Served && now > arrived + target;
-        let Some(one_in) = request_log.told(plan, class, finish, tried.len(), late) else { return };
+        let Some(one_in) = request_log.sample(plan, class, finish, tried.len(), late) else { return };
         let volume = Volume(volume);
         for (attempt, Tried { node, why, result, sent, latency }) in tried.iter().enumerate() {
             let (result, took_us) = match result {
@@ -308,7 +308,7 @@
             Finish::Failed => Count::BadGateway,
             Finish::Left => return,
         };
-        self.requests.get(&id).into_iter().for_each(|open| self.figures.count(open.class, count));
+        self.requests.get(&id).into_iter().for_each(|open| self.metrics.count(open.class, count));
     }
 
     /// Logs a change of the pressure level, and the summary of requests not served when it is due.
--- a/src/core/starting.rs
+++ b/src/core/starting.rs
@@ -67,9 +67,9 @@
             open.attempts.push(None);
             return self.dispatch(Event::Outcome(outcome));
         };
-        let (client, figures) = (ClientState(Some(open.work.clone())), self.figures.clone());
+        let (client, metrics) = (ClientState(Some(open.work.clone())), self.metrics.clone());
         let write_state =
-            Arc::new(WriteState { class: open.class, figures, client, ..WriteState::default() });
+            Arc::new(WriteState { class: open.class, metrics, client, ..WriteState::default() });
         let answer_by = self.clock.instant(until);
         if open.record.is_some() {
             let name = self.nodes.get(&node).map_or(String::new(), |node| node.id.clone());
--- a/src/core/tests.rs
+++ b/src/core/tests.rs
@@ -75,8 +75,12 @@
 /// Such as an attempt whose connection is not yet established when the node list becomes overdue.
 #[test]
 fn attempts_not_yet_written_are_dropped_when_the_node_list_becomes_overdue() {
-    let settings =
-        Settings { must_subscribe: true, ask_within: 100_000, stop_within: 50_000, ..Settings::default() };
+    let settings = Settings {
+        must_subscribe: true,
+        max_unsubscribed: 100_000,
+        drain_grace: 50_000,
+        ..Settings::default()
+    };
     let Input::Nodes { nodes: known, .. } = nodes(ListedState::InService) else { unreachable!() };
     with_core_of(settings, Input::Nodes { news: ListUpdate::Cached, nodes: known }, async |handle| {
         let (unsent_tx, mut unsent_dropped) = mpsc::unbounded_channel();
--- a/src/events/requests.rs
+++ b/src/events/requests.rs
@@ -9,12 +9,12 @@
     /// One in so many is logged; 0: none.
     pub one_in: u32,
     /// Exceptions for single plans and classes.
-    pub kinds: Vec<Kind>,
+    pub kinds: Vec<SamplingRule>,
 }
 
 /// The sampling of the requests of one plan, of one class or of one plan and class.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Kind {
+pub struct SamplingRule {
     /// The plan's number; `None`: any.
     pub plan: Option<usize>,
     /// The class's number; `None`: any.
@@ -26,8 +26,9 @@
 impl Sampling {
     /// Returns the rate for a plan and class: that of the last matching kind, or the general one.
     fn one_in(&self, plan: usize, class: usize) -> u32 {
-        let matches =
-            |kind: &&Kind| kind.plan.is_none_or(|p| p == plan) && kind.class.is_none_or(|c| c == class);
+        let matches = |kind: &&SamplingRule| {
+            kind.plan.is_none_or(|p| p == plan) && kind.class.is_none_or(|c| c == class)
+        };
         self.kinds.iter().rev().find(matches).map_or(self.one_in, |kind| kind.one_in)
     }
 }
@@ -59,7 +60,7 @@
 
 /// Decides which requests are logged, and maps the numbers of plans and classes to names.
 #[derive(Clone, Debug, Default)]
-pub struct Telling {
+pub struct RequestLog {
     /// The names of plans by number.
     pub plans: Vec<String>,
     /// The names of classes by number.
@@ -70,14 +71,14 @@
     seen: Vec<u32>,
 }
 
-impl Telling {
+impl RequestLog {
     /// Creates a log filter that has seen no requests.
-    pub fn new(plans: Vec<String>, classes: Vec<String>, sampling: Sampling) -> Telling {
-        Telling { plans, classes, sampling, seen: Vec::new() }
+    pub fn new(plans: Vec<String>, classes: Vec<String>, sampling: Sampling) -> RequestLog {
+        RequestLog { plans, classes, sampling, seen: Vec::new() }
     }
 
     /// Returns how many requests this one represents in the log; `None`: it is not logged.
-    pub fn told(
+    pub fn sample(
         &mut self,
         plan: usize,
         class: usize,
--- a/src/handover.rs
+++ b/src/handover.rs
@@ -12,18 +12,18 @@
 use std::time::{Duration, Instant};
 
 /// Time after which the new process accepts connections although the other has not announced the half share.
-/// The other process checks every `LOOK`, so it hangs or is another program; what it uses is unknown, and the
-/// new process keeps to its half.
+/// The other process checks every `CHECK_INTERVAL`, so it hangs or is another program; what it uses is
+/// unknown, and the new process keeps to its half.
 const UNRESPONSIVE_AFTER: Duration = Duration::from_secs(3);
 /// Interval at which each process checks for the other.
-pub const LOOK: Duration = Duration::from_millis(50);
+pub const CHECK_INTERVAL: Duration = Duration::from_millis(50);
 /// Number of consecutive checks that must miss the other process before it counts as ended. A single check
 /// may miss it while it makes a check itself.
 const MISSES_UNTIL_ENDED: u32 = 2;
 
 /// The observed state of the other process.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Seen {
+pub struct PeerProcess {
     /// It runs.
     pub lives: bool,
     /// It announces that it uses half of the limits.
@@ -43,7 +43,7 @@
 
 /// What this process may do until the next check.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Stand {
+pub struct Permissions {
     /// This process may accept connections.
     pub accept: bool,
     /// It uses half of the limits and announces this.
@@ -66,7 +66,7 @@
     }
 
     /// Updates the state from a check of the other process, and returns what this process may do.
-    pub fn look(&mut self, now: Instant, other: Seen) -> Stand {
+    pub fn check(&mut self, now: Instant, other: PeerProcess) -> Permissions {
         self.missed = if other.lives { 0 } else { self.missed + 1 };
         self.state = match self.state {
             _ if self.missed >= MISSES_UNTIL_ENDED => State::Alone,
@@ -76,15 +76,15 @@
             State::Alone if other.lives => State::Together,
             state => state,
         };
-        Stand { accept: self.state != State::Arriving, halved: self.state != State::Alone }
+        Permissions { accept: self.state != State::Arriving, halved: self.state != State::Alone }
     }
 }
 
 /// The share of its limits that this process may use: all or half. Clones share the setting.
 #[derive(Clone, Debug, Default)]
-pub struct Part(Arc<AtomicBool>);
+pub struct CapacityShare(Arc<AtomicBool>);
 
-impl Part {
+impl CapacityShare {
     /// Sets whether this process may use half of the limits or all.
     pub fn halve(&self, halved: bool) {
         self.0.store(halved, Ordering::Relaxed);
--- a/src/handover/tests.rs
+++ b/src/handover/tests.rs
@@ -1,12 +1,12 @@
 use super::*;
 
-const ABSENT: Seen = Seen { lives: false, halved: false };
-const FULL: Seen = Seen { lives: true, halved: false };
-const HALF: Seen = Seen { lives: true, halved: true };
+const ABSENT: PeerProcess = PeerProcess { lives: false, halved: false };
+const FULL: PeerProcess = PeerProcess { lives: true, halved: false };
+const HALF: PeerProcess = PeerProcess { lives: true, halved: true };
 
 /// Formats `accept` as `a` and `halved` as `h`.
-fn flags(stand: Stand) -> String {
-    format!("{}{}", if stand.accept { "a" } else { "-" }, if stand.halved { "h" } else { "-" })
+fn flags(permissions: Permissions) -> String {
+    format!("{}{}", if permissions.accept { "a" } else { "-" }, if permissions.halved { "h" } else { "-" })
 }
 
 #[test]
@@ -41,8 +41,8 @@
         let start = Instant::now();
         let mut pair = Pair::new(start);
         for (at, other, wanted) in looks {
-            let stand = pair.look(start + Duration::from_millis(*at), *other);
-            assert_eq!(flags(stand), *wanted, "{name} at {at}");
+            let permissions = pair.check(start + Duration::from_millis(*at), *other);
+            assert_eq!(flags(permissions), *wanted, "{name} at {at}");
         }
     }
 }
@@ -53,22 +53,22 @@
     for order in 0..1u32 << 12 {
         let start = Instant::now();
         let mut pairs = [Pair::new(start), Pair::new(start)];
-        let mut announced = [Stand { accept: false, halved: true }; 2];
+        let mut announced = [Permissions { accept: false, halved: true }; 2];
         let mut alive = [true, false];
         for step in 0..12 {
             let index = (order >> step & 1) as usize;
             if !alive[index] {
                 // The process starts: it is seen as running and has not announced the half share yet.
                 alive[index] = true;
-                announced[index] = Stand { accept: false, halved: false };
+                announced[index] = Permissions { accept: false, halved: false };
                 continue;
             }
             let other = 1 - index;
-            let seen = Seen { lives: alive[other], halved: alive[other] && announced[other].halved };
-            announced[index] = pairs[index].look(start + LOOK * step, seen);
+            let seen = PeerProcess { lives: alive[other], halved: alive[other] && announced[other].halved };
+            announced[index] = pairs[index].check(start + CHECK_INTERVAL * step, seen);
             let used = |i: usize| match announced[i] {
-                Stand { accept: true, halved: false } => 2,
-                Stand { accept: true, halved: true } => 1,
+                Permissions { accept: true, halved: false } => 2,
+                Permissions { accept: true, halved: true } => 1,
                 _ => 0,
             };
             assert!(used(0) + used(1) <= 2, "{order:012b} step {step}: {announced:?}");
--- a/src/interface.rs
+++ b/src/interface.rs
@@ -27,9 +27,9 @@
     /// Changes of the node list are sent to subscribers only.
     pub must_subscribe: bool,
     /// With `must_subscribe`: for how long after the last call the list may be used without a subscription.
-    pub ask_within: Micros,
+    pub max_unsubscribed: Micros,
     /// For how long a node may still be sent requests after it began to drain or was removed; 0: any time.
-    pub stop_within: Micros,
+    pub drain_grace: Micros,
     /// The largest delay with which the host delivers a timer.
     pub tick: Micros,
     /// The part of a client's time that is reserved for the transfer of the answer.
@@ -37,7 +37,7 @@
     /// The most attempts of one request, including the first.
     pub max_attempts: u32,
     /// Hedged requests are allowed: a second attempt while the first is in flight.
-    pub second_copies: bool,
+    pub hedging: bool,
     /// Attempts in flight may be cancelled.
     pub cancel: bool,
     /// Messages to other hosts are allowed.
@@ -49,7 +49,7 @@
     /// The fraction of its capacity that a node has right after its start (slow start).
     pub slow_start_fraction: f64,
     /// How long slow start lasts after a node's start.
-    pub cold: Micros,
+    pub slow_start_duration: Micros,
     /// A node in slow start fails when it gets more than `fall_multiple` times its capacity for this long.
     pub fall: Micros,
     /// See `fall`.
@@ -57,11 +57,11 @@
     /// Units within `fall`, from all hosts together, that a node in slow start always serves.
     pub slow_start_units: f64,
     /// For how long requests of a key are held back after an attempt that may still run.
-    pub order_settle: Micros,
+    pub key_hold: Micros,
     /// The retry budget, if there is one.
     pub budget: Option<AttemptBudget>,
     /// The largest size of a request, units.
-    pub most_units: f64,
+    pub max_units: f64,
     /// The mean size of a request, units.
     pub mean_units: f64,
     /// The fraction of the full value that a unit above the reserve earns within the volume's share.
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -9,19 +9,19 @@
 pub mod core;
 #[expect(missing_docs, reason = "not documented item by item yet")]
 pub mod events;
-pub mod figures;
 #[expect(missing_docs, reason = "not documented item by item yet")]
 pub mod grpc;
 pub mod handover;
 pub mod idlog;
 pub mod index;
 pub mod interface;
-pub mod life;
+pub mod lifecycle_state;
 #[expect(missing_docs, reason = "not documented item by item yet")]
 pub mod logbook;
 #[expect(missing_docs, reason = "not documented item by item yet")]
 pub mod logging;
 mod message;
+pub mod metrics;
 pub mod net;
 pub mod peers;
 pub mod policy;
--- a/src/life.rs
+++ b/src/lifecycle_state.rs
@@ -29,7 +29,7 @@
     /// New connections are accepted.
     pub accept: bool,
     /// Each connection is closed after its next answer.
-    pub last: bool,
+    pub close_after_answer: bool,
     /// Idle connections are closed.
     pub close: bool,
     /// The process is stopping.
@@ -39,8 +39,14 @@
 }
 
 /// The phase of a process that serves normally.
-pub const SERVING: Phase =
-    Phase { up: true, accept: true, last: false, close: false, ends: false, handed_over: false };
+pub const SERVING: Phase = Phase {
+    up: true,
+    accept: true,
+    close_after_answer: false,
+    close: false,
+    ends: false,
+    handed_over: false,
+};
 
 /// What the process does, and since when.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -58,9 +64,9 @@
 
 /// Error: the process is stopping and rejects the call.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Ends;
+pub struct AlreadyStopping;
 
-impl fmt::Display for Ends {
+impl fmt::Display for AlreadyStopping {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         write!(f, "the head is ending")
     }
@@ -68,15 +74,15 @@
 
 /// A process's lifecycle: serving, draining, ending.
 #[derive(Debug)]
-pub struct Life {
+pub struct LifecycleState {
     activity: Activity,
     longest: Duration,
 }
 
-impl Life {
+impl LifecycleState {
     /// Creates the lifecycle of a serving process. `longest` is the longest deadline of any class.
-    pub fn new(longest: Duration) -> Life {
-        Life { activity: Activity::Serving, longest }
+    pub fn new(longest: Duration) -> LifecycleState {
+        LifecycleState { activity: Activity::Serving, longest }
     }
 
     /// Sets the longest deadline of any class, which limits how long stopping takes.
@@ -88,22 +94,22 @@
     ///
     /// # Errors
     /// The process is stopping.
-    pub fn drain(&mut self, now: Instant) -> Result<(), Ends> {
+    pub fn drain(&mut self, now: Instant) -> Result<(), AlreadyStopping> {
         match self.activity {
             Activity::Serving => self.activity = Activity::Draining { since: now },
             Activity::Draining { .. } => {}
-            Activity::Stopping { .. } => return Err(Ends),
+            Activity::Stopping { .. } => return Err(AlreadyStopping),
         }
         Ok(())
     }
 
-    /// Ends a drain at any stage; without one it does nothing.
+    /// AlreadyStopping a drain at any stage; without one it does nothing.
     ///
     /// # Errors
     /// The process is stopping.
-    pub fn undrain(&mut self) -> Result<(), Ends> {
+    pub fn undrain(&mut self) -> Result<(), AlreadyStopping> {
         match self.activity {
-            Activity::Stopping { .. } => return Err(Ends),
+            Activity::Stopping { .. } => return Err(AlreadyStopping),
             _ => self.activity = Activity::Serving,
         }
         Ok(())
@@ -123,16 +129,16 @@
             Activity::Serving => SERVING,
             Activity::Draining { since } => Phase {
                 up: false,
-                last: now >= since + KEEP_CONNECTIONS,
+                close_after_answer: now >= since + KEEP_CONNECTIONS,
                 close: now >= since + CLOSE_IDLE_AFTER,
                 ..SERVING
             },
             Activity::Stopping { since, shared } => {
-                let closing = now + CLOSE_BEFORE_END >= self.final_answers_at(since);
+                let closing = now + CLOSE_BEFORE_END >= self.final_answers_after(since);
                 Phase {
                     up: !shared,
                     accept: !shared && now < since + ACCEPT_AFTER_TERM && !closing,
-                    last: shared || closing,
+                    close_after_answer: shared || closing,
                     // The client can reconnect to the other process at once.
                     close: shared || closing,
                     ends: true,
@@ -147,23 +153,24 @@
         let times = match self.activity {
             Activity::Serving => [None, None],
             Activity::Draining { since } => [Some(since + KEEP_CONNECTIONS), Some(since + CLOSE_IDLE_AFTER)],
-            Activity::Stopping { since, .. } => {
-                [Some(since + ACCEPT_AFTER_TERM), self.final_answers_at(since).checked_sub(CLOSE_BEFORE_END)]
-            }
+            Activity::Stopping { since, .. } => [
+                Some(since + ACCEPT_AFTER_TERM),
+                self.final_answers_after(since).checked_sub(CLOSE_BEFORE_END),
+            ],
         };
         times.into_iter().flatten().filter(|at| *at > now).min()
     }
 
     /// Returns the time at which the requests that are still open must fail; `None` unless the process is
     /// stopping.
-    pub fn last(&self) -> Option<Instant> {
+    pub fn final_answers_at(&self) -> Option<Instant> {
         match self.activity {
-            Activity::Stopping { since, .. } => Some(self.final_answers_at(since)),
+            Activity::Stopping { since, .. } => Some(self.final_answers_after(since)),
             _ => None,
         }
     }
 
-    fn final_answers_at(&self, since: Instant) -> Instant {
+    fn final_answers_after(&self, since: Instant) -> Instant {
         since + self.longest.min(MAX_DEADLINE) + FINAL_ANSWERS
     }
 }
--- a/src/life/tests.rs
+++ b/src/lifecycle_state/tests.rs
@@ -2,9 +2,9 @@
 
 const MS: Duration = Duration::from_millis(1);
 
-/// Returns `up`, `accept`, `last`, `close` and `ends`.
+/// Returns `up`, `accept`, `close_after_answer`, `close` and `ends`.
 fn flags(phase: Phase) -> [bool; 5] {
-    [phase.up, phase.accept, phase.last, phase.close, phase.ends]
+    [phase.up, phase.accept, phase.close_after_answer, phase.close, phase.ends]
 }
 
 /// Formats each set flag as its letter of `ualce`.
@@ -34,20 +34,20 @@
         ("a stop cannot be undone", &[(0, "T", "ua--e"), (1, "U!", "ua--e"), (2, "D!", "ua--e")]),
         ("stop with a shared socket", &[(0, "S", "--lce"), (3_250, "", "--lce")]),
     ] {
-        let (start, mut life) = (Instant::now(), Life::new(Duration::from_secs(5)));
+        let (start, mut state) = (Instant::now(), LifecycleState::new(Duration::from_secs(5)));
         for (at, call, wanted) in steps {
             let now = start + *at * MS;
             let done = match call.trim_end_matches('!') {
-                "D" => life.drain(now),
-                "U" => life.undrain(),
+                "D" => state.drain(now),
+                "U" => state.undrain(),
                 "T" | "S" => {
-                    life.end(now, *call == "S");
+                    state.end(now, *call == "S");
                     Ok(())
                 }
                 _ => Ok(()),
             };
             assert_eq!(done.is_err(), call.ends_with('!'), "{name} at {at}");
-            assert_eq!(letters(flags(life.phase(now))), *wanted, "{name} at {at}");
+            assert_eq!(letters(flags(state.phase(now))), *wanted, "{name} at {at}");
         }
     }
 }
@@ -55,30 +55,30 @@
 #[test]
 fn next_change_announces_each_change_of_the_phase() {
     for call in ["D", "T", "S"] {
-        let (start, mut life) = (Instant::now(), Life::new(Duration::from_secs(1)));
+        let (start, mut state) = (Instant::now(), LifecycleState::new(Duration::from_secs(1)));
         match call {
-            "D" => life.drain(start).unwrap(),
-            _ => life.end(start, call == "S"),
+            "D" => state.drain(start).unwrap(),
+            _ => state.end(start, call == "S"),
         }
-        let (mut now, mut seen) = (start, life.phase(start));
-        while let Some(next) = life.next_change(now) {
+        let (mut now, mut seen) = (start, state.phase(start));
+        while let Some(next) = state.next_change(now) {
             assert!(next > now);
             assert_eq!(
-                life.phase(next - MS / 1000),
+                state.phase(next - MS / 1000),
                 seen,
                 "{call}: the phase changed before the announced time"
             );
-            (now, seen) = (next, life.phase(next));
+            (now, seen) = (next, state.phase(next));
         }
-        assert_eq!(life.phase(now + Duration::from_secs(60)), seen, "{call}");
+        assert_eq!(state.phase(now + Duration::from_secs(60)), seen, "{call}");
     }
 }
 
 #[test]
 fn a_drain_closes_idle_connections_within_two_seconds() {
     assert!(CLOSE_IDLE_AFTER < Duration::from_secs(2));
-    let (start, mut life) = (Instant::now(), Life::new(Duration::from_secs(5)));
-    life.drain(start).unwrap();
-    assert!(life.phase(start + Duration::from_secs(2)).close);
-    assert_eq!(life.last(), None, "a drain sets no time at which open requests fail");
+    let (start, mut state) = (Instant::now(), LifecycleState::new(Duration::from_secs(5)));
+    state.drain(start).unwrap();
+    assert!(state.phase(start + Duration::from_secs(2)).close);
+    assert_eq!(state.final_answers_at(), None, "a drain sets no time at which open requests fail");
 }
--- a/src/figures.rs
+++ b/src/metrics.rs
@@ -32,9 +32,9 @@
     row_of: Vec<usize>,
 }
 
-/// The metrics of the process.
+/// The values of the metrics.
 #[derive(Debug, Default)]
-struct Metrics {
+struct Values {
     classes: Mutex<Classes>,
     in_progress: AtomicUsize,
     known: AtomicUsize,
@@ -50,9 +50,9 @@
 
 /// A handle to the metrics; all clones share them.
 #[derive(Clone, Debug, Default)]
-pub struct Figures(Arc<Metrics>);
+pub struct Metrics(Arc<Values>);
 
-impl Figures {
+impl Metrics {
     /// Locks the counts of the classes.
     fn classes(&self) -> MutexGuard<'_, Classes> {
         self.0.classes.lock().unwrap_or_else(PoisonError::into_inner)
@@ -86,7 +86,7 @@
     }
 
     /// Counts a request as in progress until the returned value is dropped.
-    pub fn taken(&self) -> InProgress {
+    pub fn track_open(&self) -> InProgress {
         self.0.in_progress.fetch_add(1, Ordering::Relaxed);
         InProgress(self.clone())
     }
@@ -108,25 +108,25 @@
     }
 
     /// Counts a reload of the configuration, by whether it was accepted.
-    pub fn loaded(&self, taken: bool) {
-        let count = if taken { &self.0.loads } else { &self.0.load_errors };
+    pub fn loaded(&self, accepted: bool) {
+        let count = if accepted { &self.0.loads } else { &self.0.load_errors };
         count.fetch_add(1, Ordering::Relaxed);
     }
 
     /// Counts that a watch on the node list became silent.
-    pub fn silence(&self) {
+    pub fn count_silence(&self) {
         self.0.silences.fetch_add(1, Ordering::Relaxed);
     }
 
     /// Sets whether the node list is overdue. `Some`: it is up to date again after that many milliseconds;
     /// `None`: it is overdue.
-    pub fn list(&self, good_after_ms: Option<u64>) {
+    pub fn set_list_state(&self, good_after_ms: Option<u64>) {
         self.0.overdue.store(u64::from(good_after_ms.is_none()), Ordering::Relaxed);
         self.0.overdue_ms.fetch_add(good_after_ms.unwrap_or(0), Ordering::Relaxed);
     }
 
     /// Records that the event loop runs and has updated its metrics.
-    pub fn beat(&self, now: Instant) {
+    pub fn report_alive(&self, now: Instant) {
         *self.0.reported_at.lock().unwrap_or_else(PoisonError::into_inner) = Some(now);
     }
 
@@ -151,16 +151,16 @@
             }
             line("upstream_tries", &format!("{{category=\"{name}\"}}"), counts[Count::Tries as usize]);
         }
-        let metrics = &self.0;
+        let values = &self.0;
         for (name, value) in [
-            ("in_progress", metrics.in_progress.load(Ordering::Relaxed) as u64),
-            ("known_bricks", metrics.known.load(Ordering::Relaxed) as u64),
-            ("skipped_bricks", metrics.skipped.load(Ordering::Relaxed) as u64),
-            ("loads", metrics.loads.load(Ordering::Relaxed)),
-            ("load_errors", metrics.load_errors.load(Ordering::Relaxed)),
-            ("list_silences", metrics.silences.load(Ordering::Relaxed)),
-            ("list_overdue", metrics.overdue.load(Ordering::Relaxed)),
-            ("list_overdue_ms", metrics.overdue_ms.load(Ordering::Relaxed)),
+            ("in_progress", values.in_progress.load(Ordering::Relaxed) as u64),
+            ("known_bricks", values.known.load(Ordering::Relaxed) as u64),
+            ("skipped_bricks", values.skipped.load(Ordering::Relaxed) as u64),
+            ("loads", values.loads.load(Ordering::Relaxed)),
+            ("load_errors", values.load_errors.load(Ordering::Relaxed)),
+            ("list_silences", values.silences.load(Ordering::Relaxed)),
+            ("list_overdue", values.overdue.load(Ordering::Relaxed)),
+            ("list_overdue_ms", values.overdue_ms.load(Ordering::Relaxed)),
         ] {
             line(name, "", value);
         }
@@ -170,7 +170,7 @@
 
 /// Counts one open request until it is dropped.
 #[derive(Debug)]
-pub struct InProgress(Figures);
+pub struct InProgress(Metrics);
 
 impl Drop for InProgress {
     fn drop(&mut self) {
--- a/src/figures/tests.rs
+++ b/src/metrics/tests.rs
@@ -6,8 +6,8 @@
 
 #[test]
 fn each_metric_has_its_line_and_its_count() {
-    let figures = Figures::default();
-    figures.name_classes(&names(&["read", "write"]));
+    let metrics = Metrics::default();
+    metrics.name_classes(&names(&["read", "write"]));
     for (class, what) in [
         (0, Count::Passed),
         (0, Count::Passed),
@@ -15,18 +15,18 @@
         (0, Count::BadGateway),
         (1, Count::Tries),
     ] {
-        figures.count(class, what);
+        metrics.count(class, what);
     }
-    figures.count(7, Count::Passed);
-    figures.set_storage_nodes(9, 2);
-    figures.loaded(true);
-    figures.loaded(false);
-    figures.loaded(false);
-    figures.silence();
-    figures.list(None);
-    figures.list(Some(700));
-    figures.list(None);
-    let open = figures.taken();
+    metrics.count(7, Count::Passed);
+    metrics.set_storage_nodes(9, 2);
+    metrics.loaded(true);
+    metrics.loaded(false);
+    metrics.loaded(false);
+    metrics.count_silence();
+    metrics.set_list_state(None);
+    metrics.set_list_state(Some(700));
+    metrics.set_list_state(None);
+    let open = metrics.track_open();
     let wanted = "edge_gw_handled{category=\"read\",outcome=\"passed\"} 2\n\
         edge_gw_handled{category=\"read\",outcome=\"dropped\"} 0\n\
         edge_gw_handled{category=\"read\",outcome=\"bad_gateway\"} 1\n\
@@ -38,22 +38,22 @@
         edge_gw_in_progress 1\nedge_gw_known_bricks 9\nedge_gw_skipped_bricks 2\n\
         edge_gw_loads 1\nedge_gw_load_errors 2\n\
         edge_gw_list_silences 1\nedge_gw_list_overdue 1\nedge_gw_list_overdue_ms 700\n";
-    assert_eq!(figures.text(), wanted);
+    assert_eq!(metrics.text(), wanted);
     drop(open);
-    assert_eq!(figures.in_progress(), 0);
+    assert_eq!(metrics.in_progress(), 0);
 }
 
 #[test]
 fn a_class_keeps_its_counts_when_its_number_changes() {
-    let figures = Figures::default();
-    figures.name_classes(&names(&["a", "b"]));
-    figures.count(1, Count::Passed);
+    let metrics = Metrics::default();
+    metrics.name_classes(&names(&["a", "b"]));
+    metrics.count(1, Count::Passed);
     // `a` has new rules under number 2; `b` was removed, but its open requests still end; `c` is new.
-    figures.name_classes(&names(&["a", "b", "a", "c"]));
+    metrics.name_classes(&names(&["a", "b", "a", "c"]));
     for class in [0, 1, 2, 3] {
-        figures.count(class, Count::Passed);
+        metrics.count(class, Count::Passed);
     }
-    let text = figures.text();
+    let text = metrics.text();
     for line in ["{category=\"a\",outcome=\"passed\"} 2\n", "{category=\"b\",outcome=\"passed\"} 2\n"] {
         assert!(text.contains(line), "{text}");
     }
--- a/src/net/back.rs
+++ b/src/net/back.rs
@@ -10,7 +10,7 @@
 use crate::attempt_end::AttemptEnd;
 use crate::config::NodeLimits;
 use crate::core::{Attempt, AttemptContext, AttemptSource, Report, WriteState};
-use crate::handover::Part;
+use crate::handover::CapacityShare;
 use crate::interface::Load;
 use crate::net::inbound::Presence;
 use crate::net::pool::{Pool, Quiet};
@@ -41,9 +41,9 @@
 use tokio::time::{Duration, Instant, sleep_until, timeout, timeout_at};
 
 /// The most bytes of a body, of a request or an answer, that is held whole; a longer body is streamed.
-pub const MOST_BODY: usize = 64 * 1024;
+pub const MAX_HELD_BODY_BYTES: usize = 64 * 1024;
 /// The most bytes of any body.
-pub const MOST_LARGE: u64 = 32 * 1024 * 1024;
+pub const MAX_BODY_BYTES: u64 = 32 * 1024 * 1024;
 /// The header with the id of a request.
 pub const REQUEST_ID: &str = "x-request-id";
 /// The header with the idempotency key of a request.
@@ -59,9 +59,9 @@
 /// The most bytes of an answer's head.
 const MAX_HEAD_BYTES: usize = 16 * 1024;
 /// The most bytes before the final head has been parsed, 1xx answers included.
-const MAX_BYTES_BEFORE_BODY: usize = MAX_HEAD_BYTES + 2 * MOST_BODY;
+const MAX_BYTES_BEFORE_BODY: usize = MAX_HEAD_BYTES + 2 * MAX_HELD_BODY_BYTES;
 /// The most bytes after the head for a body that is held; each byte may come as a chunk of its own.
-const MAX_FRAMED_BODY_BYTES: usize = 8 * MOST_BODY;
+const MAX_FRAMED_BODY_BYTES: usize = 8 * MAX_HELD_BODY_BYTES;
 /// The longest pause within an answer that is held. After it, the declared length is taken to be wrong, or
 /// the answer to have no end.
 const ANSWER_STALL_LIMIT: Duration = Duration::from_millis(600);
@@ -79,7 +79,7 @@
 
 /// The client side towards storage nodes, with its pool of connections.
 #[derive(Clone)]
-pub struct Back {
+pub struct NodeClient {
     pool: Pool<TcpStream>,
     /// Connections opened so far.
     opened: Arc<AtomicU64>,
@@ -87,11 +87,11 @@
     attempts: Arc<AtomicU64>,
 }
 
-impl Back {
-    /// Creates an empty pool with these limits, of which `part` is this process's share.
-    pub fn new(limits: NodeLimits, part: Part) -> Back {
-        let pool = Pool::shared(limits, part).resting(CONNECTION_REST);
-        Back { pool, opened: Arc::default(), attempts: Arc::default() }
+impl NodeClient {
+    /// Creates an empty pool with these limits, of which `capacity_share` is this process's share.
+    pub fn new(limits: NodeLimits, capacity_share: CapacityShare) -> NodeClient {
+        let pool = Pool::with_capacity_share(limits, capacity_share).resting(CONNECTION_REST);
+        NodeClient { pool, opened: Arc::default(), attempts: Arc::default() }
     }
 
     /// Drops expired and closed idle connections, for as long as the program runs.
@@ -111,7 +111,7 @@
         self.attempts.fetch_add(1, Ordering::Relaxed);
         let Ok(address) = context.address.parse() else { return AttemptEnd::NotStarted.into() };
         let _in_use = self.pool.begin();
-        while let Some(stream) = self.pool.latest(address) {
+        while let Some(stream) = self.pool.take_latest(address) {
             let report = self.exchange(stream, address, &forward, &context).await;
             if report.end != AttemptEnd::BrokeUnsent
                 || context.write_state.has_started()
@@ -146,7 +146,7 @@
                 tokio::spawn(async move {
                     let _spare = spare;
                     if let Ok(Ok(stream)) = timeout(LATE_CONNECT_LIMIT, opens).await {
-                        back.pool.put(address, back.opened(stream));
+                        back.pool.release(address, back.opened(stream));
                     }
                 });
             }
@@ -230,7 +230,7 @@
             let parts = connection.into_parts();
             // With bytes beyond the answer, the answer is valid, but the connection is not reused.
             if parts.read_buf.is_empty() {
-                self.pool.put(address, parts.io.io.into_inner());
+                self.pool.release(address, parts.io.io.into_inner());
             } else {
                 self.pool.rest();
             }
@@ -250,7 +250,7 @@
 impl Drop for UnansweredGuard<'_> {
     fn drop(&mut self) {
         if self.progress.with(|p| p.request_is_written() && p.read == 0) {
-            self.pool.distrust(self.address);
+            self.pool.close_idle_to(self.address);
         }
     }
 }
@@ -314,7 +314,9 @@
     let (load, used) = (load(&head.headers), used(&head.headers));
     let length = body.size_hint().exact();
     let held = match length {
-        Some(length) if length > MOST_BODY as u64 => ReceivedBody::More(first_piece(&mut body).await?),
+        Some(length) if length > MAX_HELD_BODY_BYTES as u64 => {
+            ReceivedBody::More(first_piece(&mut body).await?)
+        }
         _ => buffer_body(&mut body).await?,
     };
     let body = match held {
@@ -359,13 +361,13 @@
     Ok(None)
 }
 
-/// Reads a body up to [`MOST_BODY`] bytes; returns the pieces so far of a longer one.
+/// Reads a body up to [`MAX_HELD_BODY_BYTES`] bytes; returns the pieces so far of a longer one.
 async fn buffer_body(body: &mut Incoming) -> Result<ReceivedBody, AnswerError> {
     let (mut pieces, mut bytes) = (Vec::new(), 0);
     while let Some(piece) = next_piece(body).await? {
         bytes += piece.len();
         pieces.push(piece);
-        if bytes > MOST_BODY {
+        if bytes > MAX_HELD_BODY_BYTES {
             return Ok(ReceivedBody::More(pieces));
         }
     }
@@ -399,7 +401,7 @@
             },
         };
         bytes += piece.len() as u64;
-        if bytes > MOST_LARGE {
+        if bytes > MAX_BODY_BYTES {
             return Err(AnswerError::Framing);
         }
         timeout(STREAM_STALL_LIMIT, down.send(piece)).await.map_err(|_| gone())?.map_err(|_| gone())?;
@@ -416,9 +418,9 @@
     Some(all)
 }
 
-/// Reports whether the head declares the body's length in exactly one way and within [`MOST_LARGE`]. A body
-/// that lasts until the connection closes is valid only if the head announces the close (`last`), since a
-/// process that dies resets its connections, which differs from a close.
+/// Reports whether the head declares the body's length in exactly one way and within [`MAX_BODY_BYTES`]. A
+/// body that lasts until the connection closes is valid only if the head announces the close (`last`), since
+/// a process that dies resets its connections, which differs from a close.
 fn has_valid_framing(headers: &HeaderMap, last: bool) -> bool {
     // The same length several times is one length (RFC 9110, 8.6).
     let (Some(lengths), Some(codings)) =
@@ -429,7 +431,7 @@
     match (&lengths[..], &codings[..]) {
         ([length, others @ ..], []) => {
             let digits = length.bytes().all(|byte| byte.is_ascii_digit());
-            let fits = length.parse().is_ok_and(|length: u64| length <= MOST_LARGE);
+            let fits = length.parse().is_ok_and(|length: u64| length <= MAX_BODY_BYTES);
             digits && fits && others.iter().all(|other| other == length)
         }
         ([], [coding]) => coding.eq_ignore_ascii_case("chunked"),
@@ -580,7 +582,7 @@
 /// Runs the attempts of a client's request.
 pub struct ForwardWork {
     /// The connections to nodes.
-    pub back: Back,
+    pub back: NodeClient,
     /// The request.
     pub forward: Arc<Forward>,
     /// Tells whether the client is still connected.
@@ -600,7 +602,7 @@
 /// Runs probes of nodes.
 pub struct ProbeWork {
     /// The connections to nodes.
-    pub back: Back,
+    pub back: NodeClient,
     /// Whether the probe asks for the load report too, where nodes send it only on request.
     pub load: bool,
 }
@@ -765,7 +767,7 @@
         let first = self.progress.with(|p| (!p.write_state.has_started()).then(|| p.write_state.clone()));
         if let Some(write_state) = first {
             let quiet = self.io.inner().quiet();
-            if !quiet && self.io.inner().talks() {
+            if !quiet && self.io.inner().has_unsolicited_bytes() {
                 self.progress.with(|p| p.unsolicited = true);
             }
             if !quiet || !write_state.may_start_writing() {
--- a/src/net/back/tests.rs
+++ b/src/net/back/tests.rs
@@ -75,14 +75,14 @@
 /// The time after which a test fails as stuck.
 const STUCK: Duration = Duration::from_secs(20);
 
-fn with_back<T>(connect: Duration, play: impl AsyncFnOnce(Back, crate::core::Handle) -> T) -> T {
+fn with_back<T>(connect: Duration, play: impl AsyncFnOnce(NodeClient, crate::core::Handle) -> T) -> T {
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build().unwrap();
     runtime.block_on(async {
         let settings = crate::interface::Settings::default();
         let (core, _wanted) = crate::core::Core::new(settings, 7, 10, crate::clock::Clock::start());
         let limits = NodeLimits { most: 8, idle: STUCK, connect };
         let handle = core.handle();
-        timeout(STUCK, play(Back::new(limits, handle.part()), handle)).await.expect("stuck")
+        timeout(STUCK, play(NodeClient::new(limits, handle.capacity_share()), handle)).await.expect("stuck")
     })
 }
 
@@ -175,7 +175,7 @@
             async move { back.connect(address).await }
         });
         tokio::task::yield_now().await;
-        back.pool.put(address, kept);
+        back.pool.release(address, kept);
         assert_eq!(connects.await.unwrap().unwrap().local_addr().unwrap(), port);
     });
 }
--- a/src/net/front.rs
+++ b/src/net/front.rs
@@ -3,10 +3,11 @@
 use crate::classes::Directory;
 use crate::core::{Answer, Arrival, Handle, Pending, less_margin};
 use crate::event;
-use crate::figures::Count;
-use crate::life::Phase;
+use crate::lifecycle_state::Phase;
+use crate::metrics::Count;
 use crate::net::back::{
-    Back, Forward, ForwardWork, IDEMPOTENCY_KEY, MOST_BODY, MOST_LARGE, Passing, Payload, REQUEST_ID, TIMEOUT,
+    Forward, ForwardWork, IDEMPOTENCY_KEY, MAX_BODY_BYTES, MAX_HELD_BODY_BYTES, NodeClient, Passing, Payload,
+    REQUEST_ID, TIMEOUT,
 };
 use crate::net::body::{Fault, Reading};
 use crate::net::ids::Ids;
@@ -63,11 +64,11 @@
 
 /// The HTTP front.
 #[derive(Clone)]
-pub struct Front {
+pub struct HttpFront {
     /// The handle to the core.
     pub handle: Handle,
     /// The connections to storage nodes.
-    pub back: Back,
+    pub back: NodeClient,
     /// The names of classes and plans that are in force; a reload changes them.
     pub names: watch::Receiver<Arc<Directory>>,
     /// The time subtracted from a client's timeout, so that the answer arrives before the timeout.
@@ -83,7 +84,7 @@
 }
 
 /// Accepts and serves connections until the phase no longer accepts.
-pub async fn serve(listener: TcpListener, front: Front, slots: Slots) {
+pub async fn serve(listener: TcpListener, front: HttpFront, slots: Slots) {
     let phase = front.phase.clone();
     let router = Router::new().route("/up", get(readiness)).fallback(handle_request).with_state(front);
     let connection = |stream, slot, phase: &watch::Receiver<Phase>| {
@@ -132,13 +133,13 @@
 }
 
 /// Answers `GET /up`: 200 while the process is up, 503 while it drains.
-async fn readiness(State(front): State<Front>) -> Response {
+async fn readiness(State(front): State<HttpFront>) -> Response {
     let phase = *front.phase.borrow();
     let response = match phase.up {
         true => "up".into_response(),
         false => (StatusCode::SERVICE_UNAVAILABLE, "draining").into_response(),
     };
-    if phase.last { with_connection_close(response) } else { response }
+    if phase.close_after_answer { with_connection_close(response) } else { response }
 }
 
 /// Serves one client connection until it ends, is told to close, or its client leaves.
@@ -147,14 +148,14 @@
     let io = ObservedConnection { io: TokioIo::new(inbound), slot: slot.clone() };
     let (of_request, of_client) = (slot.clone(), client.clone());
     let service = service_fn(move |mut request: hyper::Request<Incoming>| {
-        of_request.asking();
+        of_request.mark_awaiting_request();
         request.extensions_mut().insert(of_request.clone());
         request.extensions_mut().insert(of_client.clone());
         let (answer, slot) = (router.clone().call(request), of_request.clone());
         async move {
             let response = answer.await?;
             let still_out = response.extensions().get::<ResponseUnfinished>().is_some();
-            let last = if still_out { slot.had_better_go() } else { slot.answered() } || slot.is_told();
+            let last = if still_out { slot.had_better_go() } else { slot.mark_answered() } || slot.is_told();
             Ok::<_, std::convert::Infallible>(if last { with_connection_close(response) } else { response })
         }
     });
@@ -179,7 +180,7 @@
                     served.as_mut().graceful_shutdown();
                 }
             }
-            orderly = slot.told_to_leave() => {
+            orderly = slot.asked_to_leave() => {
                 if told || !orderly {
                     debug!("client connection cut off");
                     return;
@@ -243,7 +244,7 @@
 
 /// Answers one request. A panic in its handling is answered with 500.
 async fn handle_request(
-    State(front): State<Front>,
+    State(front): State<HttpFront>,
     Extension(slot): Extension<Slot>,
     Extension(client): Extension<Presence>,
     request: Request,
@@ -255,7 +256,7 @@
         event!(HANDLER_PANIC, front = "HTTP/1.1");
         StatusCode::INTERNAL_SERVER_ERROR.into_response()
     });
-    if leaving.borrow().last {
+    if leaving.borrow().close_after_answer {
         response = with_connection_close(response);
     }
     response
@@ -269,7 +270,7 @@
 
 /// Checks a request, reads its body, submits it to the core and returns the response.
 async fn answer(
-    front: &Front,
+    front: &HttpFront,
     slot: &Slot,
     client: Presence,
     request: Request,
@@ -292,9 +293,9 @@
     {
         return denied(StatusCode::BAD_REQUEST, "a body with a length and a coding");
     }
-    let mut reading = Reading::new(body, MOST_LARGE);
+    let mut reading = Reading::new(body, MAX_BODY_BYTES);
     let length = reading.length();
-    if length.is_some_and(|length| length > MOST_LARGE) {
+    if length.is_some_and(|length| length > MAX_BODY_BYTES) {
         return denied(StatusCode::PAYLOAD_TOO_LARGE, "the body is too long");
     }
     let Some(id) = head.headers.get(REQUEST_ID).cloned() else {
@@ -321,13 +322,13 @@
         )
     };
     let wait = arrival.answer_by.saturating_duration_since(received);
-    let held = length.unwrap_or(0).min(MOST_BODY as u64) as u32;
+    let held = length.unwrap_or(0).min(MAX_HELD_BODY_BYTES as u64) as u32;
     let Ok(memory) = front.bodies.clone().try_acquire_many_owned(held) else {
-        front.handle.figures().count(arrival.class, Count::Dropped);
+        front.handle.metrics().count(arrival.class, Count::Dropped);
         return drain_body_after(reading, slot, refused(NO_ROOM_RETRY_AFTER));
     };
-    slot.reading();
-    let body = if length.is_some_and(|length| length <= MOST_BODY as u64) {
+    slot.mark_reading();
+    let body = if length.is_some_and(|length| length <= MAX_HELD_BODY_BYTES as u64) {
         match reading.whole().await {
             Ok(body) => Payload::Held { body, _memory: Some(memory) },
             Err(fault) => return fault_response(fault),
@@ -344,7 +345,7 @@
     if !front.ids.first_time(id.as_bytes(), received) {
         return denied(StatusCode::CONFLICT, "this id has been used");
     }
-    slot.waiting();
+    slot.mark_waiting();
     // A request's timeout counts from its last held byte.
     let answer_by = Instant::now() + wait;
     let source = match &body {
@@ -416,10 +417,10 @@
     let slot = slot.clone();
     response.extensions_mut().insert(ResponseUnfinished);
     tokio::spawn(async move {
-        slot.reading();
+        slot.mark_reading();
         // On any fault, hyper closes the connection when the unread body is dropped.
         while let Ok(Some(_)) = reading.next().await {}
-        slot.answered();
+        slot.mark_answered();
     });
     response
 }
@@ -494,7 +495,7 @@
 
 impl Drop for StreamedBody {
     fn drop(&mut self) {
-        self.slot.answered();
+        self.slot.mark_answered();
     }
 }
 
--- a/src/net/front/tests.rs
+++ b/src/net/front/tests.rs
@@ -4,13 +4,13 @@
 use crate::config::{ClientLimits, Names, NodeLimits};
 use crate::core::Core;
 use crate::interface::Settings;
-use crate::life::SERVING;
+use crate::lifecycle_state::SERVING;
 
-fn front(handle: &Handle, phase: watch::Receiver<Phase>) -> (Front, Slots) {
+fn front(handle: &Handle, phase: watch::Receiver<Phase>) -> (HttpFront, Slots) {
     let times = Duration::from_secs(1);
-    let front = Front {
+    let front = HttpFront {
         handle: handle.clone(),
-        back: Back::new(NodeLimits { most: 4, idle: times, connect: times }, handle.part()),
+        back: NodeClient::new(NodeLimits { most: 4, idle: times, connect: times }, handle.capacity_share()),
         names: watch::channel(Arc::default()).1,
         answer_margin: times,
         phase,
@@ -72,7 +72,7 @@
         let mut held = Vec::new();
         for _ in 0..4 {
             let slot = slots.take().await;
-            slot.waiting();
+            slot.mark_waiting();
             held.push(slot);
         }
         let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
@@ -83,7 +83,7 @@
         while slots.held() < 5 {
             tokio::task::yield_now().await;
         }
-        phase.send_replace(Phase { accept: false, last: true, close: true, ..SERVING });
+        phase.send_replace(Phase { accept: false, close_after_answer: true, close: true, ..SERVING });
         // Lets every task run while no slot is free.
         for _ in 0..100 {
             tokio::task::yield_now().await;
@@ -115,7 +115,7 @@
         let (_inbound, presence) = Inbound::new(TcpStream::from_std(stream).unwrap());
         let slot = slots.take().await;
         assert!(has_request_under_way(&slot, &presence), "the connection still awaits its first request");
-        slot.answered();
+        slot.mark_answered();
         assert!(!has_request_under_way(&slot, &presence), "an idle connection has no request under way");
         client.write_all(b"GET /up HTTP/1.1\r\nHost: x\r\n\r\n").unwrap();
         // The runtime does not run from here on. Loopback delivers the bytes at once or very soon.
@@ -163,7 +163,7 @@
         while slots.idle() > 1 {
             tokio::task::yield_now().await;
         }
-        phase.send_replace(Phase { accept: false, last: true, close: true, ..SERVING });
+        phase.send_replace(Phase { accept: false, close_after_answer: true, close: true, ..SERVING });
         idle.read_to_end(&mut Vec::new()).await.unwrap();
         busy.write_all(b"Host: x\r\n\r\n").await.unwrap();
         let mut answer = String::new();
--- a/src/net/grpc/front.rs
+++ b/src/net/grpc/front.rs
@@ -14,7 +14,7 @@
 use crate::grpc::guard::{Guard, Offence};
 use crate::grpc::status::{Final, Pushback, details};
 use crate::grpc::timeout;
-use crate::life::Phase;
+use crate::lifecycle_state::Phase;
 use crate::net::front::accept_all;
 use crate::net::inbound::{Inbound, Presence};
 use crate::net::lifecycle::until;
@@ -251,16 +251,16 @@
         biased;
         _ = monitor.offence() => return (0, "it broke a bound before its first call"),
         handshake = handshake => handshake,
-        _ = slot.told_to_leave() => return (0, "its preface did not come in time"),
+        _ = slot.asked_to_leave() => return (0, "its preface did not come in time"),
     };
     let Ok(mut connection) = handshake else {
         monitor.check(|_| Some(Offence::Protocol));
         return (0, "no preface");
     };
-    slot.answered();
+    slot.mark_answered();
     let mut phase = front.phase.clone();
-    // `told_to_leave`: another client wants the slot. `draining`: the process accepts no more calls.
-    let (mut calls, mut told_to_leave, mut draining) = (JoinSet::new(), false, false);
+    // `asked_to_leave`: another client wants the slot. `draining`: the process accepts no more calls.
+    let (mut calls, mut asked_to_leave, mut draining) = (JoinSet::new(), false, false);
     let mut stall_check = tokio::time::interval(STALL_CHECK_INTERVAL);
     let mut client_left = pin!(client.left());
     let reason = loop {
@@ -280,28 +280,28 @@
                     event!(HANDLER_PANIC, front = "gRPC");
                 }
                 if calls.is_empty() {
-                    slot.answered();
-                    if told_to_leave {
+                    slot.mark_answered();
+                    if asked_to_leave {
                         connection.graceful_shutdown();
                     }
                 }
             }
-            () = until(&mut phase, |phase| phase.last || !phase.accept), if !draining => {
+            () = until(&mut phase, |phase| phase.close_after_answer || !phase.accept), if !draining => {
                 draining = true;
                 connection.graceful_shutdown();
             }
-            orderly = slot.told_to_leave() => {
-                if told_to_leave || !orderly {
+            orderly = slot.asked_to_leave() => {
+                if asked_to_leave || !orderly {
                     break "its place was wanted";
                 }
-                told_to_leave = true;
+                asked_to_leave = true;
                 connection.graceful_shutdown();
             }
             _ = stall_check.tick() => monitor.check_stalled(config.patience),
             accepted = connection.accept() => match accepted {
                 Some(Ok((request, respond))) => {
                     front.counters.calls.fetch_add(1, Ordering::Relaxed);
-                    slot.waiting();
+                    slot.mark_waiting();
                     calls.spawn(serve_call(front.clone(), client.clone(), monitor.clone(), request, respond));
                 }
                 Some(Err(error)) => {
--- a/src/net/hot_restart.rs
+++ b/src/net/hot_restart.rs
@@ -5,7 +5,7 @@
 
 use crate::core::{Handle, Input};
 use crate::event;
-use crate::handover::{LOOK, Pair, Part, Seen, Stand};
+use crate::handover::{CHECK_INTERVAL, CapacityShare, Pair, PeerProcess, Permissions};
 use std::fs::{File, OpenOptions, TryLockError};
 use std::io;
 use std::path::{Path, PathBuf};
@@ -13,7 +13,7 @@
 use tokio::time::{Duration, Instant, sleep};
 
 /// How often a process that has just started checks for the other one.
-pub const SOON: Duration = Duration::from_millis(10);
+pub const STARTUP_CHECK_INTERVAL: Duration = Duration::from_millis(10);
 /// How long to wait before trying a lock again: a check by the other process holds the lock for a moment.
 const LOCK_RETRY_INTERVAL: Duration = Duration::from_millis(5);
 /// How often the locks are tried.
@@ -82,24 +82,24 @@
         (self.ours.ids.clone(), self.other.ids.clone())
     }
 
-    fn seen(&self) -> Seen {
-        Seen { lives: held(&self.other.lives), halved: held(&self.other.halved) }
+    fn seen(&self) -> PeerProcess {
+        PeerProcess { lives: held(&self.other.lives), halved: held(&self.other.halved) }
     }
 
     /// Checks for the other process. Locks `halved` only after `tell` has limited this process to half of the
     /// capacity, and lifts that limit only after the lock is released: a process that starts meanwhile either
     /// sees that or is seen.
-    pub fn look(&mut self, mut tell: impl FnMut(bool)) -> Stand {
-        let mut stand = self.pair.look(now(), self.seen());
-        if self.said && !stand.halved {
+    pub fn check(&mut self, mut tell: impl FnMut(bool)) -> Permissions {
+        let mut permissions = self.pair.check(now(), self.seen());
+        if self.said && !permissions.halved {
             self.said = self.ours.halved.unlock().is_err();
-            stand = self.pair.look(now(), self.seen());
+            permissions = self.pair.check(now(), self.seen());
         }
-        tell(stand.halved);
-        if stand.halved && !self.said {
+        tell(permissions.halved);
+        if permissions.halved && !self.said {
             self.said = self.ours.halved.try_lock().is_ok();
         }
-        stand
+        permissions
     }
 }
 
@@ -110,17 +110,17 @@
 /// Checks for the other process for as long as the program runs, and passes each result to `tell`.
 pub async fn watch(mut restart: HotRestart, mut tell: impl FnMut(bool)) {
     loop {
-        restart.look(&mut tell);
-        sleep(LOOK).await;
+        restart.check(&mut tell);
+        sleep(CHECK_INTERVAL).await;
     }
 }
 
 /// Returns a function that passes each change to the core and to the limits of connections.
-pub fn teller(part: Part, handle: Handle) -> impl FnMut(bool) {
+pub fn capacity_share_notifier(capacity_share: CapacityShare, handle: Handle) -> impl FnMut(bool) {
     let mut told = None;
     move |halved| {
         if told.replace(halved) != Some(halved) {
-            part.halve(halved);
+            capacity_share.halve(halved);
             handle.send(Input::CapacityShare { halved });
             event!(TWIN, here = if halved { "yes" } else { "no" });
         }
--- a/src/net/hot_restart/tests.rs
+++ b/src/net/hot_restart/tests.rs
@@ -11,16 +11,16 @@
     let join = || runtime.block_on(HotRestart::join(&folder, "n0"));
     let (mut old, halved) = (join().unwrap(), Cell::new(None));
     let tell = |now| halved.set(Some(now));
-    while !old.look(tell).accept {}
+    while !old.check(tell).accept {}
     assert_eq!(halved.get(), Some(false), "a single process must have the whole capacity");
     let mut new = join().unwrap();
     assert!(join().is_none(), "a third process must not join");
-    assert!(!new.look(|_| {}).accept, "the old process does not hold its `halved` lock yet");
-    assert!(old.look(tell).halved);
+    assert!(!new.check(|_| {}).accept, "the old process does not hold its `halved` lock yet");
+    assert!(old.check(tell).halved);
     assert_eq!(halved.get(), Some(true));
-    assert_eq!(new.look(|_| {}), Stand { accept: true, halved: true });
+    assert_eq!(new.check(|_| {}), Permissions { accept: true, halved: true });
     drop(old);
-    while new.look(|_| {}).halved {}
+    while new.check(|_| {}).halved {}
     assert!(join().is_some());
     std::fs::remove_dir_all(&folder).unwrap();
     assert!(join().is_none(), "joining must fail without the folder");
--- a/src/net/inbound.rs
+++ b/src/net/inbound.rs
@@ -185,7 +185,7 @@
         };
         tokio::select! {
             _ = timeout(LINGER_TIME, rest) => {}
-            _ = slot.told_to_leave() => {}
+            _ = slot.asked_to_leave() => {}
         }
     }
 }
--- a/src/net/lifecycle.rs
+++ b/src/net/lifecycle.rs
@@ -1,7 +1,8 @@
-//! Applies the decisions of `life`: publishes each phase to the fronts when it begins, by time or by a call.
+//! Applies the decisions of `lifecycle_state`: publishes each phase to the fronts when it begins, by time or by
+//! a call.
 
 use crate::event;
-use crate::life::{Ends, Life, Phase};
+use crate::lifecycle_state::{AlreadyStopping, LifecycleState, Phase};
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
 use tokio::sync::{Notify, watch};
 use tokio::time::{Duration, Instant, sleep_until};
@@ -12,7 +13,7 @@
 pub struct Lifecycle(Arc<Inner>);
 
 struct Inner {
-    life: Mutex<Life>,
+    state: Mutex<LifecycleState>,
     phase: watch::Sender<Phase>,
     changed: Notify,
 }
@@ -21,20 +22,20 @@
     /// Creates the lifecycle of a serving process, and the receiver of its phases. `longest` is the longest
     /// deadline of a request.
     pub fn new(longest: Duration) -> (Lifecycle, watch::Receiver<Phase>) {
-        let life = Life::new(longest);
-        let (phase, watched) = watch::channel(life.phase(now()));
-        (Lifecycle(Arc::new(Inner { life: Mutex::new(life), phase, changed: Notify::new() })), watched)
+        let state = LifecycleState::new(longest);
+        let (phase, watched) = watch::channel(state.phase(now()));
+        (Lifecycle(Arc::new(Inner { state: Mutex::new(state), phase, changed: Notify::new() })), watched)
     }
 
-    fn life(&self) -> MutexGuard<'_, Life> {
-        self.0.life.lock().unwrap_or_else(PoisonError::into_inner)
+    fn state(&self) -> MutexGuard<'_, LifecycleState> {
+        self.0.state.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
     /// Applies a call. The new phase is published before this returns.
-    fn call<T>(&self, call: impl FnOnce(&mut Life) -> T) -> T {
-        let mut life = self.life();
-        let done = call(&mut life);
-        self.publish(&life);
+    fn call<T>(&self, call: impl FnOnce(&mut LifecycleState) -> T) -> T {
+        let mut state = self.state();
+        let done = call(&mut state);
+        self.publish(&state);
         self.0.changed.notify_one();
         done
     }
@@ -44,8 +45,8 @@
     /// # Errors
     ///
     /// Fails if the program is ending.
-    pub fn drain(&self) -> Result<(), Ends> {
-        self.call(|life| life.drain(now())).inspect(|()| event!(DRAIN, on = "yes"))
+    pub fn drain(&self) -> Result<(), AlreadyStopping> {
+        self.call(|state| state.drain(now())).inspect(|()| event!(DRAIN, on = "yes"))
     }
 
     /// Stops draining and serves again.
@@ -53,34 +54,34 @@
     /// # Errors
     ///
     /// Fails if the program is ending.
-    pub fn undrain(&self) -> Result<(), Ends> {
-        self.call(Life::undrain).inspect(|()| event!(DRAIN, on = "no"))
+    pub fn undrain(&self) -> Result<(), AlreadyStopping> {
+        self.call(LifecycleState::undrain).inspect(|()| event!(DRAIN, on = "no"))
     }
 
     /// Starts the end of the program. `shared`: another process accepts on the same socket.
     pub fn end(&self, shared: bool) {
-        self.call(|life| life.end(now(), shared));
+        self.call(|state| state.end(now(), shared));
     }
 
     /// Sets the longest deadline of a request.
     pub fn set_longest(&self, longest: Duration) {
-        self.call(|life| life.set_longest(longest));
+        self.call(|state| state.set_longest(longest));
     }
 
     /// Returns the current phase.
     pub fn phase(&self) -> Phase {
-        self.life().phase(now())
+        self.state().phase(now())
     }
 
     /// Returns when requests that are still open have to fail; `None` unless the program is ending.
-    pub fn last(&self) -> Option<Instant> {
-        self.life().last().map(Instant::from_std)
+    pub fn final_answers_at(&self) -> Option<Instant> {
+        self.state().final_answers_at().map(Instant::from_std)
     }
 
     /// Publishes each phase as its time comes, for as long as the program runs.
     pub async fn run(self) {
         loop {
-            let next = self.life().next_change(now()).map(Instant::from_std);
+            let next = self.state().next_change(now()).map(Instant::from_std);
             let changes = async {
                 match next {
                     Some(at) => sleep_until(at).await,
@@ -91,14 +92,14 @@
                 () = changes => {}
                 () = self.0.changed.notified() => {}
             }
-            self.publish(&self.life());
+            self.publish(&self.state());
         }
     }
 
-    /// Publishes the current phase. The caller holds the lock on `life`: otherwise a phase could be published
-    /// after a later one.
-    fn publish(&self, life: &Life) {
-        let phase = life.phase(now());
+    /// Publishes the current phase. The caller holds the lock on `state`: otherwise a phase could be
+    /// published after a later one.
+    fn publish(&self, state: &LifecycleState) {
+        let phase = state.phase(now());
         self.0.phase.send_if_modified(|published| std::mem::replace(published, phase) != phase);
     }
 }
--- a/src/net/ops.rs
+++ b/src/net/ops.rs
@@ -2,7 +2,7 @@
 //! runtime of its own, so that no answer waits for client requests.
 
 use crate::event;
-use crate::figures::Figures;
+use crate::metrics::Metrics;
 use crate::net::fleet::Fleet;
 use crate::net::lifecycle::Lifecycle;
 use std::collections::VecDeque;
@@ -100,7 +100,7 @@
 #[derive(Clone)]
 pub struct Desk {
     /// The metrics.
-    pub figures: Figures,
+    pub metrics: Metrics,
     /// The lifecycle.
     pub lifecycle: Lifecycle,
     /// The view of the fleet; `None` if this host keeps none, which makes `FLEET` an unknown command.
@@ -110,7 +110,7 @@
 impl Desk {
     fn answer(&self, command: Result<Command, BadLine>) -> String {
         let said = match command {
-            Ok(Command::Stats) => return format!("{}END\n", self.figures.text()),
+            Ok(Command::Stats) => return format!("{}END\n", self.metrics.text()),
             Ok(Command::Fleet(only)) => match &self.fleet {
                 Some(fleet) => match fleet.text(only) {
                     Ok(text) => return text,
@@ -139,8 +139,8 @@
         let faults = [
             (phase.ends, "the head is ending"),
             (!phase.up, "the head is draining"),
-            (self.figures.known_nodes() == 0, "no brick is known yet"),
-            (self.figures.silent_for(Instant::now()) > CORE_SILENCE_LIMIT, "the core does not run"),
+            (self.metrics.known_nodes() == 0, "no brick is known yet"),
+            (self.metrics.silent_for(Instant::now()) > CORE_SILENCE_LIMIT, "the core does not run"),
         ];
         match faults.iter().find(|(fault, _)| *fault) {
             Some((_, reason)) => Err(reason.to_string()),
--- a/src/net/ops/tests.rs
+++ b/src/net/ops/tests.rs
@@ -28,12 +28,12 @@
 #[test]
 fn ready_names_what_is_missing_and_a_drain_takes_effect_at_once() {
     let (lifecycle, phase) = Lifecycle::new(Duration::from_secs(1));
-    let desk = Desk { figures: Figures::default(), lifecycle, fleet: None };
+    let desk = Desk { metrics: Metrics::default(), lifecycle, fleet: None };
     let ask = |line: &[u8]| desk.answer(Command::read(line, true).unwrap());
     assert_eq!(ask(b"READY\n"), "ERR no brick is known yet\n");
-    desk.figures.set_storage_nodes(2, 0);
+    desk.metrics.set_storage_nodes(2, 0);
     assert_eq!(ask(b"READY\n"), "ERR the core does not run\n");
-    desk.figures.beat(Instant::now());
+    desk.metrics.report_alive(Instant::now());
     assert_eq!(ask(b"READY\n"), "OK ready\n");
     assert_eq!(ask(b"DRAIN\n"), "OK draining\n");
     assert!(!phase.borrow().up);
@@ -51,7 +51,7 @@
 fn callers_that_never_finish_their_line_do_not_block_the_next() {
     use std::io::{Read, Write};
     let (lifecycle, _phase) = Lifecycle::new(Duration::from_secs(1));
-    let desk = Desk { figures: Figures::default(), lifecycle, fleet: None };
+    let desk = Desk { metrics: Metrics::default(), lifecycle, fleet: None };
     let address = start(SocketAddr::from(([127, 0, 0, 1], 0)), 2, desk).unwrap();
     let connect = || std::net::TcpStream::connect(address).unwrap();
     let mut slow: Vec<_> = (0..10).map(|_| connect()).collect();
--- a/src/net/peers.rs
+++ b/src/net/peers.rs
@@ -3,7 +3,7 @@
 
 use crate::core::{Handle, Input, Message, PeerSender};
 use crate::event;
-use crate::life::Phase;
+use crate::lifecycle_state::Phase;
 use crate::net::fleet::{Fleet, Sends};
 use crate::peers::{Counts, MOST_BYTES, Peers};
 use log::debug;
--- a/src/net/peers/tests.rs
+++ b/src/net/peers/tests.rs
@@ -13,7 +13,7 @@
         let list = vec![own, other.local_addr().unwrap()];
         let peers = Peers::new(list, None, 0, Instant::now().into_std());
         let (talk, peer_sender) = Talk::open(any, peers).await.unwrap();
-        let serves = crate::life::SERVING;
+        let serves = crate::lifecycle_state::SERVING;
         let phase = watch::channel(serves);
         let here = talk.address().unwrap();
         let (core, _wanted) = Core::new(Settings::default(), 7, 10, Clock::start());
--- a/src/net/pool.rs
+++ b/src/net/pool.rs
@@ -3,7 +3,7 @@
 //! connection is closed.
 
 use crate::config::NodeLimits;
-use crate::handover::Part;
+use crate::handover::CapacityShare;
 use socket2::SockRef;
 use std::collections::BTreeMap;
 use std::io::ErrorKind;
@@ -23,7 +23,7 @@
     fn quiet(&self) -> bool;
 
     /// Returns whether unsolicited bytes have arrived.
-    fn talks(&self) -> bool {
+    fn has_unsolicited_bytes(&self) -> bool {
         false
     }
 }
@@ -35,7 +35,7 @@
         SockRef::from(self).peek(&mut byte).is_err_and(|error| error.kind() == ErrorKind::WouldBlock)
     }
 
-    fn talks(&self) -> bool {
+    fn has_unsolicited_bytes(&self) -> bool {
         let mut byte = [MaybeUninit::uninit()];
         SockRef::from(self).peek(&mut byte).is_ok_and(|bytes| bytes > 0)
     }
@@ -68,7 +68,7 @@
     idle: Arc<Mutex<PoolState<C>>>,
     /// The limits of all connections to nodes.
     pub limits: NodeLimits,
-    part: Part,
+    capacity_share: CapacityShare,
     /// How long a connection rests before reuse, once any node has sent unsolicited bytes.
     rest: Duration,
     talked: Arc<AtomicBool>,
@@ -79,7 +79,7 @@
         Pool {
             idle: self.idle.clone(),
             limits: self.limits,
-            part: self.part.clone(),
+            capacity_share: self.capacity_share.clone(),
             rest: self.rest,
             talked: self.talked.clone(),
         }
@@ -89,14 +89,14 @@
 impl<C: Quiet> Pool<C> {
     /// Creates an empty pool.
     pub fn new(limits: NodeLimits) -> Pool<C> {
-        Pool::shared(limits, Part::default())
+        Pool::with_capacity_share(limits, CapacityShare::default())
     }
 
     /// Creates an empty pool whose limits are shared: while another process of this host runs, half of the
     /// connections belong to that process.
-    pub fn shared(limits: NodeLimits, part: Part) -> Pool<C> {
+    pub fn with_capacity_share(limits: NodeLimits, capacity_share: CapacityShare) -> Pool<C> {
         let idle = Arc::new(Mutex::new(PoolState { kept: BTreeMap::new(), count: 0, used: 0 }));
-        Pool { idle, limits, part, rest: Duration::ZERO, talked: Arc::default() }
+        Pool { idle, limits, capacity_share, rest: Duration::ZERO, talked: Arc::default() }
     }
 
     /// Sets the rest between two uses of a connection, for protocols whose answers carry no request id: a
@@ -118,7 +118,7 @@
     /// Takes the most recently used connection to that address that has rested. If none has, takes the one
     /// that has rested longest, unless a node has sent unsolicited bytes. The caller checks whether the
     /// connection is still usable.
-    pub fn latest(&self, address: SocketAddr) -> Option<C> {
+    pub fn take_latest(&self, address: SocketAddr) -> Option<C> {
         let mut idle = self.idle();
         loop {
             let kept = idle.kept.get_mut(&address)?;
@@ -133,17 +133,17 @@
         }
     }
 
-    /// Takes a connection like [`latest`](Self::latest), and skips those that are no longer usable.
+    /// Takes a connection like [`take_latest`](Self::take_latest), and skips those that are no longer usable.
     pub fn take(&self, address: SocketAddr) -> Option<C> {
-        std::iter::from_fn(|| self.latest(address)).find(C::quiet)
+        std::iter::from_fn(|| self.take_latest(address)).find(C::quiet)
     }
 
     /// Returns a connection that is no longer in use to the pool.
-    pub fn put(&self, address: SocketAddr, connection: C) {
+    pub fn release(&self, address: SocketAddr, connection: C) {
         let mut idle = self.idle();
         idle.count += 1;
         idle.kept.entry(address).or_default().push(Kept { connection, since: Instant::now() });
-        idle.shrink_to(self.part.of(self.limits.most));
+        idle.shrink_to(self.capacity_share.of(self.limits.most));
     }
 
     /// Counts one more connection as in use. Idle connections are closed to stay within the limit; the
@@ -151,7 +151,7 @@
     pub fn begin(&self) -> InUse<C> {
         let mut idle = self.idle();
         idle.used += 1;
-        idle.shrink_to(self.part.of(self.limits.most));
+        idle.shrink_to(self.capacity_share.of(self.limits.most));
         InUse(self.idle.clone())
     }
 
@@ -160,13 +160,13 @@
     pub fn begin_spare(&self) -> Option<InUse<C>> {
         let few = {
             let idle = self.idle();
-            idle.used < self.part.of(self.limits.most) / 2
+            idle.used < self.capacity_share.of(self.limits.most) / 2
         };
         few.then(|| self.begin())
     }
 
     /// Closes the idle connections to that address, after a request to it was written and never answered.
-    pub fn distrust(&self, address: SocketAddr) {
+    pub fn close_idle_to(&self, address: SocketAddr) {
         let mut idle = self.idle();
         idle.count -= idle.kept.remove(&address).map_or(0, |kept| kept.len());
     }
@@ -192,7 +192,7 @@
             let before = kept.len();
             kept.retain(|kept| {
                 let good = kept.since.elapsed() < self.limits.idle && kept.connection.quiet();
-                if !good && kept.connection.talks() {
+                if !good && kept.connection.has_unsolicited_bytes() {
                     self.rest();
                 }
                 good
--- a/src/net/pool/tests.rs
+++ b/src/net/pool/tests.rs
@@ -22,15 +22,15 @@
 fn the_most_recently_used_quiet_connection_is_taken() {
     let (pool, quiet) = (pool(3, Duration::from_secs(3600)), Rc::new(Cell::new(true)));
     for (port, number) in [(1, 1), (1, 2), (2, 3), (1, 4)] {
-        pool.put(at(port), Fake(number, quiet.clone()));
+        pool.release(at(port), Fake(number, quiet.clone()));
     }
     // The pool keeps at most three: the oldest was closed.
     assert_eq!(pool.take(at(1)).map(|fake| fake.0), Some(4));
-    pool.put(at(1), Fake(5, Rc::new(Cell::new(false))));
+    pool.release(at(1), Fake(5, Rc::new(Cell::new(false))));
     assert_eq!(pool.take(at(1)).map(|fake| fake.0), Some(2));
     assert!(pool.take(at(1)).is_none());
-    pool.put(at(1), Fake(6, quiet.clone()));
-    pool.distrust(at(1));
+    pool.release(at(1), Fake(6, quiet.clone()));
+    pool.close_idle_to(at(1));
     assert!(pool.take(at(1)).is_none());
     assert_eq!(pool.held(), 1);
     let _in_use = [pool.begin(), pool.begin()];
@@ -38,7 +38,7 @@
     let third = pool.begin();
     assert_eq!(pool.held(), 0);
     drop(third);
-    pool.put(at(1), Fake(7, quiet.clone()));
+    pool.release(at(1), Fake(7, quiet.clone()));
     quiet.set(false);
     pool.drop_stale();
     assert_eq!(pool.held(), 0);
@@ -47,9 +47,9 @@
 #[test]
 fn a_connection_idle_for_too_long_is_not_taken() {
     let (pool, quiet) = (pool(3, Duration::ZERO), Rc::new(Cell::new(true)));
-    pool.put(at(1), Fake(1, quiet.clone()));
+    pool.release(at(1), Fake(1, quiet.clone()));
     assert!(pool.take(at(1)).is_none());
-    pool.put(at(1), Fake(2, quiet));
+    pool.release(at(1), Fake(2, quiet));
     pool.drop_stale();
     assert_eq!(pool.held(), 0);
 }
@@ -78,17 +78,17 @@
 #[test]
 fn only_a_connection_that_has_rested_is_taken() {
     let (pool, quiet) = (pool(4, Duration::from_secs(3600)), Rc::new(Cell::new(true)));
-    pool.put(at(1), Fake(1, quiet.clone()));
+    pool.release(at(1), Fake(1, quiet.clone()));
     assert_eq!(pool.take(at(1)).map(|fake| fake.0), Some(1), "without a rest a connection is taken at once");
     let resting = pool.clone().resting(Duration::from_secs(60));
-    pool.put(at(1), Fake(9, quiet.clone()));
+    pool.release(at(1), Fake(9, quiet.clone()));
     assert_eq!(resting.take(at(1)).map(|fake| fake.0), Some(9), "no node has sent unsolicited bytes");
     resting.rest();
-    pool.put(at(1), Fake(2, quiet));
-    assert!(resting.take(at(1)).is_none() && resting.latest(at(1)).is_none());
+    pool.release(at(1), Fake(2, quiet));
+    assert!(resting.take(at(1)).is_none() && resting.take_latest(at(1)).is_none());
     assert_eq!(pool.held(), 1);
     pool.idle().kept.get_mut(&at(1)).unwrap()[0].since = Instant::now() - Duration::from_secs(60);
-    pool.put(at(1), Fake(3, Rc::new(Cell::new(true))));
+    pool.release(at(1), Fake(3, Rc::new(Cell::new(true))));
     assert_eq!(resting.take(at(1)).map(|fake| fake.0), Some(2), "the one that has rested");
     assert!(resting.take(at(1)).is_none());
 }
@@ -99,7 +99,7 @@
     let (pool, quiet) = (pool(4, Duration::from_secs(3600)), Rc::new(Cell::new(true)));
     let pool = pool.resting(Duration::from_secs(60));
     for number in 1..=4 {
-        pool.put(at(1), Fake(number, quiet.clone()));
+        pool.release(at(1), Fake(number, quiet.clone()));
     }
     let rested = |places: &[usize]| {
         for place in places {
--- a/src/net/sftp/back.rs
+++ b/src/net/sftp/back.rs
@@ -136,7 +136,7 @@
             context.write_state.mark_complete();
         }
         let reply = reply?;
-        self.pool.put(address, connection);
+        self.pool.release(address, connection);
         let end = match &reply {
             Reply::Status { code: Status::Failure, text } if text == NOT_PROCESSED => AttemptEnd::TurnedAway,
             Reply::Status { code: Status::Failure | Status::BadMessage, .. } => AttemptEnd::ErrorAnswer,
--- a/src/net/sftp/front.rs
+++ b/src/net/sftp/front.rs
@@ -5,10 +5,10 @@
 use super::packet::{
     self, Command, EncodedReply, MOST_DATA, Malformed, Reply, Request, Response, Status, VERSION,
 };
-use crate::config::sftp::{ClassLimits, FileTarget, SecondFront, TargetError};
+use crate::config::sftp::{ClassLimits, FileTarget, SftpFront, TargetError};
 use crate::core::{Answer, Arrival, Handle, less_margin};
 use crate::event;
-use crate::life::Phase;
+use crate::lifecycle_state::Phase;
 use crate::net::front::accept_all;
 use crate::net::inbound::{Inbound, Presence};
 use crate::net::lifecycle::until;
@@ -41,7 +41,7 @@
     /// The connections to storage nodes.
     pub stores: Stores,
     /// The front's configuration.
-    pub config: Arc<SecondFront>,
+    pub config: Arc<SftpFront>,
     /// How long before a command's deadline the front answers.
     pub answer_margin: Duration,
     /// The phase of the process's life, which tells when to stop accepting and when to close.
@@ -102,7 +102,7 @@
         let first = tokio::select! {
             biased;
             first = self.packets.next() => first,
-            _ = self.slot.told_to_leave() => None,
+            _ = self.slot.asked_to_leave() => None,
         };
         match first {
             Some(Ok(first)) => match Request::decode(first.freeze()) {
@@ -116,19 +116,19 @@
         }
         let mut phase = self.front.phase.clone();
         // Another client wants the slot.
-        let mut told_to_leave = false;
+        let mut asked_to_leave = false;
         let client = self.client.clone();
         let mut client_left = pin!(client.left());
         loop {
             let idle = self.in_flight.is_empty();
             if idle {
-                self.slot.answered();
+                self.slot.mark_answered();
                 // A command that has already arrived is served before the connection closes.
-                if told_to_leave && !client.has_unread() {
+                if asked_to_leave && !client.has_unread() {
                     return "its place was wanted";
                 }
             } else {
-                self.slot.waiting();
+                self.slot.mark_waiting();
             }
             let full = self.in_flight.len() >= MAX_IN_FLIGHT;
             tokio::select! {
@@ -145,8 +145,8 @@
                 }
                 // Notices a closed connection also while no command is read from it.
                 () = &mut client_left => return "it closed the connection",
-                _ = self.slot.told_to_leave() => told_to_leave = true,
-                packet = self.packets.next(), if !full && (idle || !told_to_leave) => {
+                _ = self.slot.asked_to_leave() => asked_to_leave = true,
+                packet = self.packets.next(), if !full && (idle || !asked_to_leave) => {
                     let received = Instant::now();
                     let packet = match packet {
                         Some(Ok(packet)) => packet.freeze(),
@@ -293,11 +293,11 @@
     let rule = target.rule;
     match operation {
         Operation::Open { flags, .. } if flags & (packet::CREAT | packet::TRUNC | packet::EXCL) != 0 => {
-            (rule.once, 0)
+            (rule.non_repeatable, 0)
         }
         Operation::Open { .. } | Operation::Stat { .. } => (rule.read, 0),
         Operation::Read { length, .. } => (rule.read, *length as usize),
-        Operation::Write { append: true, data, .. } => (rule.once, data.len()),
+        Operation::Write { append: true, data, .. } => (rule.non_repeatable, data.len()),
         // Writing the same bytes at the same offset again is harmless, so the class of writes applies.
         Operation::Write { data, .. } => (rule.write, data.len()),
     }
@@ -312,7 +312,7 @@
     file: Option<Arc<File>>,
     received: Instant,
 ) -> Result<EncodedReply, Reply> {
-    let target = front.config.place(&path).map_err(|error| match error {
+    let target = front.config.target(&path).map_err(|error| match error {
         TargetError::MalformedPath => Reply::status(Status::PermissionDenied, "no path for here"),
         TargetError::Unmapped => Reply::status(Status::NoSuchFile, "nothing is kept there"),
     })?;
--- a/src/net/slots.rs
+++ b/src/net/slots.rs
@@ -2,7 +2,7 @@
 //! which connection is asked to leave when no slot is free or a time limit has passed. Shared by the fronts.
 
 use crate::config::ClientLimits;
-use crate::handover::Part;
+use crate::handover::CapacityShare;
 use std::collections::BTreeMap;
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
 use tokio::sync::Notify;
@@ -74,19 +74,24 @@
     limits: ClientLimits,
     taken: Arc<Mutex<Taken>>,
     freed: Arc<Notify>,
-    part: Part,
+    capacity_share: CapacityShare,
 }
 
 impl Slots {
     /// Creates the slots, all free.
     pub fn new(limits: ClientLimits) -> Slots {
-        Slots { limits, taken: Arc::default(), freed: Arc::default(), part: Part::default() }
+        Slots {
+            limits,
+            taken: Arc::default(),
+            freed: Arc::default(),
+            capacity_share: CapacityShare::default(),
+        }
     }
 
     /// Sets this process's share: while another process of this host runs, half of the slots belong to
     /// that process.
-    pub fn shared(mut self, part: Part) -> Slots {
-        self.part = part;
+    pub fn with_capacity_share(mut self, capacity_share: CapacityShare) -> Slots {
+        self.capacity_share = capacity_share;
         self
     }
 
@@ -116,10 +121,10 @@
     /// in the kernel's queue.
     pub async fn take(&self) -> Slot {
         let slot = self.insert();
-        if self.held() > self.part.of(self.limits.most) {
+        if self.held() > self.capacity_share.of(self.limits.most) {
             self.ask_one_to_leave(slot.0.id);
         }
-        while self.held() > self.part.of(self.limits.most + self.limits.spare) {
+        while self.held() > self.capacity_share.of(self.limits.most + self.limits.spare) {
             let freed = self.freed.notified();
             if timeout(EVICTION_INTERVAL, freed).await.is_err() {
                 self.ask_one_to_leave(slot.0.id);
@@ -178,7 +183,7 @@
     fn check_limits(&self, now: Instant) {
         let (limits, mut taken) = (self.limits, self.taken());
         let Taken { slots, counts, .. } = &mut *taken;
-        let many = slots.len() > self.part.of(limits.most) / 2;
+        let many = slots.len() > self.capacity_share.of(limits.most) / 2;
         for state in slots.values_mut() {
             let limit = match (state.activity, state.asked_at) {
                 (Activity::Waiting | Activity::Reading | Activity::Lingering, _) => continue,
@@ -262,25 +267,25 @@
     }
 
     /// Marks that the request's head is read and its body is not.
-    pub fn reading(&self) {
+    pub fn mark_reading(&self) {
         self.with(|slot| slot.head = Vec::new());
         self.set(Activity::Reading);
     }
 
     /// Marks that a request has begun.
-    pub fn asking(&self) {
+    pub fn mark_awaiting_request(&self) {
         self.set(Activity::Asking);
     }
 
     /// Marks that the request is complete or queued: the connection is not cut off before its answer.
-    pub fn waiting(&self) {
+    pub fn mark_waiting(&self) {
         self.set(Activity::Waiting);
     }
 
     /// Marks that the request has its answer. Returns true if the connection should close after it because
     /// many are idle: clients, whose descriptors are limited too, would have few left for requests. A
     /// connection that has had an answer before is kept for longer.
-    pub fn answered(&self) -> bool {
+    pub fn mark_answered(&self) -> bool {
         self.set(Activity::Idle);
         let answered_before =
             self.with(|state| std::mem::replace(&mut state.answered_before, true)).unwrap_or(false);
@@ -295,7 +300,7 @@
 
     fn too_many_idle(&self, answered_before: bool) -> bool {
         let slots = &self.0.slots;
-        let (idle, most) = (slots.idle(), slots.part.of(slots.limits.most_idle));
+        let (idle, most) = (slots.idle(), slots.capacity_share.of(slots.limits.most_idle));
         idle > if answered_before { most + most / 3 } else { most }
     }
 
@@ -318,7 +323,7 @@
 
     /// Waits until the connection is asked to leave. Returns true if it may finish its open answer first;
     /// false if no complete request has been read, so that it is cut off.
-    pub async fn told_to_leave(&self) -> bool {
+    pub async fn asked_to_leave(&self) -> bool {
         self.0.leave.notified().await;
         self.with(|slot| !matches!(slot.activity, Activity::Asking | Activity::Reading)).unwrap_or(false)
     }
--- a/src/net/slots/tests.rs
+++ b/src/net/slots/tests.rs
@@ -16,7 +16,7 @@
 }
 
 fn told(slot: &Slot) -> Option<bool> {
-    slot.told_to_leave().now_or_never()
+    slot.asked_to_leave().now_or_never()
 }
 
 #[test]
@@ -30,9 +30,9 @@
     ] {
         let slots = slots(10);
         let held: Vec<Slot> = (0..3 + others).map(|_| slots.insert()).collect();
-        held[1].waiting();
-        held[2].answered();
-        held[3..].iter().for_each(Slot::waiting);
+        held[1].mark_waiting();
+        held[2].mark_answered();
+        held[3..].iter().for_each(Slot::mark_waiting);
         slots.check_limits(Instant::now() + after);
         assert_eq!([&held[0], &held[1], &held[2]].map(|slot| told(slot).is_some()), gone, "{after:?}");
     }
@@ -42,7 +42,7 @@
 fn a_connection_that_stays_after_it_was_asked_to_leave_is_cut_off() {
     let slots = slots(10);
     let slot = slots.insert();
-    slot.answered();
+    slot.mark_answered();
     let now = Instant::now();
     slots.check_limits(now + IDLE);
     assert_eq!(told(&slot), Some(true));
@@ -56,13 +56,13 @@
 fn with_many_idle_connections_a_first_answer_closes_its_connection() {
     let slots = slots(10);
     let held: Vec<Slot> = (0..6).map(|_| slots.insert()).collect();
-    assert_eq!([0, 1, 2, 3].map(|i| held[i].answered()), [false, false, false, true]);
+    assert_eq!([0, 1, 2, 3].map(|i| held[i].mark_answered()), [false, false, false, true]);
     // The first connection sends another request, and is kept for longer.
-    held[0].waiting();
-    assert!(!held[0].answered());
-    assert!(held[4].answered());
-    held[0].waiting();
-    assert!(held[0].answered());
+    held[0].mark_waiting();
+    assert!(!held[0].mark_answered());
+    assert!(held[4].mark_answered());
+    held[0].mark_waiting();
+    assert!(held[0].mark_answered());
 }
 
 #[test]
@@ -72,17 +72,17 @@
         let slots = slots(4);
         let mut open_ones = vec![slots.insert()];
         let idle = slots.insert();
-        idle.answered();
+        idle.mark_answered();
         let (silent, later) = (slots.insert(), slots.insert());
-        open_ones[0].waiting();
+        open_ones[0].mark_waiting();
         for leaving in [silent, later, idle] {
             // Only the end of this connection frees a slot; the new connection holds it with an open request.
             let goes = async {
-                leaving.told_to_leave().await;
+                leaving.asked_to_leave().await;
                 drop(leaving);
             };
             let (next, ()) = tokio::join!(slots.take(), goes);
-            next.waiting();
+            next.mark_waiting();
             open_ones.push(next);
         }
         assert!(open_ones.iter().all(|slot| told(slot).is_none()));
@@ -95,7 +95,7 @@
     runtime.block_on(async {
         let slots = slots(2);
         let lingers = slots.insert();
-        lingers.answered();
+        lingers.mark_answered();
         slots.check_limits(Instant::now() + IDLE);
         assert_eq!((told(&lingers), lingers.is_told()), (Some(true), true));
         lingers.lingers();
@@ -105,7 +105,7 @@
         // A connection that never had an answer would leave before an idle one.
         let silent = slots.insert();
         let goes = async {
-            lingers.told_to_leave().await;
+            lingers.asked_to_leave().await;
             drop(lingers);
         };
         let (_next, ()) = tokio::join!(slots.take(), goes);
--- a/src/policy/dispatch.rs
+++ b/src/policy/dispatch.rs
@@ -80,7 +80,7 @@
     /// queues, of the flow with the fewest requests in flight. If all flows are throttled, the one with the
     /// lowest virtual time.
     fn choose(&mut self, now: Micros, node: NodeId, global_virtual_time: f64) -> Option<RequestId> {
-        let throttle = global_virtual_time + MAX_VIRTUAL_LEAD_REQUESTS * self.settings.most_units.max(1.0);
+        let throttle = global_virtual_time + MAX_VIRTUAL_LEAD_REQUESTS * self.settings.max_units.max(1.0);
         let shard = self.nodes[&node].shard;
         let mut waiting: Vec<(f64, FlowIndex, RequestId)> = Vec::new();
         // New objects avoid an unresponsive node while any other node takes work.
--- a/src/policy/guards.rs
+++ b/src/policy/guards.rs
@@ -65,7 +65,7 @@
     /// the node warms up.
     fn slow_start_allows(&self, now: Micros, node: &Node, pending: &PendingRequest) -> bool {
         let s = &self.settings;
-        if node.slow_start_since.is_none_or(|since| now >= since + s.cold) {
+        if node.slow_start_since.is_none_or(|since| now >= since + s.slow_start_duration) {
             return true;
         } else if s.slow_start_units <= 0.0 || s.slow_start_fraction <= 0.0 {
             return node.in_flight.is_empty();
@@ -85,7 +85,7 @@
     /// at the even part if that is larger.
     pub(super) fn fill_slow_start_credit(&mut self, now: Micros) {
         let (s, host_share) = (&self.settings, self.share);
-        let cold = |n: &Node| n.slow_start_since.is_some_and(|since| now < since + s.cold);
+        let cold = |n: &Node| n.slow_start_since.is_some_and(|since| now < since + s.slow_start_duration);
         for node in self.nodes.values_mut().filter(|n| cold(n)) {
             let capacity = slow_start_capacity(s, now, node);
             let even = host_share * capacity / s.slow_start_fraction * s.slow_start_units * SECOND
@@ -100,6 +100,6 @@
 
 /// The fraction of its full capacity that a node in slow start has at least.
 pub(super) fn slow_start_capacity(s: &Settings, now: Micros, node: &Node) -> f64 {
-    let warm = (now - node.slow_start_since.unwrap_or(0)) as f64 / s.cold.max(1) as f64;
+    let warm = (now - node.slow_start_since.unwrap_or(0)) as f64 / s.slow_start_duration.max(1) as f64;
     s.slow_start_fraction + (1.0 - s.slow_start_fraction) * warm.min(1.0)
 }
--- a/src/policy/nodes.rs
+++ b/src/policy/nodes.rs
@@ -180,7 +180,8 @@
         done: &Outcome,
     ) -> Option<String> {
         let (id, at) = attempt;
-        let (fall, cold, max_depth) = (self.settings.fall, self.settings.cold, self.max_depth());
+        let (fall, cold, max_depth) =
+            (self.settings.fall, self.settings.slow_start_duration, self.max_depth());
         let many_hosts = self.many_hosts();
         // Many hosts together try an unresponsive node no more often than a few would, and at different
         // times.
--- a/src/policy/requests.rs
+++ b/src/policy/requests.rs
@@ -15,9 +15,9 @@
         };
         let target_at = now + class.target.min(request.time_left);
         let in_order = class.in_order && request.key != 0;
-        let units = if request.units.is_finite() { request.units.max(0.0) } else { self.settings.most_units };
+        let units = if request.units.is_finite() { request.units.max(0.0) } else { self.settings.max_units };
         let (margin, flow_index) = (2 * self.settings.tick, self.flow(now, &request));
-        let (max_units, flow) = (self.settings.most_units, &mut self.flows[flow_index]);
+        let (max_units, flow) = (self.settings.max_units, &mut self.flows[flow_index]);
         let rate = flow.reserve_rate();
         let reserved = flow.reserve.fill(now, rate, rate + max_units) >= units && rate > 0.0;
         flow.reserve.level -= if reserved { units } else { 0.0 };
@@ -104,7 +104,7 @@
                 AttemptResult::TimedOut | AttemptResult::Reset | AttemptResult::Cancelled
             )
         {
-            key.blocked_until = now + self.settings.order_settle;
+            key.blocked_until = now + self.settings.key_hold;
         }
         actions.extend(self.observe_outcome(now, (node, sent), units, &outcome).map(Action::Log));
         self.share_queue_report(now, node, &outcome, actions);
--- a/src/staleness.rs
+++ b/src/staleness.rs
@@ -117,16 +117,17 @@
             WatchState::Watched | WatchState::Silent => {
                 self.complete_at.max(self.unreachable_call).saturating_add(TOLD)
             }
-            WatchState::Ended if settings.must_subscribe && settings.ask_within == 0 => Micros::MAX,
+            WatchState::Ended if settings.must_subscribe && settings.max_unsubscribed == 0 => Micros::MAX,
             WatchState::Ended if settings.must_subscribe => {
-                let by_settings = self.complete_at.max(self.failed_call).saturating_add(settings.ask_within);
+                let by_settings =
+                    self.complete_at.max(self.failed_call).saturating_add(settings.max_unsubscribed);
                 by_settings.min(self.complete_at.max(self.unreachable_call).saturating_add(TOLD))
             }
             WatchState::Ended => self.complete_at.max(self.failed_call),
         };
         let moved = self.moved.map_or(Micros::MAX, |at| at.saturating_add(TOLD_MOVED));
-        let stop_time = ((1.0 - RESERVED) * settings.stop_within as f64) as Micros;
-        if settings.stop_within == 0 { Micros::MAX } else { told.min(moved).saturating_add(stop_time) }
+        let stop_time = ((1.0 - RESERVED) * settings.drain_grace as f64) as Micros;
+        if settings.drain_grace == 0 { Micros::MAX } else { told.min(moved).saturating_add(stop_time) }
     }
 }
 
--- a/src/staleness/tests.rs
+++ b/src/staleness/tests.rs
@@ -7,9 +7,10 @@
 type Row = (&'static str, bool, &'static [(u64, ListUpdate)], u64);
 
 /// Returns until when the list is usable after the updates; times are tenths of a second after the start.
-fn after(asked: bool, hosts: u32, ask_within: u64, news: &[(u64, ListUpdate)]) -> u64 {
-    let stop_within = S;
-    let settings = Settings { must_subscribe: asked, hosts, ask_within, stop_within, ..Settings::default() };
+fn after(asked: bool, hosts: u32, max_unsubscribed: u64, news: &[(u64, ListUpdate)]) -> u64 {
+    let drain_grace = S;
+    let settings =
+        Settings { must_subscribe: asked, hosts, max_unsubscribed, drain_grace, ..Settings::default() };
     let mut list = Staleness::default();
     for (at, news) in news {
         let now = 100 * S + at * S / 10;
@@ -106,7 +107,7 @@
     use ListUpdate::*;
     let fails: &[(u64, ListUpdate)] =
         &[(10, Subscribed), (30, Heartbeat), (40, Failed), (60, Failed), (80, Failed)];
-    for (what, hosts, ask_within, until) in [
+    for (what, hosts, max_unsubscribed, until) in [
         ("few hosts", 4, 10 * S, 138),
         ("as many hosts as discovery serves in time", 333, 10 * S, 138),
         ("one host more", 334, 10 * S, 98),
@@ -114,6 +115,6 @@
         ("a shorter time in the settings", 4, 2 * S, 98),
         ("a longer time in the settings", 4, 60 * S, 138),
     ] {
-        assert_eq!(after(true, hosts, ask_within, fails), until, "{what}");
+        assert_eq!(after(true, hosts, max_unsubscribed, fails), until, "{what}");
     }
 }
--- a/tests/leaving.rs
+++ b/tests/leaving.rs
@@ -153,8 +153,8 @@
             hosts,
             position,
             must_subscribe: !self.pushed,
-            ask_within: ASK_WITHIN,
-            stop_within: STOP,
+            max_unsubscribed: ASK_WITHIN,
+            drain_grace: STOP,
             max_retry_after: Some(S),
             ..settings(vec![Class { deadline: 400 * MS, target: 200 * MS, ..class(Repeats::Safe) }])
         };
--- a/tests/rules.rs
+++ b/tests/rules.rs
@@ -187,8 +187,7 @@
 #[test]
 fn requests_of_a_key_keep_their_order_and_wait_after_an_attempt_that_may_still_run() {
     let ordered = Class { in_order: true, ..class(Repeats::Safe) };
-    let mut host =
-        Host::new(Settings { order_settle: 500 * MS, ..settings(vec![ordered]) }, vec![node(10, 1)]);
+    let mut host = Host::new(Settings { key_hold: 500 * MS, ..settings(vec![ordered]) }, vec![node(10, 1)]);
     for id in 1..=3 {
         host.arrive(id, |r| r.key = 9);
     }
