--- a/benches/grpc.rs
+++ b/benches/grpc.rs
@@ -5,7 +5,7 @@
 #![allow(clippy::unwrap_used, clippy::expect_used, reason = "a test fails by a panic")]
 
 use hdrhistogram::Histogram;
-use pathbank::grpc::routes::{Routes, Scan};
+use pathbank::grpc::routes::{LinearRoutes, Routes};
 use pathbank::grpc::status;
 use pathbank::rehearsal::grpc::cases::Stage;
 use pathbank::rehearsal::grpc::client::{Ask, Client};
@@ -55,7 +55,7 @@
     println!("routes: ns a look-up\n{:>8} {:>10} {:>12}", "routes", "trie", "plain scan");
     let mut random = fastrand::Rng::with_seed(7);
     for size in [10, 1_000, 10_000] {
-        let (mut trie, mut scan, mut paths) = (Routes::default(), Scan::default(), Vec::new());
+        let (mut trie, mut scan, mut paths) = (Routes::default(), LinearRoutes::default(), Vec::new());
         for i in 0..size {
             let (package, service) = (i / 100, i / 10 % 10);
             let path = format!("/acme.team{package}.v1.Service{service}/Method{}", i % 10);
--- a/benches/wheel.rs
+++ b/benches/wheel.rs
@@ -3,7 +3,7 @@
 #![allow(clippy::unwrap_used, clippy::expect_used, reason = "a test fails by a panic")]
 
 use criterion::{BenchmarkId, Criterion, criterion_group, criterion_main};
-use pathbank::index::wheel::Wheel;
+use pathbank::index::wheel::TimerWheel;
 use std::cmp::Reverse;
 use std::collections::{BinaryHeap, VecDeque};
 
@@ -11,7 +11,7 @@
 
 /// Requests come `gap` apart, each with a deadline, and each is answered after `held` others; one in a hundred is not.
 fn wheel(rounds: u64, gap: u64, held: usize) -> usize {
-    let (mut wheel, mut open, mut late) = (Wheel::new(0), VecDeque::new(), 0);
+    let (mut wheel, mut open, mut late) = (TimerWheel::new(0), VecDeque::new(), 0);
     for i in 0..rounds {
         let now = i * gap;
         open.push_back(wheel.insert(now + DEADLINE, i));
--- a/src/agree/rules.rs
+++ b/src/agree/rules.rs
@@ -72,7 +72,7 @@
 
 impl RulesChange {
     /// Whether the decision module needs the new settings.
-    pub fn affects_module(&self) -> bool {
+    pub fn affects_policy(&self) -> bool {
         self.revised || self.level != self.was
     }
 }
--- a/src/bin/pathbank-log.rs
+++ b/src/bin/pathbank-log.rs
@@ -2,7 +2,7 @@
 
 use clap::{Parser, Subcommand};
 use pathbank::events;
-use pathbank::logbook::{By, Condition, Once, Sums, as_grave_as, follow, message};
+use pathbank::logbook::{Condition, Deduplicator, GroupBy, Summaries, at_least_as_severe, follow, message};
 use pathbank::syslog::Severity;
 use std::fs::File;
 use std::io::{self, BufRead, BufReader, BufWriter, Read, Write};
@@ -36,7 +36,7 @@
     /// Sums up requests or attempts, with latencies
     Sum {
         #[arg(value_enum)]
-        by: By,
+        by: GroupBy,
         #[command(flatten)]
         which: Which,
     },
@@ -81,19 +81,19 @@
 
 fn run(command: Command) -> io::Result<ExitCode> {
     let mut out = BufWriter::new(io::stdout().lock());
-    let mut once = Once::default();
+    let mut deduplicator = Deduplicator::default();
     let mut malformed = 0;
     match command {
         Command::Events => out.write_all(events::page().as_bytes())?,
         Command::Show { which } => {
-            malformed = each(&which, &mut once, |line, _| {
+            malformed = each(&which, &mut deduplicator, |line, _| {
                 out.write_all(line)?;
                 out.write_all(b"\n")
             })?;
         }
         Command::Follow { request, which } => {
             let wanted = request.to_string();
-            malformed = each(&which, &mut once, |_, message| {
+            malformed = each(&which, &mut deduplicator, |_, message| {
                 let same = message.any("request").is_some_and(|value| *value == wanted);
                 match follow(message).filter(|_| same) {
                     Some(told) => writeln!(out, "{} {told}", message.host.unwrap_or("-")),
@@ -102,20 +102,20 @@
             })?;
         }
         Command::Sum { by, which } => {
-            let mut sums = Sums::new(by);
-            malformed = each(&which, &mut once, |_, message| {
-                sums.add(message);
+            let mut summaries = Summaries::new(by);
+            malformed = each(&which, &mut deduplicator, |_, message| {
+                summaries.add(message);
                 Ok(())
             })?;
-            write!(out, "{sums}")?;
+            write!(out, "{summaries}")?;
         }
         Command::Check { which } => {
             let mut lines = 0u64;
-            malformed = each(&which, &mut once, |_, _| {
+            malformed = each(&which, &mut deduplicator, |_, _| {
                 lines += 1;
                 Ok(())
             })?;
-            let (repeats, gaps) = (once.repeats, once.gaps());
+            let (repeats, gaps) = (deduplicator.repeats, deduplicator.gaps());
             writeln!(out, "{lines} lines, {malformed} malformed, {repeats} repeated, {gaps} missing")?;
         }
     }
@@ -126,7 +126,7 @@
 /// Calls back with each line that fits, once; returns how many were malformed, each told on standard error.
 fn each(
     which: &Which,
-    once: &mut Once,
+    deduplicator: &mut Deduplicator,
     mut with: impl FnMut(&[u8], &pathbank::syslog::parse::Message) -> io::Result<()>,
 ) -> io::Result<u64> {
     let mut inputs: Vec<(String, Box<dyn BufRead>)> = Vec::new();
@@ -155,8 +155,11 @@
                     eprintln!("{name}, line {number}, {error}");
                 }
                 Ok(message) => {
-                    let grave = which.severity.is_none_or(|least| as_grave_as(&message, least));
-                    if once.first(&message) && grave && which.conditions.iter().all(|c| c.fits(&message)) {
+                    let severe = which.severity.is_none_or(|least| at_least_as_severe(&message, least));
+                    if deduplicator.first(&message)
+                        && severe
+                        && which.conditions.iter().all(|c| c.fits(&message))
+                    {
                         with(&line, &message)?;
                     }
                 }
--- a/src/bin/pathbank-simulator-adapter.rs
+++ b/src/bin/pathbank-simulator-adapter.rs
@@ -42,13 +42,13 @@
         return Ok(None);
     }
     let Ok(length) = <[u8; LENGTH_BYTES]>::try_from(frame.as_slice()) else {
-        return Err(FrameError { at: frame.len(), what: "the length is cut short".into() }.into());
+        return Err(FrameError { at: frame.len(), message: "the length is cut short".into() }.into());
     };
     let length = u64::from(u32::from_be_bytes(length));
     input.by_ref().take(length.saturating_sub(LENGTH_BYTES as u64)).read_to_end(&mut frame)?;
     if (frame.len() as u64) < length {
-        let what = format!("cut short: length {length}, content {}", frame.len());
-        return Err(io::Error::new(ErrorKind::UnexpectedEof, FrameError { at: frame.len(), what }).into());
+        let message = format!("cut short: length {length}, content {}", frame.len());
+        return Err(io::Error::new(ErrorKind::UnexpectedEof, FrameError { at: frame.len(), message }).into());
     }
     Ok(Some(frame))
 }
@@ -77,7 +77,7 @@
             }
             Record::Event { instance, event } => {
                 let Some(slot) = instances.get_mut(&instance) else {
-                    return Err(FrameError { at, what: format!("instance {instance} was never started") });
+                    return Err(FrameError { at, message: format!("instance {instance} was never started") });
                 };
                 let Some(policy) = slot else { continue };
                 let outcome = catch_unwind(AssertUnwindSafe(|| policy.handle(now, event, &mut actions)));
--- a/src/bin/pathbank/fronts.rs
+++ b/src/bin/pathbank/fronts.rs
@@ -5,7 +5,7 @@
 use pathbank::config::grpc::GrpcFront;
 use pathbank::config::sftp::SftpFront;
 use pathbank::event;
-use pathbank::net::ops::{self, Desk};
+use pathbank::net::ops::{self, CommandContext};
 use pathbank::net::slots::{Counts, Slots};
 use pathbank::net::{front, grpc, sftp};
 use std::error::Error;
@@ -37,9 +37,9 @@
         fronts.slots.push(http_slots);
         if let Some(address) = proxy.config.ops {
             let (metrics, lifecycle) = (proxy.handle.metrics().clone(), proxy.lifecycle.clone());
-            let desk = Desk { metrics, lifecycle, fleet: proxy.fleet.take() };
+            let context = CommandContext { metrics, lifecycle, fleet: proxy.fleet.take() };
             let callers = proxy.config.ops_callers;
-            event!(OPS_UP, listen:% = ops::start(address, callers, desk)?, callers);
+            event!(OPS_UP, listen:% = ops::start(address, callers, context)?, callers);
         }
         if let Some(sftp) = proxy.sftp.take() {
             fronts.serve_sftp(proxy, sftp).await?;
@@ -67,18 +67,18 @@
 
     async fn serve_grpc(&mut self, proxy: &Proxy, config: GrpcFront) -> Result<(), Box<dyn Error>> {
         let listener = TcpListener::bind(config.listen).await?;
-        let (calls, channels) = (config.calls, config.channels.most);
+        let (calls, channels) = (config.calls, config.channels.max_channels);
         event!(GRPC_UP, listen:% = listener.local_addr()?, calls, channels);
         let front = grpc::front::Front {
             handle: proxy.handle.with_room_for(config.calls),
-            nodes: grpc::back::Nodes::new(&config, proxy.config.node_connections.connect),
+            nodes: grpc::back::NodeChannels::new(&config, proxy.config.node_connections.connect),
             config: Arc::new(config),
             answer_margin: proxy.config.answer_margin,
             phase: proxy.phase.clone(),
             bodies: proxy.http.bodies.clone(),
             counters: Arc::default(),
         };
-        tokio::spawn(front.nodes.clone().watch());
+        tokio::spawn(front.nodes.clone().maintain_channels());
         let slots = self.watched_slots(front.config.clients);
         self.tasks.push(tokio::spawn(grpc::front::serve(listener, front.clone(), slots)));
         self.grpc = Some(front);
@@ -100,8 +100,9 @@
         event!(CLIENTS, taken, over_limit, for_others);
     }
     if let Some(front) = grpc {
-        let ((opened, attempts), no_room) = (front.nodes.counts(), front.handle.no_room());
+        let ((opened, attempts), no_room) =
+            (front.nodes.channel_and_attempt_counts(), front.handle.no_room());
         let calls = front.counters.calls.load(Ordering::Relaxed);
-        event!(GRPC_COUNTS, calls, attempts, opened, no_room, offences = front.counters.tell());
+        event!(GRPC_COUNTS, calls, attempts, opened, no_room, offences = front.counters.format_offences());
     }
 }
--- a/src/bin/pathbank/startup.rs
+++ b/src/bin/pathbank/startup.rs
@@ -3,7 +3,7 @@
 use crate::reload::Reload;
 use pathbank::agree::rules::Rules;
 use pathbank::classes::{Directory, Numbers};
-use pathbank::clock::{Clock, Pace};
+use pathbank::clock::{Clock, LeaseClock};
 use pathbank::config::agree::Agreement;
 use pathbank::config::fleet::FleetView;
 use pathbank::config::grpc::GrpcFront;
@@ -23,7 +23,7 @@
 use pathbank::net::ids::Ids;
 use pathbank::net::lifecycle::Lifecycle;
 use pathbank::net::passed;
-use pathbank::net::peers::Talk;
+use pathbank::net::peers::PeerSocket;
 use pathbank::peers::Peers;
 use std::error::Error;
 use std::net::SocketAddr;
@@ -119,13 +119,13 @@
         let mut numbers = Numbers::new(&config.names, &config.settings, sftp.is_some() || grpc.is_some());
         let (settings, directory) = numbers.adopt(&config.names, &config.settings);
         if let Some(agreement) = agreement {
-            let pace = Pace::new(agreement.clock_ahead, agreement.clock_ppm);
-            let view = runtime::start(agreement, &config.name, handle.clone(), pace)?;
+            let lease_clock = LeaseClock::new(agreement.clock_ahead, agreement.clock_ppm);
+            let view = runtime::start(agreement, &config.name, handle.clone(), lease_clock)?;
             let known = view.lock().map(|view| view.clone()).map_err(|_| "the agreement's thread failed")?;
             core.set_agreement(Agreed {
                 rules: Rules::new(settings, numbers.rule_names(), known),
                 view,
-                pace,
+                lease_clock,
             });
         }
         let core = tokio::spawn(core.run());
@@ -224,14 +224,14 @@
     let Some(Talking { listen, peers, all }) = config.talk.clone() else { return Ok(()) };
     let (number, heads) = (config.settings.position, peers.len());
     // Another process of this host may have the address: messages between hosts are never needed.
-    match Talk::open(listen, Peers::new(peers, all, number, std::time::Instant::now())).await {
-        Ok((mut talk, peer_sender)) => {
-            event!(TALK, listen:% = talk.address()?, peers = heads);
+    match PeerSocket::open(listen, Peers::new(peers, all, number, std::time::Instant::now())).await {
+        Ok((mut peer_socket, peer_sender)) => {
+            event!(TALK, listen:% = peer_socket.address()?, peers = heads);
             core.set_peer_sender(peer_sender);
             if let Some(fleet) = fleet {
-                talk.keep(fleet.clone());
+                peer_socket.set_fleet(fleet.clone());
             }
-            tokio::spawn(talk.run(core.handle(), phase.clone()));
+            tokio::spawn(peer_socket.run(core.handle(), phase.clone()));
         }
         Err(problem) => event!(TALK_OFF, listen:%, problem:%),
     }
--- a/src/clock.rs
+++ b/src/clock.rs
@@ -35,16 +35,16 @@
 /// The clock of leases: monotonic, with an arbitrary start. The offset and drift let rehearsals run hosts
 /// with different clocks.
 #[derive(Clone, Copy, Debug)]
-pub struct Pace {
+pub struct LeaseClock {
     start: Instant,
     ahead: Micros,
     ppm: i64,
 }
 
-impl Pace {
+impl LeaseClock {
     /// Starts a clock that is `ahead` microseconds ahead and runs faster by `ppm` parts per million.
-    pub fn new(ahead: Micros, ppm: i64) -> Pace {
-        Pace { start: Instant::now(), ahead, ppm }
+    pub fn new(ahead: Micros, ppm: i64) -> LeaseClock {
+        LeaseClock { start: Instant::now(), ahead, ppm }
     }
 
     /// Returns the current time in microseconds.
--- a/src/config/grpc.rs
+++ b/src/config/grpc.rs
@@ -2,7 +2,7 @@
 //! and its line.
 
 use super::{ClientLimits, Config, ConfigError, Names, fnv, operators_file, unreadable};
-use crate::grpc::channels::Limits;
+use crate::grpc::channels::ChannelLimits;
 use crate::grpc::routes::Routes;
 use crate::interface::{Micros, Settings, VolumeId};
 use hyper::header::{HeaderMap, HeaderName};
@@ -50,7 +50,7 @@
     pub request_time: Duration,
     /// A client whose socket takes nothing for so long is let go.
     pub patience: Duration,
-    pub channels: Limits,
+    pub channels: ChannelLimits,
     /// The same on a stream from a node; on a channel it is as much for each stream.
     pub node_window: u32,
     pub sources: Sources,
@@ -66,9 +66,9 @@
     /// How long a client of the class waits at most.
     pub wait: Duration,
     /// The request goes to a node as it comes; otherwise once it is whole.
-    pub streams: bool,
+    pub streams_request: bool,
     /// The answer begins with its first metadata, not with its first message.
-    pub early: bool,
+    pub early_headers: bool,
 }
 
 /// Where volume, key, shard and hosts come from.
@@ -93,7 +93,7 @@
 
 /// What metadata tell of a call.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Told {
+pub struct CallMetadata {
     pub volume: VolumeId,
     pub key: u64,
     pub shard: Option<u16>,
@@ -198,14 +198,15 @@
         };
         config.share_places(&mut clients);
         let mut channels = faults.channels(&file.channels)?;
-        channels.most = config.share_node_connections(channels.most);
+        channels.max_channels = config.share_node_connections(channels.max_channels);
         let windows = config.memory / WINDOWS_PART;
         let client_window =
             (windows / (clients.most + clients.spare)).clamp(STREAM_WINDOW, MOST_CLIENT_WINDOW);
         // What windows allow on all channels together must fit: with little memory, streams are fewer.
-        channels.streams = channels.streams.min(windows / channels.most / STREAM_WINDOW).max(1);
+        channels.max_streams =
+            channels.max_streams.min(windows / channels.max_channels / STREAM_WINDOW).max(1);
         let node_window =
-            (windows / channels.most / channels.streams).clamp(STREAM_WINDOW, MOST_STREAM_WINDOW);
+            (windows / channels.max_channels / channels.max_streams).clamp(STREAM_WINDOW, MOST_STREAM_WINDOW);
         let most_calls = config.memory / (1024 * 1024) * CALLS_PER_MB;
         let mut routes = Routes::default();
         for (i, route) in file.routes.iter().enumerate() {
@@ -276,21 +277,21 @@
         }
     }
 
-    fn channels(&self, keys: &ChannelKeys) -> Result<Limits, ConfigError> {
+    fn channels(&self, keys: &ChannelKeys) -> Result<ChannelLimits, ConfigError> {
         let time = |key: &str, value: &Option<Spanned<u64>>, default: u64| {
             let ms = self.bounded(&format!("channels.{key}"), value.as_ref(), default, 1..=86_400_000)?;
             Ok::<Micros, ConfigError>(ms * 1000)
         };
-        let keepalive = time("keepalive_ms", &keys.keepalive_ms, 2_000)?;
-        Ok(Limits {
-            most: self.bounded("channels.most", keys.most.as_ref(), 64, 1..=65_536)?,
-            per_node: self.bounded("channels.per_node", keys.per_node.as_ref(), 2, 1..=64)?,
-            streams: self.bounded("channels.streams", keys.streams.as_ref(), 32, 1..=10_000)?,
-            idle: time("idle_ms", &keys.idle_ms, 60_000)?,
-            keepalive,
-            patience: time("patience_ms", &keys.patience_ms, 1_000)?,
+        let ping_after = time("keepalive_ms", &keys.keepalive_ms, 2_000)?;
+        Ok(ChannelLimits {
+            max_channels: self.bounded("channels.most", keys.most.as_ref(), 64, 1..=65_536)?,
+            max_per_node: self.bounded("channels.per_node", keys.per_node.as_ref(), 2, 1..=64)?,
+            max_streams: self.bounded("channels.streams", keys.streams.as_ref(), 32, 1..=10_000)?,
+            idle_timeout: time("idle_ms", &keys.idle_ms, 60_000)?,
+            ping_after,
+            ping_timeout: time("patience_ms", &keys.patience_ms, 1_000)?,
             backoff: 100_000,
-            most_backoff: 5_000_000,
+            max_backoff: 5_000_000,
         })
     }
 
@@ -382,8 +383,8 @@
             plan: place(&names.plans, "plan", &keys.plan)?,
             units,
             wait: Duration::from_micros(settings.classes[class].deadline),
-            streams,
-            early: keys.early_headers,
+            streams_request: streams,
+            early_headers: keys.early_headers,
         })
     }
 }
@@ -408,7 +409,12 @@
     }
 
     /// `Err`: the metadata at fault.
-    pub fn told(&self, route: &Route, path: &str, metadata: &HeaderMap) -> Result<Told, &'static str> {
+    pub fn read(
+        &self,
+        route: &Route,
+        path: &str,
+        metadata: &HeaderMap,
+    ) -> Result<CallMetadata, &'static str> {
         let volume =
             self.volume.text(metadata, "volume's metadata")?.ok_or("volume's metadata is missing")?;
         let key = match self.key.text(metadata, "key's metadata")? {
@@ -428,7 +434,7 @@
             Some(text) => self.units_in(text).ok_or("units' metadata is no number of units")?,
             None => route.units,
         };
-        Ok(Told { volume: number(volume), key, shard, hosts, units })
+        Ok(CallMetadata { volume: number(volume), key, shard, hosts, units })
     }
 }
 
--- a/src/config/grpc/tests.rs
+++ b/src/config/grpc/tests.rs
@@ -21,15 +21,15 @@
     let (clients, connections) = (config.clients.most, config.node_connections.most);
     let front = GrpcFront::read(GOOD, &mut config).unwrap().unwrap();
     assert_eq!((front.clients.most, config.clients.most), (8, clients - 8));
-    assert_eq!((front.channels.most, config.node_connections.most), (5, connections - 5));
-    assert_eq!((front.channels.idle, front.calls, front.hold), (700_000, 1024, 64 * 1024));
-    let most = front.channels.most * front.channels.streams * front.node_window as usize;
+    assert_eq!((front.channels.max_channels, config.node_connections.most), (5, connections - 5));
+    assert_eq!((front.channels.idle_timeout, front.calls, front.hold), (700_000, 1024, 64 * 1024));
+    let most = front.channels.max_channels * front.channels.max_streams * front.node_window as usize;
     assert!(most <= config.memory / WINDOWS_PART, "{most}");
     assert!(front.clients.most * front.client_window as usize <= config.memory / WINDOWS_PART);
     let put = front.routes.find("/a.B/Put").unwrap();
-    assert_eq!((put.class, put.units, put.streams, put.wait), (1, 3.0, true, Duration::from_secs(5)));
+    assert_eq!((put.class, put.units, put.streams_request, put.wait), (1, 3.0, true, Duration::from_secs(5)));
     let other = front.routes.find("/a.B/Get").unwrap();
-    assert_eq!((other.class, other.units, other.streams), (0, 1.0, false));
+    assert_eq!((other.class, other.units, other.streams_request), (0, 1.0, false));
     assert!(GrpcFront::read("enabled = false", &mut config).unwrap().is_none());
     assert!(GrpcFront::read("", &mut config).unwrap().is_none());
 }
@@ -43,8 +43,8 @@
     config.names.plans = ["starter", "business", "enterprise"].map(String::from).to_vec();
     let on = shipped.replacen("enabled = false", "enabled = true", 1).replace("report-export", "token-read");
     let front = GrpcFront::read(&on, &mut config).unwrap().unwrap();
-    assert!(front.routes.find("/push.store.v1.Receipts/Upload").unwrap().streams);
-    assert!(!front.routes.find("/push.store.v1.Receipts/Put").unwrap().streams);
+    assert!(front.routes.find("/push.store.v1.Receipts/Upload").unwrap().streams_request);
+    assert!(!front.routes.find("/push.store.v1.Receipts/Put").unwrap().streams_request);
 }
 
 #[test]
@@ -91,7 +91,7 @@
         for (name, value) in fields {
             metadata.append(HeaderName::from_static(name), value.parse().unwrap());
         }
-        front.sources.told(route, "/a.B/Get", &metadata)
+        front.sources.read(route, "/a.B/Get", &metadata)
     };
     let whole = told(&[
         ("x-app-store", "00000003b4d60021"),
@@ -100,8 +100,13 @@
         ("x-hosts", "3"),
         ("x-units", "2.5"),
     ]);
-    let wanted =
-        Told { volume: 0x3b4d60021, key: 0x7f3a_9c21_e0b4_d655, shard: Some(5), hosts: 3.0, units: 2.5 };
+    let wanted = CallMetadata {
+        volume: 0x3b4d60021,
+        key: 0x7f3a_9c21_e0b4_d655,
+        shard: Some(5),
+        hosts: 3.0,
+        units: 2.5,
+    };
     assert_eq!(whole, Ok(wanted));
     let least = told(&[("x-app-store", "acme")]).unwrap();
     assert_eq!((least.volume, least.hosts, least.units), (fnv(b"acme"), 2.0, 1.0));
--- a/src/core/agreement.rs
+++ b/src/core/agreement.rs
@@ -5,7 +5,7 @@
 use crate::agree::document::LeaseLevel;
 use crate::agree::lease_holder::LeaseView;
 use crate::agree::rules::{AdmittedRules, Rules, RulesChange};
-use crate::clock::Pace;
+use crate::clock::LeaseClock;
 use crate::event;
 use crate::interface::*;
 use std::sync::{Arc, Mutex, PoisonError};
@@ -18,7 +18,7 @@
     /// This host's current view of the documents and of the lease.
     pub view: Arc<Mutex<LeaseView>>,
     /// The clock by which leases are measured.
-    pub pace: Pace,
+    pub lease_clock: LeaseClock,
 }
 
 impl Agreed {
@@ -46,7 +46,7 @@
     pub(super) fn apply_agreement(&mut self) -> Vec<Event> {
         let Some(agreed) = &mut self.agreed else { return Vec::new() };
         let view = agreed.view();
-        let Some(change) = agreed.rules.refresh(agreed.pace.now(), &view) else { return Vec::new() };
+        let Some(change) = agreed.rules.refresh(agreed.lease_clock.now(), &view) else { return Vec::new() };
         let RulesChange { level, was, revised } = change;
         let state = agreed.rules.state();
         let (read, prepared, active) = (state.applied(), state.prepared(), state.active());
@@ -54,7 +54,7 @@
         let (level, was, revised) =
             (lease_level_name(level), lease_level_name(was), if revised { "yes" } else { "no" });
         event!(READING, level, was, revised, read, prepared, active, ignored);
-        if !change.affects_module() {
+        if !change.affects_policy() {
             return Vec::new();
         }
         self.settings = agreed.rules.settings();
@@ -90,7 +90,7 @@
     /// the attempt may not start now.
     pub(super) fn may_start(&self, open: &OpenRequest, attempt: u32, node: NodeId) -> Option<Micros> {
         let Some(agreed) = &self.agreed else { return Some(0) };
-        let (now, node) = (agreed.pace.now(), self.nodes.get(&node)?);
+        let (now, node) = (agreed.lease_clock.now(), self.nodes.get(&node)?);
         let current = agreed.rules.is_current(now, &agreed.view());
         let rules = open
             .rules
@@ -109,7 +109,7 @@
         checked_at: Micros,
     ) {
         let Some(agreed) = &self.agreed else { return };
-        let late_us = agreed.pace.now().saturating_sub(checked_at);
+        let late_us = agreed.lease_clock.now().saturating_sub(checked_at);
         if late_us > LATE_START {
             event!(LATE_ACT, late_us, request);
         }
--- a/src/core/handle.rs
+++ b/src/core/handle.rs
@@ -48,7 +48,7 @@
 /// Returns the time that remains of a client's wait after the margin for the transfer of the request and of
 /// its answer. The margin is limited to a tenth of the wait; otherwise a client with a wait as short as the
 /// margin would never be served.
-pub fn less_margin(wait: Duration, margin: Duration) -> Duration {
+pub fn wait_less_margin(wait: Duration, margin: Duration) -> Duration {
     wait - margin.min(wait / MARGIN_DIVISOR)
 }
 
@@ -121,7 +121,7 @@
     /// An update of the node list.
     Nodes {
         /// What came.
-        news: ListUpdate,
+        update: ListUpdate,
         /// The entries that came with it.
         nodes: Vec<ListedNode>,
     },
@@ -257,7 +257,7 @@
     }
 
     /// Queues a message without waiting; it is dropped when the queue is full.
-    pub fn say(&self, to: Option<u32>, bytes: Vec<u8>) {
+    pub fn send(&self, to: Option<u32>, bytes: Vec<u8>) {
         if self.0.try_send(Message { to, bytes }).is_err() {
             debug!("message to peers dropped: the send queue is full");
         }
@@ -303,7 +303,7 @@
 
 impl BodyCompletion {
     /// The last byte of the body arrived.
-    pub fn whole(&self) {
+    pub fn complete(&self) {
         self.handle.send(Input::BodyComplete { id: self.id });
     }
 }
--- a/src/core/mod.rs
+++ b/src/core/mod.rs
@@ -12,7 +12,9 @@
 
 pub use agreement::Agreed;
 pub use attempt::{AnswerBinder, Attempt, AttemptContext, AttemptSource, Report, WriteState};
-pub use handle::{Answer, Arrival, BodyCompletion, Handle, Input, Message, PeerSender, Pending, less_margin};
+pub use handle::{
+    Answer, Arrival, BodyCompletion, Handle, Input, Message, PeerSender, Pending, wait_less_margin,
+};
 
 use crate::attempt_end::AttemptEnd;
 use crate::clock::Clock;
@@ -20,7 +22,7 @@
 use crate::events::pressure::Pressure;
 use crate::events::requests::{Finish, RequestLog};
 use crate::handover::CapacityShare;
-use crate::index::wheel::{Key, Wheel};
+use crate::index::wheel::{Key, TimerWheel};
 use crate::interface::*;
 use crate::metrics::{Count, Metrics};
 use crate::policy::Policy;
@@ -69,7 +71,7 @@
     ids: NodeIds,
     zones: Vec<String>,
     known: Vec<NodeEntry>,
-    timers: Wheel<TimerEvent>,
+    timers: TimerWheel<TimerEvent>,
     /// Events that result from the policy's own actions; dispatched after all of these actions.
     events: VecDeque<Event>,
     /// A call of `dispatch` further up the stack is running.
@@ -122,7 +124,7 @@
             ids: NodeIds::default(),
             zones: Vec::new(),
             known: Vec::new(),
-            timers: Wheel::new(clock.now()),
+            timers: TimerWheel::new(clock.now()),
             events: VecDeque::new(),
             dispatching: false,
             actions: Vec::new(),
@@ -224,7 +226,7 @@
                 let _ = granted.send(self.begin_answer(id, attempt, load, used)); // as for Bind
             }
             Input::BodyComplete { id } => self.body_complete(id),
-            Input::Nodes { news, nodes } => self.on_nodes(news, nodes),
+            Input::Nodes { update, nodes } => self.on_nodes(update, nodes),
             Input::Settings { settings, names } => {
                 self.metrics.name_classes(&names.classes);
                 self.request_log
@@ -298,7 +300,7 @@
                 self.metrics.count(open.class, Count::BadGateway);
             }
         }
-        (self.timers, self.list_timer) = (Wheel::new(self.clock.now()), None);
+        (self.timers, self.list_timer) = (TimerWheel::new(self.clock.now()), None);
         self.nodes.values_mut().for_each(|node| node.in_flight = 0);
         self.events.push_back(Event::CapacityShare { share: self.capacity_share });
         self.events.push_back(Event::Nodes { update: ListUpdate::Cached, nodes: self.known.clone() });
@@ -324,7 +326,7 @@
             Action::Log(text) => info!("{text}"),
             Action::Probe { node } => self.probe(node),
             Action::SendToPeer { peer, bytes } => match &self.peer_sender {
-                Some(peer_sender) => peer_sender.say(peer, bytes),
+                Some(peer_sender) => peer_sender.send(peer, bytes),
                 None => debug!("message to peers dropped: peer messaging is off"),
             },
         }
--- a/src/core/nodes.rs
+++ b/src/core/nodes.rs
@@ -48,16 +48,16 @@
 
 impl Core {
     /// Applies an update of the node list.
-    pub(super) fn on_nodes(&mut self, news: ListUpdate, listed: Vec<ListedNode>) {
+    pub(super) fn on_nodes(&mut self, update: ListUpdate, listed: Vec<ListedNode>) {
         self.refresh_agreement();
         if matches!(
-            news,
+            update,
             ListUpdate::Subscribed | ListUpdate::Heartbeat | ListUpdate::TimedOut | ListUpdate::Moved
         ) {
-            if news == ListUpdate::TimedOut {
+            if update == ListUpdate::TimedOut {
                 self.metrics.count_silence();
             }
-            self.dispatch(Event::Nodes { update: news, nodes: Vec::new() });
+            self.dispatch(Event::Nodes { update, nodes: Vec::new() });
             return self.update_list_timer();
         }
         let mut entries = Vec::with_capacity(listed.len());
@@ -76,7 +76,7 @@
             let started = node.started_ms.saturating_mul(1000);
             entries.push(NodeEntry { node: id, zone: zone as u16, shard: node.cell, state, started });
         }
-        if matches!(news, ListUpdate::Full | ListUpdate::Cached) {
+        if matches!(update, ListUpdate::Full | ListUpdate::Cached) {
             let remove = |node: &mut Node| (node.listed, node.ready, node.removed) = (false, false, true);
             self.nodes.values_mut().for_each(remove);
             self.known.clear();
@@ -93,7 +93,7 @@
                 self.known.push(*entry);
             }
         }
-        self.dispatch(Event::Nodes { update: news, nodes: entries });
+        self.dispatch(Event::Nodes { update, nodes: entries });
         self.metrics_copied_at = self.metrics_copied_at.map(|_| 0);
         self.drop_unsent_at_unready_nodes();
         self.release_nodes();
--- a/src/core/tests.rs
+++ b/src/core/tests.rs
@@ -62,14 +62,14 @@
 fn the_margin_is_at_most_a_tenth_of_the_wait() {
     let ms = Duration::from_millis;
     for (wait, remaining) in [(3_000, 2_975), (400, 375), (250, 225), (100, 90), (30, 27), (10, 9), (0, 0)] {
-        assert_eq!(less_margin(ms(wait), ms(25)), ms(remaining), "{wait}");
+        assert_eq!(wait_less_margin(ms(wait), ms(25)), ms(remaining), "{wait}");
     }
 }
 
 fn nodes(state: ListedState) -> Input {
     let (id, addr) = ("s-1".to_string(), "127.0.0.1:1".to_string());
     let node = ListedNode { id, addr, zone: "a".into(), cell: 0, state, started_ms: 0 };
-    Input::Nodes { news: ListUpdate::Changes, nodes: vec![node] }
+    Input::Nodes { update: ListUpdate::Changes, nodes: vec![node] }
 }
 
 /// Such as an attempt whose connection is not yet established when the node list becomes overdue.
@@ -82,7 +82,7 @@
         ..Settings::default()
     };
     let Input::Nodes { nodes: known, .. } = nodes(ListedState::InService) else { unreachable!() };
-    with_core_of(settings, Input::Nodes { news: ListUpdate::Cached, nodes: known }, async |handle| {
+    with_core_of(settings, Input::Nodes { update: ListUpdate::Cached, nodes: known }, async |handle| {
         let (unsent_tx, mut unsent_dropped) = mpsc::unbounded_channel();
         let (started_tx, mut started_dropped) = mpsc::unbounded_channel();
         let work = |starts_writing, dropped| {
@@ -111,17 +111,17 @@
 fn attempts_use_the_latest_address_of_a_node_that_did_not_restart() {
     with_core(async |handle| {
         let (address_tx, mut addresses) = mpsc::unbounded_channel();
-        for (news, address) in [
+        for (update, address) in [
             (ListUpdate::Changes, "127.0.0.1:2"),
             (ListUpdate::Full, "127.0.0.1:3"),
             (ListUpdate::Cached, "127.0.0.1:4"),
         ] {
             let Input::Nodes { mut nodes, .. } = nodes(ListedState::InService) else { unreachable!() };
             nodes[0].addr = address.to_string();
-            handle.send(Input::Nodes { news, nodes });
+            handle.send(Input::Nodes { update, nodes });
             let pending = handle.submit(arrival(LONG), Arc::new(AddressReport(address_tx.clone()))).unwrap();
-            assert!(matches!(pending.await, Answer::Served(_)), "{news:?}");
-            assert_eq!(addresses.recv().await.as_deref(), Some(address), "{news:?}");
+            assert!(matches!(pending.await, Answer::Served(_)), "{update:?}");
+            assert_eq!(addresses.recv().await.as_deref(), Some(address), "{update:?}");
         }
         assert!(addresses.try_recv().is_err(), "one attempt each");
     });
@@ -323,18 +323,21 @@
         };
         let (dropped, _kept) = mpsc::unbounded_channel();
         let work = Arc::new(ScriptedAttempts { end: None, panics: false, starts_writing: true, dropped });
-        core.on_input(Input::Nodes { news: ListUpdate::Full, nodes: vec![node(0, ListedState::InService)] });
+        core.on_input(Input::Nodes {
+            update: ListUpdate::Full,
+            nodes: vec![node(0, ListedState::InService)],
+        });
         core.request(1, arrival(LONG), work, oneshot::channel().0);
         for i in 1..100 {
             let nodes = vec![node(i - 1, ListedState::Terminated), node(i, ListedState::InService)];
-            core.on_input(Input::Nodes { news: ListUpdate::Changes, nodes });
+            core.on_input(Input::Nodes { update: ListUpdate::Changes, nodes });
         }
         // The first node still has an attempt in flight, the last one is in service.
         let held = |core: &Core| (core.nodes.len(), core.ids.texts.len(), core.known.len());
         assert_eq!(held(&core), (2, 2, 1));
         core.on_input(Input::Report { id: 1, attempt: 0, report: AttemptEnd::Broke.into() });
         assert_eq!(held(&core), (1, 1, 1));
-        core.on_input(Input::Nodes { news: ListUpdate::Full, nodes: Vec::new() });
+        core.on_input(Input::Nodes { update: ListUpdate::Full, nodes: Vec::new() });
         assert_eq!(held(&core), (0, 0, 0));
     });
 }
--- a/src/grpc/channels.rs
+++ b/src/grpc/channels.rs
@@ -10,24 +10,24 @@
 
 /// Limits on channels and streams.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Limits {
+pub struct ChannelLimits {
     /// The most channels to all nodes together, including those that are connecting.
-    pub most: usize,
+    pub max_channels: usize,
     /// The most channels to one node.
-    pub per_node: usize,
+    pub max_per_node: usize,
     /// The most streams on one channel; the node's SETTINGS may allow fewer.
-    pub streams: usize,
+    pub max_streams: usize,
     /// A channel without streams closes after this time.
-    pub idle: Micros,
+    pub idle_timeout: Micros,
     /// A channel with streams is pinged when nothing was received on it for this time.
-    pub keepalive: Micros,
+    pub ping_after: Micros,
     /// A pinged channel on which nothing is received for this time is broken. A channel whose streams are
     /// blocked for this time is reported as stalled.
-    pub patience: Micros,
+    pub ping_timeout: Micros,
     /// How long no connection to a node is tried after a first failure; doubled with each further one.
     pub backoff: Micros,
     /// The longest backoff.
-    pub most_backoff: Micros,
+    pub max_backoff: Micros,
 }
 
 /// The answer to a call that requests a stream.
@@ -99,7 +99,7 @@
 /// The channels to all nodes.
 #[derive(Debug)]
 pub struct Channels<N> {
-    limits: Limits,
+    limits: ChannelLimits,
     channels: BTreeMap<ChannelId, Channel<N>>,
     backoffs: BTreeMap<N, Backoff>,
     last_id: ChannelId,
@@ -107,12 +107,12 @@
 
 impl<N: Ord + Clone> Channels<N> {
     /// Creates a state without channels.
-    pub fn new(limits: Limits) -> Channels<N> {
+    pub fn new(limits: ChannelLimits) -> Channels<N> {
         Channels { limits, channels: BTreeMap::new(), backoffs: BTreeMap::new(), last_id: 0 }
     }
 
     /// Returns the limits.
-    pub fn limits(&self) -> Limits {
+    pub fn limits(&self) -> ChannelLimits {
         self.limits
     }
 
@@ -140,7 +140,7 @@
             node_channels += 1;
             connecting |= channel.state == State::Connecting;
             let has_room = channel.state == State::Established
-                && channel.streams < channel.max_streams.min(self.limits.streams);
+                && channel.streams < channel.max_streams.min(self.limits.max_streams);
             let cost = (channel.blocked > 0, channel.streams, *id);
             if has_room && best.is_none_or(|known| cost < known) {
                 best = Some(cost);
@@ -148,8 +148,9 @@
         }
         let backs_off = self.backoffs.get(node).is_some_and(|backoff| now < backoff.until);
         if let Some((blocked, _, id)) = best {
-            let may_open =
-                node_channels < self.limits.per_node && !backs_off && self.channels.len() < self.limits.most;
+            let may_open = node_channels < self.limits.max_per_node
+                && !backs_off
+                && self.channels.len() < self.limits.max_channels;
             if !blocked || !(connecting || may_open) {
                 if let Some(channel) = self.channels.get_mut(&id) {
                     channel.streams += 1;
@@ -165,11 +166,11 @@
             // unreachable.
             return if node_channels > 0 { Grant::Wait } else { Grant::Refuse };
         }
-        if node_channels >= self.limits.per_node {
+        if node_channels >= self.limits.max_per_node {
             return Grant::Wait;
         }
         let mut close = None;
-        if self.channels.len() >= self.limits.most {
+        if self.channels.len() >= self.limits.max_channels {
             close = self.longest_idle();
             let Some(id) = close else {
                 return if node_channels > 0 { Grant::Wait } else { Grant::Refuse };
@@ -211,9 +212,9 @@
     /// passed.
     pub fn connect_failed(&mut self, now: Micros, id: ChannelId) {
         let Some(channel) = self.channels.remove(&id) else { return };
-        let Limits { backoff, most_backoff, .. } = self.limits;
+        let ChannelLimits { backoff, max_backoff, .. } = self.limits;
         let node_backoff = self.backoffs.entry(channel.node).or_default();
-        node_backoff.until = now + (backoff << node_backoff.failures.min(16)).min(most_backoff);
+        node_backoff.until = now + (backoff << node_backoff.failures.min(16)).min(max_backoff);
         node_backoff.failures += 1;
     }
 
@@ -282,11 +283,11 @@
 
     /// Returns the actions that are due at `now`, and removes the channels that close or break.
     pub fn tick(&mut self, now: Micros) -> Vec<ChannelAction> {
-        let Limits { idle, keepalive, patience, most_backoff, .. } = self.limits;
+        let ChannelLimits { idle_timeout, ping_after, ping_timeout, max_backoff, .. } = self.limits;
         let mut actions = Vec::new();
         for (id, channel) in &mut self.channels {
             let blocked_for = now.saturating_sub(channel.blocked_since);
-            if channel.blocked > 0 && !channel.stall_reported && blocked_for >= patience {
+            if channel.blocked > 0 && !channel.stall_reported && blocked_for >= ping_timeout {
                 channel.stall_reported = true;
                 actions.push(ChannelAction::Stalled(*id));
             }
@@ -295,12 +296,12 @@
                 continue;
             }
             if channel.streams == 0 {
-                if now.saturating_sub(channel.idle_since) >= idle {
+                if now.saturating_sub(channel.idle_since) >= idle_timeout {
                     actions.push(ChannelAction::Close(*id));
                 }
-            } else if channel.pinged_at.is_some_and(|at| now.saturating_sub(at) >= patience) {
+            } else if channel.pinged_at.is_some_and(|at| now.saturating_sub(at) >= ping_timeout) {
                 actions.push(ChannelAction::Break(*id));
-            } else if silent_for >= keepalive && channel.pinged_at.is_none() {
+            } else if silent_for >= ping_after && channel.pinged_at.is_none() {
                 channel.pinged_at = Some(now);
                 actions.push(ChannelAction::Ping(*id));
             }
@@ -311,7 +312,7 @@
             }
         }
         // Forgets the failures of a node that was not tried again for long after its backoff.
-        self.backoffs.retain(|_, backoff| now < backoff.until + most_backoff);
+        self.backoffs.retain(|_, backoff| now < backoff.until + max_backoff);
         actions
     }
 }
--- a/src/grpc/channels/tests.rs
+++ b/src/grpc/channels/tests.rs
@@ -1,15 +1,15 @@
 use super::*;
 
 const MS: Micros = 1_000;
-const LIMITS: Limits = Limits {
-    most: 4,
-    per_node: 2,
-    streams: 3,
-    idle: 1_000 * MS,
-    keepalive: 200 * MS,
-    patience: 100 * MS,
+const LIMITS: ChannelLimits = ChannelLimits {
+    max_channels: 4,
+    max_per_node: 2,
+    max_streams: 3,
+    idle_timeout: 1_000 * MS,
+    ping_after: 200 * MS,
+    ping_timeout: 100 * MS,
     backoff: 50 * MS,
-    most_backoff: 400 * MS,
+    max_backoff: 400 * MS,
 };
 
 fn opened(channels: &mut Channels<u8>, now: Micros, node: u8, max_streams: usize) -> ChannelId {
@@ -38,7 +38,7 @@
 
 #[test]
 fn a_node_that_lowers_its_stream_limit_gets_no_stream_until_enough_have_ended() {
-    let mut channels = Channels::new(Limits { per_node: 1, ..LIMITS });
+    let mut channels = Channels::new(ChannelLimits { max_per_node: 1, ..LIMITS });
     let id = opened(&mut channels, 0, 1, 3);
     (0..3).for_each(|_| assert_eq!(channels.request_stream(0, &1), Grant::Use(id)));
     channels.set_max_streams(id, 1);
--- a/src/grpc/routes.rs
+++ b/src/grpc/routes.rs
@@ -177,15 +177,15 @@
 
 /// A routing table that compares the path with every route. Tests and benchmarks compare [`Routes`] with it.
 #[derive(Debug)]
-pub struct Scan<T>(Vec<(String, bool, T)>);
+pub struct LinearRoutes<T>(Vec<(String, bool, T)>);
 
-impl<T> Default for Scan<T> {
+impl<T> Default for LinearRoutes<T> {
     fn default() -> Self {
-        Scan(Vec::new())
+        LinearRoutes(Vec::new())
     }
 }
 
-impl<T> Scan<T> {
+impl<T> LinearRoutes<T> {
     /// Adds a route.
     ///
     /// # Errors
--- a/src/grpc/routes/tests.rs
+++ b/src/grpc/routes/tests.rs
@@ -55,7 +55,7 @@
     let mut random = fastrand::Rng::with_seed(7);
     let mut word =
         |most: usize| -> String { (0..random.usize(1..=most)).map(|_| random.char('a'..='c')).collect() };
-    let (mut routes, mut scan) = (Routes::default(), Scan::default());
+    let (mut routes, mut scan) = (Routes::default(), LinearRoutes::default());
     for i in 0..600 {
         let mut pattern = format!("/{}.{}/{}", word(3), word(3), word(4));
         if i % 3 == 0 {
--- a/src/grpc/status.rs
+++ b/src/grpc/status.rs
@@ -28,7 +28,7 @@
 const LAST: u32 = 16;
 
 /// Parses a node's `grpc-status`. `None`: the status is missing, or is not a known code.
-pub fn read(text: Option<&[u8]>) -> Option<u32> {
+pub fn parse_code(text: Option<&[u8]>) -> Option<u32> {
     let text = text?;
     let digits = (1..=2).contains(&text.len()) && text.iter().all(u8::is_ascii_digit);
     let code = std::str::from_utf8(text).ok().filter(|_| digits)?.parse().ok()?;
@@ -38,7 +38,7 @@
 /// Returns the end of an attempt whose node sent this status. Codes that only an application returns mean
 /// that the node ran the call, which is then answered, also with an error. `not_processed`: the node says
 /// that it never ran the call.
-pub fn attempt(code: Option<u32>, not_processed: bool) -> AttemptEnd {
+pub fn attempt_end(code: Option<u32>, not_processed: bool) -> AttemptEnd {
     match code {
         None => AttemptEnd::BadAnswer,
         Some(UNAVAILABLE | RESOURCE_EXHAUSTED | DEADLINE_EXCEEDED) if not_processed => AttemptEnd::TurnedAway,
--- a/src/grpc/status/tests.rs
+++ b/src/grpc/status/tests.rs
@@ -26,9 +26,13 @@
         ("", false, AttemptResult::Error),
         ("OK", false, AttemptResult::Error),
     ] {
-        assert_eq!(attempt(read(Some(text.as_bytes())), not_processed).result(), wanted, "{text:?}");
+        assert_eq!(
+            attempt_end(parse_code(Some(text.as_bytes())), not_processed).result(),
+            wanted,
+            "{text:?}"
+        );
     }
-    assert_eq!(attempt(read(None), true), AttemptEnd::BadAnswer);
+    assert_eq!(attempt_end(parse_code(None), true), AttemptEnd::BadAnswer);
 }
 
 #[test]
--- a/src/idlog.rs
+++ b/src/idlog.rs
@@ -56,7 +56,7 @@
     }
 
     /// Returns the offset of the record with a number. Numbers begin at 1 and are never reused.
-    pub fn place(&self, number: u64) -> u64 {
+    pub fn offset(&self, number: u64) -> u64 {
         HEADER as u64 + number % self.records * RECORD as u64
     }
 }
@@ -104,7 +104,7 @@
 /// Random access to the bytes of a file.
 pub trait Bytes {
     /// Reads bytes from an offset into the buffer; returns the number of bytes read.
-    fn at(&self, place: u64, buffer: &mut [u8]) -> usize;
+    fn read_from(&self, offset: u64, buffer: &mut [u8]) -> usize;
 }
 
 /// Reads the file of the other process: the ids that it has accepted.
@@ -121,9 +121,9 @@
 
 impl Reader {
     /// Reads the records that were written since the last call.
-    pub fn look(&mut self, file: &impl Bytes) {
+    pub fn refresh(&mut self, file: &impl Bytes) {
         let mut header_bytes = [0; HEADER];
-        let length = file.at(0, &mut header_bytes);
+        let length = file.read_from(0, &mut header_bytes);
         let header = Header::decode(&header_bytes[..length]);
         if header != self.header {
             // The file was created again.
@@ -133,7 +133,7 @@
         let Some(header) = self.header else { return };
         let mut bytes = [0; RECORD];
         loop {
-            let length = file.at(header.place(self.next), &mut bytes);
+            let length = file.read_from(header.offset(self.next), &mut bytes);
             match Record::decode(&bytes[..length]) {
                 Some(record) if record.number == self.next => self.add(header, record),
                 // The ring was overwritten since the last call: the missing records are elsewhere in it.
@@ -147,7 +147,7 @@
     fn read_ring(&mut self, file: &impl Bytes) {
         let Some(header) = self.header else { return };
         let mut ring = vec![0; header.records as usize * RECORD];
-        let length = file.at(HEADER as u64, &mut ring);
+        let length = file.read_from(HEADER as u64, &mut ring);
         let mut records: Vec<Record> = ring[..length].chunks(RECORD).filter_map(Record::decode).collect();
         records.sort_unstable_by_key(|record| record.number);
         self.next = self.next.max(1);
--- a/src/idlog/tests.rs
+++ b/src/idlog/tests.rs
@@ -5,18 +5,18 @@
 struct Memory(RefCell<Vec<u8>>);
 
 impl Memory {
-    fn write(&self, place: u64, bytes: &[u8]) {
-        let (mut file, end) = (self.0.borrow_mut(), place as usize + bytes.len());
+    fn write(&self, offset: u64, bytes: &[u8]) {
+        let (mut file, end) = (self.0.borrow_mut(), offset as usize + bytes.len());
         let length = file.len().max(end);
         file.resize(length, 0);
-        file[place as usize..end].copy_from_slice(bytes);
+        file[offset as usize..end].copy_from_slice(bytes);
     }
 }
 
 impl Bytes for Memory {
-    fn at(&self, place: u64, buffer: &mut [u8]) -> usize {
+    fn read_from(&self, offset: u64, buffer: &mut [u8]) -> usize {
         let file = self.0.borrow();
-        let rest = file.get(place as usize..).unwrap_or(&[]);
+        let rest = file.get(offset as usize..).unwrap_or(&[]);
         let length = rest.len().min(buffer.len());
         buffer[..length].copy_from_slice(&rest[..length]);
         length
@@ -27,7 +27,7 @@
 
 fn accept(file: &Memory, number: u64, id: &str, at_ms: u64) {
     let record = Record { number, hash: TEST_HEADER.hash(id.as_bytes()), at_ms };
-    file.write(TEST_HEADER.place(number), &record.encode());
+    file.write(TEST_HEADER.offset(number), &record.encode());
 }
 
 fn known(reader: &Reader, ids: &[&str]) -> String {
@@ -42,11 +42,11 @@
         file.write(0, &TEST_HEADER.encode());
         for (place, id) in ids.iter().enumerate() {
             if reads >> place & 1 == 1 {
-                reader.look(&file);
+                reader.refresh(&file);
             }
             accept(&file, place as u64 + 1, id, 10);
         }
-        reader.look(&file);
+        reader.refresh(&file);
         assert_eq!(known(&reader, &ids), "--cdef", "{reads:b}: the ring holds four");
         assert!(!reader.has(b"f", 11), "it was accepted before that");
         assert_eq!(reader.next(), 7);
@@ -56,11 +56,11 @@
 #[test]
 fn damaged_or_foreign_data_is_ignored_and_hides_no_valid_record() {
     let (file, mut reader) = (Memory::default(), Reader::default());
-    reader.look(&file);
+    reader.refresh(&file);
     assert_eq!((known(&reader, &["a"]), reader.header()), ("-".into(), None), "no file yet");
     for invalid in [&b"\xff\0 rubbish"[..], &[0xff; 512], &[0; 512], &TEST_HEADER.encode()[..39]] {
         *file.0.borrow_mut() = invalid.to_vec();
-        reader.look(&file);
+        reader.refresh(&file);
         assert_eq!(reader.header(), None);
     }
     file.write(0, &TEST_HEADER.encode());
@@ -68,16 +68,16 @@
     // The second record is ignored while it is partly written, and known once it is complete.
     let whole = Record { number: 2, hash: TEST_HEADER.hash(b"b"), at_ms: 10 }.encode();
     for cut in 0..RECORD {
-        file.write(TEST_HEADER.place(2), &[&whole[..cut], &vec![0x5a; RECORD - cut][..]].concat());
-        reader.look(&file);
+        file.write(TEST_HEADER.offset(2), &[&whole[..cut], &vec![0x5a; RECORD - cut][..]].concat());
+        reader.refresh(&file);
         assert_eq!(known(&reader, &["a", "b"]), "a-", "{cut}");
     }
-    file.write(TEST_HEADER.place(2), &whole);
-    reader.look(&file);
+    file.write(TEST_HEADER.offset(2), &whole);
+    reader.refresh(&file);
     assert_eq!(known(&reader, &["a", "b"]), "ab");
     // A file that is created again has another key: earlier records no longer match.
     file.write(0, &Header { key: [8; 16], ..TEST_HEADER }.encode());
-    reader.look(&file);
+    reader.refresh(&file);
     assert_eq!(known(&reader, &["a", "b"]), "--");
     for changed in 0..HEADER {
         let mut bytes = TEST_HEADER.encode();
@@ -98,7 +98,7 @@
                 accept(&files[process], 1, "a", 10);
             } else {
                 let mut other = Reader::default();
-                other.look(&files[1 - process]);
+                other.refresh(&files[1 - process]);
                 forwarded[process] = !other.has(b"a", 0);
             }
         }
--- a/src/index/wheel.rs
+++ b/src/index/wheel.rs
@@ -44,7 +44,7 @@
 
 /// A hierarchical timing wheel.
 #[derive(Debug)]
-pub struct Wheel<T> {
+pub struct TimerWheel<T> {
     cells: Vec<Cell<T>>,
     free: Vec<u32>,
     slots: Vec<Vec<u32>>,
@@ -58,10 +58,10 @@
     len: usize,
 }
 
-impl<T> Wheel<T> {
+impl<T> TimerWheel<T> {
     /// Creates an empty wheel that begins at `start`. Entries with an earlier time are due at once.
-    pub fn new(start: Micros) -> Wheel<T> {
-        Wheel {
+    pub fn new(start: Micros) -> TimerWheel<T> {
+        TimerWheel {
             cells: Vec::new(),
             free: Vec::new(),
             slots: (0..LEVELS * SLOTS).map(|_| Vec::new()).collect(),
--- a/src/index/wheel/tests.rs
+++ b/src/index/wheel/tests.rs
@@ -6,7 +6,7 @@
     for seed in 0..20 {
         let mut random = fastrand::Rng::with_seed(seed);
         let mut now = random.u64(0..1 << 50);
-        let (mut wheel, mut reference, mut keys) = (Wheel::new(now), BTreeMap::new(), BTreeMap::new());
+        let (mut wheel, mut reference, mut keys) = (TimerWheel::new(now), BTreeMap::new(), BTreeMap::new());
         let mut popped = 0;
         for serial in 0..6_000u64 {
             match random.u32(0..10) {
@@ -47,7 +47,7 @@
 
 #[test]
 fn the_key_of_a_popped_entry_removes_no_other_entry() {
-    let mut wheel = Wheel::new(0);
+    let mut wheel = TimerWheel::new(0);
     let first = wheel.insert(5, 'a');
     assert_eq!(wheel.pop(5), Some((5, 'a')));
     let second = wheel.insert(7, 'b');
--- a/src/logbook.rs
+++ b/src/logbook.rs
@@ -118,13 +118,13 @@
 
 /// Finds lines that several collectors received, by host, process and sequence id.
 #[derive(Debug, Default)]
-pub struct Once {
+pub struct Deduplicator {
     seen: BTreeMap<String, BTreeSet<u64>>,
     /// The number of repeated lines.
     pub repeats: u64,
 }
 
-impl Once {
+impl Deduplicator {
     /// Whether a message is seen for the first time. Messages without a sequence id always are.
     pub fn first(&mut self, message: &Message) -> bool {
         let sequence = message.parameter("meta", "sequenceId").and_then(|value| value.parse().ok());
@@ -164,7 +164,7 @@
 
 /// The key by which requests or attempts are summarized.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, clap::ValueEnum)]
-pub enum By {
+pub enum GroupBy {
     Volume,
     Plan,
     Class,
@@ -177,37 +177,37 @@
     Why,
 }
 
-impl By {
+impl GroupBy {
     /// Returns the name of the event parameter.
     fn name(self) -> &'static str {
         match self {
-            By::Volume => "volume",
-            By::Plan => "plan",
-            By::Class => "class",
-            By::Outcome => "outcome",
-            By::Node => "node",
-            By::Ending => "ending",
-            By::Why => "why",
+            GroupBy::Volume => "volume",
+            GroupBy::Plan => "plan",
+            GroupBy::Class => "class",
+            GroupBy::Outcome => "outcome",
+            GroupBy::Node => "node",
+            GroupBy::Ending => "ending",
+            GroupBy::Why => "why",
         }
     }
 
     /// Whether attempts are summarized instead of requests.
     fn of_attempts(self) -> bool {
-        matches!(self, By::Node | By::Ending | By::Why)
+        matches!(self, GroupBy::Node | GroupBy::Ending | GroupBy::Why)
     }
 }
 
 /// The summaries of requests or attempts; displayed as a table.
 #[derive(Debug)]
-pub struct Sums {
-    by: By,
+pub struct Summaries {
+    by: GroupBy,
     kinds: BTreeMap<String, KindSummary>,
 }
 
-impl Sums {
+impl Summaries {
     /// Creates empty summaries.
-    pub fn new(by: By) -> Sums {
-        Sums { by, kinds: BTreeMap::new() }
+    pub fn new(by: GroupBy) -> Summaries {
+        Summaries { by, kinds: BTreeMap::new() }
     }
 
     /// Adds a message if it is of the summarized event.
@@ -247,7 +247,7 @@
     }
 }
 
-impl fmt::Display for Sums {
+impl fmt::Display for Summaries {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         let (name, rest) = (self.by.name(), ["count", "p50 ms", "p99 ms", "p99.9 ms", "held p99", "late"]);
         write!(f, "{name:<24}")?;
@@ -305,7 +305,7 @@
 }
 
 /// Whether a message is at least as severe as `least`.
-pub fn as_grave_as(message: &Message, least: Severity) -> bool {
+pub fn at_least_as_severe(message: &Message, least: Severity) -> bool {
     message.severity <= least
 }
 
--- a/src/logbook/tests.rs
+++ b/src/logbook/tests.rs
@@ -50,26 +50,26 @@
             .unwrap()
             .contains("served of volume 00 (starter, token-read, 2 units): held 1.50 ms")
     );
-    let mut sums = Sums::new(By::Plan);
-    sums.add(&request);
-    sums.add(&attempt);
-    let table = sums.to_string();
+    let mut summaries = Summaries::new(GroupBy::Plan);
+    summaries.add(&request);
+    summaries.add(&attempt);
+    let table = summaries.to_string();
     let line = table.lines().nth(1).unwrap();
     let fields: Vec<&str> = line.split_whitespace().collect();
     assert_eq!((fields[0], fields[1], fields[6], fields[7]), ("starter", "10", "10", "served=10"), "{table}");
-    let mut sums = Sums::new(By::Node);
-    sums.add(&request);
-    sums.add(&attempt);
-    assert!(sums.to_string().lines().nth(1).unwrap().starts_with("s-1"));
+    let mut summaries = Summaries::new(GroupBy::Node);
+    summaries.add(&request);
+    summaries.add(&attempt);
+    assert!(summaries.to_string().lines().nth(1).unwrap().starts_with("s-1"));
 }
 
 #[test]
 fn repeated_lines_are_found_and_missing_ones_counted() {
-    let mut once = Once::default();
+    let mut deduplicator = Deduplicator::default();
     let (request, attempt) = (message(REQUEST.as_bytes()).unwrap(), message(ATTEMPT.as_bytes()).unwrap());
-    assert_eq!([&request, &attempt, &request].map(|m| once.first(m)), [true, true, false]);
-    assert_eq!((once.repeats, once.gaps()), (1, 0));
+    assert_eq!([&request, &attempt, &request].map(|m| deduplicator.first(m)), [true, true, false]);
+    assert_eq!((deduplicator.repeats, deduplicator.gaps()), (1, 0));
     let later = REQUEST.replace("sequenceId=\"4\"", "sequenceId=\"9\"");
-    once.first(&message(later.as_bytes()).unwrap());
-    assert_eq!(once.gaps(), 4);
+    deduplicator.first(&message(later.as_bytes()).unwrap());
+    assert_eq!(deduplicator.gaps(), 4);
 }
--- a/src/net/agree/lease_renewal.rs
+++ b/src/net/agree/lease_renewal.rs
@@ -6,7 +6,7 @@
 use super::wire::RENEW_PATH;
 use crate::agree::lease_holder::{LeaseHolder, LeaseView};
 use crate::agree::{HolderId, Message, VoterId};
-use crate::clock::Pace;
+use crate::clock::LeaseClock;
 use crate::config::agree::Agreement;
 use crate::core::{Handle, Input};
 use log::debug;
@@ -36,7 +36,7 @@
 pub(super) struct LeaseRenewal {
     config: Agreement,
     caller: Caller,
-    pace: Pace,
+    pace: LeaseClock,
     handle: Handle,
     holder: Mutex<LeaseHolder>,
     /// What the core acts on.
@@ -49,7 +49,7 @@
         id: HolderId,
         config: Agreement,
         caller: Caller,
-        pace: Pace,
+        pace: LeaseClock,
         handle: Handle,
     ) -> Arc<LeaseRenewal> {
         let holder = LeaseHolder::new(id, &config.voters, config.times);
--- a/src/net/agree/runtime.rs
+++ b/src/net/agree/runtime.rs
@@ -6,7 +6,7 @@
 use super::voter_service::VoterService;
 use crate::agree::lease_holder::LeaseView;
 use crate::agree::{HolderId, Micros};
-use crate::clock::Pace;
+use crate::clock::LeaseClock;
 use crate::config::agree::Agreement;
 use crate::core::Handle;
 use crate::event;
@@ -31,7 +31,7 @@
     config: Agreement,
     process: &str,
     handle: Handle,
-    pace: Pace,
+    pace: LeaseClock,
 ) -> io::Result<Arc<Mutex<LeaseView>>> {
     let caller = Caller::new(&config.cluster);
     let renewal = LeaseRenewal::new(holder_id(process), config.clone(), caller.clone(), pace, handle);
--- a/src/net/agree/voter_service/mod.rs
+++ b/src/net/agree/voter_service/mod.rs
@@ -14,7 +14,7 @@
 use super::wire::{MessageEnvelope, MessageReply};
 use crate::agree::voter::{Output, Recipient, Voter};
 use crate::agree::{Index, Message, Micros, VoterId};
-use crate::clock::Pace;
+use crate::clock::LeaseClock;
 use crate::config::agree::{Agreement, VoterSettings};
 use crate::event;
 use host::VoterHost;
@@ -50,7 +50,7 @@
 pub(super) struct VoterService {
     config: Agreement,
     settings: VoterSettings,
-    pace: Pace,
+    pace: LeaseClock,
     /// `None`: the database cannot be used now.
     host: Mutex<Option<VoterHost>>,
     links: PeerLinks,
@@ -61,7 +61,7 @@
 
 impl VoterService {
     /// `None`: this process has no voter.
-    pub(super) fn new(config: Agreement, caller: Caller, pace: Pace) -> Option<VoterService> {
+    pub(super) fn new(config: Agreement, caller: Caller, pace: LeaseClock) -> Option<VoterService> {
         let settings = config.voter.clone()?;
         let (host, links, commits) = (Mutex::default(), PeerLinks::default(), watch::Sender::new(0));
         Some(VoterService { config, settings, pace, host, links, caller, commits })
--- a/src/net/back.rs
+++ b/src/net/back.rs
@@ -13,9 +13,9 @@
 use crate::handover::CapacityShare;
 use crate::interface::Load;
 use crate::net::inbound::Presence;
+use crate::net::incoming_body::IncomingBody;
 use crate::net::pool::{Pool, Quiet};
-use crate::net::source::Source;
-use crate::replay_buffer::{Next, Over};
+use crate::replay_buffer::{BodyEnd, Next};
 use bytes::Bytes;
 use futures_util::stream::{BoxStream, unfold};
 use http_body_util::{BodyExt, Either, Full, StreamBody};
@@ -190,19 +190,19 @@
                     Err(error) => Err(AnswerError::Broken(error)),
                 }
             });
-            let mut late = pin!(sleep_until(Instant::now() + ANSWER_STALL_LIMIT));
+            let mut stall_timer = pin!(sleep_until(Instant::now() + ANSWER_STALL_LIMIT));
             let mut stall_since = None;
             poll_fn(|cx| {
                 ended = ended || Pin::new(&mut connection).poll(cx).is_ready();
                 if let Poll::Ready(got) = answer.as_mut().poll(cx) {
                     return Poll::Ready(Some(got));
                 }
-                let (patience, since) = progress.with(|p| p.stall_limit());
+                let (limit, since) = progress.with(|p| p.stall_limit());
                 if stall_since != since {
                     stall_since = since;
-                    late.as_mut().reset(since.unwrap_or_else(Instant::now) + patience);
+                    stall_timer.as_mut().reset(since.unwrap_or_else(Instant::now) + limit);
                 }
-                if stall_since.is_some() && late.as_mut().poll(cx).is_ready() {
+                if stall_since.is_some() && stall_timer.as_mut().poll(cx).is_ready() {
                     return Poll::Ready(None);
                 }
                 Poll::Pending
@@ -269,7 +269,7 @@
     /// The end to report for the attempt.
     fn end(&self, progress: &Progress) -> AttemptEnd {
         match self {
-            _ if progress.overrun => AttemptEnd::BadAnswer,
+            _ if progress.exceeds_limit => AttemptEnd::BadAnswer,
             AnswerError::Framing => AttemptEnd::BadAnswer,
             AnswerError::Stopped(end) => *end,
             AnswerError::Broken(error) if error.is_parse() || is_body_parse_error(error) => {
@@ -331,7 +331,7 @@
             if !context.binder.begin_answer(load, used).await {
                 return Err(AnswerError::Stopped(AttemptEnd::CalledOff));
             }
-            progress.with(|p| p.passing = true);
+            progress.with(|p| p.streaming = true);
             stream_to_client(pieces, body, length, forward).await?;
             Bytes::new()
         }
@@ -490,7 +490,7 @@
     /// A body that is still arriving from the client.
     Coming {
         /// The pieces held, and those still to come.
-        source: Arc<Source>,
+        source: Arc<IncomingBody>,
         /// The length that the client declared, in bytes.
         length: Option<u64>,
     },
@@ -518,7 +518,7 @@
 
 /// The body that one attempt sends while it still arrives from the client. The body is bound to the attempt
 /// before its first pieces are released.
-fn upload(source: Arc<Source>, context: Arc<AttemptContext>, progress: SharedProgress) -> Upload {
+fn upload(source: Arc<IncomingBody>, context: Arc<AttemptContext>, progress: SharedProgress) -> Upload {
     let over = || io::Error::from(io::ErrorKind::BrokenPipe);
     StreamBody::new(Box::pin(unfold(
         (source, context, progress, 0),
@@ -532,11 +532,11 @@
                     }
                     Next::Bind if context.binder.bind().await => source.bind(attempt, sent),
                     Next::Wait => {}
-                    Next::End(Over::Whole) => {
+                    Next::End(BodyEnd::Complete) => {
                         progress.with(|p| p.all_given = true);
                         return None;
                     }
-                    Next::Bind | Next::End(Over::Cut) | Next::Lost => {
+                    Next::Bind | Next::End(BodyEnd::Reset) | Next::Lost => {
                         return Some((Err(over()), (source, context, progress, sent)));
                     }
                 }
@@ -652,9 +652,9 @@
     /// How many bytes had been read when the head was parsed.
     head_end: Option<usize>,
     /// The answer is being streamed: `stream_to_client` enforces its limits of size and time.
-    passing: bool,
+    streaming: bool,
     /// More bytes arrived than a valid answer may have.
-    overrun: bool,
+    exceeds_limit: bool,
     /// Bytes arrived before the request's first byte was written.
     unsolicited: bool,
 }
@@ -715,7 +715,7 @@
     /// Returns the longest time without progress and its start; without a start, only the request's deadline
     /// applies.
     fn stall_limit(&self) -> (Duration, Option<Instant>) {
-        match self.last_byte.filter(|_| !self.passing) {
+        match self.last_byte.filter(|_| !self.streaming) {
             None if self.wrote_at.is_some() && !self.request_is_written() => {
                 (STREAM_STALL_LIMIT, self.wrote_at)
             }
@@ -729,9 +729,9 @@
         if bytes > 0 {
             self.last_byte = Some(Instant::now());
         }
-        self.overrun = !self.passing
+        self.exceeds_limit = !self.streaming
             && self.read > self.head_end.map_or(MAX_BYTES_BEFORE_BODY, |at| at + MAX_FRAMED_BODY_BYTES);
-        !self.overrun
+        !self.exceeds_limit
     }
 }
 
--- a/src/net/body.rs
+++ b/src/net/body.rs
@@ -40,16 +40,16 @@
 }
 
 /// A body that is being received.
-pub struct Reading {
+pub struct BodyReader {
     body: Body,
     pace: Pace,
     most: u64,
 }
 
-impl Reading {
+impl BodyReader {
     /// Starts to receive a body of at most `most` bytes.
-    pub fn new(body: Body, most: u64) -> Reading {
-        Reading { body, pace: Pace::default(), most }
+    pub fn new(body: Body, most: u64) -> BodyReader {
+        BodyReader { body, pace: Pace::default(), most }
     }
 
     /// Returns the length that the head declares, in bytes; `None` if the body is chunked.
--- a/src/net/body/tests.rs
+++ b/src/net/body/tests.rs
@@ -23,7 +23,7 @@
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build().unwrap();
     runtime.block_on(async {
         for (length, whole) in [(0, true), (99, true), (100, true), (101, false)] {
-            let mut reading = Reading::new(Body::from(vec![7; length]), 100);
+            let mut reading = BodyReader::new(Body::from(vec![7; length]), 100);
             let read = reading.whole().await.map(|body| body.len());
             assert_eq!(read, if whole { Ok(length) } else { Err(Fault::TooLong) });
         }
--- a/src/net/discovery.rs
+++ b/src/net/discovery.rs
@@ -4,7 +4,7 @@
 use crate::core::{Handle, Input};
 use crate::event;
 use crate::interface::ListUpdate;
-use crate::staleness::{BEAT, TOLD};
+use crate::staleness::{CHANGE_TOLD_AFTER, HEARTBEAT_INTERVAL};
 use bytes::{Buf, Bytes, BytesMut};
 use http_body_util::{BodyExt, Empty};
 use hyper::body::Incoming;
@@ -21,12 +21,12 @@
 
 /// A watch that is silent for longer than its beat and a quarter of it is broken, though its connection
 /// stands.
-const SILENCE: Duration = Duration::from_micros(BEAT * 5 / 4);
+const SILENCE: Duration = Duration::from_micros(HEARTBEAT_INTERVAL * 5 / 4);
 /// From the call to the watch's first list. The service works through its calls in turn and fails those that
 /// waited too long by itself: a call without any answer is taken to be a watch that has fallen silent.
-const CALL: Duration = Duration::from_micros(BEAT * 3 / 2);
+const CALL: Duration = Duration::from_micros(HEARTBEAT_INTERVAL * 3 / 2);
 /// One on which something comes, but neither a list nor a beat is whole for so long, tells nothing either.
-const WHOLE: Duration = Duration::from_micros(TOLD);
+const WHOLE: Duration = Duration::from_micros(CHANGE_TOLD_AFTER);
 const CONNECT: Duration = Duration::from_secs(2);
 /// No list is longer; a head has little memory, and 1,024 nodes take 300 kB, indented.
 const MOST_LIST: usize = 1024 * 1024;
@@ -84,8 +84,8 @@
     pub async fn run(self, mut wanted: mpsc::UnboundedReceiver<()>) {
         let Discovery { address: mut place, known, handle, on_demand, stop_within } = self;
         let mut held = Held { version: known.version, ..Held::default() };
-        handle.send(Input::Nodes { news: ListUpdate::Cached, nodes: known.servers });
-        let tell = |news| handle.send(Input::Nodes { news, nodes: Vec::new() });
+        handle.send(Input::Nodes { update: ListUpdate::Cached, nodes: known.servers });
+        let tell = |news| handle.send(Input::Nodes { update: news, nodes: Vec::new() });
         if !on_demand {
             // The agent may know more from the first moment on.
             tell(ListUpdate::Failed);
@@ -128,7 +128,7 @@
                             (stands, moving, told) = (Some(watch), false, None);
                             // What was missed comes first: with the watch the list is whole.
                             if let Some(news) = held.news(&mut list, true) {
-                                handle.send(Input::Nodes { news, nodes: list.servers });
+                                handle.send(Input::Nodes { update: news, nodes: list.servers });
                             }
                             tell(ListUpdate::Subscribed);
                             continue;
@@ -140,7 +140,7 @@
                 line = async { stands.as_mut()?.next().await.into() }, if stands.is_some() => match line {
                     Some(Ok(Some(mut list))) => {
                         if let Some(news) = held.news(&mut list, false) {
-                            handle.send(Input::Nodes { news, nodes: list.servers });
+                            handle.send(Input::Nodes { update: news, nodes: list.servers });
                         }
                         continue;
                     }
--- a/src/net/fleet/mod.rs
+++ b/src/net/fleet/mod.rs
@@ -67,7 +67,7 @@
     }
 
     /// Whether a datagram is of the view at all: whatever else heads say goes to the module.
-    pub fn takes(bytes: &[u8]) -> bool {
+    pub fn is_gossip(bytes: &[u8]) -> bool {
         bytes.first() == Some(&FORMAT)
     }
 
@@ -85,7 +85,7 @@
     }
 
     /// From here on it tells that it drains, or no longer does.
-    pub fn drains(&self, draining: bool) {
+    pub fn set_draining(&self, draining: bool) {
         self.member().set_status(NodeStatus { draining, ..NodeStatus::default() });
     }
 
--- a/src/net/front.rs
+++ b/src/net/front.rs
@@ -1,7 +1,7 @@
 //! The HTTP/1.1 front: submits clients' requests to the core and sends the core's answers to the clients.
 
 use crate::classes::Directory;
-use crate::core::{Answer, Arrival, Handle, Pending, less_margin};
+use crate::core::{Answer, Arrival, Handle, Pending, wait_less_margin};
 use crate::event;
 use crate::lifecycle_state::Phase;
 use crate::metrics::Count;
@@ -9,13 +9,13 @@
     Forward, ForwardWork, IDEMPOTENCY_KEY, MAX_BODY_BYTES, MAX_HELD_BODY_BYTES, NodeClient, Passing, Payload,
     REQUEST_ID, TIMEOUT,
 };
-use crate::net::body::{Fault, Reading};
+use crate::net::body::{BodyReader, Fault};
 use crate::net::ids::Ids;
 use crate::net::inbound::{Inbound, Presence};
+use crate::net::incoming_body::IncomingBody;
 use crate::net::lifecycle::until;
 use crate::net::slots::{Slot, Slots};
-use crate::net::source::Source;
-use crate::replay_buffer::Over;
+use crate::replay_buffer::BodyEnd;
 use axum::Extension;
 use axum::Router;
 use axum::body::{Body, HttpBody};
@@ -155,14 +155,15 @@
         async move {
             let response = answer.await?;
             let still_out = response.extensions().get::<ResponseUnfinished>().is_some();
-            let last = if still_out { slot.had_better_go() } else { slot.mark_answered() } || slot.is_told();
+            let last = if still_out { slot.should_close() } else { slot.mark_answered() }
+                || slot.was_asked_to_leave();
             Ok::<_, std::convert::Infallible>(if last { with_connection_close(response) } else { response })
         }
     });
     let mut served =
         Box::pin(http1::Builder::new().max_buf_size(MAX_HEAD_BYTES).serve_connection(io, service));
-    let mut gone = pin!(client.left());
-    let (mut told, mut ends) = (false, false);
+    let mut client_left = pin!(client.left());
+    let (mut asked_to_leave, mut closing) = (false, false);
     let ended = loop {
         // Bytes that have arrived are read before the connection is told to close.
         tokio::select! {
@@ -170,22 +171,22 @@
             ended = served.as_mut() => break ended,
             // hyper does not read further while a request is open, so it would not notice that the client
             // closes.
-            () = &mut gone => {
+            () = &mut client_left => {
                 debug!("client closed its connection");
                 return;
             }
-            () = until(&mut phase, |phase| phase.close), if !ends => {
-                ends = true;
+            () = until(&mut phase, |phase| phase.close), if !closing => {
+                closing = true;
                 if !has_request_under_way(&slot, &client) {
                     served.as_mut().graceful_shutdown();
                 }
             }
             orderly = slot.asked_to_leave() => {
-                if told || !orderly {
+                if asked_to_leave || !orderly {
                     debug!("client connection cut off");
                     return;
                 }
-                told = true;
+                asked_to_leave = true;
                 if !has_request_under_way(&slot, &client) {
                     served.as_mut().graceful_shutdown();
                 }
@@ -293,7 +294,7 @@
     {
         return denied(StatusCode::BAD_REQUEST, "a body with a length and a coding");
     }
-    let mut reading = Reading::new(body, MAX_BODY_BYTES);
+    let mut reading = BodyReader::new(body, MAX_BODY_BYTES);
     let length = reading.length();
     if length.is_some_and(|length| length > MAX_BODY_BYTES) {
         return denied(StatusCode::PAYLOAD_TOO_LARGE, "the body is too long");
@@ -302,7 +303,7 @@
         return denied(StatusCode::BAD_REQUEST, &Malformed(REQUEST_ID).to_string());
     };
     let forward = |payload, wait| {
-        let (begins, begun) = oneshot::channel();
+        let (begins, response_start) = oneshot::channel();
         let forward = Forward {
             method: head.method.clone(),
             target: head.uri.path_and_query().map_or_else(Uri::default, |target| target.clone().into()),
@@ -318,7 +319,7 @@
                 forward: Arc::new(forward),
                 client: client.clone(),
             }),
-            begun,
+            response_start,
         )
     };
     let wait = arrival.answer_by.saturating_duration_since(received);
@@ -336,7 +337,7 @@
     } else {
         // The body is forwarded only once it is complete or can no longer be held, so that a slow client
         // occupies neither a token nor a connection to a node.
-        let source = Arc::new(Source::new(MAX_BUFFERED_UPLOAD_BYTES, front.uploads.clone()));
+        let source = Arc::new(IncomingBody::new(MAX_BUFFERED_UPLOAD_BYTES, front.uploads.clone()));
         if let Err(fault) = read_while_room(&mut reading, &source).await {
             return fault_response(fault);
         }
@@ -353,7 +354,7 @@
         _ => None,
     };
     let arrival = Arrival { answer_by, body_time: source.as_ref().map(|_| wait), ..arrival };
-    let (work, begun) = forward(body, wait);
+    let (work, response_start) = forward(body, wait);
     let Some(pending) = front.handle.submit(arrival, work) else {
         return match source {
             // The connection closes after this answer, so that its slot is free for another client.
@@ -362,17 +363,17 @@
         };
     };
     match source {
-        None => await_answer(pending, begun, slot).await,
-        Some(source) => answer_while_receiving(reading, &source, pending, begun, slot).await,
+        None => await_answer(pending, response_start, slot).await,
+        Some(source) => answer_while_receiving(reading, &source, pending, response_start, slot).await,
     }
 }
 
 /// Reads pieces of the body into `source` while `source` has room.
-async fn read_while_room(reading: &mut Reading, source: &Source) -> Result<(), Fault> {
+async fn read_while_room(reading: &mut BodyReader, source: &IncomingBody) -> Result<(), Fault> {
     while source.has_room() {
         match reading.next().await? {
             Some(piece) => drop(source.push(piece, source.is_bound())),
-            None => source.end(Over::Whole),
+            None => source.end(BodyEnd::Complete),
         }
     }
     Ok(())
@@ -381,28 +382,28 @@
 /// Reads the rest of a request's body while the core queues and forwards the request. The answer may come
 /// before the body's end.
 async fn answer_while_receiving(
-    mut reading: Reading,
-    source: &Source,
+    mut reading: BodyReader,
+    source: &IncomingBody,
     pending: Pending,
-    begun: oneshot::Receiver<Passing>,
+    response_start: oneshot::Receiver<Passing>,
     slot: &Slot,
 ) -> Response {
     let body_completion = pending.body_completion();
     let response = {
         let fault = async {
             while !source.is_over() {
-                source.room().await;
+                source.readable().await;
                 if let Err(fault) = read_while_room(&mut reading, source).await {
-                    source.end(Over::Cut);
+                    source.end(BodyEnd::Reset);
                     return fault;
                 }
             }
-            body_completion.whole();
+            body_completion.complete();
             std::future::pending().await
         };
         tokio::select! {
             biased;
-            response = await_answer(pending, begun, slot) => response,
+            response = await_answer(pending, response_start, slot) => response,
             // Returning drops `pending`, which cancels the request like one whose client has left.
             fault = fault => return fault_response(fault),
         }
@@ -413,7 +414,7 @@
 /// Returns a response that is sent before the request's body has ended, and reads the rest of the body in the
 /// background. If the connection closed at once, a reset could overtake the response, and a client still
 /// writing would never see it.
-fn drain_body_after(mut reading: Reading, slot: &Slot, mut response: Response) -> Response {
+fn drain_body_after(mut reading: BodyReader, slot: &Slot, mut response: Response) -> Response {
     let slot = slot.clone();
     response.extensions_mut().insert(ResponseUnfinished);
     tokio::spawn(async move {
@@ -426,12 +427,16 @@
 }
 
 /// Waits for the core's answer, or for the start of an answer that is streamed to the client.
-async fn await_answer(mut pending: Pending, mut begun: oneshot::Receiver<Passing>, slot: &Slot) -> Response {
+async fn await_answer(
+    mut pending: Pending,
+    mut response_start: oneshot::Receiver<Passing>,
+    slot: &Slot,
+) -> Response {
     let mut may_begin = true;
     loop {
         tokio::select! {
             biased;
-            began = &mut begun, if may_begin => match began {
+            began = &mut response_start, if may_begin => match began {
                 Ok(passing) => return streamed_response(passing, pending, slot),
                 // No attempt will stream an answer: the request has ended.
                 Err(_) => may_begin = false,
@@ -604,7 +609,7 @@
         volume_hosts,
         repeat: head.headers.get(RETRIED_HEADER).is_some_and(|value| value == "1"),
         shard,
-        answer_by: received + less_margin(wait, margin),
+        answer_by: received + wait_less_margin(wait, margin),
     })
 }
 
--- a/src/net/grpc/back.rs
+++ b/src/net/grpc/back.rs
@@ -15,7 +15,7 @@
 use crate::grpc::{status, timeout};
 use crate::interface::{Load, Micros};
 use crate::net::back::{NOT_PROCESSED, load, used};
-use crate::replay_buffer::{Next, Over};
+use crate::replay_buffer::{BodyEnd, Next};
 use bytes::Bytes;
 use h2::client::{ResponseFuture, SendRequest};
 use h2::{Ping, PingPong, Reason, SendStream};
@@ -37,7 +37,7 @@
 
 /// The channels to all nodes; clones share them.
 #[derive(Clone)]
-pub struct Nodes {
+pub struct NodeChannels {
     pool: Arc<ChannelPool>,
 }
 
@@ -98,17 +98,17 @@
     }
 }
 
-impl Nodes {
+impl NodeChannels {
     /// Creates a pool without channels; `connect_timeout` limits each TCP connect.
-    pub fn new(front: &GrpcFront, connect_timeout: Duration) -> Nodes {
+    pub fn new(front: &GrpcFront, connect_timeout: Duration) -> NodeChannels {
         let limits = front.channels;
-        Nodes {
+        NodeChannels {
             pool: Arc::new(ChannelPool {
                 start: Instant::now(),
                 state: Mutex::new(State { channels: Channels::new(limits), established: BTreeMap::new() }),
                 changed: Notify::new(),
                 connect_timeout,
-                settings_timeout: Duration::from_micros(limits.patience),
+                settings_timeout: Duration::from_micros(limits.ping_timeout),
                 node_port: front.node_port,
                 stream_window: front.node_window,
                 header_bytes: front.header_bytes as u32,
@@ -119,12 +119,12 @@
     }
 
     /// Returns the numbers of channels opened and of attempts begun so far.
-    pub fn counts(&self) -> (u64, u64) {
+    pub fn channel_and_attempt_counts(&self) -> (u64, u64) {
         (self.pool.opened.load(Ordering::Relaxed), self.pool.attempts.load(Ordering::Relaxed))
     }
 
     /// Pings silent channels and closes idle or dead ones at a regular interval. Never returns.
-    pub async fn watch(self) {
+    pub async fn maintain_channels(self) {
         loop {
             tokio::time::sleep(CHANNEL_CHECK_INTERVAL).await;
             for action in self.pool.with(|pool, state| state.channels.tick(pool.now())) {
@@ -265,7 +265,7 @@
         outbound: Scanner::new(PREFACE_BYTES),
     };
     let mut builder = h2::client::Builder::new();
-    let streams = pool.with(|_, state| state.channels.limits().streams) as u32;
+    let streams = pool.with(|_, state| state.channels.limits().max_streams) as u32;
     builder
         .enable_push(false)
         .initial_window_size(pool.stream_window)
@@ -493,7 +493,7 @@
 /// A source of attempts for one call.
 pub struct CallWork {
     /// The channels that attempts use.
-    pub nodes: Nodes,
+    pub nodes: NodeChannels,
     /// The call that attempts send.
     pub call: Arc<Call>,
 }
@@ -577,7 +577,7 @@
     loop {
         match call.next(attempt, sent).await {
             Next::Piece(piece) => {
-                let last = call.whole_with(attempt, sent + 1);
+                let last = call.complete_with(attempt, sent + 1);
                 if !send_piece(permit, &mut request_body, piece, last).await {
                     return pending().await;
                 }
@@ -587,7 +587,7 @@
                     return hold_open(request_body).await;
                 }
             }
-            Next::End(Over::Whole) => {
+            Next::End(BodyEnd::Complete) => {
                 let _ = request_body.send_data(Bytes::new(), true); // the response tells of a broken stream
                 return hold_open(request_body).await;
             }
@@ -597,7 +597,7 @@
                 }
                 call.bind(attempt, sent);
             }
-            Next::End(Over::Cut) => return AttemptEnd::CalledOff,
+            Next::End(BodyEnd::Reset) => return AttemptEnd::CalledOff,
             // The call is bound to another attempt, and the pieces that this attempt would send first were
             // dropped.
             Next::Lost => return AttemptEnd::NotStarted,
@@ -716,7 +716,7 @@
             return self.finish(None, head.headers).await;
         }
         let mut headers = Some(head.headers);
-        if self.call.route.early {
+        if self.call.route.early_headers {
             self.send_headers(&mut headers).await?;
         }
         while let Some(piece) = body.data().await {
@@ -764,10 +764,10 @@
     ) -> Result<AttemptEnd, ReadError> {
         let mut statuses = trailers.get_all(STATUS).iter();
         let code = match (statuses.next(), statuses.next()) {
-            (Some(code), None) => status::read(Some(code.as_bytes())),
+            (Some(code), None) => status::parse_code(Some(code.as_bytes())),
             _ => None,
         };
-        let end = status::attempt(code, not_processed(&trailers));
+        let end = status::attempt_end(code, not_processed(&trailers));
         if end == AttemptEnd::Answered {
             let mut headers = headers;
             self.send_headers(&mut headers).await?;
@@ -799,7 +799,7 @@
         }
         // A node may start a streaming call with the first piece of the request; it starts others with the
         // last.
-        let may_have_begun = complete || self.call.route.streams && data;
+        let may_have_begun = complete || self.call.route.streams_request && data;
         if !may_have_begun {
             return AttemptEnd::BrokeUnsent;
         }
--- a/src/net/grpc/call.rs
+++ b/src/net/grpc/call.rs
@@ -3,7 +3,7 @@
 
 use crate::config::grpc::Route;
 use crate::net::inbound::Presence;
-use crate::net::source::Source;
+use crate::net::incoming_body::IncomingBody;
 use bytes::Bytes;
 use hyper::Uri;
 use hyper::header::HeaderMap;
@@ -37,7 +37,7 @@
     pub client: Presence,
     /// Carries the response from the bound attempt to the call's task.
     pub response: mpsc::Sender<ResponsePart>,
-    body: Source,
+    body: IncomingBody,
     /// The status of the latest attempt that failed with one.
     failure_status: Mutex<Option<u32>>,
 }
@@ -61,7 +61,7 @@
             cancelled: CancellationToken::new(),
             client,
             response,
-            body: Source::new(hold, memory),
+            body: IncomingBody::new(hold, memory),
             failure_status: Mutex::default(),
         }
     }
@@ -79,9 +79,9 @@
 }
 
 impl Deref for Call {
-    type Target = Source;
+    type Target = IncomingBody;
 
-    fn deref(&self) -> &Source {
+    fn deref(&self) -> &IncomingBody {
         &self.body
     }
 }
--- a/src/net/grpc/front.rs
+++ b/src/net/grpc/front.rs
@@ -2,13 +2,13 @@
 //! responds to the client: it forwards the response of the attempt that the call is bound to, and ends every
 //! call with one status.
 
-use super::back::{CallWork, Nodes};
+use super::back::{CallWork, NodeChannels};
 use super::call::{Call, ResponsePart};
 use super::observed_io::{IoObserver, ObservedIo};
 use super::{CONTENT_TYPE, DETAILS, MESSAGE, PUSHBACK, STATUS, TIMEOUT};
 use crate::clock::micros;
 use crate::config::grpc::GrpcFront;
-use crate::core::{Answer, Arrival, Handle, Pending, less_margin};
+use crate::core::{Answer, Arrival, Handle, Pending, wait_less_margin};
 use crate::event;
 use crate::grpc::frames::{FrameEvent, FrameKind, PREFACE_BYTES, Scanner};
 use crate::grpc::guard::{Guard, Offence};
@@ -19,7 +19,7 @@
 use crate::net::inbound::{Inbound, Presence};
 use crate::net::lifecycle::until;
 use crate::net::slots::{Slot, Slots};
-use crate::replay_buffer::Over;
+use crate::replay_buffer::BodyEnd;
 use base64::Engine;
 use base64::prelude::BASE64_STANDARD_NO_PAD;
 use bytes::Bytes;
@@ -59,7 +59,7 @@
     /// Submits calls to the core.
     pub handle: Handle,
     /// The channels to nodes.
-    pub nodes: Nodes,
+    pub nodes: NodeChannels,
     /// The front's configuration.
     pub config: Arc<GrpcFront>,
     /// How long before a call's deadline the front answers.
@@ -88,7 +88,7 @@
     }
 
     /// Formats the count of each offence for the event log.
-    pub fn tell(&self) -> String {
+    pub fn format_offences(&self) -> String {
         let counts = Offence::ALL.iter().zip(&self.offences);
         let texts =
             counts.map(|(offence, count)| format!("{}={}", offence.name(), count.load(Ordering::Relaxed)));
@@ -456,7 +456,7 @@
         Err(end) => return response.finish(&end),
     };
     let (parts_sender, parts) = mpsc::channel(RESPONSE_PARTS);
-    let (streams, answer_by) = (route.streams, arrival.answer_by);
+    let (streams, answer_by) = (route.streams_request, arrival.answer_by);
     let hold = front.config.hold;
     let memory = front.bodies.clone();
     let call = Arc::new(Call::new(head.uri, head.headers, route, hold, memory, parts_sender, client));
@@ -464,7 +464,7 @@
     let (mut reading, complete_by) =
         (!body.is_end_stream(), answer_by.min(received + front.config.request_time));
     if !reading {
-        call.end(Over::Whole);
+        call.end(BodyEnd::Complete);
     }
     // Reads until the call may go to a node: a streaming call with its first bytes, others once complete.
     while reading && !(streams && call.bytes() > 0) {
@@ -486,7 +486,7 @@
             let end = if too_long { Final::TooLong } else { Final::NoRoom(NO_ROOM_RETRY_AFTER) };
             return response.finish(&end);
         }
-        if !reading && call.cut() {
+        if !reading && call.is_cut() {
             return;
         }
     }
@@ -513,18 +513,18 @@
             let has_room = call.push(piece, call.is_bound());
             if body.is_end_stream() {
                 *reading = false;
-                call.end(Over::Whole);
+                call.end(BodyEnd::Complete);
             }
             has_room
         }
         Some(Err(_)) => {
             *reading = false;
-            call.end(Over::Cut);
+            call.end(BodyEnd::Reset);
             true
         }
         None => {
             *reading = false;
-            call.end(Over::Whole);
+            call.end(BodyEnd::Complete);
             true
         }
     }
@@ -607,7 +607,7 @@
 
 /// Waits until the call has room for another piece of the request, then reads one.
 async fn next_piece(call: &Call, body: &mut RecvStream) -> Option<Result<Bytes, h2::Error>> {
-    call.room().await;
+    call.readable().await;
     body.data().await
 }
 
@@ -639,7 +639,7 @@
             .min(route.wait),
         _ => return Err(Final::Malformed("grpc-timeout is there twice")),
     };
-    let values = front.config.sources.told(&route, uri.path(), metadata).map_err(Final::Malformed)?;
+    let values = front.config.sources.read(&route, uri.path(), metadata).map_err(Final::Malformed)?;
     let arrival = Arrival {
         body_time: None,
         volume: values.volume,
@@ -650,7 +650,7 @@
         volume_hosts: values.hosts,
         repeat: metadata.contains_key(super::PREVIOUS_ATTEMPTS),
         shard: values.shard,
-        answer_by: received + less_margin(wait, front.answer_margin),
+        answer_by: received + wait_less_margin(wait, front.answer_margin),
     };
     if arrival.answer_by <= received {
         return Err(Final::OutOfTime);
--- a/src/net/hot_restart.rs
+++ b/src/net/hot_restart.rs
@@ -51,7 +51,7 @@
     ours: ProcessFiles,
     other: ProcessFiles,
     pair: Pair,
-    said: bool,
+    announced: bool,
 }
 
 impl HotRestart {
@@ -66,7 +66,7 @@
                 match lock {
                     Some(Ok(())) => {
                         let (ours, other) = (places[number].take()?, places[1 - number].take()?);
-                        return Some(HotRestart { ours, other, pair: Pair::new(now()), said: false });
+                        return Some(HotRestart { ours, other, pair: Pair::new(now()), announced: false });
                     }
                     Some(Err(TryLockError::Error(_))) => return None,
                     _ => {}
@@ -82,7 +82,7 @@
         (self.ours.ids.clone(), self.other.ids.clone())
     }
 
-    fn seen(&self) -> PeerProcess {
+    fn observe_peer(&self) -> PeerProcess {
         PeerProcess { lives: held(&self.other.lives), halved: held(&self.other.halved) }
     }
 
@@ -90,14 +90,14 @@
     /// capacity, and lifts that limit only after the lock is released: a process that starts meanwhile either
     /// sees that or is seen.
     pub fn check(&mut self, mut tell: impl FnMut(bool)) -> Permissions {
-        let mut permissions = self.pair.check(now(), self.seen());
-        if self.said && !permissions.halved {
-            self.said = self.ours.halved.unlock().is_err();
-            permissions = self.pair.check(now(), self.seen());
+        let mut permissions = self.pair.check(now(), self.observe_peer());
+        if self.announced && !permissions.halved {
+            self.announced = self.ours.halved.unlock().is_err();
+            permissions = self.pair.check(now(), self.observe_peer());
         }
         tell(permissions.halved);
-        if permissions.halved && !self.said {
-            self.said = self.ours.halved.try_lock().is_ok();
+        if permissions.halved && !self.announced {
+            self.announced = self.ours.halved.try_lock().is_ok();
         }
         permissions
     }
@@ -117,9 +117,9 @@
 
 /// Returns a function that passes each change to the core and to the limits of connections.
 pub fn capacity_share_notifier(capacity_share: CapacityShare, handle: Handle) -> impl FnMut(bool) {
-    let mut told = None;
+    let mut last_notified = None;
     move |halved| {
-        if told.replace(halved) != Some(halved) {
+        if last_notified.replace(halved) != Some(halved) {
             capacity_share.halve(halved);
             handle.send(Input::CapacityShare { halved });
             event!(TWIN, here = if halved { "yes" } else { "no" });
--- a/src/net/ids.rs
+++ b/src/net/ids.rs
@@ -30,10 +30,10 @@
 
 impl Bytes for File {
     /// Returns the number of bytes read; bytes that cannot be read count as missing.
-    fn at(&self, place: u64, buffer: &mut [u8]) -> usize {
+    fn read_from(&self, offset: u64, buffer: &mut [u8]) -> usize {
         let mut got = 0;
         while got < buffer.len() {
-            match self.read_at(&mut buffer[got..], place + got as u64) {
+            match self.read_at(&mut buffer[got..], offset + got as u64) {
                 Ok(more @ 1..) => got += more,
                 Err(problem) if problem.kind() == io::ErrorKind::Interrupted => {}
                 _ => break,
@@ -58,7 +58,7 @@
 impl Shared {
     fn new(ours: Arc<File>, other: Arc<File>, records: u64, key: [u8; 16]) -> io::Result<Shared> {
         let mut before = Reader::default();
-        before.look(&*ours);
+        before.refresh(&*ours);
         let header = match before.header().filter(|header| header.records == records) {
             Some(header) => header,
             None => {
@@ -83,7 +83,7 @@
 
     fn write(&mut self, id: &[u8], now: Duration) {
         let record = Record { number: self.next, hash: self.header.hash(id), at_ms: now.as_millis() as u64 };
-        match self.file.write_all_at(&record.encode(), self.header.place(self.next)) {
+        match self.file.write_all_at(&record.encode(), self.header.offset(self.next)) {
             Ok(()) => {
                 self.next += 1;
                 self.failing = false;
@@ -96,7 +96,7 @@
     fn is_new(&mut self, id: &[u8], since: Duration) -> bool {
         let since_ms = since.as_millis() as u64;
         let (file, other) = &mut self.other;
-        other.look(&**file);
+        other.refresh(&**file);
         !other.has(id, since_ms) && !self.before.has(id, since_ms)
     }
 }
--- a/src/net/source.rs
+++ b/src/net/incoming_body.rs
@@ -1,21 +1,21 @@
 //! The body of a request that is forwarded while it still arrives: held until it is complete or the limit is
 //! reached, then released as an attempt sends it.
 
-use crate::replay_buffer::{Next, Over, ReplayBuffer};
+use crate::replay_buffer::{BodyEnd, Next, ReplayBuffer};
 use bytes::Bytes;
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
 use tokio::sync::{Notify, OwnedSemaphorePermit, Semaphore};
 
 /// A body that is forwarded while it arrives.
 #[derive(Debug)]
-pub struct Source {
+pub struct IncomingBody {
     state: Mutex<State>,
     /// The memory for the bodies of all requests, in bytes.
     memory: Arc<Semaphore>,
     /// Notified when the body has grown or ended.
     more: Notify,
     /// Notified when another piece may be read.
-    room: Notify,
+    readable: Notify,
 }
 
 #[derive(Debug)]
@@ -25,11 +25,11 @@
     held: Option<OwnedSemaphorePermit>,
 }
 
-impl Source {
+impl IncomingBody {
     /// Creates a body of which up to `hold` bytes are held before it is bound to an attempt.
-    pub fn new(hold: usize, memory: Arc<Semaphore>) -> Source {
+    pub fn new(hold: usize, memory: Arc<Semaphore>) -> IncomingBody {
         let state = Mutex::new(State { buffer: ReplayBuffer::new(hold), held: None });
-        Source { state, memory, more: Notify::new(), room: Notify::new() }
+        IncomingBody { state, memory, more: Notify::new(), readable: Notify::new() }
     }
 
     fn state(&self) -> MutexGuard<'_, State> {
@@ -39,10 +39,10 @@
     // For the task that reads from the client.
 
     /// Waits until another piece may be read from the client.
-    pub async fn room(&self) {
+    pub async fn readable(&self) {
         loop {
-            let changed = self.room.notified();
-            if self.state().buffer.room() {
+            let changed = self.readable.notified();
+            if self.state().buffer.can_read() {
                 return;
             }
             changed.await;
@@ -57,30 +57,30 @@
             match (self.memory.clone().try_acquire_many_owned(length), &mut state.held) {
                 (Ok(permit), Some(held)) => held.merge(permit),
                 (Ok(permit), none) => *none = Some(permit),
-                (Err(_), _) => state.buffer.pinch(),
+                (Err(_), _) => state.buffer.mark_memory_exhausted(),
             }
         }
         state.buffer.push(piece);
-        let whole = !state.buffer.outgrown();
+        let within_limit = !state.buffer.exceeds_limit();
         drop(state);
         self.more.notify_waiters();
-        whole
+        within_limit
     }
 
     /// Marks the end of the body.
-    pub fn end(&self, over: Over) {
+    pub fn end(&self, over: BodyEnd) {
         self.state().buffer.end(over);
         self.more.notify_waiters();
     }
 
     /// Returns whether the client reset the request or left before the end of the body.
-    pub fn cut(&self) -> bool {
-        self.state().buffer.over() == Some(Over::Cut)
+    pub fn is_cut(&self) -> bool {
+        self.state().buffer.over() == Some(BodyEnd::Reset)
     }
 
     /// Returns whether another piece may be read from the client.
     pub fn has_room(&self) -> bool {
-        self.state().buffer.room()
+        self.state().buffer.can_read()
     }
 
     /// Returns whether the body is complete or was cut off.
@@ -114,8 +114,8 @@
     }
 
     /// Returns whether the body is complete with `sent` pieces.
-    pub fn whole_with(&self, attempt: u32, sent: usize) -> bool {
-        self.state().buffer.next(attempt, sent) == Next::End(Over::Whole)
+    pub fn complete_with(&self, attempt: u32, sent: usize) -> bool {
+        self.state().buffer.next(attempt, sent) == Next::End(BodyEnd::Complete)
     }
 
     /// Binds the body to one attempt, so that pieces already sent can be released. The core must have granted
@@ -125,13 +125,13 @@
         state.buffer.bind(attempt, sent);
         state.held = None;
         drop(state);
-        self.room.notify_one();
+        self.readable.notify_one();
     }
 
     /// Records that an attempt has sent `sent` pieces, and releases them if the body is bound to it.
     pub fn sent(&self, attempt: u32, sent: usize) {
         if self.state().buffer.sent(attempt, sent) > 0 {
-            self.room.notify_one();
+            self.readable.notify_one();
         }
     }
 }
--- a/src/net/mod.rs
+++ b/src/net/mod.rs
@@ -12,6 +12,7 @@
 pub mod hot_restart;
 pub mod ids;
 pub mod inbound;
+pub mod incoming_body;
 pub mod lifecycle;
 pub mod ops;
 pub mod passed;
@@ -20,4 +21,3 @@
 #[expect(missing_docs, reason = "not documented item by item yet")]
 pub mod sftp;
 pub mod slots;
-pub mod source;
--- a/src/net/ops.rs
+++ b/src/net/ops.rs
@@ -98,7 +98,7 @@
 
 /// The state that the commands read and change.
 #[derive(Clone)]
-pub struct Desk {
+pub struct CommandContext {
     /// The metrics.
     pub metrics: Metrics,
     /// The lifecycle.
@@ -107,9 +107,9 @@
     pub fleet: Option<Fleet>,
 }
 
-impl Desk {
+impl CommandContext {
     fn answer(&self, command: Result<Command, BadLine>) -> String {
-        let said = match command {
+        let outcome = match command {
             Ok(Command::Stats) => return format!("{}END\n", self.metrics.text()),
             Ok(Command::Fleet(only)) => match &self.fleet {
                 Some(fleet) => match fleet.text(only) {
@@ -120,14 +120,14 @@
             },
             Ok(Command::Ready) => self.ready().map(|()| "ready"),
             Ok(Command::Drain) => {
-                self.lifecycle.drain().map(|()| "draining").map_err(|ends| ends.to_string())
+                self.lifecycle.drain().map(|()| "draining").map_err(|error| error.to_string())
             }
             Ok(Command::Undrain) => {
-                self.lifecycle.undrain().map(|()| "serving").map_err(|ends| ends.to_string())
+                self.lifecycle.undrain().map(|()| "serving").map_err(|error| error.to_string())
             }
             Err(bad) => Err(bad.to_string()),
         };
-        match said {
+        match outcome {
             Ok(word) => format!("OK {word}\n"),
             Err(reason) => format!("ERR {reason}\n"),
         }
@@ -155,7 +155,7 @@
 /// # Errors
 ///
 /// Fails if the address cannot be bound or the thread cannot be started.
-pub fn start(address: SocketAddr, most: usize, desk: Desk) -> io::Result<SocketAddr> {
+pub fn start(address: SocketAddr, most: usize, context: CommandContext) -> io::Result<SocketAddr> {
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build()?;
     // Bound here, so that a bad address ends the program. The listener is registered with the runtime on its
     // thread.
@@ -164,7 +164,7 @@
     let bound = listener.local_addr()?;
     let serving = async move {
         match TcpListener::from_std(listener) {
-            Ok(listener) => serve(listener, most, desk).await,
+            Ok(listener) => serve(listener, most, context).await,
             Err(problem) => event!(ACCEPT_FAILED, problem:%),
         }
     };
@@ -172,7 +172,7 @@
     Ok(bound)
 }
 
-async fn serve(listener: TcpListener, most: usize, desk: Desk) {
+async fn serve(listener: TcpListener, most: usize, context: CommandContext) {
     let mut callers: VecDeque<JoinHandle<()>> = VecDeque::new();
     loop {
         match listener.accept().await {
@@ -183,7 +183,7 @@
                 while callers.len() >= most {
                     callers.pop_front().into_iter().for_each(|caller| caller.abort());
                 }
-                callers.push_back(tokio::spawn(call(stream, desk.clone())));
+                callers.push_back(tokio::spawn(call(stream, context.clone())));
             }
             Err(problem) => {
                 event!(ACCEPT_FAILED, problem:%);
@@ -193,15 +193,15 @@
     }
 }
 
-async fn call(mut stream: TcpStream, desk: Desk) {
+async fn call(mut stream: TcpStream, context: CommandContext) {
     // On any failure the caller sees its connection closed, and can call again.
     let Ok(Some(command)) = timeout(LINE_TIMEOUT, line(&mut stream)).await else { return };
-    let answer = desk.answer(command);
-    let told = async {
+    let answer = context.answer(command);
+    let exchange = async {
         stream.write_all(answer.as_bytes()).await?;
         stream.shutdown().await
     };
-    if let Ok(Ok(())) = timeout(ANSWER_TIMEOUT, told).await {
+    if let Ok(Ok(())) = timeout(ANSWER_TIMEOUT, exchange).await {
         let mut rest = [0; MAX_LINE_BYTES];
         let _ =
             timeout(LINGER_TIME, async { while matches!(stream.read(&mut rest).await, Ok(1..)) {} }).await;
--- a/src/net/ops/tests.rs
+++ b/src/net/ops/tests.rs
@@ -28,19 +28,19 @@
 #[test]
 fn ready_names_what_is_missing_and_a_drain_takes_effect_at_once() {
     let (lifecycle, phase) = Lifecycle::new(Duration::from_secs(1));
-    let desk = Desk { metrics: Metrics::default(), lifecycle, fleet: None };
-    let ask = |line: &[u8]| desk.answer(Command::read(line, true).unwrap());
+    let context = CommandContext { metrics: Metrics::default(), lifecycle, fleet: None };
+    let ask = |line: &[u8]| context.answer(Command::read(line, true).unwrap());
     assert_eq!(ask(b"READY\n"), "ERR no brick is known yet\n");
-    desk.metrics.set_storage_nodes(2, 0);
+    context.metrics.set_storage_nodes(2, 0);
     assert_eq!(ask(b"READY\n"), "ERR the core does not run\n");
-    desk.metrics.report_alive(Instant::now());
+    context.metrics.report_alive(Instant::now());
     assert_eq!(ask(b"READY\n"), "OK ready\n");
     assert_eq!(ask(b"DRAIN\n"), "OK draining\n");
     assert!(!phase.borrow().up);
     assert_eq!(ask(b"READY\n"), "ERR the head is draining\n");
     assert_eq!(ask(b"UNDRAIN\n"), "OK serving\n");
     assert!(phase.borrow().up);
-    desk.lifecycle.end(false);
+    context.lifecycle.end(false);
     for line in [&b"READY\n"[..], b"DRAIN\n", b"UNDRAIN\n"] {
         assert_eq!(ask(line), "ERR the head is ending\n");
     }
@@ -51,8 +51,8 @@
 fn callers_that_never_finish_their_line_do_not_block_the_next() {
     use std::io::{Read, Write};
     let (lifecycle, _phase) = Lifecycle::new(Duration::from_secs(1));
-    let desk = Desk { metrics: Metrics::default(), lifecycle, fleet: None };
-    let address = start(SocketAddr::from(([127, 0, 0, 1], 0)), 2, desk).unwrap();
+    let context = CommandContext { metrics: Metrics::default(), lifecycle, fleet: None };
+    let address = start(SocketAddr::from(([127, 0, 0, 1], 0)), 2, context).unwrap();
     let connect = || std::net::TcpStream::connect(address).unwrap();
     let mut slow: Vec<_> = (0..10).map(|_| connect()).collect();
     slow.iter_mut().for_each(|stream| stream.write_all(b"REA").unwrap());
--- a/src/net/peers/tests.rs
+++ b/src/net/peers/tests.rs
@@ -12,13 +12,13 @@
         let own: SocketAddr = "127.0.0.1:1".parse().unwrap();
         let list = vec![own, other.local_addr().unwrap()];
         let peers = Peers::new(list, None, 0, Instant::now().into_std());
-        let (talk, peer_sender) = Talk::open(any, peers).await.unwrap();
+        let (peer_socket, peer_sender) = PeerSocket::open(any, peers).await.unwrap();
         let serves = crate::lifecycle_state::SERVING;
         let phase = watch::channel(serves);
-        let here = talk.address().unwrap();
+        let here = peer_socket.address().unwrap();
         let (core, _wanted) = Core::new(Settings::default(), 7, 10, Clock::start());
         let (handle, mut inputs) = core.handle().overheard();
-        tokio::spawn(talk.run(handle, phase.1.clone()));
+        tokio::spawn(peer_socket.run(handle, phase.1.clone()));
         stranger.send_to(b"stranger", here).await.unwrap();
         for bytes in [&b""[..], &[7; 257], b"said", &[9; 256]] {
             other.send_to(bytes, here).await.unwrap();
@@ -29,10 +29,10 @@
                 _ => panic!("another input than the host's datagram was passed on"),
             }
         }
-        peer_sender.say(None, vec![1, 2, 3]);
-        peer_sender.say(Some(1), vec![4]);
-        peer_sender.say(Some(0), vec![5]);
-        peer_sender.say(Some(1), vec![6]);
+        peer_sender.send(None, vec![1, 2, 3]);
+        peer_sender.send(Some(1), vec![4]);
+        peer_sender.send(Some(0), vec![5]);
+        peer_sender.send(Some(1), vec![6]);
         let mut buffer = [0; 300];
         for wanted in [&[1, 2, 3][..], &[4], &[6]] {
             let (length, from) = other.recv_from(&mut buffer).await.unwrap();
--- a/src/net/sftp/back.rs
+++ b/src/net/sftp/back.rs
@@ -88,7 +88,7 @@
         let stream = timeout_at(until, TcpStream::connect(address)).await;
         let Ok(Ok(stream)) = stream else { return Err(AttemptEnd::NoConnection) };
         let _ = stream.set_nodelay(true); // affects latency only
-        let mut connection = Connection { packets: Framed::new(stream, packet::frames()), next_id: 0 };
+        let mut connection = Connection { packets: Framed::new(stream, packet::packet_codec()), next_id: 0 };
         connection.send(Request::Init { version: VERSION }).await.map_err(|()| AttemptEnd::NoConnection)?;
         // The connection is established once the node has sent its version.
         match timeout_at(until, connection.receive()).await {
--- a/src/net/sftp/front.rs
+++ b/src/net/sftp/front.rs
@@ -3,10 +3,10 @@
 
 use super::back::{FileWork, Job, Operation, Stores};
 use super::packet::{
-    self, Command, EncodedReply, MOST_DATA, Malformed, Reply, Request, Response, Status, VERSION,
+    self, Command, EncodedReply, MAX_DATA_BYTES, Malformed, Reply, Request, Response, Status, VERSION,
 };
 use crate::config::sftp::{ClassLimits, FileTarget, SftpFront, TargetError};
-use crate::core::{Answer, Arrival, Handle, less_margin};
+use crate::core::{Answer, Arrival, Handle, wait_less_margin};
 use crate::event;
 use crate::lifecycle_state::Phase;
 use crate::net::front::accept_all;
@@ -70,7 +70,7 @@
 async fn serve_client(stream: TcpStream, slot: Slot, front: Front) {
     let (inbound, client) = Inbound::new(stream);
     let mut session = Session {
-        packets: Framed::new(inbound, packet::frames()),
+        packets: Framed::new(inbound, packet::packet_codec()),
         client: client.clone(),
         front,
         slot: slot.clone(),
@@ -156,10 +156,10 @@
                     match Request::decode(packet) {
                         Ok(Request::Command { id, command }) => self.dispatch(id, command, received),
                         Ok(Request::Init { .. }) => return "a second INIT",
-                        Err(Malformed { id: Some(id), what }) => {
-                            self.queue_reply(id, Reply::status(Status::BadMessage, what));
+                        Err(Malformed { id: Some(id), problem }) => {
+                            self.queue_reply(id, Reply::status(Status::BadMessage, problem));
                         }
-                        Err(Malformed { id: None, what }) => return what,
+                        Err(Malformed { id: None, problem }) => return problem,
                     }
                 }
                 () = until(&mut phase, |phase| phase.close), if idle => {
@@ -251,7 +251,7 @@
             Command::Read { handle, offset, length } => {
                 let file = allowed(self.file(&handle)?, packet::READ)?;
                 // A server may return fewer bytes than requested; the limit bounds the memory of a reply.
-                let length = length.min(MOST_DATA as u32);
+                let length = length.min(MAX_DATA_BYTES as u32);
                 planned(&file.path, Operation::Read { offset, length }, Some(file.clone()))
             }
             Command::Write { handle, offset, data } => {
@@ -317,7 +317,7 @@
         TargetError::Unmapped => Reply::status(Status::NoSuchFile, "nothing is kept there"),
     })?;
     let (limits, bytes) = class_and_bytes(&target, &operation);
-    let answer_by = received + less_margin(limits.wait, front.answer_margin);
+    let answer_by = received + wait_less_margin(limits.wait, front.answer_margin);
     let lock = async {
         match &file {
             Some(file) => Some(file.lock.lock().await),
--- a/src/net/sftp/packet.rs
+++ b/src/net/sftp/packet.rs
@@ -7,13 +7,13 @@
 /// The protocol version that the front speaks.
 pub const VERSION: u32 = 3;
 /// The most bytes of data in one READ or WRITE. A server may always return fewer bytes than were requested.
-pub const MOST_DATA: usize = 64 * 1024;
+pub const MAX_DATA_BYTES: usize = 64 * 1024;
 /// The longest packet, in bytes: a WRITE with the most data, its handle and its numbers.
-pub const MOST_PACKET: usize = MOST_DATA + 1024;
+pub const MAX_PACKET_BYTES: usize = MAX_DATA_BYTES + 1024;
 /// The longest path, in bytes.
-pub const MOST_PATH: usize = 4096;
+pub const MAX_PATH_BYTES: usize = 4096;
 /// The longest handle that the specification allows, in bytes.
-pub const MOST_HANDLE: usize = 256;
+pub const MAX_HANDLE_BYTES: usize = 256;
 
 /// OPEN flag: open for reading.
 pub const READ: u32 = 1;
@@ -148,21 +148,21 @@
     /// The id of the command to reply to, if the packet has one.
     pub id: Option<u32>,
     /// What is wrong with the packet.
-    pub what: &'static str,
+    pub problem: &'static str,
 }
 
 impl fmt::Display for Malformed {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        write!(f, "malformed packet: {}", self.what)
+        write!(f, "malformed packet: {}", self.problem)
     }
 }
 
 impl std::error::Error for Malformed {}
 
 /// Returns a codec that splits a stream into packets by their length fields. It rejects a packet longer than
-/// [`MOST_PACKET`] before the packet is read into memory.
-pub fn frames() -> LengthDelimitedCodec {
-    LengthDelimitedCodec::builder().length_field_length(4).max_frame_length(MOST_PACKET).new_codec()
+/// [`MAX_PACKET_BYTES`] before the packet is read into memory.
+pub fn packet_codec() -> LengthDelimitedCodec {
+    LengthDelimitedCodec::builder().length_field_length(4).max_frame_length(MAX_PACKET_BYTES).new_codec()
 }
 
 /// Reads the fields of a packet.
@@ -192,7 +192,7 @@
     }
 
     fn path(&mut self) -> ReadResult<String> {
-        let path = self.string(MOST_PATH)?;
+        let path = self.string(MAX_PATH_BYTES)?;
         String::from_utf8(path.to_vec()).map_err(|_| "a path is not UTF-8")
     }
 
@@ -214,8 +214,8 @@
         if flags & HAS_EXTENDED != 0 {
             // The packet's length bounds this loop: each pair takes at least eight bytes.
             for _ in 0..self.u32()? {
-                self.string(MOST_PACKET)?;
-                self.string(MOST_PACKET)?;
+                self.string(MAX_PACKET_BYTES)?;
+                self.string(MAX_PACKET_BYTES)?;
             }
         }
         Ok(attrs)
@@ -301,14 +301,15 @@
     /// Fails if the packet is malformed.
     pub fn decode(packet: Bytes) -> Result<Request, Malformed> {
         let mut reader = Reader(packet);
-        let no_id = |what| Malformed { id: None, what };
+        let no_id = |problem| Malformed { id: None, problem };
         let kind = reader.u8().map_err(no_id)?;
         if kind == INIT {
             // Extension pairs may follow, none of which the front knows.
             return Ok(Request::Init { version: reader.u32().map_err(no_id)? });
         }
         let id = reader.u32().map_err(no_id)?;
-        let command = Command::decode(kind, &mut reader).map_err(|what| Malformed { id: Some(id), what })?;
+        let command =
+            Command::decode(kind, &mut reader).map_err(|problem| Malformed { id: Some(id), problem })?;
         Ok(Request::Command { id, command })
     }
 
@@ -330,19 +331,19 @@
     fn decode(kind: u8, reader: &mut Reader) -> ReadResult<Command> {
         let command = match kind {
             OPEN => Command::Open { path: reader.path()?, flags: reader.u32()?, attrs: reader.attrs()? },
-            CLOSE => Command::Close { handle: reader.string(MOST_HANDLE)? },
+            CLOSE => Command::Close { handle: reader.string(MAX_HANDLE_BYTES)? },
             READ_PACKET => Command::Read {
-                handle: reader.string(MOST_HANDLE)?,
+                handle: reader.string(MAX_HANDLE_BYTES)?,
                 offset: reader.u64()?,
                 length: reader.u32()?,
             },
             WRITE_PACKET => Command::Write {
-                handle: reader.string(MOST_HANDLE)?,
+                handle: reader.string(MAX_HANDLE_BYTES)?,
                 offset: reader.u64()?,
-                data: reader.string(MOST_DATA)?,
+                data: reader.string(MAX_DATA_BYTES)?,
             },
             LSTAT | STAT => Command::Stat { path: reader.path()?, follow: kind == STAT },
-            FSTAT => Command::Fstat { handle: reader.string(MOST_HANDLE)? },
+            FSTAT => Command::Fstat { handle: reader.string(MAX_HANDLE_BYTES)? },
             other => return Ok(Command::Unsupported(other)),
         };
         reader.end()?;
@@ -398,13 +399,14 @@
     /// Fails if the packet is malformed.
     pub fn decode(packet: Bytes) -> Result<Response, Malformed> {
         let mut reader = Reader(packet);
-        let no_id = |what| Malformed { id: None, what };
+        let no_id = |problem| Malformed { id: None, problem };
         let kind = reader.u8().map_err(no_id)?;
         let id = reader.u32().map_err(no_id)?;
         if kind == VERSION_PACKET {
             return Ok(Response::Version(id));
         }
-        let reply = Reply::decode(kind, &mut reader).map_err(|what| Malformed { id: Some(id), what })?;
+        let reply =
+            Reply::decode(kind, &mut reader).map_err(|problem| Malformed { id: Some(id), problem })?;
         Ok(Response::Reply { id, reply })
     }
 
@@ -434,15 +436,16 @@
                 let code = reader.u32()?;
                 let known = STATUSES.iter().find(|(_, number)| *number == code);
                 // Some servers omit the text and its language.
-                let text = if reader.0.is_empty() { Bytes::new() } else { reader.string(MOST_PACKET)? };
+                let text =
+                    if reader.0.is_empty() { Bytes::new() } else { reader.string(MAX_PACKET_BYTES)? };
                 let text = String::from_utf8_lossy(&text).into_owned();
                 return Ok(Reply::Status {
                     code: known.map_or(Status::Failure, |(status, _)| *status),
                     text,
                 });
             }
-            HANDLE => Reply::Handle(reader.string(MOST_HANDLE)?),
-            DATA => Reply::Data(reader.string(MOST_DATA)?),
+            HANDLE => Reply::Handle(reader.string(MAX_HANDLE_BYTES)?),
+            DATA => Reply::Data(reader.string(MAX_DATA_BYTES)?),
             ATTRS => Reply::Attrs(reader.attrs()?),
             _ => return Err("a reply of a kind that nothing here asks for"),
         };
--- a/src/net/sftp/packet/tests.rs
+++ b/src/net/sftp/packet/tests.rs
@@ -54,7 +54,7 @@
 
 #[test]
 fn errors_in_packets_carry_the_request_id_if_it_can_be_read() {
-    for (packet, id, what) in [
+    for (packet, id, problem) in [
         (&[][..], None, "a byte is missing"),
         (&[OPEN, 0, 0], None, "a number is cut short"),
         (&[CLOSE, 0, 0, 0, 9, 0, 0, 0, 5, b'x'], Some(9), "a string is cut short"),
@@ -67,11 +67,13 @@
             "a number is cut short",
         ),
     ] {
-        let malformed = Malformed { id, what };
+        let malformed = Malformed { id, problem };
         assert_eq!(Request::decode(Bytes::copy_from_slice(packet)), Err(malformed), "{packet:?}");
     }
-    let long =
-        Request::Command { id: 1, command: Command::Fstat { handle: Bytes::from(vec![0; MOST_HANDLE + 1]) } };
-    let what = "a string is too long";
-    assert_eq!(Request::decode(long.encode()), Err(Malformed { id: Some(1), what }));
+    let long = Request::Command {
+        id: 1,
+        command: Command::Fstat { handle: Bytes::from(vec![0; MAX_HANDLE_BYTES + 1]) },
+    };
+    let problem = "a string is too long";
+    assert_eq!(Request::decode(long.encode()), Err(Malformed { id: Some(1), problem }));
 }
--- a/src/net/slots.rs
+++ b/src/net/slots.rs
@@ -51,7 +51,7 @@
 }
 
 #[derive(Default)]
-struct Taken {
+struct SlotTable {
     slots: BTreeMap<u64, State>,
     last: u64,
     counts: Counts,
@@ -72,7 +72,7 @@
 #[derive(Clone)]
 pub struct Slots {
     limits: ClientLimits,
-    taken: Arc<Mutex<Taken>>,
+    taken: Arc<Mutex<SlotTable>>,
     freed: Arc<Notify>,
     capacity_share: CapacityShare,
 }
@@ -95,7 +95,7 @@
         self
     }
 
-    fn taken(&self) -> MutexGuard<'_, Taken> {
+    fn taken(&self) -> MutexGuard<'_, SlotTable> {
         self.taken.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
@@ -151,17 +151,16 @@
         taken.last += 1;
         taken.counts.taken += 1;
         let (id, since) = (taken.last, Instant::now());
-        let (head, leave_too) = (Vec::new(), leave.clone());
         let state = State {
             activity: Activity::Asking,
             since,
             answered_before: false,
             asked_at: None,
-            leave: leave_too,
-            head,
+            leave: leave.clone(),
+            head: Vec::new(),
         };
         taken.slots.insert(id, state);
-        Slot(Arc::new(Held { id, slots: self.clone(), leave }))
+        Slot(Arc::new(SlotGuard { id, slots: self.clone(), leave }))
     }
 
     /// Waits until no slot is taken.
@@ -182,7 +181,7 @@
 
     fn check_limits(&self, now: Instant) {
         let (limits, mut taken) = (self.limits, self.taken());
-        let Taken { slots, counts, .. } = &mut *taken;
+        let SlotTable { slots, counts, .. } = &mut *taken;
         let many = slots.len() > self.capacity_share.of(limits.most) / 2;
         for state in slots.values_mut() {
             let limit = match (state.activity, state.asked_at) {
@@ -208,15 +207,15 @@
 
 /// The slot of a connection; it is free again when its last clone is dropped.
 #[derive(Clone)]
-pub struct Slot(Arc<Held>);
+pub struct Slot(Arc<SlotGuard>);
 
-struct Held {
+struct SlotGuard {
     id: u64,
     slots: Slots,
     leave: Arc<Notify>,
 }
 
-impl Drop for Held {
+impl Drop for SlotGuard {
     fn drop(&mut self) {
         self.slots.taken().slots.remove(&self.id);
         self.slots.freed.notify_waiters();
@@ -294,7 +293,7 @@
 
     /// Returns whether the connection should close after an answer that is still being sent, by the same
     /// rule.
-    pub fn had_better_go(&self) -> bool {
+    pub fn should_close(&self) -> bool {
         self.too_many_idle(self.with(|state| state.answered_before).unwrap_or(false))
     }
 
@@ -312,7 +311,7 @@
     }
 
     /// Returns whether the connection was asked to leave: its next answer is its last.
-    pub fn is_told(&self) -> bool {
+    pub fn was_asked_to_leave(&self) -> bool {
         self.with(|slot| slot.asked_at.is_some()).unwrap_or(true)
     }
 
--- a/src/net/slots/tests.rs
+++ b/src/net/slots/tests.rs
@@ -97,9 +97,9 @@
         let lingers = slots.insert();
         lingers.mark_answered();
         slots.check_limits(Instant::now() + IDLE);
-        assert_eq!((told(&lingers), lingers.is_told()), (Some(true), true));
+        assert_eq!((told(&lingers), lingers.was_asked_to_leave()), (Some(true), true));
         lingers.lingers();
-        assert!(!lingers.is_told());
+        assert!(!lingers.was_asked_to_leave());
         slots.check_limits(Instant::now() + 2 * IDLE);
         assert_eq!(told(&lingers), None);
         // A connection that never had an answer would leave before an idle one.
@@ -109,6 +109,6 @@
             drop(lingers);
         };
         let (_next, ()) = tokio::join!(slots.take(), goes);
-        assert!(slots.held() == 2 && !silent.is_told() && slots.counts().for_others == 1);
+        assert!(slots.held() == 2 && !silent.was_asked_to_leave() && slots.counts().for_others == 1);
     });
 }
--- a/src/peers.rs
+++ b/src/peers.rs
@@ -9,7 +9,7 @@
 use std::time::{Duration, Instant};
 
 /// The longest message, bytes; a longer one invalidates a run on the platform.
-pub const MOST_BYTES: usize = 256;
+pub const MAX_MESSAGE_BYTES: usize = 256;
 /// The rate limit, messages per second, for each sending host and for all messages sent: far more than the
 /// policy needs. Beyond it, a faulty host's messages cost the others only a check of their length.
 const RATE_PER_S: f64 = 100.0;
@@ -18,17 +18,17 @@
 
 /// Why a datagram was not accepted or not sent.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Turned {
+pub enum DropReason {
     /// The sender is not a known host, or this host itself.
-    Stranger,
+    UnknownSender,
     /// The datagram is empty.
     Empty,
-    /// The datagram is longer than `MOST_BYTES`.
+    /// The datagram is longer than `MAX_MESSAGE_BYTES`.
     TooLong,
     /// The rate limit is exceeded.
-    TooMany,
+    RateLimited,
     /// The message has no host to go to.
-    Nobody,
+    NoRecipient,
 }
 
 /// A token bucket of messages.
@@ -96,24 +96,24 @@
     /// # Errors
     ///
     /// If the datagram is to be dropped.
-    pub fn hear(&mut self, now: Instant, from: SocketAddr, length: usize) -> Result<u32, Turned> {
+    pub fn accept(&mut self, now: Instant, from: SocketAddr, length: usize) -> Result<u32, DropReason> {
         let heard = self.check(now, from, length);
         match heard {
             Ok(_) => self.counts.heard += 1,
-            Err(Turned::Stranger | Turned::Nobody) => self.counts.strangers += 1,
-            Err(Turned::Empty | Turned::TooLong) => self.counts.malformed += 1,
-            Err(Turned::TooMany) => self.counts.too_many += 1,
+            Err(DropReason::UnknownSender | DropReason::NoRecipient) => self.counts.strangers += 1,
+            Err(DropReason::Empty | DropReason::TooLong) => self.counts.malformed += 1,
+            Err(DropReason::RateLimited) => self.counts.too_many += 1,
         }
         heard
     }
 
     /// Checks a received datagram's sender, length and rate.
-    fn check(&mut self, now: Instant, from: SocketAddr, length: usize) -> Result<u32, Turned> {
+    fn check(&mut self, now: Instant, from: SocketAddr, length: usize) -> Result<u32, DropReason> {
         let number = self.numbers.get(&from).copied().filter(|number| *number != self.own);
-        let number = number.ok_or(Turned::Stranger)?;
+        let number = number.ok_or(DropReason::UnknownSender)?;
         check_length(length)?;
         let within_limit = self.incoming.get_mut(number as usize).is_some_and(|bucket| bucket.take(now));
-        if within_limit { Ok(number) } else { Err(Turned::TooMany) }
+        if within_limit { Ok(number) } else { Err(DropReason::RateLimited) }
     }
 
     /// Checks and counts a message to be sent to one host, or to all others for `None`. Returns its target
@@ -122,11 +122,16 @@
     /// # Errors
     ///
     /// If the message may not be sent.
-    pub fn tell(&mut self, now: Instant, to: Option<u32>, length: usize) -> Result<Vec<SocketAddr>, Turned> {
+    pub fn targets(
+        &mut self,
+        now: Instant,
+        to: Option<u32>,
+        length: usize,
+    ) -> Result<Vec<SocketAddr>, DropReason> {
         check_length(length)?;
         let targets: Vec<SocketAddr> = match (to, self.all) {
-            (Some(number), _) if number == self.own => return Err(Turned::Nobody),
-            (Some(number), _) => vec![*self.addresses.get(number as usize).ok_or(Turned::Nobody)?],
+            (Some(number), _) if number == self.own => return Err(DropReason::NoRecipient),
+            (Some(number), _) => vec![*self.addresses.get(number as usize).ok_or(DropReason::NoRecipient)?],
             (None, Some(all)) => vec![all],
             (None, None) => {
                 let others = self.addresses.iter().zip(0..).filter(|(_, number)| *number != self.own);
@@ -134,11 +139,11 @@
             }
         };
         if targets.is_empty() {
-            return Err(Turned::Nobody);
+            return Err(DropReason::NoRecipient);
         }
         if !self.outgoing.take(now) {
             self.counts.too_many += 1;
-            return Err(Turned::TooMany);
+            return Err(DropReason::RateLimited);
         }
         self.counts.sent += 1;
         Ok(targets)
@@ -146,11 +151,11 @@
 }
 
 /// Checks a message's length.
-fn check_length(length: usize) -> Result<(), Turned> {
+fn check_length(length: usize) -> Result<(), DropReason> {
     match length {
-        0 => Err(Turned::Empty),
-        1..=MOST_BYTES => Ok(()),
-        _ => Err(Turned::TooLong),
+        0 => Err(DropReason::Empty),
+        1..=MAX_MESSAGE_BYTES => Ok(()),
+        _ => Err(DropReason::TooLong),
     }
 }
 
--- a/src/peers/tests.rs
+++ b/src/peers/tests.rs
@@ -11,17 +11,17 @@
     for (from, length, heard) in [
         (at(1), 1, Ok(0)),
         (at(3), 256, Ok(2)),
-        (at(2), 8, Err(Turned::Stranger)),
-        (at(9), 8, Err(Turned::Stranger)),
-        (at(1), 0, Err(Turned::Empty)),
-        (at(1), 257, Err(Turned::TooLong)),
+        (at(2), 8, Err(DropReason::UnknownSender)),
+        (at(9), 8, Err(DropReason::UnknownSender)),
+        (at(1), 0, Err(DropReason::Empty)),
+        (at(1), 257, Err(DropReason::TooLong)),
     ] {
-        assert_eq!(peers.hear(now, from, length), heard, "{from} {length}");
+        assert_eq!(peers.accept(now, from, length), heard, "{from} {length}");
     }
-    let heard = (0..200).filter(|_| peers.hear(now, at(1), 8).is_ok()).count();
+    let heard = (0..200).filter(|_| peers.accept(now, at(1), 8).is_ok()).count();
     assert_eq!(heard, BURST as usize - 1, "a flood is limited to the burst, one of which was used");
-    assert_eq!(peers.hear(now, at(3), 8), Ok(2), "other hosts are not limited by it");
-    assert_eq!(peers.hear(now + Duration::from_millis(11), at(1), 8), Ok(0));
+    assert_eq!(peers.accept(now, at(3), 8), Ok(2), "other hosts are not limited by it");
+    assert_eq!(peers.accept(now + Duration::from_millis(11), at(1), 8), Ok(0));
     assert_eq!(peers.counts, Counts { sent: 0, heard: 53, strangers: 2, malformed: 2, too_many: 151 });
 }
 
@@ -30,20 +30,20 @@
     let now = Instant::now();
     for (to, all, targets) in [
         (Some(0), None, Ok(vec![at(1)])),
-        (Some(1), None, Err(Turned::Nobody)),
-        (Some(7), None, Err(Turned::Nobody)),
+        (Some(1), None, Err(DropReason::NoRecipient)),
+        (Some(7), None, Err(DropReason::NoRecipient)),
         (None, None, Ok(vec![at(1), at(3)])),
         (None, Some(at(8)), Ok(vec![at(8)])),
     ] {
         let mut peers = Peers::new(vec![at(1), at(2), at(3)], all, 1, now);
-        assert_eq!(peers.tell(now, to, 8), targets, "{to:?} {all:?}");
+        assert_eq!(peers.targets(now, to, 8), targets, "{to:?} {all:?}");
     }
     let mut peers = Peers::new(vec![at(1), at(2)], None, 0, now);
-    assert_eq!(peers.tell(now, None, 257), Err(Turned::TooLong));
-    assert_eq!((0..200).filter(|_| peers.tell(now, None, 8).is_ok()).count(), BURST as usize);
+    assert_eq!(peers.targets(now, None, 257), Err(DropReason::TooLong));
+    assert_eq!((0..200).filter(|_| peers.targets(now, None, 8).is_ok()).count(), BURST as usize);
     assert_eq!(
-        Peers::new(vec![at(1)], None, 0, now).tell(now, None, 8),
-        Err(Turned::Nobody),
+        Peers::new(vec![at(1)], None, 0, now).targets(now, None, 8),
+        Err(DropReason::NoRecipient),
         "no other host"
     );
 }
--- a/src/policy/mod.rs
+++ b/src/policy/mod.rs
@@ -11,7 +11,7 @@
 mod requests;
 
 use crate::interface::*;
-use crate::staleness::{CALL_TAKES, Staleness};
+use crate::staleness::{CALL_DURATION, Staleness};
 use crate::state::*;
 use guards::{SLOW_START_MULTIPLE, slow_start_capacity};
 use nodes::MIN_DEPTH;
@@ -174,8 +174,9 @@
             // in the queue of the list's only server, so they are spread over the time that is left.
             let hosts = if self.many_hosts() { u64::from(self.settings.hosts) } else { 0 };
             let left = (LIST_CALL_WINDOW * self.list_good_until().saturating_sub(now) as f64) as Micros;
-            let spread =
-                (LIST_CALL_SPACING * hosts).min(20 * RESUBSCRIBE_BACKOFF).min(left.max(CALL_TAKES * hosts));
+            let spread = (LIST_CALL_SPACING * hosts)
+                .min(20 * RESUBSCRIBE_BACKOFF)
+                .min(left.max(CALL_DURATION * hosts));
             let max_backoff = (LIST_CALL_SPACING * hosts).max(4 * RESUBSCRIBE_BACKOFF);
             let failed = (RESUBSCRIBE_BACKOFF * ((1 << self.list_failures) / 2)).min(max_backoff);
             let after = failed + (hash_fraction(self.seed, now) * spread.max(failed) as f64) as Micros;
--- a/src/policy/requests.rs
+++ b/src/policy/requests.rs
@@ -145,7 +145,7 @@
         }
     }
 
-    /// Refuses the request if a retry of the client is retry_is_safe, otherwise fails it, and ends it.
+    /// Ends the request: refuses it if the client may safely retry it, otherwise fails it.
     fn finish(&mut self, now: Micros, id: RequestId, actions: &mut Vec<Action>) {
         let Some(pending) = self.requests.get(&id) else { return };
         let class = &self.settings.classes[pending.class];
--- a/src/rehearsal/mod.rs
+++ b/src/rehearsal/mod.rs
@@ -98,7 +98,7 @@
     }
     stream.read_exact(&mut length[1..])?;
     let length = u32::from_be_bytes(length) as usize;
-    if length > crate::net::sftp::packet::MOST_PACKET {
+    if length > crate::net::sftp::packet::MAX_PACKET_BYTES {
         return Err(io::Error::new(io::ErrorKind::InvalidData, "a packet is too long"));
     }
     let mut packet = vec![0; length];
--- a/src/replay_buffer.rs
+++ b/src/replay_buffer.rs
@@ -11,11 +11,11 @@
 
 /// How a request's stream ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Over {
+pub enum BodyEnd {
     /// It is complete.
-    Whole,
+    Complete,
     /// The client reset the stream or left: no more data will come.
-    Cut,
+    Reset,
 }
 
 /// What an attempt sends next.
@@ -28,7 +28,7 @@
     /// Nothing: no more data can be read from the client before the call is bound to this attempt.
     Bind,
     /// Nothing more: the body has ended this way.
-    End(Over),
+    End(BodyEnd),
     /// Nothing: the call is bound to another attempt, or the data that this one needs was dropped.
     Lost,
 }
@@ -46,7 +46,7 @@
     /// The memory for all calls is exhausted: no more may be buffered.
     memory_exhausted: bool,
     /// How the body ended.
-    over: Option<Over>,
+    over: Option<BodyEnd>,
     /// The attempt to which the call is bound.
     bound: Option<u32>,
 }
@@ -66,7 +66,7 @@
     }
 
     /// Whether the client's next piece may be read.
-    pub fn room(&self) -> bool {
+    pub fn can_read(&self) -> bool {
         self.over.is_none()
             && match self.bound {
                 None => self.bytes < self.max_bytes && !self.memory_exhausted,
@@ -83,17 +83,17 @@
     }
 
     /// Marks that the memory for all calls is exhausted.
-    pub fn pinch(&mut self) {
+    pub fn mark_memory_exhausted(&mut self) {
         self.memory_exhausted = true;
     }
 
     /// Marks the end of the body; later ends are ignored.
-    pub fn end(&mut self, over: Over) {
+    pub fn end(&mut self, over: BodyEnd) {
         self.over.get_or_insert(over);
     }
 
     /// How the body ended, if it has.
-    pub fn over(&self) -> Option<Over> {
+    pub fn over(&self) -> Option<BodyEnd> {
         self.over
     }
 
@@ -108,8 +108,8 @@
     }
 
     /// Whether the body exceeds what can be kept for another attempt.
-    pub fn outgrown(&self) -> bool {
-        self.over.is_none() && self.bound.is_none() && !self.room()
+    pub fn exceeds_limit(&self) -> bool {
+        self.over.is_none() && self.bound.is_none() && !self.can_read()
     }
 
     /// Returns what an attempt that has sent `sent` pieces sends next.
@@ -121,7 +121,7 @@
             Some(piece) => Next::Piece(piece.clone()),
             None => match self.over {
                 Some(over) => Next::End(over),
-                None if self.outgrown() => Next::Bind,
+                None if self.exceeds_limit() => Next::Bind,
                 None => Next::Wait,
             },
         }
--- a/src/replay_buffer/tests.rs
+++ b/src/replay_buffer/tests.rs
@@ -16,10 +16,10 @@
         assert_eq!(buffer.next(attempt, 2), Next::Wait);
         assert_eq!(buffer.sent(attempt, 2), 0, "nothing is dropped while the call is not bound");
     }
-    buffer.end(Over::Whole);
-    buffer.end(Over::Cut);
-    assert_eq!(buffer.next(2, 2), Next::End(Over::Whole));
-    assert!(!buffer.room() && !buffer.outgrown());
+    buffer.end(BodyEnd::Complete);
+    buffer.end(BodyEnd::Reset);
+    assert_eq!(buffer.next(2, 2), Next::End(BodyEnd::Complete));
+    assert!(!buffer.can_read() && !buffer.exceeds_limit());
 }
 
 #[test]
@@ -27,27 +27,27 @@
     for exhausted in [false, true] {
         let mut buffer = ReplayBuffer::new(100);
         buffer.push(piece(60));
-        assert!(buffer.room());
+        assert!(buffer.can_read());
         if exhausted {
-            buffer.pinch();
+            buffer.mark_memory_exhausted();
         } else {
             buffer.push(piece(60));
         }
-        assert!(!buffer.room() && buffer.outgrown());
+        assert!(!buffer.can_read() && buffer.exceeds_limit());
         let sent = if exhausted { 1 } else { 2 };
         assert_eq!(buffer.next(0, sent), Next::Bind);
         assert_eq!(buffer.bind(0, sent), 60 * sent);
-        assert!(buffer.room() && buffer.bytes() == 0);
+        assert!(buffer.can_read() && buffer.bytes() == 0);
         assert_eq!(buffer.next(1, 0), Next::Lost);
         assert_eq!(buffer.next(1, sent), Next::Lost, "another attempt gets nothing, whatever it has sent");
         buffer.push(piece(WINDOW));
-        assert!(!buffer.room() && !buffer.outgrown());
+        assert!(!buffer.can_read() && !buffer.exceeds_limit());
         assert_eq!(buffer.next(0, sent), Next::Piece(piece(WINDOW)));
         assert_eq!(buffer.sent(1, sent + 1), 0);
         assert_eq!(buffer.sent(0, sent + 1), WINDOW);
-        assert!(buffer.room());
-        buffer.end(Over::Cut);
-        assert_eq!(buffer.next(0, sent + 1), Next::End(Over::Cut));
+        assert!(buffer.can_read());
+        buffer.end(BodyEnd::Reset);
+        assert_eq!(buffer.next(0, sent + 1), Next::End(BodyEnd::Reset));
     }
 }
 
--- a/src/staleness.rs
+++ b/src/staleness.rs
@@ -4,16 +4,16 @@
 use crate::interface::{ListUpdate, Micros, Settings};
 
 /// Interval of heartbeats on a watch without changes, microseconds.
-pub const BEAT: Micros = 2_000_000;
+pub const HEARTBEAT_INTERVAL: Micros = 2_000_000;
 /// Time after which a change counts as told, which means that the platform expects the host to know it,
 /// microseconds. The time runs from the moment at which discovery had the change and was reachable, whether
 /// the watch became silent or calls failed, were refused or were given up.
-pub const TOLD: Micros = 6_000_000;
+pub const CHANGE_TOLD_AFTER: Micros = 6_000_000;
 /// The same time where discovery has moved to another address, counted from the move, microseconds.
-const TOLD_MOVED: Micros = 4_000_000;
+const CHANGE_TOLD_AFTER_MOVE: Micros = 4_000_000;
 /// Time that discovery takes for one call, microseconds. It serves calls one after the other: 300 hosts take
 /// 7.2 s.
-pub const CALL_TAKES: Micros = 24_000;
+pub const CALL_DURATION: Micros = 24_000;
 /// Time after which discovery fails a waiting call, microseconds.
 const CALL_WAITS: Micros = 2_000_000;
 /// Fraction of the time for stopping sends that is reserved for the scheduling delay of a busy event loop and
@@ -25,7 +25,7 @@
 /// them waits too long, a call fails only because discovery is down. With more hosts, a call may also fail
 /// because it waited too long.
 fn failed_when_down(hosts: u32) -> bool {
-    CALL_TAKES * u64::from(hosts) < TOLD + CALL_WAITS
+    CALL_DURATION * u64::from(hosts) < CHANGE_TOLD_AFTER + CALL_WAITS
 }
 
 /// The state of the watch on the node list.
@@ -37,7 +37,7 @@
     /// A watch is established.
     Watched,
     /// The connection of the watch is open, but nothing arrives: the changes that it misses count as told
-    /// after `TOLD`.
+    /// after `CHANGE_TOLD_AFTER`.
     Silent,
     /// There is no watch: it was closed, or the host has just started.
     Ended,
@@ -115,17 +115,17 @@
             WatchState::Unknown => Micros::MAX,
             WatchState::Watched if !self.has_heartbeat => Micros::MAX,
             WatchState::Watched | WatchState::Silent => {
-                self.complete_at.max(self.unreachable_call).saturating_add(TOLD)
+                self.complete_at.max(self.unreachable_call).saturating_add(CHANGE_TOLD_AFTER)
             }
             WatchState::Ended if settings.must_subscribe && settings.max_unsubscribed == 0 => Micros::MAX,
             WatchState::Ended if settings.must_subscribe => {
                 let by_settings =
                     self.complete_at.max(self.failed_call).saturating_add(settings.max_unsubscribed);
-                by_settings.min(self.complete_at.max(self.unreachable_call).saturating_add(TOLD))
+                by_settings.min(self.complete_at.max(self.unreachable_call).saturating_add(CHANGE_TOLD_AFTER))
             }
             WatchState::Ended => self.complete_at.max(self.failed_call),
         };
-        let moved = self.moved.map_or(Micros::MAX, |at| at.saturating_add(TOLD_MOVED));
+        let moved = self.moved.map_or(Micros::MAX, |at| at.saturating_add(CHANGE_TOLD_AFTER_MOVE));
         let stop_time = ((1.0 - RESERVED) * settings.drain_grace as f64) as Micros;
         if settings.drain_grace == 0 { Micros::MAX } else { told.min(moved).saturating_add(stop_time) }
     }
--- a/src/wire.rs
+++ b/src/wire.rs
@@ -12,12 +12,12 @@
     /// The offset in the frame, bytes.
     pub at: usize,
     /// A description of the error.
-    pub what: String,
+    pub message: String,
 }
 
 impl fmt::Display for FrameError {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        write!(f, "byte {} of the frame: {}", self.at, self.what)
+        write!(f, "byte {} of the frame: {}", self.at, self.message)
     }
 }
 
@@ -46,8 +46,8 @@
 }
 
 impl<'a> Reader<'a> {
-    fn fail<T>(&self, what: impl Into<String>) -> Result<T, FrameError> {
-        Err(FrameError { at: self.at, what: what.into() })
+    fn fail<T>(&self, message: impl Into<String>) -> Result<T, FrameError> {
+        Err(FrameError { at: self.at, message: message.into() })
     }
 
     fn take(&mut self, n: usize) -> Result<&'a [u8], FrameError> {
@@ -105,7 +105,7 @@
         let mut r = Reader { bytes: frame, at: 0 };
         let length = r.u32()? as usize;
         if length != frame.len() || length < HEADER_BYTES {
-            return Err(FrameError { at: 0, what: format!("length {length}, content {}", frame.len()) });
+            return Err(FrameError { at: 0, message: format!("length {length}, content {}", frame.len()) });
         }
         let now = r.u64()?;
         let (mut records, mut instance) = (Vec::new(), None);
@@ -122,10 +122,10 @@
                     continue;
                 }
                 16..=25 => {}
-                _ => return Err(FrameError { at: start, what: format!("unknown event code {code}") }),
+                _ => return Err(FrameError { at: start, message: format!("unknown event code {code}") }),
             }
             let Some(instance) = instance else {
-                return Err(FrameError { at: start, what: "a record before any INSTANCE".into() });
+                return Err(FrameError { at: start, message: "a record before any INSTANCE".into() });
             };
             let record = match code {
                 16 => {
--- a/tests/leaving.rs
+++ b/tests/leaving.rs
@@ -88,10 +88,10 @@
     /// whether the host was informed that the node leaves.
     silent: Option<Micros>,
     moved: Option<Micros>,
-    called: Micros,
+    called_at: Micros,
     informed: bool,
     serial: u64,
-    out: BTreeMap<(u64, u32), (NodeId, bool)>,
+    in_flight: BTreeMap<(u64, u32), (NodeId, bool)>,
     renewed: Micros,
     overdue: Option<Micros>,
     overdue_for: Micros,
@@ -167,10 +167,10 @@
             moving: false,
             silent: None,
             moved: None,
-            called: self.now,
+            called_at: self.now,
             informed: false,
             serial: life << 32,
-            out: BTreeMap::new(),
+            in_flight: BTreeMap::new(),
             renewed: 0,
             overdue: None,
             overdue_for: 0,
@@ -198,8 +198,9 @@
                 }
                 Action::Subscribe => self.call(n),
                 Action::Send { request, node, .. } => {
-                    let attempt = self.hosts[n].out.keys().filter(|(id, _)| *id == request).count() as u32;
-                    self.hosts[n].out.insert((request, attempt), (node, false));
+                    let attempt =
+                        self.hosts[n].in_flight.keys().filter(|(id, _)| *id == request).count() as u32;
+                    self.hosts[n].in_flight.insert((request, attempt), (node, false));
                     // One connection in three is established late.
                     let late = if request % 3 == 0 { 900 * MS } else { MS };
                     self.at(late, SimEvent::Begin(n, request, attempt, node));
@@ -232,10 +233,10 @@
             return;
         }
         let host = &self.hosts[n];
-        let unstarted = host.out.iter().filter(|(_, (node, started))| !started && which(host, *node));
+        let unstarted = host.in_flight.iter().filter(|(_, (node, started))| !started && which(host, *node));
         let unstarted: Vec<_> = unstarted.map(|(key, (node, _))| (*key, *node)).collect();
         for ((request, attempt), node) in unstarted {
-            self.hosts[n].out.remove(&(request, attempt));
+            self.hosts[n].in_flight.remove(&(request, attempt));
             self.outcome(n, request, attempt, node, AttemptResult::ConnectFailed);
         }
     }
@@ -252,7 +253,7 @@
         if host.calling.is_some() || host.watch.is_some() && !host.moving {
             return;
         }
-        (host.calling, host.called) = (Some(number), now);
+        (host.calling, host.called_at) = (Some(number), now);
         *self.calls.entry(now / S).or_default() += 1;
         match (self.pushed, self.down) {
             (true, false) => self.at(MS, SimEvent::Served(n, number)),
@@ -339,7 +340,7 @@
             true => made.max(self.back),
             // Whatever failed, was refused or given up: 6 s after discovery had the change and was reachable.
             false if self.down => Micros::MAX,
-            false => (made.max(host.called).max(self.back) + ASK_WITHIN).min(made.max(self.back) + 6 * S),
+            false => (made.max(host.called_at).max(self.back) + ASK_WITHIN).min(made.max(self.back) + 6 * S),
         };
         let stands = host.watch.is_some() && host.silent.is_none() && host.moved.is_none();
         let rest = match (host.informed, stands) {
@@ -412,15 +413,15 @@
                 }
             }
             SimEvent::Begin(n, request, attempt, node)
-                if self.hosts[n].out.contains_key(&(request, attempt)) =>
+                if self.hosts[n].in_flight.contains_key(&(request, attempt)) =>
             {
-                self.hosts[n].out.insert((request, attempt), (node, true));
+                self.hosts[n].in_flight.insert((request, attempt), (node, true));
                 let late = self.told(n).is_some_and(|told| self.now > told.saturating_add(STOP + 50 * MS));
                 self.wrong += usize::from(node == 10 && late);
                 self.at(20 * MS, SimEvent::Answer(n, request, attempt));
             }
             SimEvent::Answer(n, request, attempt) => {
-                if let Some((node, _)) = self.hosts[n].out.remove(&(request, attempt)) {
+                if let Some((node, _)) = self.hosts[n].in_flight.remove(&(request, attempt)) {
                     self.outcome(n, request, attempt, node, AttemptResult::Served);
                 }
             }
--- a/tests/stored_data.rs
+++ b/tests/stored_data.rs
@@ -51,7 +51,7 @@
     let mut written = header.encode().to_vec();
     written.extend([0; RECORD]);
     for (number, id) in (1..).zip(["a", "b", "c"]) {
-        let offset = header.place(number) as usize;
+        let offset = header.offset(number) as usize;
         let record = Record::decode(&stored[offset..offset + RECORD]).unwrap();
         assert_eq!((record.number, record.hash), (number, header.hash(id.as_bytes())));
         assert_eq!(offset, written.len());
--- a/tests/wire.rs
+++ b/tests/wire.rs
@@ -129,10 +129,10 @@
 fn errors_in_malformed_frames_give_the_offset() {
     let fails = |frame: &[u8]| Decoder::default().batch(frame).unwrap_err();
     let unknown = fails(&batch("1b 0003 7f"));
-    assert_eq!((unknown.at, unknown.what.as_str()), (15, "unknown event code 127"));
-    assert!(fails(&batch("1b 0003 11 0000000000000029 0004 01")).what.contains("list 4"));
-    assert!(fails(&batch("1b 0003 15 00")).what.contains("8 bytes wanted"));
-    assert!(fails(&bytes("0000000d 0000000000805c5a")).what.contains("length 13"));
+    assert_eq!((unknown.at, unknown.message.as_str()), (15, "unknown event code 127"));
+    assert!(fails(&batch("1b 0003 11 0000000000000029 0004 01")).message.contains("list 4"));
+    assert!(fails(&batch("1b 0003 15 00")).message.contains("8 bytes wanted"));
+    assert!(fails(&bytes("0000000d 0000000000805c5a")).message.contains("length 13"));
     assert_eq!(fails(&batch("16 000000000000004d")).at, 12);
 }
 
