--- a/src/core/handle.rs
+++ b/src/core/handle.rs
@@ -6,9 +6,9 @@
 use super::attempt::{AttemptSource, Report};
 use crate::agree::rules::Names;
 use crate::config::ListedNode;
-use crate::figures::{Count, Figures, InProgress};
-use crate::handover::Part;
+use crate::handover::CapacityShare;
 use crate::interface::{ListUpdate, Load, Micros, NodeId, RequestId, Settings, VolumeId};
+use crate::metrics::{Count, InProgress, Metrics};
 use bytes::Bytes;
 use futures_util::FutureExt;
 use log::debug;
@@ -48,7 +48,7 @@
 /// Returns the time that remains of a client's wait after the margin for the transfer of the request and of
 /// its answer. The margin is limited to a tenth of the wait; otherwise a client with a wait as short as the
 /// margin would never be served.
-pub fn less_margin(wait: Duration, margin: Duration) -> Duration {
+pub fn wait_less_margin(wait: Duration, margin: Duration) -> Duration {
     wait - margin.min(wait / MARGIN_DIVISOR)
 }
 
@@ -121,7 +121,7 @@
     /// An update of the node list.
     Nodes {
         /// What came.
-        news: ListUpdate,
+        update: ListUpdate,
         /// The entries that came with it.
         nodes: Vec<ListedNode>,
     },
@@ -168,19 +168,19 @@
     pub(super) open: Arc<AtomicUsize>,
     pub(super) max_open: usize,
     pub(super) no_room: Arc<AtomicU64>,
-    pub(super) figures: Figures,
-    pub(super) part: Part,
+    pub(super) metrics: Metrics,
+    pub(super) capacity_share: CapacityShare,
 }
 
 impl Handle {
     /// The share of the host's capacity that this process may use.
-    pub fn part(&self) -> Part {
-        self.part.clone()
+    pub fn capacity_share(&self) -> CapacityShare {
+        self.capacity_share.clone()
     }
 
     /// The metrics that operators read.
-    pub fn figures(&self) -> &Figures {
-        &self.figures
+    pub fn metrics(&self) -> &Metrics {
+        &self.metrics
     }
 
     /// The number of requests that were rejected because too many were open.
@@ -190,9 +190,9 @@
 
     /// Submits a request. `None`: too many are open, and it was rejected.
     pub fn submit(&self, arrival: Arrival, work: Arc<dyn AttemptSource>) -> Option<Pending> {
-        if self.open.load(Ordering::Relaxed) >= self.part.of(self.max_open) {
+        if self.open.load(Ordering::Relaxed) >= self.capacity_share.of(self.max_open) {
             self.no_room.fetch_add(1, Ordering::Relaxed);
-            self.figures.count(arrival.class, Count::Dropped);
+            self.metrics.count(arrival.class, Count::Dropped);
             return None;
         }
         self.open.fetch_add(1, Ordering::Relaxed);
@@ -200,7 +200,7 @@
         let id = self.last_id.fetch_add(1, Ordering::Relaxed) + 1;
         let (answer, pending) = oneshot::channel();
         self.send(Input::Request { id, arrival, work, answer });
-        let open = self.figures.taken();
+        let open = self.metrics.track_open();
         Some(Pending { id, answer: pending, answered: false, handle: self.clone(), _open: open })
     }
 
@@ -257,7 +257,7 @@
     }
 
     /// Queues a message without waiting; it is dropped when the queue is full.
-    pub fn say(&self, to: Option<u32>, bytes: Vec<u8>) {
+    pub fn send(&self, to: Option<u32>, bytes: Vec<u8>) {
         if self.0.try_send(Message { to, bytes }).is_err() {
             debug!("message to peers dropped: the send queue is full");
         }
@@ -303,7 +303,7 @@
 
 impl BodyCompletion {
     /// The last byte of the body arrived.
-    pub fn whole(&self) {
+    pub fn complete(&self) {
         self.handle.send(Input::BodyComplete { id: self.id });
     }
 }
--- a/src/core/mod.rs
+++ b/src/core/mod.rs
@@ -12,17 +12,19 @@
 
 pub use agreement::Agreed;
 pub use attempt::{AnswerBinder, Attempt, AttemptContext, AttemptSource, Report, WriteState};
-pub use handle::{Answer, Arrival, BodyCompletion, Handle, Input, Message, PeerSender, Pending, less_margin};
+pub use handle::{
+    Answer, Arrival, BodyCompletion, Handle, Input, Message, PeerSender, Pending, wait_less_margin,
+};
 
 use crate::attempt_end::AttemptEnd;
 use crate::clock::Clock;
 use crate::event;
 use crate::events::pressure::Pressure;
-use crate::events::requests::{Finish, Telling};
-use crate::figures::{Count, Figures};
-use crate::handover::Part;
-use crate::index::wheel::{Key, Wheel};
+use crate::events::requests::{Finish, RequestLog};
+use crate::handover::CapacityShare;
+use crate::index::wheel::{Key, TimerWheel};
 use crate::interface::*;
+use crate::metrics::{Count, Metrics};
 use crate::policy::Policy;
 use log::{debug, info};
 use nodes::{Node, NodeIds};
@@ -69,20 +71,20 @@
     ids: NodeIds,
     zones: Vec<String>,
     known: Vec<NodeEntry>,
-    timers: Wheel<TimerEvent>,
+    timers: TimerWheel<TimerEvent>,
     /// Events that result from the policy's own actions; dispatched after all of these actions.
     events: VecDeque<Event>,
     /// A call of `dispatch` further up the stack is running.
     dispatching: bool,
     /// Reused buffer for the policy's actions.
     actions: Vec<Action>,
-    request_log: Option<Telling>,
+    request_log: Option<RequestLog>,
     /// Sends messages to peers and starts probes; `None` where the settings forbid it.
     peer_sender: Option<PeerSender>,
     probes: Option<Box<dyn AttemptSource>>,
     pressure: Pressure,
     result_counts: ResultCounts,
-    figures: Figures,
+    metrics: Metrics,
     /// When the counts of nodes were last copied into the metrics; `None`: nobody reads the metrics.
     metrics_copied_at: Option<Micros>,
     /// The share of the host's capacity that the policy may use.
@@ -103,10 +105,11 @@
     ) -> (Core, mpsc::UnboundedReceiver<()>) {
         let (queue, inputs) = mpsc::unbounded_channel();
         let (subscribe, wanted) = mpsc::unbounded_channel();
-        let (last_id, open, no_room, figures) =
-            (Arc::default(), Arc::default(), Arc::default(), Figures::default());
-        let (part, handle_figures) = (Part::default(), figures.clone());
-        let handle = Handle { queue, last_id, open, max_open, no_room, figures: handle_figures, part };
+        let (last_id, open, no_room, metrics) =
+            (Arc::default(), Arc::default(), Arc::default(), Metrics::default());
+        let (capacity_share, handle_metrics) = (CapacityShare::default(), metrics.clone());
+        let handle =
+            Handle { queue, last_id, open, max_open, no_room, metrics: handle_metrics, capacity_share };
         let policy = Policy::new(settings.clone(), seed);
         let core = Core {
             policy,
@@ -121,7 +124,7 @@
             ids: NodeIds::default(),
             zones: Vec::new(),
             known: Vec::new(),
-            timers: Wheel::new(clock.now()),
+            timers: TimerWheel::new(clock.now()),
             events: VecDeque::new(),
             dispatching: false,
             actions: Vec::new(),
@@ -130,7 +133,7 @@
             probes: None,
             pressure: Pressure::default(),
             result_counts: ResultCounts::default(),
-            figures,
+            metrics,
             metrics_copied_at: None,
             capacity_share: 1.0,
             agreed: None,
@@ -146,7 +149,7 @@
     }
 
     /// Sets which finished requests are reported as log events.
-    pub fn set_request_log(&mut self, request_log: Telling) {
+    pub fn set_request_log(&mut self, request_log: RequestLog) {
         self.request_log = Some(request_log);
     }
 
@@ -177,8 +180,8 @@
         if self.metrics_copied_at.is_some_and(|at| now >= at + METRICS_MIN_INTERVAL) {
             self.metrics_copied_at = Some(now);
             let (known, skipped) = self.policy.node_counts(now);
-            self.figures.set_storage_nodes(known, skipped);
-            self.figures.beat(Instant::now());
+            self.metrics.set_storage_nodes(known, skipped);
+            self.metrics.report_alive(Instant::now());
         }
     }
 
@@ -223,9 +226,9 @@
                 let _ = granted.send(self.begin_answer(id, attempt, load, used)); // as for Bind
             }
             Input::BodyComplete { id } => self.body_complete(id),
-            Input::Nodes { news, nodes } => self.on_nodes(news, nodes),
+            Input::Nodes { update, nodes } => self.on_nodes(update, nodes),
             Input::Settings { settings, names } => {
-                self.figures.name_classes(&names.classes);
+                self.metrics.name_classes(&names.classes);
                 self.request_log
                     .iter_mut()
                     .for_each(|request_log| request_log.classes.clone_from(&names.classes));
@@ -294,10 +297,10 @@
             if let Some(answer) = open.answer.take() {
                 let _ = answer.send(Answer::Failed);
                 self.result_counts.counts[Finish::Failed as usize] += 1;
-                self.figures.count(open.class, Count::BadGateway);
+                self.metrics.count(open.class, Count::BadGateway);
             }
         }
-        (self.timers, self.list_timer) = (Wheel::new(self.clock.now()), None);
+        (self.timers, self.list_timer) = (TimerWheel::new(self.clock.now()), None);
         self.nodes.values_mut().for_each(|node| node.in_flight = 0);
         self.events.push_back(Event::CapacityShare { share: self.capacity_share });
         self.events.push_back(Event::Nodes { update: ListUpdate::Cached, nodes: self.known.clone() });
@@ -323,7 +326,7 @@
             Action::Log(text) => info!("{text}"),
             Action::Probe { node } => self.probe(node),
             Action::SendToPeer { peer, bytes } => match &self.peer_sender {
-                Some(peer_sender) => peer_sender.say(peer, bytes),
+                Some(peer_sender) => peer_sender.send(peer, bytes),
                 None => debug!("message to peers dropped: peer messaging is off"),
             },
         }
--- a/src/net/back.rs
+++ b/src/net/back.rs
@@ -10,12 +10,12 @@
 use crate::attempt_end::AttemptEnd;
 use crate::config::NodeLimits;
 use crate::core::{Attempt, AttemptContext, AttemptSource, Report, WriteState};
-use crate::handover::Part;
+use crate::handover::CapacityShare;
 use crate::interface::Load;
 use crate::net::inbound::Presence;
+use crate::net::incoming_body::IncomingBody;
 use crate::net::pool::{Pool, Quiet};
-use crate::net::source::Source;
-use crate::replay_buffer::{Next, Over};
+use crate::replay_buffer::{BodyEnd, Next};
 use bytes::Bytes;
 use futures_util::stream::{BoxStream, unfold};
 use http_body_util::{BodyExt, Either, Full, StreamBody};
@@ -41,9 +41,9 @@
 use tokio::time::{Duration, Instant, sleep_until, timeout, timeout_at};
 
 /// The most bytes of a body, of a request or an answer, that is held whole; a longer body is streamed.
-pub const MOST_BODY: usize = 64 * 1024;
+pub const MAX_HELD_BODY_BYTES: usize = 64 * 1024;
 /// The most bytes of any body.
-pub const MOST_LARGE: u64 = 32 * 1024 * 1024;
+pub const MAX_BODY_BYTES: u64 = 32 * 1024 * 1024;
 /// The header with the id of a request.
 pub const REQUEST_ID: &str = "x-request-id";
 /// The header with the idempotency key of a request.
@@ -59,9 +59,9 @@
 /// The most bytes of an answer's head.
 const MAX_HEAD_BYTES: usize = 16 * 1024;
 /// The most bytes before the final head has been parsed, 1xx answers included.
-const MAX_BYTES_BEFORE_BODY: usize = MAX_HEAD_BYTES + 2 * MOST_BODY;
+const MAX_BYTES_BEFORE_BODY: usize = MAX_HEAD_BYTES + 2 * MAX_HELD_BODY_BYTES;
 /// The most bytes after the head for a body that is held; each byte may come as a chunk of its own.
-const MAX_FRAMED_BODY_BYTES: usize = 8 * MOST_BODY;
+const MAX_FRAMED_BODY_BYTES: usize = 8 * MAX_HELD_BODY_BYTES;
 /// The longest pause within an answer that is held. After it, the declared length is taken to be wrong, or
 /// the answer to have no end.
 const ANSWER_STALL_LIMIT: Duration = Duration::from_millis(600);
@@ -79,7 +79,7 @@
 
 /// The client side towards storage nodes, with its pool of connections.
 #[derive(Clone)]
-pub struct Back {
+pub struct NodeClient {
     pool: Pool<TcpStream>,
     /// Connections opened so far.
     opened: Arc<AtomicU64>,
@@ -87,11 +87,11 @@
     attempts: Arc<AtomicU64>,
 }
 
-impl Back {
-    /// Creates an empty pool with these limits, of which `part` is this process's share.
-    pub fn new(limits: NodeLimits, part: Part) -> Back {
-        let pool = Pool::shared(limits, part).resting(CONNECTION_REST);
-        Back { pool, opened: Arc::default(), attempts: Arc::default() }
+impl NodeClient {
+    /// Creates an empty pool with these limits, of which `capacity_share` is this process's share.
+    pub fn new(limits: NodeLimits, capacity_share: CapacityShare) -> NodeClient {
+        let pool = Pool::with_capacity_share(limits, capacity_share).resting(CONNECTION_REST);
+        NodeClient { pool, opened: Arc::default(), attempts: Arc::default() }
     }
 
     /// Drops expired and closed idle connections, for as long as the program runs.
@@ -111,7 +111,7 @@
         self.attempts.fetch_add(1, Ordering::Relaxed);
         let Ok(address) = context.address.parse() else { return AttemptEnd::NotStarted.into() };
         let _in_use = self.pool.begin();
-        while let Some(stream) = self.pool.latest(address) {
+        while let Some(stream) = self.pool.take_latest(address) {
             let report = self.exchange(stream, address, &forward, &context).await;
             if report.end != AttemptEnd::BrokeUnsent
                 || context.write_state.has_started()
@@ -146,7 +146,7 @@
                 tokio::spawn(async move {
                     let _spare = spare;
                     if let Ok(Ok(stream)) = timeout(LATE_CONNECT_LIMIT, opens).await {
-                        back.pool.put(address, back.opened(stream));
+                        back.pool.release(address, back.opened(stream));
                     }
                 });
             }
@@ -190,19 +190,19 @@
                     Err(error) => Err(AnswerError::Broken(error)),
                 }
             });
-            let mut late = pin!(sleep_until(Instant::now() + ANSWER_STALL_LIMIT));
+            let mut stall_timer = pin!(sleep_until(Instant::now() + ANSWER_STALL_LIMIT));
             let mut stall_since = None;
             poll_fn(|cx| {
                 ended = ended || Pin::new(&mut connection).poll(cx).is_ready();
                 if let Poll::Ready(got) = answer.as_mut().poll(cx) {
                     return Poll::Ready(Some(got));
                 }
-                let (patience, since) = progress.with(|p| p.stall_limit());
+                let (limit, since) = progress.with(|p| p.stall_limit());
                 if stall_since != since {
                     stall_since = since;
-                    late.as_mut().reset(since.unwrap_or_else(Instant::now) + patience);
+                    stall_timer.as_mut().reset(since.unwrap_or_else(Instant::now) + limit);
                 }
-                if stall_since.is_some() && late.as_mut().poll(cx).is_ready() {
+                if stall_since.is_some() && stall_timer.as_mut().poll(cx).is_ready() {
                     return Poll::Ready(None);
                 }
                 Poll::Pending
@@ -230,7 +230,7 @@
             let parts = connection.into_parts();
             // With bytes beyond the answer, the answer is valid, but the connection is not reused.
             if parts.read_buf.is_empty() {
-                self.pool.put(address, parts.io.io.into_inner());
+                self.pool.release(address, parts.io.io.into_inner());
             } else {
                 self.pool.rest();
             }
@@ -250,7 +250,7 @@
 impl Drop for UnansweredGuard<'_> {
     fn drop(&mut self) {
         if self.progress.with(|p| p.request_is_written() && p.read == 0) {
-            self.pool.distrust(self.address);
+            self.pool.close_idle_to(self.address);
         }
     }
 }
@@ -269,7 +269,7 @@
     /// The end to report for the attempt.
     fn end(&self, progress: &Progress) -> AttemptEnd {
         match self {
-            _ if progress.overrun => AttemptEnd::BadAnswer,
+            _ if progress.exceeds_limit => AttemptEnd::BadAnswer,
             AnswerError::Framing => AttemptEnd::BadAnswer,
             AnswerError::Stopped(end) => *end,
             AnswerError::Broken(error) if error.is_parse() || is_body_parse_error(error) => {
@@ -314,7 +314,9 @@
     let (load, used) = (load(&head.headers), used(&head.headers));
     let length = body.size_hint().exact();
     let held = match length {
-        Some(length) if length > MOST_BODY as u64 => ReceivedBody::More(first_piece(&mut body).await?),
+        Some(length) if length > MAX_HELD_BODY_BYTES as u64 => {
+            ReceivedBody::More(first_piece(&mut body).await?)
+        }
         _ => buffer_body(&mut body).await?,
     };
     let body = match held {
@@ -329,7 +331,7 @@
             if !context.binder.begin_answer(load, used).await {
                 return Err(AnswerError::Stopped(AttemptEnd::CalledOff));
             }
-            progress.with(|p| p.passing = true);
+            progress.with(|p| p.streaming = true);
             stream_to_client(pieces, body, length, forward).await?;
             Bytes::new()
         }
@@ -359,13 +361,13 @@
     Ok(None)
 }
 
-/// Reads a body up to [`MOST_BODY`] bytes; returns the pieces so far of a longer one.
+/// Reads a body up to [`MAX_HELD_BODY_BYTES`] bytes; returns the pieces so far of a longer one.
 async fn buffer_body(body: &mut Incoming) -> Result<ReceivedBody, AnswerError> {
     let (mut pieces, mut bytes) = (Vec::new(), 0);
     while let Some(piece) = next_piece(body).await? {
         bytes += piece.len();
         pieces.push(piece);
-        if bytes > MOST_BODY {
+        if bytes > MAX_HELD_BODY_BYTES {
             return Ok(ReceivedBody::More(pieces));
         }
     }
@@ -399,7 +401,7 @@
             },
         };
         bytes += piece.len() as u64;
-        if bytes > MOST_LARGE {
+        if bytes > MAX_BODY_BYTES {
             return Err(AnswerError::Framing);
         }
         timeout(STREAM_STALL_LIMIT, down.send(piece)).await.map_err(|_| gone())?.map_err(|_| gone())?;
@@ -416,9 +418,9 @@
     Some(all)
 }
 
-/// Reports whether the head declares the body's length in exactly one way and within [`MOST_LARGE`]. A body
-/// that lasts until the connection closes is valid only if the head announces the close (`last`), since a
-/// process that dies resets its connections, which differs from a close.
+/// Reports whether the head declares the body's length in exactly one way and within [`MAX_BODY_BYTES`]. A
+/// body that lasts until the connection closes is valid only if the head announces the close (`last`), since
+/// a process that dies resets its connections, which differs from a close.
 fn has_valid_framing(headers: &HeaderMap, last: bool) -> bool {
     // The same length several times is one length (RFC 9110, 8.6).
     let (Some(lengths), Some(codings)) =
@@ -429,7 +431,7 @@
     match (&lengths[..], &codings[..]) {
         ([length, others @ ..], []) => {
             let digits = length.bytes().all(|byte| byte.is_ascii_digit());
-            let fits = length.parse().is_ok_and(|length: u64| length <= MOST_LARGE);
+            let fits = length.parse().is_ok_and(|length: u64| length <= MAX_BODY_BYTES);
             digits && fits && others.iter().all(|other| other == length)
         }
         ([], [coding]) => coding.eq_ignore_ascii_case("chunked"),
@@ -488,7 +490,7 @@
     /// A body that is still arriving from the client.
     Coming {
         /// The pieces held, and those still to come.
-        source: Arc<Source>,
+        source: Arc<IncomingBody>,
         /// The length that the client declared, in bytes.
         length: Option<u64>,
     },
@@ -516,7 +518,7 @@
 
 /// The body that one attempt sends while it still arrives from the client. The body is bound to the attempt
 /// before its first pieces are released.
-fn upload(source: Arc<Source>, context: Arc<AttemptContext>, progress: SharedProgress) -> Upload {
+fn upload(source: Arc<IncomingBody>, context: Arc<AttemptContext>, progress: SharedProgress) -> Upload {
     let over = || io::Error::from(io::ErrorKind::BrokenPipe);
     StreamBody::new(Box::pin(unfold(
         (source, context, progress, 0),
@@ -530,11 +532,11 @@
                     }
                     Next::Bind if context.binder.bind().await => source.bind(attempt, sent),
                     Next::Wait => {}
-                    Next::End(Over::Whole) => {
+                    Next::End(BodyEnd::Complete) => {
                         progress.with(|p| p.all_given = true);
                         return None;
                     }
-                    Next::Bind | Next::End(Over::Cut) | Next::Lost => {
+                    Next::Bind | Next::End(BodyEnd::Reset) | Next::Lost => {
                         return Some((Err(over()), (source, context, progress, sent)));
                     }
                 }
@@ -580,7 +582,7 @@
 /// Runs the attempts of a client's request.
 pub struct ForwardWork {
     /// The connections to nodes.
-    pub back: Back,
+    pub back: NodeClient,
     /// The request.
     pub forward: Arc<Forward>,
     /// Tells whether the client is still connected.
@@ -600,7 +602,7 @@
 /// Runs probes of nodes.
 pub struct ProbeWork {
     /// The connections to nodes.
-    pub back: Back,
+    pub back: NodeClient,
     /// Whether the probe asks for the load report too, where nodes send it only on request.
     pub load: bool,
 }
@@ -650,9 +652,9 @@
     /// How many bytes had been read when the head was parsed.
     head_end: Option<usize>,
     /// The answer is being streamed: `stream_to_client` enforces its limits of size and time.
-    passing: bool,
+    streaming: bool,
     /// More bytes arrived than a valid answer may have.
-    overrun: bool,
+    exceeds_limit: bool,
     /// Bytes arrived before the request's first byte was written.
     unsolicited: bool,
 }
@@ -713,7 +715,7 @@
     /// Returns the longest time without progress and its start; without a start, only the request's deadline
     /// applies.
     fn stall_limit(&self) -> (Duration, Option<Instant>) {
-        match self.last_byte.filter(|_| !self.passing) {
+        match self.last_byte.filter(|_| !self.streaming) {
             None if self.wrote_at.is_some() && !self.request_is_written() => {
                 (STREAM_STALL_LIMIT, self.wrote_at)
             }
@@ -727,9 +729,9 @@
         if bytes > 0 {
             self.last_byte = Some(Instant::now());
         }
-        self.overrun = !self.passing
+        self.exceeds_limit = !self.streaming
             && self.read > self.head_end.map_or(MAX_BYTES_BEFORE_BODY, |at| at + MAX_FRAMED_BODY_BYTES);
-        !self.overrun
+        !self.exceeds_limit
     }
 }
 
@@ -765,7 +767,7 @@
         let first = self.progress.with(|p| (!p.write_state.has_started()).then(|| p.write_state.clone()));
         if let Some(write_state) = first {
             let quiet = self.io.inner().quiet();
-            if !quiet && self.io.inner().talks() {
+            if !quiet && self.io.inner().has_unsolicited_bytes() {
                 self.progress.with(|p| p.unsolicited = true);
             }
             if !quiet || !write_state.may_start_writing() {
--- a/src/net/discovery.rs
+++ b/src/net/discovery.rs
@@ -5,7 +5,7 @@
 use crate::core::{Handle, Input};
 use crate::event;
 use crate::interface::ListUpdate;
-use crate::staleness::{BEAT, TOLD};
+use crate::staleness::{CHANGE_TOLD_AFTER, HEARTBEAT_INTERVAL};
 use bytes::{Buf, Bytes, BytesMut};
 use http_body_util::{BodyExt, Empty};
 use hyper::body::Incoming;
@@ -22,12 +22,12 @@
 
 /// A watch that receives no byte for one and a quarter heartbeat intervals has failed, even if its connection
 /// is open.
-const SILENCE_TIMEOUT: Duration = Duration::from_micros(BEAT * 5 / 4);
+const SILENCE_TIMEOUT: Duration = Duration::from_micros(HEARTBEAT_INTERVAL * 5 / 4);
 /// Time from the request to the first list of a watch. The service handles requests in order and itself fails
 /// those that waited too long, so a request without any answer is treated like a watch that has gone silent.
-const FIRST_LIST_TIMEOUT: Duration = Duration::from_micros(BEAT * 3 / 2);
+const FIRST_LIST_TIMEOUT: Duration = Duration::from_micros(HEARTBEAT_INTERVAL * 3 / 2);
 /// A watch that receives bytes but completes neither a list nor a heartbeat within this time has failed too.
-const MESSAGE_TIMEOUT: Duration = Duration::from_micros(TOLD);
+const MESSAGE_TIMEOUT: Duration = Duration::from_micros(CHANGE_TOLD_AFTER);
 /// Time to establish the TCP connection to the discovery service.
 const CONNECT_TIMEOUT: Duration = Duration::from_secs(2);
 /// Limit on the bytes of a list. A host has little memory, and 1,024 nodes take 300 kB of indented JSON.
@@ -89,8 +89,8 @@
     pub async fn run(self, mut wanted: mpsc::UnboundedReceiver<()>) {
         let Discovery { address: mut address_updates, known, handle, on_demand, stop_within } = self;
         let mut list_state = ListState { version: known.version, ..ListState::default() };
-        handle.send(Input::Nodes { news: ListUpdate::Cached, nodes: known.servers });
-        let notify = |news| handle.send(Input::Nodes { news, nodes: Vec::new() });
+        handle.send(Input::Nodes { update: ListUpdate::Cached, nodes: known.servers });
+        let notify = |news| handle.send(Input::Nodes { update: news, nodes: Vec::new() });
         if !on_demand {
             // The agent may already know more than the configuration file.
             notify(ListUpdate::Failed);
@@ -146,7 +146,7 @@
                             // The core gets the missed changes first: `Subscribed` says that its list is
                             // complete.
                             if let Some(news) = list_state.accept(&mut list, true) {
-                                handle.send(Input::Nodes { news, nodes: list.servers });
+                                handle.send(Input::Nodes { update: news, nodes: list.servers });
                             }
                             notify(ListUpdate::Subscribed);
                             continue;
@@ -158,7 +158,7 @@
                 next = async { current.as_mut()?.next().await.into() }, if current.is_some() => match next {
                     Some(Ok(Some(mut list))) => {
                         if let Some(news) = list_state.accept(&mut list, false) {
-                            handle.send(Input::Nodes { news, nodes: list.servers });
+                            handle.send(Input::Nodes { update: news, nodes: list.servers });
                         }
                         continue;
                     }
--- a/src/net/fleet/mod.rs
+++ b/src/net/fleet/mod.rs
@@ -76,7 +76,7 @@
 
     /// Returns whether a datagram belongs to the gossip protocol. All other datagrams between hosts go to the
     /// policy module.
-    pub fn takes(bytes: &[u8]) -> bool {
+    pub fn is_gossip(bytes: &[u8]) -> bool {
         bytes.first() == Some(&FORMAT)
     }
 
@@ -98,7 +98,7 @@
     }
 
     /// Sets whether this host announces that it drains.
-    pub fn drains(&self, draining: bool) {
+    pub fn set_draining(&self, draining: bool) {
         self.node().set_status(NodeStatus { draining, ..NodeStatus::default() });
     }
 
--- a/src/net/sftp/back.rs
+++ b/src/net/sftp/back.rs
@@ -88,7 +88,7 @@
         let stream = timeout_at(until, TcpStream::connect(address)).await;
         let Ok(Ok(stream)) = stream else { return Err(AttemptEnd::NoConnection) };
         let _ = stream.set_nodelay(true); // affects latency only
-        let mut connection = Connection { packets: Framed::new(stream, packet::frames()), next_id: 0 };
+        let mut connection = Connection { packets: Framed::new(stream, packet::packet_codec()), next_id: 0 };
         connection.send(Request::Init { version: VERSION }).await.map_err(|()| AttemptEnd::NoConnection)?;
         // The connection is established once the node has sent its version.
         match timeout_at(until, connection.receive()).await {
@@ -136,7 +136,7 @@
             context.write_state.mark_complete();
         }
         let reply = reply?;
-        self.pool.put(address, connection);
+        self.pool.release(address, connection);
         let end = match &reply {
             Reply::Status { code: Status::Failure, text } if text == NOT_PROCESSED => AttemptEnd::TurnedAway,
             Reply::Status { code: Status::Failure | Status::BadMessage, .. } => AttemptEnd::ErrorAnswer,
--- a/src/net/slots.rs
+++ b/src/net/slots.rs
@@ -2,7 +2,7 @@
 //! which connection is asked to leave when no slot is free or a time limit has passed. Shared by the fronts.
 
 use crate::config::ClientLimits;
-use crate::handover::Part;
+use crate::handover::CapacityShare;
 use std::collections::BTreeMap;
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
 use tokio::sync::Notify;
@@ -51,7 +51,7 @@
 }
 
 #[derive(Default)]
-struct Taken {
+struct SlotTable {
     slots: BTreeMap<u64, State>,
     last: u64,
     counts: Counts,
@@ -72,25 +72,30 @@
 #[derive(Clone)]
 pub struct Slots {
     limits: ClientLimits,
-    taken: Arc<Mutex<Taken>>,
+    taken: Arc<Mutex<SlotTable>>,
     freed: Arc<Notify>,
-    part: Part,
+    capacity_share: CapacityShare,
 }
 
 impl Slots {
     /// Creates the slots, all free.
     pub fn new(limits: ClientLimits) -> Slots {
-        Slots { limits, taken: Arc::default(), freed: Arc::default(), part: Part::default() }
+        Slots {
+            limits,
+            taken: Arc::default(),
+            freed: Arc::default(),
+            capacity_share: CapacityShare::default(),
+        }
     }
 
     /// Sets this process's share: while another process of this host runs, half of the slots belong to
     /// that process.
-    pub fn shared(mut self, part: Part) -> Slots {
-        self.part = part;
+    pub fn with_capacity_share(mut self, capacity_share: CapacityShare) -> Slots {
+        self.capacity_share = capacity_share;
         self
     }
 
-    fn taken(&self) -> MutexGuard<'_, Taken> {
+    fn taken(&self) -> MutexGuard<'_, SlotTable> {
         self.taken.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
@@ -116,10 +121,10 @@
     /// in the kernel's queue.
     pub async fn take(&self) -> Slot {
         let slot = self.insert();
-        if self.held() > self.part.of(self.limits.most) {
+        if self.held() > self.capacity_share.of(self.limits.most) {
             self.ask_one_to_leave(slot.0.id);
         }
-        while self.held() > self.part.of(self.limits.most + self.limits.spare) {
+        while self.held() > self.capacity_share.of(self.limits.most + self.limits.spare) {
             let freed = self.freed.notified();
             if timeout(EVICTION_INTERVAL, freed).await.is_err() {
                 self.ask_one_to_leave(slot.0.id);
@@ -146,17 +151,16 @@
         taken.last += 1;
         taken.counts.taken += 1;
         let (id, since) = (taken.last, Instant::now());
-        let (head, leave_too) = (Vec::new(), leave.clone());
         let state = State {
             activity: Activity::Asking,
             since,
             answered_before: false,
             asked_at: None,
-            leave: leave_too,
-            head,
+            leave: leave.clone(),
+            head: Vec::new(),
         };
         taken.slots.insert(id, state);
-        Slot(Arc::new(Held { id, slots: self.clone(), leave }))
+        Slot(Arc::new(SlotGuard { id, slots: self.clone(), leave }))
     }
 
     /// Waits until no slot is taken.
@@ -177,8 +181,8 @@
 
     fn check_limits(&self, now: Instant) {
         let (limits, mut taken) = (self.limits, self.taken());
-        let Taken { slots, counts, .. } = &mut *taken;
-        let many = slots.len() > self.part.of(limits.most) / 2;
+        let SlotTable { slots, counts, .. } = &mut *taken;
+        let many = slots.len() > self.capacity_share.of(limits.most) / 2;
         for state in slots.values_mut() {
             let limit = match (state.activity, state.asked_at) {
                 (Activity::Waiting | Activity::Reading | Activity::Lingering, _) => continue,
@@ -203,15 +207,15 @@
 
 /// The slot of a connection; it is free again when its last clone is dropped.
 #[derive(Clone)]
-pub struct Slot(Arc<Held>);
+pub struct Slot(Arc<SlotGuard>);
 
-struct Held {
+struct SlotGuard {
     id: u64,
     slots: Slots,
     leave: Arc<Notify>,
 }
 
-impl Drop for Held {
+impl Drop for SlotGuard {
     fn drop(&mut self) {
         self.slots.taken().slots.remove(&self.id);
         self.slots.freed.notify_waiters();
@@ -262,25 +266,25 @@
     }
 
     /// Marks that the request's head is read and its body is not.
-    pub fn reading(&self) {
+    pub fn mark_reading(&self) {
         self.with(|slot| slot.head = Vec::new());
         self.set(Activity::Reading);
     }
 
     /// Marks that a request has begun.
-    pub fn asking(&self) {
+    pub fn mark_awaiting_request(&self) {
         self.set(Activity::Asking);
     }
 
     /// Marks that the request is complete or queued: the connection is not cut off before its answer.
-    pub fn waiting(&self) {
+    pub fn mark_waiting(&self) {
         self.set(Activity::Waiting);
     }
 
     /// Marks that the request has its answer. Returns true if the connection should close after it because
     /// many are idle: clients, whose descriptors are limited too, would have few left for requests. A
     /// connection that has had an answer before is kept for longer.
-    pub fn answered(&self) -> bool {
+    pub fn mark_answered(&self) -> bool {
         self.set(Activity::Idle);
         let answered_before =
             self.with(|state| std::mem::replace(&mut state.answered_before, true)).unwrap_or(false);
@@ -289,13 +293,13 @@
 
     /// Returns whether the connection should close after an answer that is still being sent, by the same
     /// rule.
-    pub fn had_better_go(&self) -> bool {
+    pub fn should_close(&self) -> bool {
         self.too_many_idle(self.with(|state| state.answered_before).unwrap_or(false))
     }
 
     fn too_many_idle(&self, answered_before: bool) -> bool {
         let slots = &self.0.slots;
-        let (idle, most) = (slots.idle(), slots.part.of(slots.limits.most_idle));
+        let (idle, most) = (slots.idle(), slots.capacity_share.of(slots.limits.most_idle));
         idle > if answered_before { most + most / 3 } else { most }
     }
 
@@ -307,7 +311,7 @@
     }
 
     /// Returns whether the connection was asked to leave: its next answer is its last.
-    pub fn is_told(&self) -> bool {
+    pub fn was_asked_to_leave(&self) -> bool {
         self.with(|slot| slot.asked_at.is_some()).unwrap_or(true)
     }
 
@@ -318,7 +322,7 @@
 
     /// Waits until the connection is asked to leave. Returns true if it may finish its open answer first;
     /// false if no complete request has been read, so that it is cut off.
-    pub async fn told_to_leave(&self) -> bool {
+    pub async fn asked_to_leave(&self) -> bool {
         self.0.leave.notified().await;
         self.with(|slot| !matches!(slot.activity, Activity::Asking | Activity::Reading)).unwrap_or(false)
     }
