--- a/src/lib.rs
+++ b/src/lib.rs
@@ -19,7 +19,6 @@
 pub mod life;
 #[expect(missing_docs, reason = "not documented item by item yet")]
 pub mod logbook;
-#[expect(missing_docs, reason = "not documented item by item yet")]
 pub mod logging;
 mod message;
 pub mod net;
@@ -30,7 +29,6 @@
 pub mod replay_buffer;
 pub mod staleness;
 mod state;
-#[expect(missing_docs, reason = "not documented item by item yet")]
 pub mod syslog;
 #[expect(missing_docs, reason = "not documented item by item yet")]
 pub mod wire;
--- a/src/logging/mod.rs
+++ b/src/logging/mod.rs
@@ -1,12 +1,12 @@
-//! The log's way out. Emitting a line never waits: it is encoded into a buffer that is used again and put on bounded
-//! queues, one for standard error and one for collectors, each emptied by a thread of its own.
+//! Event log output. Logging a line never blocks on I/O: the line is encoded into a reused buffer and pushed to bounded
+//! queues, one for standard error and one for collectors. A separate thread drains each queue.
 
 pub mod send;
 pub mod spool;
 pub mod tls;
 mod transport;
 
-use crate::config::syslog::{Format, Log as Setup};
+use crate::config::syslog::{Format, Log as LogSettings};
 use crate::event;
 use crate::events;
 use crate::interface::Micros;
@@ -27,23 +27,24 @@
 use std::time::{Duration, Instant};
 use tokio::sync::{Notify, watch};
 
-/// The element of lines that the catalogue does not have; 32473 is set aside for examples (RFC 5612).
-const PLAIN: &str = "pathbank@32473";
-/// Bytes that go to standard error at once.
+/// Element of lines that are not in the event catalogue. RFC 5612 reserves enterprise number 32473 for examples.
+const UNCATALOGUED_ELEMENT: &str = "pathbank@32473";
+/// Bytes after which a batch is written to standard error.
 const BATCH: usize = 32 * 1024;
-/// How often it is looked for lines that were dropped.
-const LOOK: Duration = Duration::from_secs(1);
+/// Longest wait for a line, and interval at which dropped lines are reported.
+const POLL_INTERVAL: Duration = Duration::from_secs(1);
 
-/// A queue and those who wait for lines on it.
+/// A bounded queue of lines that wakes the thread or task that drains it.
 pub struct Pipe {
     queue: Mutex<Queue>,
     filled: Condvar,
     notify: Notify,
-    /// Lines were taken that are not out yet.
+    /// The draining thread may hold lines that it has not written yet.
     busy: AtomicBool,
 }
 
 impl Pipe {
+    /// Creates an empty queue that holds at most `bytes` bytes.
     pub fn new(bytes: usize) -> Arc<Pipe> {
         Arc::new(Pipe {
             queue: Mutex::new(Queue::new(bytes)),
@@ -57,34 +58,39 @@
         self.queue.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
+    /// Queues a line and wakes the reader. A full queue drops lines by severity and age, see [`Queue::push`].
     pub fn push(&self, now: Micros, severity: Severity, id: &'static str, line: &[u8]) {
         self.queue().push(now, severity, id, line);
         self.filled.notify_one();
         self.notify.notify_one();
     }
 
+    /// Moves the oldest line into `line`. Returns its severity and message id, or `None` if the queue is empty.
     pub fn pop(&self, line: &mut Vec<u8>) -> Option<(Severity, &'static str)> {
         self.queue().pop(line)
     }
 
-    /// Waits on this thread for a line, for so long at most.
+    /// Blocks the calling thread until a line is queued or `most` has passed.
     fn wait(&self, most: Duration) {
         let queue = self.queue();
         if queue.is_empty() {
-            // Woken or not, the caller looks.
+            // The caller checks the queue whether the wait was notified or timed out.
             drop(self.filled.wait_timeout(queue, most));
         }
     }
 
+    /// Completes once a line has been pushed.
     pub async fn filled(&self) {
         self.notify.notified().await;
     }
 
+    /// Whether the queue is empty and all lines taken from it are written.
     fn idle(&self) -> bool {
         self.queue().is_empty() && !self.busy.load(Ordering::Acquire)
     }
 
-    fn tell_dropped(&self, place: &str) {
+    /// Logs the lines dropped since the last call, one event for each message id.
+    fn log_dropped(&self, place: &str) {
         let dropped = self.queue().dropped();
         for Dropped { id, count, from, until } in dropped {
             event!(DROPPED, where = place, msgid = id, count, from:% = Time(from), until:% = Time(until));
@@ -92,7 +98,7 @@
     }
 }
 
-/// Unix microseconds as RFC 3339 writes them.
+/// Unix time in microseconds, displayed in RFC 3339 format.
 pub struct Time(pub Micros);
 
 impl fmt::Display for Time {
@@ -107,7 +113,7 @@
     level: LevelFilter,
     process: u32,
     limits: Limits,
-    /// Held until a line is on its queues: their order is that of the ids.
+    /// Last sequence id. Locked until the line is queued, so that lines are queued in the order of their ids.
     sequence: Mutex<u32>,
     stderr: Format,
     to_stderr: Arc<Pipe>,
@@ -128,7 +134,7 @@
             return;
         }
         BUFFERS.with(|buffers| {
-            // A value that logs while it is written would come here again; its line is left out.
+            // A value that logs while it is being formatted reenters this function; that inner line is discarded.
             let Ok(mut buffers) = buffers.try_borrow_mut() else { return };
             let (line, json) = &mut *buffers;
             let mut sequence = self.sequence.lock().unwrap_or_else(PoisonError::into_inner);
@@ -137,7 +143,7 @@
             let entry = events::entry(record.target());
             let (severity, id) = match entry {
                 Some(entry) => (entry.severity, entry.id),
-                None => (plain(record.level()), "-"),
+                None => (severity_of(record.level()), "-"),
             };
             if self.stderr == Format::Syslog || self.to_collectors.is_some() {
                 *sequence = *sequence % MOST_SEQUENCE + 1;
@@ -147,7 +153,7 @@
                 Format::Syslog => self.to_stderr.push(now, severity, id, line.as_bytes()),
                 Format::Json => {
                     json.clear();
-                    // A value that cannot be told ends its line there, which is then left out.
+                    // A value that cannot be serialized leaves the line incomplete, and the line is discarded.
                     if self.json(json, at, severity, id, record).is_ok() {
                         self.to_stderr.push(now, severity, id, json);
                     }
@@ -163,7 +169,7 @@
     fn flush(&self) {}
 }
 
-fn plain(level: Level) -> Severity {
+fn severity_of(level: Level) -> Severity {
     match level {
         Level::Error => Severity::Error,
         Level::Warn => Severity::Warning,
@@ -173,7 +179,7 @@
 }
 
 impl Logger {
-    #[allow(clippy::too_many_arguments)] // what stands in a line
+    #[allow(clippy::too_many_arguments)] // the fields of a line
     fn encode(
         &self,
         buffer: &mut String,
@@ -189,8 +195,8 @@
             Head { severity, timestamp: &time, host: &self.host, app: "pathbank", process: self.process, id };
         let mut line = Line::begin(buffer, self.limits, &head);
         if entry.is_some() || record.key_values().count() > 0 {
-            line.element(entry.map_or(PLAIN, |entry| entry.element));
-            let _ = record.key_values().visit(&mut Parameters(&mut line)); // it stops for nothing
+            line.element(entry.map_or(UNCATALOGUED_ELEMENT, |entry| entry.element));
+            let _ = record.key_values().visit(&mut Parameters(&mut line)); // `Parameters` never returns an error
         }
         line.element("meta");
         line.parameter("sequenceId", &sequence);
@@ -205,7 +211,7 @@
         line.end(record.args());
     }
 
-    /// One object a line, with the same names.
+    /// Encodes the line as one JSON object, with the parameter names of the syslog format.
     fn json(
         &self,
         buffer: &mut Vec<u8>,
@@ -224,9 +230,9 @@
         if !text.is_empty() {
             map.serialize_entry("text", &text)?;
         }
-        let mut fields = Fields { map: &mut map, broken: None };
-        let _ = record.key_values().visit(&mut fields); // told below
-        match fields.broken {
+        let mut fields = Fields { map: &mut map, error: None };
+        let _ = record.key_values().visit(&mut fields); // the error is in `fields`
+        match fields.error {
             Some(error) => Err(error),
             None => map.end(),
         }
@@ -244,7 +250,7 @@
 
 struct Fields<'a, M> {
     map: &'a mut M,
-    broken: Option<serde_json::Error>,
+    error: Option<serde_json::Error>,
 }
 
 impl<'kvs, M: SerializeMap<Error = serde_json::Error>> VisitSource<'kvs> for Fields<'_, M> {
@@ -254,26 +260,26 @@
             (None, Some(number)) if number.is_finite() => self.map.serialize_entry(key.as_str(), &number),
             _ => self.map.serialize_entry(key.as_str(), &format_args!("{value}")),
         };
-        self.broken = self.broken.take().or(done.err());
+        self.error = self.error.take().or(done.err());
         Ok(())
     }
 }
 
-/// A running log.
+/// The running event log.
 pub struct Logging {
     to_stderr: Arc<Pipe>,
-    to_collectors: Option<(Arc<Pipe>, watch::Sender<Setup>, Arc<AtomicBool>)>,
+    to_collectors: Option<(Arc<Pipe>, watch::Sender<LogSettings>, Arc<AtomicBool>)>,
 }
 
 impl Logging {
-    /// Takes over collectors and their certificates; what is on its way goes on.
-    pub fn reload(&self, setup: Setup) {
+    /// Applies new collectors and certificates. Lines already queued are still sent.
+    pub fn reload(&self, setup: LogSettings) {
         if let Some((_, sender, _)) = &self.to_collectors {
             sender.send_replace(setup);
         }
     }
 
-    /// Waits until what was told is out, for so long at most. True: it is.
+    /// Waits at most `most` until all logged lines are written. Returns whether they are.
     pub fn finish(&self, most: Duration) -> bool {
         let until = Instant::now() + most;
         loop {
@@ -292,8 +298,12 @@
     }
 }
 
-/// Starts the log for the whole program.
-pub fn start(host: &str, level: LevelFilter, setup: Setup) -> io::Result<Logging> {
+/// Starts the event log and installs it as the logger of the process.
+///
+/// # Errors
+///
+/// Fails if a logger is already installed, or a thread or the runtime cannot be started.
+pub fn start(host: &str, level: LevelFilter, setup: LogSettings) -> io::Result<Logging> {
     let to_stderr = Pipe::new(setup.stderr_queue);
     let to_collectors = (!setup.collectors.is_empty()).then(|| Pipe::new(setup.queue));
     let logger = Logger {
@@ -309,7 +319,7 @@
     log::set_boxed_logger(Box::new(logger)).map_err(io::Error::other)?;
     log::set_max_level(level);
     let pipe = to_stderr.clone();
-    thread::Builder::new().name("stderr".into()).spawn(move || write_out(&pipe, &mut io::stderr()))?;
+    thread::Builder::new().name("stderr".into()).spawn(move || write_stderr(&pipe, &mut io::stderr()))?;
     let to_collectors = match to_collectors {
         None => None,
         Some(pipe) => {
@@ -318,7 +328,7 @@
             let spool = setup.spool.as_ref().map(|limits| Arc::new(Spool::open(limits)));
             if let Some(spool) = &spool {
                 let (pipe, spool) = (pipe.clone(), spool.clone());
-                thread::Builder::new().name("spool".into()).spawn(move || take_in(&pipe, &spool))?;
+                thread::Builder::new().name("spool".into()).spawn(move || fill_spool(&pipe, &spool))?;
             }
             let sending = Sending::new(pipe.clone(), spool, watched, out.clone());
             let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build()?;
@@ -331,31 +341,32 @@
     Ok(Logging { to_stderr, to_collectors })
 }
 
-/// Only this thread waits for whoever reads standard error; with nobody there, lines are dropped and counted.
-fn write_out(pipe: &Pipe, out: &mut impl Write) {
-    let (mut line, mut batch, mut looked) = (Vec::new(), Vec::new(), Instant::now());
+/// Writes queued lines to standard error. Only this thread blocks on its reader; while nothing reads, the queue drops
+/// and counts lines.
+fn write_stderr(pipe: &Pipe, out: &mut impl Write) {
+    let (mut line, mut batch, mut last_report) = (Vec::new(), Vec::new(), Instant::now());
     loop {
-        pipe.wait(LOOK);
+        pipe.wait(POLL_INTERVAL);
         pipe.busy.store(true, Ordering::Release);
         batch.clear();
         while batch.len() < BATCH && pipe.pop(&mut line).is_some() {
             batch.extend_from_slice(&line);
             batch.push(b'\n');
         }
-        // A closed standard error must not stop the head.
+        // A closed standard error must not stop the process.
         let _ = out.write_all(&batch);
         pipe.busy.store(false, Ordering::Release);
-        if looked.elapsed() >= LOOK {
-            looked = Instant::now();
-            pipe.tell_dropped("stderr");
+        if last_report.elapsed() >= POLL_INTERVAL {
+            last_report = Instant::now();
+            pipe.log_dropped("stderr");
         }
     }
 }
 
-/// From memory to disk, as many lines at a time as have come.
-fn take_in(pipe: &Pipe, spool: &Spool) {
+/// Moves queued lines to the spool on disk, in batches of the lines that have arrived.
+fn fill_spool(pipe: &Pipe, spool: &Spool) {
     loop {
-        pipe.wait(LOOK);
+        pipe.wait(POLL_INTERVAL);
         pipe.busy.store(true, Ordering::Release);
         let mut batch = Vec::new();
         let (mut line, mut bytes) = (Vec::new(), 0);
--- a/src/logging/send.rs
+++ b/src/logging/send.rs
@@ -1,9 +1,9 @@
-//! Brings lines to collectors: carries out what `syslog::delivery` decides, on a thread of its own.
+//! Sends lines to collectors on a separate thread, as `syslog::delivery` decides.
 
 use super::Pipe;
 use super::spool::Spool;
 use super::transport::{Batch, Connection};
-use crate::config::syslog::Log as Setup;
+use crate::config::syslog::Log as LogSettings;
 use crate::event;
 use crate::interface::Micros;
 use crate::syslog::delivery::{Delivery, Step, Unsettled};
@@ -14,40 +14,44 @@
 use tokio::sync::watch;
 use tokio::time::{sleep, timeout};
 
-/// Bytes that are written at once, and how long one idle turn lasts at most.
-const AT_ONCE: usize = 32 * 1024;
-const TURN: Duration = Duration::from_millis(500);
-/// Where lines go one at a time, a collector has so long to close after each.
-const MOMENT: Duration = Duration::from_millis(20);
-/// For a connection that is let go in order to read what it was sent.
-const LAST_BYTES: Duration = Duration::from_millis(500);
-/// Lines read from the spool at a time.
-const READ: usize = 256;
+/// Bytes after which a batch is written.
+const BATCH_BYTES: usize = 32 * 1024;
+/// Longest wait in one iteration of the loop while nothing can be sent.
+const MAX_IDLE_WAIT: Duration = Duration::from_millis(500);
+/// How long to wait for the collector to close after each line, when lines are sent one at a time.
+const CLOSE_WAIT: Duration = Duration::from_millis(20);
+/// Time limit for closing a connection in an orderly way.
+const CLOSE_TIMEOUT: Duration = Duration::from_millis(500);
+/// Lines read from the spool at once.
+const LINES_PER_READ: usize = 256;
 
+/// Sends lines from the spool, or from the queue if there is no spool, to one collector at a time.
 pub struct Sending {
     pipe: Arc<Pipe>,
     spool: Option<Arc<Spool>>,
-    watched: watch::Receiver<Setup>,
-    setup: Setup,
-    /// Nothing is on its way.
+    watched: watch::Receiver<LogSettings>,
+    setup: LogSettings,
+    /// Set while no line is waiting to be sent or to count as delivered.
     out: Arc<AtomicBool>,
     start: Instant,
     delivery: Delivery,
     unsettled: Unsettled,
     connection: Option<Connection>,
     batch: Batch,
-    /// Lines read from the spool; and the greatest key read.
+    /// Lines read but not sent yet, with their keys.
     read: VecDeque<(u64, Vec<u8>)>,
+    /// Greatest key read.
     last: u64,
-    /// Collectors of which it was told that they fail.
-    told: Vec<bool>,
+    /// For each collector, whether its current failure has been logged.
+    failure_logged: Vec<bool>,
 }
 
 impl Sending {
+    /// Creates a sender. `out` is set while no line is waiting to be sent or to count as delivered.
     pub fn new(
         pipe: Arc<Pipe>,
         spool: Option<Arc<Spool>>,
-        watched: watch::Receiver<Setup>,
+        watched: watch::Receiver<LogSettings>,
         out: Arc<AtomicBool>,
     ) -> Sending {
         let setup = watched.borrow().clone();
@@ -63,7 +67,7 @@
             batch: Batch::default(),
             read: VecDeque::new(),
             last: 0,
-            told: vec![false; setup.collectors.len()],
+            failure_logged: vec![false; setup.collectors.len()],
             watched,
             setup,
         }
@@ -73,8 +77,9 @@
         crate::clock::micros(self.start.elapsed())
     }
 
+    /// Sends lines until the task is dropped.
     pub async fn run(mut self) {
-        let mut looked = Instant::now();
+        let mut last_report = Instant::now();
         loop {
             if self.watched.has_changed().unwrap_or(false) {
                 self.reload().await;
@@ -84,30 +89,32 @@
                 Step::Connect(collector) => self.connect(collector).await,
                 Step::Rest(until) => {
                     self.out.store(false, Ordering::Release);
-                    sleep(Duration::from_micros(until.saturating_sub(now)).min(TURN)).await;
+                    sleep(Duration::from_micros(until.saturating_sub(now)).min(MAX_IDLE_WAIT)).await;
                 }
                 Step::Send => self.send().await,
             }
-            if self.spool.is_none() && looked.elapsed() >= super::LOOK {
-                looked = Instant::now();
-                self.pipe.tell_dropped("queue");
+            if self.spool.is_none() && last_report.elapsed() >= super::POLL_INTERVAL {
+                last_report = Instant::now();
+                self.pipe.log_dropped("queue");
             }
         }
     }
 
-    /// Collectors and certificates are new. What was written goes with an orderly end; what waits goes to the new ones.
+    /// Applies new collectors and certificates. The current connection is closed in an orderly way; lines still waiting
+    /// go to the new collectors.
     async fn reload(&mut self) {
         self.setup = self.watched.borrow_and_update().clone();
         if let Some(connection) = self.connection.take() {
-            self.let_go(connection).await;
+            self.close(connection).await;
         }
         let seed = u64::from(std::process::id());
         self.delivery = Delivery::new(self.setup.collectors.len(), self.setup.delivery, seed);
-        self.told = vec![false; self.setup.collectors.len()];
+        self.failure_logged = vec![false; self.setup.collectors.len()];
     }
 
-    async fn let_go(&mut self, connection: Connection) {
-        if connection.close(LAST_BYTES).await {
+    /// Closes a connection. After an orderly close, the lines written to it count as delivered.
+    async fn close(&mut self, connection: Connection) {
+        if connection.close(CLOSE_TIMEOUT).await {
             let settled = self.unsettled.settle_all();
             self.settled(settled);
         } else {
@@ -120,21 +127,21 @@
         match Connection::open(&wanted).await {
             Ok(connection) => {
                 if let Some(before) = self.connection.replace(connection) {
-                    self.let_go(before).await;
+                    self.close(before).await;
                 }
                 let now = self.now();
                 self.delivery.connected(now, collector);
-                // A careful one is opened for each line: once is enough to tell.
-                if !self.delivery.careful() || self.told[collector] {
+                // In careful mode each line has its own connection, so only the first one after a failure is logged.
+                if !self.delivery.careful() || self.failure_logged[collector] {
                     let (reason, given_up) = ("", 0);
                     event!(COLLECTOR, collector, address:% = wanted.address, state = "up", reason, given_up);
                 }
-                self.told[collector] = false;
+                self.failure_logged[collector] = false;
             }
             Err(problem) => {
                 let now = self.now();
                 self.delivery.failed(now, collector);
-                if !std::mem::replace(&mut self.told[collector], true) {
+                if !std::mem::replace(&mut self.failure_logged[collector], true) {
                     let (address, given_up) = (wanted.address, 0);
                     event!(COLLECTOR, collector, address:%, state = "failed", reason:% = problem, given_up);
                 }
@@ -161,7 +168,7 @@
         let given_up = self.unsettled.ended();
         let collector = self.delivery.active().unwrap_or(0);
         self.delivery.ended(now, orderly);
-        // One that closes after each line is told of once.
+        // In careful mode a collector may close after each line, so the end is logged only if lines are given up.
         if !self.delivery.careful() || given_up > 0 {
             let address =
                 self.setup.collectors.get(collector).map(|c| c.address.to_string()).unwrap_or_default();
@@ -176,7 +183,7 @@
         }
         if self.read.is_empty() {
             match &self.spool {
-                Some(spool) => self.read = spool.read(self.last, READ).into(),
+                Some(spool) => self.read = spool.read(self.last, LINES_PER_READ).into(),
                 None => {
                     let mut line = Vec::new();
                     if self.pipe.pop(&mut line).is_some() {
@@ -194,13 +201,15 @@
         let now = self.now();
         let settled = self.unsettled.settle(now, &self.setup.delivery);
         self.settled(settled);
-        let Some(mut connection) = self.connection.take() else { return self.ended(false, "gone") };
+        let Some(mut connection) = self.connection.take() else {
+            return self.ended(false, "there is no connection");
+        };
         self.batch.clear();
-        let most = if self.delivery.careful() { 1 } else { AT_ONCE };
-        let mut paced = None;
+        let most = if self.delivery.careful() { 1 } else { BATCH_BYTES };
+        let mut next_allowed = None;
         while self.batch.len() < most {
-            paced = self.delivery.pace(now);
-            if paced.is_some() {
+            next_allowed = self.delivery.pace(now);
+            if next_allowed.is_some() {
                 break;
             }
             let Some((key, line, again)) = self.next_line() else { break };
@@ -209,7 +218,7 @@
             self.delivery.wrote();
         }
         if self.batch.is_empty() {
-            return self.idle(connection, now, paced).await;
+            return self.idle(connection, now, next_allowed).await;
         }
         self.out.store(false, Ordering::Release);
         let written = timeout(self.setup.stall, connection.write(&self.batch)).await;
@@ -220,32 +229,35 @@
                 self.settled(settled);
             }
             Ok(Ok(())) if self.delivery.careful() => {
-                // A line that no third try follows has nothing behind it until it counts as handed over. One for which
-                // the moment passes stays in doubt: the collector may only be slow to read and close.
+                // A line sent for the second time is not sent again, so no line follows it until it counts as
+                // delivered. If the wait times out, the line stays unsettled, as the collector may be slow to read and
+                // close.
                 let settle = Duration::from_micros(self.setup.delivery.settle);
-                let moment = if self.unsettled.last_is_again() { settle } else { MOMENT };
-                if let Ok(orderly) = timeout(moment, connection.ended()).await {
-                    return self.ended(orderly, "it closed the connection");
+                let close_wait = if self.unsettled.last_is_again() { settle } else { CLOSE_WAIT };
+                if let Ok(orderly) = timeout(close_wait, connection.ended()).await {
+                    return self.ended(orderly, "the collector closed the connection");
                 }
             }
             Ok(Ok(())) => {}
             Ok(Err(problem)) => return self.ended(false, &problem.to_string()),
-            Err(_) => return self.ended(false, "it takes nothing"),
+            Err(_) => return self.ended(false, "the collector accepted no data in time"),
         }
         self.connection = Some(connection);
     }
 
-    /// Nothing may go out: waits until something changes.
-    async fn idle(&mut self, mut connection: Connection, now: Micros, paced: Option<Micros>) {
-        let waits = paced.is_some() || !self.unsettled.is_empty();
+    /// Waits until a line can be sent, the connection ends or the settings change.
+    async fn idle(&mut self, mut connection: Connection, now: Micros, next_allowed: Option<Micros>) {
+        let waits = next_allowed.is_some() || !self.unsettled.is_empty();
         self.out
             .store(!waits && self.spool.as_ref().is_none_or(|spool| spool.lines() == 0), Ordering::Release);
         let settles = self.unsettled.next_settles(&self.setup.delivery);
-        let until = paced.into_iter().chain(settles).min();
-        let turn = until.map_or(TURN, |until| Duration::from_micros(until.saturating_sub(now)).min(TURN));
+        let until = next_allowed.into_iter().chain(settles).min();
+        let turn = until.map_or(MAX_IDLE_WAIT, |until| {
+            Duration::from_micros(until.saturating_sub(now)).min(MAX_IDLE_WAIT)
+        });
         let filled = async {
             match &self.spool {
-                _ if paced.is_some() => std::future::pending().await,
+                _ if next_allowed.is_some() => std::future::pending().await,
                 Some(spool) => spool.filled().await,
                 None => self.pipe.filled().await,
             }
@@ -261,7 +273,7 @@
             }
         };
         match ended {
-            Some(orderly) => self.ended(orderly, "it closed the connection"),
+            Some(orderly) => self.ended(orderly, "the collector closed the connection"),
             None => self.connection = Some(connection),
         }
     }
--- a/src/logging/send/tests.rs
+++ b/src/logging/send/tests.rs
@@ -6,12 +6,12 @@
 use std::sync::mpsc;
 use std::thread;
 
-/// Each line is one byte, so that a frame is three.
+/// Bytes of a frame: each line is one byte long.
 const FRAME: usize = 3;
-/// Longer than a careful sender's moment.
+/// Longer than `CLOSE_WAIT`.
 const STALL: Duration = Duration::from_millis(60);
 
-/// Waits until three frames are there or no more come, takes one, and closes on what lies behind it.
+/// Waits until three frames have arrived or no more arrive, reads one, and closes with the others unread.
 fn take_one(mut stream: TcpStream) -> Option<u8> {
     stream.set_read_timeout(Some(STALL)).unwrap();
     let (mut there, mut seen) = ([0; 3 * FRAME], 0);
@@ -19,7 +19,7 @@
         match stream.peek(&mut there) {
             Ok(0) => return None,
             Ok(count) if count == there.len() => break,
-            // As much as before: looked at again after a stall, and then it is all.
+            // No more bytes arrived during the last stall.
             Ok(count) if count == seen => break,
             Ok(count) => {
                 seen = count;
@@ -34,17 +34,18 @@
 }
 
 #[test]
-fn a_collector_that_is_slow_to_close_behind_each_line_gets_them_all() {
+fn a_collector_that_closes_slowly_after_each_line_receives_every_line() {
     let listener = TcpListener::bind("127.0.0.1:0").unwrap();
     let names = Names { classes: Vec::new(), plans: Vec::new(), deadlines: Vec::new() };
     let file =
         format!("[[collectors]]\ntransport = \"tcp\"\naddress = \"{}\"\n", listener.local_addr().unwrap());
-    let mut setup = Setup::read(&file, &names, 1 << 20).unwrap();
-    // However busy the machine is, the collector has closed by then; and no rest is longer than the test.
+    let mut setup = LogSettings::read(&file, &names, 1 << 20).unwrap();
+    // Long enough for the collector to close on a busy machine, and a rest shorter than the test.
     setup.delivery.settle = 10_000_000;
     setup.delivery.most_rest = 1_000;
     let pipe = Pipe::new(1 << 16);
-    let tell = |lines: &[u8]| lines.iter().for_each(|line| pipe.push(0, Severity::Notice, "-", &[*line]));
+    let push_lines =
+        |lines: &[u8]| lines.iter().for_each(|line| pipe.push(0, Severity::Notice, "-", &[*line]));
     let (sender, taken) = mpsc::channel();
     thread::spawn(move || {
         for stream in listener.incoming().flatten() {
@@ -55,7 +56,7 @@
             }
         }
     });
-    tell(b"abcd");
+    push_lines(b"abcd");
     let (_reloads, watched) = watch::channel(setup);
     let sending = Sending::new(pipe.clone(), None, watched, Arc::default());
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build().unwrap();
@@ -64,11 +65,12 @@
     let mut first = true;
     while !missing.is_empty() {
         let line = taken.recv_timeout(Duration::from_secs(20));
-        let line = line.unwrap_or_else(|_| panic!("{:?} never came", String::from_utf8_lossy(&missing)));
+        let line =
+            line.unwrap_or_else(|_| panic!("lines {:?} never arrived", String::from_utf8_lossy(&missing)));
         missing.retain(|left| *left != line);
-        // From the first close on lines go one at a time; these for the first time.
+        // After the first close, lines are sent one at a time; these lines are sent for the first time.
         if std::mem::take(&mut first) {
-            tell(b"efghi");
+            push_lines(b"efghi");
         }
     }
 }
--- a/src/logging/spool.rs
+++ b/src/logging/spool.rs
@@ -1,8 +1,8 @@
-//! Lines on disk until a collector has them: a table of redb by serial number. What `append` has written is there after
-//! a crash at any byte, for redb commits a batch whole or not at all; what could not be written waits in memory, in
-//! order, and is tried again with the next batch.
+//! Keeps lines on disk, in a redb table keyed by serial number, until a collector has received them. Lines that
+//! `append` has written survive a crash at any byte, because redb commits a batch atomically. Lines that cannot be
+//! written stay in memory, in order, and are retried with the next batch.
 //!
-//! A file that cannot be opened is set aside under another name, and a new one begun.
+//! A file that cannot be opened is renamed, and a new file is created.
 
 use crate::config::syslog::SpoolLimits;
 use crate::interface::Micros;
@@ -15,19 +15,21 @@
 use std::time::{Duration, SystemTime, UNIX_EPOCH};
 use tokio::sync::Notify;
 
-/// By serial: the time and severity (9 bytes, big-endian), then the line.
+/// Lines by serial number. A value is the time (8 bytes, big-endian), the severity (1 byte) and the line.
 const LINES: TableDefinition<u64, &[u8]> = TableDefinition::new("lines");
 const FILE: &str = "spool.redb";
-/// Bytes of lines that are written in one go.
+/// Bytes after which a batch is passed to [`Spool::append`].
 pub const BATCH: usize = 256 * 1024;
-/// Bytes of lines that wait in memory while the disk takes none.
-const MOST_PENDING: usize = 1024 * 1024;
-const CACHE: usize = 2 * 1024 * 1024;
-/// A line's cost on disk besides its bytes, about.
-const OVERHEAD: u64 = 32;
-/// Lines of which it is said which event they are have it in their ids; those on disk are told by this.
-const ON_DISK: &str = "any";
-
+/// Largest number of bytes of lines held in memory while writes to the disk fail.
+const MAX_PENDING_BYTES: usize = 1024 * 1024;
+/// Cache size of the database in bytes.
+const CACHE_BYTES: usize = 2 * 1024 * 1024;
+/// Approximate bytes on disk that each line takes in addition to its own.
+const LINE_OVERHEAD_BYTES: u64 = 32;
+/// Message id in reports of lines dropped from disk, where message ids are not stored.
+const UNKNOWN_ID: &str = "any";
+
+/// An on-disk queue of lines, bounded in bytes and age.
 pub struct Spool {
     state: Mutex<State>,
     notify: Notify,
@@ -37,12 +39,13 @@
 type Opener = Box<dyn Fn() -> Result<Database, redb::DatabaseError> + Send>;
 
 struct State {
-    /// A store that has failed takes nothing more before it is opened anew.
+    /// Opens the database. After a failure, the database is reopened before the next write.
     opener: Opener,
     database: Option<Database>,
     /// Lines on disk, by severity: serial and size of each, oldest first.
     index: [VecDeque<(u64, u32)>; 8],
     bytes: u64,
+    /// Lines that are not on disk yet: serial number, time, severity and line.
     pending: VecDeque<(u64, Micros, Severity, Vec<u8>)>,
     pending_bytes: usize,
     next: u64,
@@ -63,7 +66,7 @@
     value
 }
 
-/// The time, the severity and the line.
+/// Splits a stored value into its time, severity and line.
 fn split(value: &[u8]) -> Option<(Micros, Severity, &[u8])> {
     let (at, rest) = value.split_at_checked(8)?;
     let (severity, line) = rest.split_first()?;
@@ -71,17 +74,19 @@
 }
 
 impl Spool {
+    /// Opens or creates the spool file in the directory that `limits` names. A failure is reported by
+    /// [`Spool::problems`], and lines stay in memory.
     pub fn open(limits: &SpoolLimits) -> Spool {
         let path = limits.directory.join(FILE);
-        let create = move || redb::Builder::new().set_cache_size(CACHE).create(&path);
+        let create = move || redb::Builder::new().set_cache_size(CACHE_BYTES).create(&path);
         let mut state = State::empty(Box::new(create));
         state.open(Some(&limits.directory.join(FILE)));
         Spool { state: Mutex::new(state), notify: Notify::new(), limits: limits.clone() }
     }
 
-    /// On something else than a file of its own.
+    /// Opens a spool on the given storage backend instead of a file.
     pub fn on<B: StorageBackend>(backend: impl Fn() -> B + Send + 'static, limits: &SpoolLimits) -> Spool {
-        let create = move || redb::Builder::new().set_cache_size(CACHE).create_with_backend(backend());
+        let create = move || redb::Builder::new().set_cache_size(CACHE_BYTES).create_with_backend(backend());
         let mut state = State::empty(Box::new(create));
         state.open(None);
         Spool { state: Mutex::new(state), notify: Notify::new(), limits: limits.clone() }
@@ -91,27 +96,29 @@
         self.state.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Lines that wait, on disk and in memory.
+    /// Number of unreleased lines, on disk and in memory.
     pub fn lines(&self) -> usize {
         let state = self.state();
         state.index.iter().map(VecDeque::len).sum::<usize>() + state.pending.len()
     }
 
+    /// Completes once lines have been appended.
     pub async fn filled(&self) {
         self.notify.notified().await;
     }
 
-    /// What has gone wrong since this was asked last.
+    /// Takes the descriptions of the failures since the last call.
     pub fn problems(&self) -> Vec<String> {
         std::mem::take(&mut self.state().problems)
     }
 
+    /// Takes the counts of the lines dropped since the last call.
     pub fn dropped(&self) -> Vec<Dropped> {
         std::mem::take(&mut self.state().dropped)
     }
 
-    /// Returns once they are on disk, or where the disk takes none, in memory. An empty batch only tries again what
-    /// waits there.
+    /// Appends lines and returns once they are on disk, or in memory if the write fails. An empty batch only retries
+    /// the lines in memory.
     pub fn append(&self, batch: Vec<(Severity, &'static str, Vec<u8>)>) {
         self.append_at(now(), batch);
     }
@@ -124,19 +131,19 @@
             state.next += 1;
             state.pending_bytes += line.len();
             state.pending.push_back((key, at, severity, line));
-            if state.failing && state.pending_bytes > MOST_PENDING {
+            if state.failing && state.pending_bytes > MAX_PENDING_BYTES {
                 state.drop_pending(id);
             }
         }
         state.write();
-        state.keep_bounds(&self.limits, at);
+        state.enforce_limits(&self.limits, at);
         drop(state);
         if any {
             self.notify.notify_one();
         }
     }
 
-    /// Lines behind this serial, in order.
+    /// Reads at most `most` lines with serial numbers greater than `after`, in order.
     pub fn read(&self, after: u64, most: usize) -> Vec<(u64, Vec<u8>)> {
         let mut state = self.state();
         let mut lines = match state.read(after, most) {
@@ -146,9 +153,9 @@
                 Vec::new()
             }
         };
-        // Lines on a disk that cannot be read at the moment are safe there, and come before all that waits here.
+        // Lines on disk that cannot be read now are still stored, and must be sent before the lines in memory.
         let last = lines.last().map_or(after, |(key, _)| *key);
-        if state.index.iter().any(|ring| ring.back().is_some_and(|(key, _)| *key > last)) {
+        if state.index.iter().any(|entries| entries.back().is_some_and(|(key, _)| *key > last)) {
             return lines;
         }
         let room = most - lines.len().min(most);
@@ -157,7 +164,7 @@
         lines
     }
 
-    /// All up to this serial were handed over.
+    /// Removes all lines up to and including serial number `key`, which a collector has received.
     pub fn release(&self, key: u64) {
         let mut state = self.state();
         state.release(key);
@@ -181,14 +188,14 @@
         }
     }
 
-    /// A file that is no store is set aside.
+    /// Opens the database. If a file at `path` cannot be opened, it is renamed and a new one is created.
     fn open(&mut self, path: Option<&std::path::Path>) {
         let database = (self.opener)().or_else(|problem| {
             let Some(path) = path else { return Err(problem) };
             let stamp = now();
             let aside = PathBuf::from(format!("{}.unreadable-{stamp}", path.display()));
             self.problems.push(format!("{problem}; the file is set aside as {}", aside.display()));
-            // Where even that cannot be done, the next open says why.
+            // If the rename fails too, the next open reports why.
             let _ = std::fs::rename(path, aside);
             (self.opener)()
         });
@@ -201,15 +208,15 @@
         }
     }
 
-    /// Learns what a store holds.
+    /// Adopts an opened database and indexes the lines in it.
     fn take(&mut self, database: Database) {
         self.database = Some(database);
-        if let Err(problem) = self.learn() {
+        if let Err(problem) = self.load_index() {
             self.fail(&problem);
         }
     }
 
-    fn learn(&mut self) -> Result<(), redb::Error> {
+    fn load_index(&mut self) -> Result<(), redb::Error> {
         let Some(database) = &self.database else { return Ok(()) };
         let begin = database.begin_write()?;
         begin.open_table(LINES)?;
@@ -220,7 +227,7 @@
             let (key, value) = entry?;
             let Some((at, severity, line)) = split(value.value()) else { continue };
             self.index[severity as usize].push_back((key.value(), line.len() as u32));
-            self.bytes += line.len() as u64 + OVERHEAD;
+            self.bytes += line.len() as u64 + LINE_OVERHEAD_BYTES;
             self.oldest.get_or_insert(at);
             self.next = self.next.max(key.value() + 1);
         }
@@ -228,7 +235,7 @@
     }
 
     fn fail(&mut self, problem: &redb::Error) {
-        // The same again and again is told once.
+        // Repeated failures are reported once, until a write succeeds.
         if !std::mem::replace(&mut self.failing, true) {
             self.problems.push(problem.to_string());
         }
@@ -239,7 +246,7 @@
             return;
         }
         if self.failing {
-            // Its file must be let go of before it can be opened again. Why it cannot has been told.
+            // The file must be closed before it can be reopened. The cause of the failure is already reported.
             self.database = None;
             self.database = (self.opener)().ok();
         }
@@ -248,7 +255,7 @@
                 self.failing = false;
                 for (key, at, severity, line) in self.pending.drain(..) {
                     self.index[severity as usize].push_back((key, line.len() as u32));
-                    self.bytes += line.len() as u64 + OVERHEAD;
+                    self.bytes += line.len() as u64 + LINE_OVERHEAD_BYTES;
                     self.oldest.get_or_insert(at);
                 }
                 self.pending_bytes = 0;
@@ -259,7 +266,7 @@
 
     fn commit(&self) -> Result<(), redb::Error> {
         let Some(database) = &self.database else {
-            return Err(redb::Error::Io(std::io::Error::other("there is no store")));
+            return Err(redb::Error::Io(std::io::Error::other("the spool database is not open")));
         };
         let write = database.begin_write()?;
         {
@@ -292,29 +299,29 @@
                 self.pending_bytes -= line.len();
             }
         }
-        let mut gone = Vec::new();
-        for ring in &mut self.index {
-            while ring.front().is_some_and(|(first, _)| *first <= key) {
-                gone.extend(ring.pop_front());
+        let mut removed = Vec::new();
+        for entries in &mut self.index {
+            while entries.front().is_some_and(|(first, _)| *first <= key) {
+                removed.extend(entries.pop_front());
             }
         }
-        self.remove(&gone);
+        self.remove(&removed);
     }
 
-    fn remove(&mut self, gone: &[(u64, u32)]) {
-        if gone.is_empty() {
+    fn remove(&mut self, removed: &[(u64, u32)]) {
+        if removed.is_empty() {
             return;
         }
-        self.bytes -= gone.iter().map(|(_, length)| u64::from(*length) + OVERHEAD).sum::<u64>();
+        self.bytes -= removed.iter().map(|(_, length)| u64::from(*length) + LINE_OVERHEAD_BYTES).sum::<u64>();
         self.oldest = None;
         let done = (|| {
             let Some(database) = &self.database else { return Ok(()) };
             let mut write = database.begin_write()?;
-            // Lines that come back after a crash are sent twice, which their sequence ids tell.
+            // A crash may restore removed lines, which are then sent twice with the same sequence ids.
             let _ = write.set_durability(redb::Durability::None);
             let oldest = {
                 let mut table = write.open_table(LINES)?;
-                for (key, _) in gone {
+                for (key, _) in removed {
                     table.remove(key)?;
                 }
                 let first = table.first()?;
@@ -329,35 +336,38 @@
         }
     }
 
-    /// Over its bound in bytes the least severe and oldest go; what is older than it may be goes in any case.
-    fn keep_bounds(&mut self, limits: &SpoolLimits, now: Micros) {
-        let mut gone = Vec::new();
+    /// Drops the least severe lines, oldest first, while the spool exceeds its size limit, and every line that exceeds
+    /// the age limit.
+    fn enforce_limits(&mut self, limits: &SpoolLimits, now: Micros) {
+        let mut removed = Vec::new();
         let mut bytes = self.bytes;
         while bytes > limits.bytes {
-            let Some(ring) = self.index.iter_mut().rev().find(|ring| !ring.is_empty()) else { break };
-            let Some(first) = ring.pop_front() else { break };
-            bytes -= u64::from(first.1) + OVERHEAD;
-            gone.push(first);
+            let Some(entries) = self.index.iter_mut().rev().find(|entries| !entries.is_empty()) else {
+                break;
+            };
+            let Some(first) = entries.pop_front() else { break };
+            bytes -= u64::from(first.1) + LINE_OVERHEAD_BYTES;
+            removed.push(first);
         }
-        let too_old = now.saturating_sub(crate::clock::micros(limits.age));
-        if self.oldest.is_some_and(|oldest| oldest < too_old)
-            && let Ok(old) = self.older_than(too_old)
+        let oldest_allowed = now.saturating_sub(crate::clock::micros(limits.age));
+        if self.oldest.is_some_and(|oldest| oldest < oldest_allowed)
+            && let Ok(old) = self.last_serial_before(oldest_allowed)
         {
-            for ring in &mut self.index {
-                while ring.front().is_some_and(|(key, _)| *key <= old) {
-                    gone.extend(ring.pop_front());
+            for entries in &mut self.index {
+                while entries.front().is_some_and(|(key, _)| *key <= old) {
+                    removed.extend(entries.pop_front());
                 }
             }
         }
-        if !gone.is_empty() {
+        if !removed.is_empty() {
             let from = self.oldest.unwrap_or(now);
-            self.dropped.push(Dropped { id: ON_DISK, count: gone.len() as u64, from, until: now });
-            self.remove(&gone);
+            self.dropped.push(Dropped { id: UNKNOWN_ID, count: removed.len() as u64, from, until: now });
+            self.remove(&removed);
         }
     }
 
-    /// The last serial whose line is older.
-    fn older_than(&self, bound: Micros) -> Result<u64, redb::Error> {
+    /// Returns the last serial number before the first line whose time is at or after `bound`, or 0.
+    fn last_serial_before(&self, bound: Micros) -> Result<u64, redb::Error> {
         let Some(database) = &self.database else { return Ok(0) };
         let table = database.begin_read()?.open_table(LINES)?;
         let mut last = 0;
@@ -371,7 +381,7 @@
         Ok(last)
     }
 
-    /// One line that waits in memory goes: the oldest of the least severe.
+    /// Drops the oldest of the least severe lines in memory.
     fn drop_pending(&mut self, id: &'static str) {
         let worst = self.pending.iter().map(|(_, _, severity, _)| *severity).max();
         let place = self.pending.iter().position(|(_, _, severity, _)| Some(*severity) == worst);
--- a/src/logging/spool/tests.rs
+++ b/src/logging/spool/tests.rs
@@ -25,7 +25,7 @@
 const INFO: Severity = Severity::Informational;
 
 #[test]
-fn lines_are_kept_in_order_until_they_are_released_and_outlive_the_program() {
+fn lines_stay_in_order_until_released_and_survive_a_restart() {
     let disk = Disk::default();
     let spool = opened(&disk, &limits(1 << 20));
     spool.append(batch(INFO, 0..5));
@@ -45,7 +45,7 @@
 }
 
 #[test]
-fn a_crash_at_any_byte_loses_no_line_that_was_taken() {
+fn a_crash_at_any_byte_loses_no_appended_line() {
     let taken = |disk: &Disk| {
         let spool = opened(disk, &limits(1 << 20));
         let mut safe = 0;
@@ -68,7 +68,7 @@
         disk.image().left = Some(left);
         let safe = taken(&disk);
         let image = disk.image();
-        // What was written since the last sync is there, or is not.
+        // Bytes written since the last sync may or may not survive the crash.
         for bytes in [image.bytes.clone(), image.synced.clone()] {
             let again = opened(&Disk::of(bytes), &limits(1 << 20));
             let all = lines(&again);
@@ -82,7 +82,7 @@
 }
 
 #[test]
-fn a_full_disk_is_told_once_lines_wait_in_memory_and_go_on_in_order() {
+fn a_full_disk_is_reported_once_and_lines_stay_in_memory_in_order() {
     let disk = Disk::default();
     let spool = opened(&disk, &limits(1 << 20));
     spool.append(batch(INFO, 0..3));
@@ -91,29 +91,29 @@
     spool.append(batch(INFO, 5..6));
     assert_eq!(spool.problems().len(), 1);
     assert_eq!(spool.lines(), 6);
-    assert!([0, 3].contains(&lines(&spool).len()), "what is on the disk comes first");
+    assert!([0, 3].contains(&lines(&spool).len()), "lines on disk are read before lines in memory");
     disk.image().full = false;
     spool.append(batch(INFO, 6..7));
     assert!(spool.state().pending.is_empty());
     assert_eq!(lines(&spool), (0..7).map(line).collect::<Vec<_>>());
     drop(spool);
     assert_eq!(lines(&opened(&disk, &limits(1 << 20))).len(), 7);
-    // With the disk full for long, memory is bounded too, and the least severe go.
+    // While the disk stays full, memory is bounded too, and the least severe lines are dropped.
     let spool = opened(&disk, &limits(1 << 20));
     spool.release(7);
     disk.image().full = true;
     spool.append(vec![(Severity::Error, "E", vec![b'e'; 1000])]);
-    for _ in 0..MOST_PENDING / 1000 + 10 {
+    for _ in 0..MAX_PENDING_BYTES / 1000 + 10 {
         spool.append(vec![(INFO, "X", vec![b'x'; 1000])]);
     }
-    assert!(spool.state().pending_bytes <= MOST_PENDING);
+    assert!(spool.state().pending_bytes <= MAX_PENDING_BYTES);
     let dropped: u64 = spool.dropped().iter().map(|dropped| dropped.count).sum();
     assert!((10..=20).contains(&dropped), "{dropped}");
     assert!(lines(&spool).contains(&vec![b'e'; 1000]));
 }
 
 #[test]
-fn over_its_bound_the_least_severe_and_oldest_go_and_are_told() {
+fn over_the_size_limit_the_least_severe_and_oldest_lines_are_dropped_and_counted() {
     let disk = Disk::default();
     let spool = opened(&disk, &limits(2_000));
     spool.append(vec![(Severity::Error, "E", vec![b'e'; 400])]);
@@ -127,27 +127,27 @@
 }
 
 #[test]
-fn lines_go_with_their_age_and_a_clock_that_is_set_back_loses_none() {
+fn old_lines_are_dropped_and_a_clock_set_back_loses_none() {
     const HOUR: Micros = 3_600_000_000;
     let disk = Disk::default();
     let spool = opened(&disk, &limits(1 << 20));
     spool.append_at(100 * HOUR, batch(INFO, 0..2));
     spool.append_at(90 * HOUR, batch(INFO, 2..4));
     spool.append_at(90 * HOUR + 1, batch(INFO, 4..5));
-    assert_eq!(lines(&spool), (0..5).map(line).collect::<Vec<_>>(), "in the order in which they came");
+    assert_eq!(lines(&spool), (0..5).map(line).collect::<Vec<_>>(), "lines are kept in order of arrival");
     assert!(spool.dropped().is_empty());
     drop(spool);
     let spool = opened(&disk, &limits(1 << 20));
     assert_eq!(lines(&spool).len(), 5);
     spool.append_at(101 * HOUR - 1, batch(INFO, 5..6));
-    assert_eq!(spool.lines(), 6, "an hour is their age");
+    assert_eq!(spool.lines(), 6, "lines are kept for one hour");
     spool.append_at(101 * HOUR + 1, batch(INFO, 6..7));
     assert_eq!(lines(&spool), (5..7).map(line).collect::<Vec<_>>());
     assert_eq!(spool.dropped().iter().map(|dropped| dropped.count).sum::<u64>(), 5);
 }
 
 #[test]
-fn a_file_that_is_no_store_is_set_aside_and_told() {
+fn a_file_that_is_not_a_database_is_renamed_and_reported() {
     let directory = std::env::temp_dir().join(format!("pathbank-spool-{}", std::process::id()));
     std::fs::create_dir_all(&directory).unwrap();
     let limits = SpoolLimits { directory: directory.clone(), ..limits(1 << 20) };
--- a/src/logging/tests.rs
+++ b/src/logging/tests.rs
@@ -18,7 +18,7 @@
     }
 }
 
-fn told(logger: &Logger, target: &str, pairs: &[(&str, &str)], text: &str) -> Option<Vec<u8>> {
+fn log_line(logger: &Logger, target: &str, pairs: &[(&str, &str)], text: &str) -> Option<Vec<u8>> {
     let pairs: &dyn log::kv::Source = &pairs;
     logger.log(
         &Record::builder()
@@ -33,9 +33,9 @@
 }
 
 #[test]
-fn an_event_carries_its_entrys_id_severity_and_element() {
+fn an_event_carries_the_id_severity_and_element_of_its_catalogue_entry() {
     let logger = logger(Format::Syslog);
-    let line = told(&logger, events::UP.target, &[("name", "n3"), ("listen", "x")], "").unwrap();
+    let line = log_line(&logger, events::UP.target, &[("name", "n3"), ("listen", "x")], "").unwrap();
     let message = parse(&line).unwrap();
     assert_eq!((message.facility, message.severity, message.id), (3, Severity::Notice, Some("UP")));
     assert_eq!(message.parameter("head@32473", "listen").map(|v| &**v), Some("x"));
@@ -45,17 +45,17 @@
         (message.parameter("timeQuality", "tzKnown").map(|v| &**v), message.text.as_deref()),
         (Some("1"), None)
     );
-    let line = told(&logger, "pathbank::core", &[], "two\nlines").unwrap();
+    let line = log_line(&logger, "pathbank::core", &[], "two\nlines").unwrap();
     let message = parse(&line).unwrap();
     assert_eq!((message.id, message.text.as_deref()), (None, Some("two\u{240a}lines")));
     assert_eq!(message.parameter("meta", "sequenceId").map(|v| &**v), Some("2"));
-    assert_eq!(told(&logger, "h2::proto", &[], "of others"), None);
+    assert_eq!(log_line(&logger, "h2::proto", &[], "of others"), None);
 }
 
 #[test]
-fn lines_in_json_hold_the_same() {
+fn json_lines_hold_the_same_fields() {
     let logger = logger(Format::Json);
-    let line = told(&logger, events::NODE.target, &[("node", "s\"1"), ("shard", "3")], "").unwrap();
+    let line = log_line(&logger, events::NODE.target, &[("node", "s\"1"), ("shard", "3")], "").unwrap();
     let value: serde_json::Value = serde_json::from_slice(&line).unwrap();
     assert_eq!((&value["msgid"], &value["node"]), (&"NODE".into(), &"s\"1".into()));
     assert_eq!(value["severity"], "informational");
@@ -70,13 +70,13 @@
         ..ProptestConfig::default()
     })]
 
-    /// Whatever goes into an event comes out of the strict parser equal, but for the pictures of controls.
+    /// The strict parser returns the values of an event unchanged, except for replaced control characters.
     #[test]
-    fn values_come_out_as_they_went_in(values in proptest::collection::vec("\\PC{0,40}|[\"\\\\\\]\\x00-\\xff]{0,20}", 1..6), text in "\\PC{0,60}") {
+    fn values_survive_encoding_and_parsing(values in proptest::collection::vec("\\PC{0,40}|[\"\\\\\\]\\x00-\\xff]{0,20}", 1..6), text in "\\PC{0,60}") {
         let logger = logger(Format::Syslog);
         let names = ["a", "b", "c", "d", "e"];
         let pairs: Vec<(&str, &str)> = names.into_iter().zip(values.iter().map(String::as_str)).collect();
-        let line = told(&logger, events::REQUEST.target, &pairs, &text).unwrap();
+        let line = log_line(&logger, events::REQUEST.target, &pairs, &text).unwrap();
         let message = parse(&line).map_err(|e| TestCaseError::fail(e.to_string()))?;
         for (name, value) in pairs {
             let got = message.parameter("request@32473", name).map(std::string::ToString::to_string);
--- a/src/logging/tls.rs
+++ b/src/logging/tls.rs
@@ -1,4 +1,4 @@
-//! TLS towards collectors (RFC 5425): certificates checked by an authority or by their fingerprints.
+//! TLS connections to collectors (RFC 5425). Certificates are verified by a certificate authority or a fingerprint.
 
 use rustls::client::WebPkiServerVerifier;
 use rustls::client::danger::{HandshakeSignatureValid, ServerCertVerified, ServerCertVerifier};
@@ -8,26 +8,28 @@
 use rustls::{CertificateError, ClientConfig, DigitallySignedStruct, Error, RootCertStore, SignatureScheme};
 use std::sync::Arc;
 
-/// SHA-256 of a certificate, as RFC 5425 writes it: `sha-256:4A:...`.
+/// SHA-256 fingerprint of a certificate, in the RFC 5425 format `sha-256:4A:...`.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Fingerprint([u8; 32]);
 
 impl Fingerprint {
+    /// Parses a fingerprint, ignoring case. Returns `None` if `text` is malformed or uses another hash.
     pub fn parse(text: &str) -> Option<Fingerprint> {
         let (method, hex) = text.split_once(':')?;
         let mut parts = hex.split(':');
-        let mut print = [0; 32];
-        for byte in &mut print {
+        let mut digest = [0; 32];
+        for byte in &mut digest {
             let part = parts.next().filter(|part| part.len() == 2)?;
             *byte = u8::from_str_radix(part, 16).ok().filter(|_| !part.starts_with('+'))?;
         }
-        (method.eq_ignore_ascii_case("sha-256") && parts.next().is_none()).then_some(Fingerprint(print))
+        (method.eq_ignore_ascii_case("sha-256") && parts.next().is_none()).then_some(Fingerprint(digest))
     }
 
+    /// Computes the fingerprint of a DER-encoded certificate.
     pub fn of(certificate: &[u8]) -> Fingerprint {
-        let mut print = [0; 32];
-        print.copy_from_slice(ring::digest::digest(&ring::digest::SHA256, certificate).as_ref());
-        Fingerprint(print)
+        let mut digest = [0; 32];
+        digest.copy_from_slice(ring::digest::digest(&ring::digest::SHA256, certificate).as_ref());
+        Fingerprint(digest)
     }
 }
 
@@ -38,13 +40,18 @@
     }
 }
 
-/// A certificate and its key, in PEM.
+/// A certificate chain and its private key, in PEM.
 pub type Identity = (Vec<u8>, Vec<u8>);
 
-/// A client's settings. An error names the key at fault.
+/// Builds the TLS settings of a client. It accepts a server whose certificate has one of the given `fingerprints` or is
+/// signed by the authority `ca`.
+///
+/// # Errors
+///
+/// Returns the name of the setting at fault and the reason.
 pub fn client(
     ca: Option<&[u8]>,
-    prints: Vec<Fingerprint>,
+    fingerprints: Vec<Fingerprint>,
     identity: Option<Identity>,
 ) -> Result<Arc<ClientConfig>, (&'static str, String)> {
     let provider = Arc::new(rustls::crypto::ring::default_provider());
@@ -60,7 +67,8 @@
             Some(verifier.map_err(|e| ("ca", e.to_string()))?)
         }
     };
-    let verifier = Arc::new(Pinned { prints, authority, provider: provider.clone() });
+    let verifier =
+        Arc::new(FingerprintOrAuthorityVerifier { fingerprints, authority, provider: provider.clone() });
     let builder = ClientConfig::builder_with_provider(provider)
         .with_safe_default_protocol_versions()
         .map_err(|e| ("transport", e.to_string()))?
@@ -77,21 +85,26 @@
     Ok(Arc::new(config))
 }
 
+/// Parses the certificates in a PEM file.
+///
+/// # Errors
+///
+/// Fails if the PEM is malformed or holds no certificate.
 pub fn certificates(pem: &[u8]) -> Result<Vec<CertificateDer<'static>>, String> {
     let all: Result<Vec<_>, _> = CertificateDer::pem_slice_iter(pem).collect();
     let all = all.map_err(|error| error.to_string())?;
-    if all.is_empty() { Err("it holds no certificate".into()) } else { Ok(all) }
+    if all.is_empty() { Err("the PEM file holds no certificate".into()) } else { Ok(all) }
 }
 
-/// Accepts a certificate by its fingerprint, or by an authority where one is set.
+/// Accepts a certificate with a known fingerprint, or one that the authority verifies, if one is set.
 #[derive(Debug)]
-struct Pinned {
-    prints: Vec<Fingerprint>,
+struct FingerprintOrAuthorityVerifier {
+    fingerprints: Vec<Fingerprint>,
     authority: Option<Arc<WebPkiServerVerifier>>,
     provider: Arc<CryptoProvider>,
 }
 
-impl ServerCertVerifier for Pinned {
+impl ServerCertVerifier for FingerprintOrAuthorityVerifier {
     fn verify_server_cert(
         &self,
         end_entity: &CertificateDer<'_>,
@@ -100,7 +113,7 @@
         ocsp: &[u8],
         now: UnixTime,
     ) -> Result<ServerCertVerified, Error> {
-        if self.prints.contains(&Fingerprint::of(end_entity)) {
+        if self.fingerprints.contains(&Fingerprint::of(end_entity)) {
             return Ok(ServerCertVerified::assertion());
         }
         match &self.authority {
--- a/src/logging/transport.rs
+++ b/src/logging/transport.rs
@@ -11,36 +11,42 @@
 use tokio_rustls::TlsConnector;
 use tokio_rustls::client::TlsStream;
 
-const CONNECT: Duration = Duration::from_secs(2);
+/// Time limit for opening a connection, with the TLS handshake.
+const CONNECT_TIMEOUT: Duration = Duration::from_secs(2);
 
+/// A connection to a collector.
 pub enum Connection {
     Udp(UdpSocket),
     Tcp(TcpStream),
     Tls(Box<TlsStream<TcpStream>>),
 }
 
-/// Lines that go out together.
+/// Lines that are written together, framed for their transport.
 #[derive(Default)]
 pub struct Batch {
     bytes: Vec<u8>,
-    /// Where each line ends, for transports that send each by itself.
+    /// End offset of each line, for UDP, which sends each line as a datagram.
     ends: Vec<usize>,
 }
 
 impl Batch {
+    /// Removes all lines.
     pub fn clear(&mut self) {
         self.bytes.clear();
         self.ends.clear();
     }
 
+    /// Length of all lines with their frames, in bytes.
     pub fn len(&self) -> usize {
         self.bytes.len()
     }
 
+    /// Whether the batch holds no line.
     pub fn is_empty(&self) -> bool {
         self.ends.is_empty()
     }
 
+    /// Appends a line, framed for the transport of `connection`.
     pub fn push(&mut self, connection: &Connection, line: &[u8]) {
         match connection {
             Connection::Udp(_) => self.bytes.extend_from_slice(line),
@@ -50,18 +56,23 @@
     }
 }
 
-/// What the system may hold of what was written: with the connection all of it is in doubt.
-const SEND_BUFFER: usize = 32 * 1024;
+/// Bytes that the kernel may buffer. All of them may be lost when the connection breaks.
+const SEND_BUFFER_BYTES: usize = 32 * 1024;
 
 async fn connect(address: SocketAddr) -> io::Result<TcpStream> {
     let stream = TcpStream::connect(address).await?;
-    // A line that the system holds back is none that a collector could have taken in its moment.
+    // With Nagle's algorithm the kernel could delay a line past the wait for the collector to read it and close.
     stream.set_nodelay(true)?;
-    SockRef::from(&stream).set_send_buffer_size(SEND_BUFFER)?;
+    SockRef::from(&stream).set_send_buffer_size(SEND_BUFFER_BYTES)?;
     Ok(stream)
 }
 
 impl Connection {
+    /// Opens a connection, with the TLS handshake if the transport is TLS.
+    ///
+    /// # Errors
+    ///
+    /// Fails if the collector cannot be reached within two seconds or the handshake fails.
     pub async fn open(collector: &Collector) -> io::Result<Connection> {
         let opening = async {
             Ok(match &collector.transport {
@@ -83,20 +94,27 @@
                 }
             })
         };
-        tokio::time::timeout(CONNECT, opening).await.unwrap_or_else(|_| Err(io::ErrorKind::TimedOut.into()))
+        tokio::time::timeout(CONNECT_TIMEOUT, opening)
+            .await
+            .unwrap_or_else(|_| Err(io::ErrorKind::TimedOut.into()))
     }
 
-    /// Whether what was written can be lost with the connection.
+    /// Whether the connection is a byte stream, whose written lines may be lost when it breaks.
     pub fn is_stream(&self) -> bool {
         !matches!(self, Connection::Udp(_))
     }
 
+    /// Writes all lines of the batch.
+    ///
+    /// # Errors
+    ///
+    /// Fails if the connection breaks.
     pub async fn write(&mut self, batch: &Batch) -> io::Result<()> {
         match self {
             Connection::Udp(socket) => {
                 let mut start = 0;
                 for end in &batch.ends {
-                    // Nobody listening is told by the system with a later send: the line before is gone, as with UDP.
+                    // If no collector listens, the kernel reports it on a later send; the earlier line is lost.
                     socket.send(&batch.bytes[start..*end]).await?;
                     start = *end;
                 }
@@ -110,7 +128,8 @@
         }
     }
 
-    /// Waits for the collector to end the connection. True: in order. What it says is passed over.
+    /// Waits for the collector to end the connection and returns whether the end was orderly. Bytes that the collector
+    /// sends are discarded. Never completes for UDP.
     pub async fn ended(&mut self) -> bool {
         let mut bytes = [0; 256];
         loop {
@@ -120,15 +139,16 @@
                 Connection::Tls(stream) => stream.read(&mut bytes).await,
             };
             match read {
-                Ok(0) => return self.broken().is_none(),
+                Ok(0) => return self.pending_error().is_none(),
                 Ok(_) => {}
                 Err(_) => return false,
             }
         }
     }
 
-    /// What was written behind the collector's end was turned away: the end is still read first.
-    fn broken(&self) -> Option<io::Error> {
+    /// Takes the pending socket error. If the collector rejected bytes written after its close, the close is read first
+    /// and the error is still pending.
+    fn pending_error(&self) -> Option<io::Error> {
         let stream = match self {
             Connection::Udp(_) => return None,
             Connection::Tcp(stream) => stream,
@@ -137,7 +157,8 @@
         stream.take_error().unwrap_or_else(Some)
     }
 
-    /// In order: what was written is read by a collector that is there.
+    /// Closes the connection and waits at most `most` for the collector to close its side. Returns whether the end was
+    /// orderly, which means that a running collector has read all that was written.
     pub async fn close(mut self, most: Duration) -> bool {
         let closing = async {
             match &mut self {
--- a/src/logging/transport/tests.rs
+++ b/src/logging/transport/tests.rs
@@ -1,23 +1,23 @@
 use super::*;
 use tokio::net::TcpListener;
 
-fn on_a_thread<T>(work: impl Future<Output = T>) -> T {
+fn block_on<T>(work: impl Future<Output = T>) -> T {
     tokio::runtime::Builder::new_current_thread().enable_all().build().unwrap().block_on(work)
 }
 
-/// Whether the collector's close, right before or right behind the one line, is told as an end in order.
-async fn in_order(close_first: bool) -> bool {
+/// Whether a close by the collector, right before or right after the only line, is reported as orderly.
+async fn ends_orderly(close_first: bool) -> bool {
     let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
     let address = listener.local_addr().unwrap();
     let mut connection = Connection::open(&Collector { address, transport: Transport::Tcp }).await.unwrap();
     let Connection::Tcp(stream) = &connection else { unreachable!() };
-    assert!(stream.nodelay().unwrap(), "lines wait for each other");
+    assert!(stream.nodelay().unwrap(), "Nagle's algorithm delays lines");
     let mut batch = Batch::default();
     batch.push(&connection, b"line");
     let (mut collector, _) = listener.accept().await.unwrap();
     if close_first {
         drop(collector);
-        // The end is there: it can be read, and is left to be read.
+        // The close has arrived and stays unread.
         let Connection::Tcp(stream) = &connection else { unreachable!() };
         assert_eq!(stream.peek(&mut [0; 1]).await.unwrap(), 0);
         connection.write(&batch).await.unwrap();
@@ -30,7 +30,7 @@
 }
 
 #[test]
-fn an_end_that_came_before_a_line_was_written_is_not_the_end_of_one_who_read_it() {
-    assert!(on_a_thread(in_order(false)));
-    assert!(!on_a_thread(in_order(true)));
+fn a_close_that_arrived_before_a_line_was_written_is_not_orderly() {
+    assert!(block_on(ends_orderly(false)));
+    assert!(!block_on(ends_orderly(true)));
 }
--- a/src/syslog/delivery.rs
+++ b/src/syslog/delivery.rs
@@ -1,29 +1,32 @@
-//! Which collector gets the lines, when one that failed is tried again, and which lines have been handed over.
+//! Decides which collector receives the lines, when a failed collector is retried, and which lines count as delivered.
 //!
-//! Syslog has no acknowledgement: a connection that breaks may have swallowed what was written to it last. So a line
-//! counts as handed over only when it has stood written for a while on a connection that still stands; what is younger
-//! is sent once more on the next connection. A collector may so get a line twice, with the same sequence id, but loses
-//! none of those that one repeat can save. Where connections end after a few lines, lines go one at a time, each with
-//! a moment in which the collector may close: an orderly end means that what was written was read. A line that is sent
-//! for the second time goes alone until it counts as handed over, so that nothing in front of it costs its last try.
+//! Syslog has no acknowledgement: when a connection breaks, the lines written to it last may be lost. A line therefore
+//! counts as delivered (settled) only if its connection is still open some time after the write; later lines are sent
+//! once more on the next connection. A collector may receive a line twice, with the same sequence id, but loses no line
+//! that one repeat can save. If connections end after a few lines, the sender becomes careful: it sends one line at a
+//! time and waits briefly for the collector to close, because an orderly end means that the line was read. A line sent
+//! for the second time is sent alone until it is settled, so that no line before it costs its last attempt.
 
 use crate::interface::Micros;
 use std::collections::VecDeque;
 
+/// Times and limits of delivery. Times are in microseconds.
 #[derive(Clone, Copy, Debug)]
 pub struct Limits {
-    /// After a failure a collector rests for this long, doubled up to `most_rest`, and up to a half more by chance.
+    /// Time for which a collector is not used after a failure. It doubles with each further failure up to `most_rest`,
+    /// and a random part of up to half of it is added.
     pub rest: Micros,
+    /// Upper limit of `rest`, without the random part.
     pub most_rest: Micros,
-    /// While a collector of less preference is used, a better one is tried again after this.
+    /// Time after which a preferred collector is retried while a less preferred one is in use.
     pub come_back: Micros,
-    /// A written line counts as handed over after this.
+    /// Time after which a written line counts as delivered.
     pub settle: Micros,
-    /// Bytes that may wait for that.
+    /// Most bytes of unsettled lines; beyond it, the oldest lines count as delivered early.
     pub most_unsettled: usize,
-    /// Lines a second, so that one that returns is not flooded.
+    /// Most lines sent per second, so that a collector that returns is not flooded.
     pub lines_per_second: f64,
-    /// A connection that ends within this many lines makes the next one careful.
+    /// A connection that ends after at most this many lines makes the sender careful.
     pub few: u64,
 }
 
@@ -47,17 +50,18 @@
     rests_until: Micros,
 }
 
-/// What is to be done next about connections.
+/// The next action of the sender.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Step {
-    /// Open one to this collector. If another is in use it stays so until this one stands.
+    /// Connect to this collector. A connection in use is kept until the new one is open.
     Connect(usize),
-    /// Lines may be sent.
+    /// Send lines on the connection in use.
     Send,
-    /// Nothing before that time.
+    /// Do nothing before this time.
     Rest(Micros),
 }
 
+/// Chooses the collector in use and limits the rate of lines.
 #[derive(Debug)]
 pub struct Delivery {
     limits: Limits,
@@ -65,8 +69,8 @@
     active: Option<usize>,
     come_back_at: Micros,
     lines_on_connection: u64,
-    /// Some line has stood long enough on the connection in use.
-    stood: bool,
+    /// A line has settled on the connection in use.
+    line_settled: bool,
     careful: bool,
     random: fastrand::Rng,
     allowance: f64,
@@ -74,6 +78,7 @@
 }
 
 impl Delivery {
+    /// Creates the state for this many collectors, in order of preference. `seed` randomizes the rests.
     pub fn new(collectors: usize, limits: Limits, seed: u64) -> Delivery {
         Delivery {
             limits,
@@ -81,7 +86,7 @@
             active: None,
             come_back_at: 0,
             lines_on_connection: 0,
-            stood: false,
+            line_settled: false,
             careful: false,
             random: fastrand::Rng::with_seed(seed),
             allowance: limits.lines_per_second / 10.0,
@@ -89,16 +94,17 @@
         }
     }
 
+    /// The collector in use.
     pub fn active(&self) -> Option<usize> {
         self.active
     }
 
-    /// One line at a time, each with a moment for the collector to close.
+    /// Whether lines are sent one at a time, each followed by a wait for the collector to close.
     pub fn careful(&self) -> bool {
         self.careful
     }
 
-    /// The first collector in order that does not rest.
+    /// Returns the next action. The first collector that does not rest is preferred.
     pub fn step(&self, now: Micros) -> Step {
         let rested = self.collectors.iter().position(|collector| now >= collector.rests_until);
         match (self.active, rested) {
@@ -113,24 +119,25 @@
         }
     }
 
+    /// Records that a connection to the collector is open and in use.
     pub fn connected(&mut self, now: Micros, collector: usize) {
         self.active = Some(collector);
-        (self.lines_on_connection, self.stood) = (0, false);
+        (self.lines_on_connection, self.line_settled) = (0, false);
         self.come_back_at = now + self.limits.come_back;
     }
 
-    /// It did not come up.
+    /// Records that a connection to the collector could not be opened.
     pub fn failed(&mut self, now: Micros, collector: usize) {
         self.rest(now, collector);
         self.come_back_at = now + self.limits.come_back;
     }
 
-    /// The connection in use has ended. True: orderly.
+    /// Records that the connection in use has ended, in an orderly way or not.
     pub fn ended(&mut self, now: Micros, orderly: bool) {
         let Some(active) = self.active.take() else { return };
-        // Many lines may have been written at once to one that took a single line of them.
-        self.careful = self.lines_on_connection <= self.limits.few || !self.stood;
-        // One that takes lines and then closes is there: it is asked again at once.
+        // Many lines may have been written at once to a collector that read only one of them.
+        self.careful = self.lines_on_connection <= self.limits.few || !self.line_settled;
+        // A collector that reads lines and then closes is running, so it is used again without a rest.
         if !orderly || self.lines_on_connection == 0 {
             self.rest(now, active);
         }
@@ -144,22 +151,22 @@
         known.rests_until = now + rest + self.random.u64(0..=rest / 2);
     }
 
-    /// A line is on its way.
+    /// Records that a line was written.
     pub fn wrote(&mut self) {
         self.lines_on_connection += 1;
         self.allowance -= 1.0;
     }
 
-    /// Lines have stood long enough: the collector is well.
+    /// Records that lines were settled, which means that the collector works.
     pub fn settled(&mut self) {
         if let Some(active) = self.active {
             self.collectors[active].failures = 0;
-            self.stood = true;
+            self.line_settled = true;
         }
         self.careful &= self.lines_on_connection <= self.limits.few;
     }
 
-    /// `None`: a line may go now. Otherwise when.
+    /// Returns `None` if the rate limit allows a line now, otherwise the time at which it does.
     pub fn pace(&mut self, now: Micros) -> Option<Micros> {
         let rate = self.limits.lines_per_second;
         let filled = rate * now.saturating_sub(self.allowance_at) as f64 / 1e6;
@@ -177,31 +184,33 @@
     again: bool,
 }
 
-/// Lines that were written, but may be lost with their connection.
+/// Lines that were written but may still be lost with their connection.
 #[derive(Debug, Default)]
 pub struct Unsettled {
     written: VecDeque<Written>,
     bytes: VecDeque<u8>,
-    /// Those of an ended connection that are to be sent once more.
+    /// Lines of an ended connection that are to be sent once more.
     again: VecDeque<(u64, Vec<u8>)>,
 }
 
 impl Unsettled {
+    /// Whether no line is unsettled or to be sent again.
     pub fn is_empty(&self) -> bool {
         self.written.is_empty() && self.again.is_empty()
     }
 
+    /// Records that a line was written; `again` if it was for the second time.
     pub fn wrote(&mut self, now: Micros, key: u64, line: &[u8], again: bool) {
         self.written.push_back(Written { key, at: now, length: line.len(), again });
         self.bytes.extend(line);
     }
 
-    /// The line written last has no further try.
+    /// Whether the line written last was sent for the second time.
     pub fn last_is_again(&self) -> bool {
         self.written.back().is_some_and(|last| last.again)
     }
 
-    /// The greatest key that has been handed over with this, if any has.
+    /// Settles the lines that are old enough or exceed the limit in bytes. Returns the greatest of their keys.
     pub fn settle(&mut self, now: Micros, limits: &Limits) -> Option<u64> {
         let mut greatest = None;
         while let Some(first) = self.written.front() {
@@ -215,7 +224,7 @@
         greatest
     }
 
-    /// All that is written has been read.
+    /// Settles all written lines. Returns the greatest of their keys.
     pub fn settle_all(&mut self) -> Option<u64> {
         let greatest = self.written.iter().map(|written| written.key).max();
         self.written.clear();
@@ -229,8 +238,8 @@
         }
     }
 
-    /// The connection is gone: what was sent once is sent again, what was sent twice is given up. Returns how many of
-    /// those there were.
+    /// Records that the connection has ended. Unsettled lines sent once will be sent again; lines sent twice are given
+    /// up. Returns the number of lines given up.
     pub fn ended(&mut self) -> usize {
         let mut given_up = 0;
         let mut back = Vec::new();
@@ -242,20 +251,22 @@
                 back.push((first.key, line));
             }
         }
-        // In front of those that had no turn yet.
+        // These lines precede those that are still waiting to be sent again.
         back.into_iter().rev().for_each(|line| self.again.push_front(line));
         given_up
     }
 
+    /// Takes the next line to send again, with its key.
     pub fn next_again(&mut self) -> Option<(u64, Vec<u8>)> {
         self.again.pop_front()
     }
 
+    /// Returns a line from [`Unsettled::next_again`] to the front.
     pub fn put_back(&mut self, key: u64, line: Vec<u8>) {
         self.again.push_front((key, line));
     }
 
-    /// When the next line settles.
+    /// Time at which the next line settles.
     pub fn next_settles(&self, limits: &Limits) -> Option<Micros> {
         self.written.front().map(|first| first.at + limits.settle)
     }
--- a/src/syslog/delivery/tests.rs
+++ b/src/syslog/delivery/tests.rs
@@ -7,14 +7,14 @@
 }
 
 #[test]
-fn the_first_in_order_is_used_and_its_second_while_it_rests() {
+fn the_first_collector_is_used_and_the_second_while_the_first_rests() {
     let mut delivery = two();
     assert_eq!(delivery.step(S), Step::Connect(0));
     delivery.failed(S, 0);
     assert_eq!(delivery.step(S), Step::Connect(1));
     delivery.connected(S, 1);
     assert_eq!(delivery.step(S), Step::Send);
-    assert_eq!(delivery.step(10 * S), Step::Send, "not before it may come back");
+    assert_eq!(delivery.step(10 * S), Step::Send, "the preferred collector is not retried early");
     assert_eq!(delivery.step(11 * S), Step::Connect(0));
     delivery.failed(11 * S, 0);
     assert_eq!((delivery.step(12 * S), delivery.active()), (Step::Send, Some(1)));
@@ -23,9 +23,9 @@
     assert_eq!((delivery.step(40 * S), delivery.active()), (Step::Send, Some(0)));
 }
 
-/// As where all of a start's lines wait when the first connection stands, to a collector that takes one and closes.
+/// Guards against a burst of lines at start to a collector that reads one line of each connection and closes it.
 #[test]
-fn a_connection_that_ends_before_any_line_has_stood_makes_the_next_one_careful() {
+fn a_connection_that_ends_before_a_line_settles_or_after_few_lines_makes_the_sender_careful() {
     for (lines, stands, careful) in [(3, false, true), (3, true, true), (40, false, true), (40, true, false)]
     {
         let mut delivery = two();
@@ -40,7 +40,7 @@
 }
 
 #[test]
-fn rests_grow_and_differ_and_end_with_lines_that_were_handed_over() {
+fn rests_grow_vary_by_seed_and_reset_after_delivered_lines() {
     let mut delivery = Delivery::new(1, Limits::default(), 7);
     let (mut now, mut rests) = (S, Vec::new());
     for _ in 0..12 {
@@ -59,33 +59,37 @@
     delivery.settled();
     delivery.ended(now, false);
     let Step::Rest(until) = delivery.step(now) else { panic!() };
-    assert!(until - now <= 300_000, "it was well in between");
+    assert!(until - now <= 300_000, "delivered lines reset the rest");
     let other = Delivery::new(1, Limits::default(), 8);
     let mut other = other;
     other.failed(S, 0);
-    assert_ne!(other.step(S), Step::Rest(S + rests[0]), "heads do not come all at once");
+    assert_ne!(other.step(S), Step::Rest(S + rests[0]), "different seeds give different rests");
 }
 
 #[test]
-fn one_that_closes_after_few_lines_gets_them_one_at_a_time() {
+fn a_collector_that_closes_after_few_lines_receives_one_line_at_a_time() {
     let mut delivery = two();
     delivery.connected(S, 0);
     (0..3).for_each(|_| delivery.wrote());
     assert!(!delivery.careful());
     delivery.ended(S, true);
     assert!(delivery.careful());
-    assert_eq!(delivery.step(S), Step::Connect(0), "it is there, and asked again at once");
+    assert_eq!(
+        delivery.step(S),
+        Step::Connect(0),
+        "a collector that read lines is used again without a rest"
+    );
     delivery.connected(S, 0);
     delivery.ended(S, true);
-    assert_eq!(delivery.step(S), Step::Connect(1), "it took no line");
+    assert_eq!(delivery.step(S), Step::Connect(1), "a collector that read no line rests");
     delivery.connected(S, 1);
     (0..9).for_each(|_| delivery.wrote());
     delivery.settled();
-    assert!(!delivery.careful(), "this one takes many");
+    assert!(!delivery.careful(), "a connection that takes many lines ends careful mode");
 }
 
 #[test]
-fn lines_keep_to_the_pace() {
+fn lines_keep_to_the_rate_limit() {
     let limits = Limits { lines_per_second: 100.0, ..Limits::default() };
     let mut delivery = Delivery::new(1, limits, 7);
     let (mut now, mut sent) = (S, 0);
@@ -105,20 +109,20 @@
 }
 
 #[test]
-fn what_a_broken_connection_may_have_swallowed_is_sent_once_more_and_no_further() {
+fn unsettled_lines_of_a_broken_connection_are_sent_once_more_and_then_given_up() {
     let limits = Limits { most_unsettled: 10, ..Limits::default() };
     let mut unsettled = Unsettled::default();
     for key in 1..=4 {
         unsettled.wrote(key * 100_000, key, b"line", false);
     }
-    assert_eq!(unsettled.settle(400_000, &limits), Some(2), "more than may wait");
+    assert_eq!(unsettled.settle(400_000, &limits), Some(2), "over the limit in bytes");
     assert_eq!(unsettled.settle(1_300_000, &limits), Some(3), "old enough");
     assert_eq!(unsettled.next_settles(&limits), Some(1_400_000));
     unsettled.wrote(1_310_000, 5, b"five", false);
     assert_eq!(unsettled.ended(), 0);
     assert_eq!(unsettled.next_again(), Some((4, b"line".to_vec())));
     unsettled.wrote(1_400_000, 4, b"line", true);
-    // 5 had no turn yet; 4 has had both of its own.
+    // Line 5 has not been sent again yet; line 4 has been sent twice.
     assert_eq!(unsettled.ended(), 1);
     assert_eq!(unsettled.next_again(), Some((5, b"five".to_vec())));
     assert_eq!((unsettled.next_again(), unsettled.is_empty()), (None, true));
--- a/src/syslog/encode.rs
+++ b/src/syslog/encode.rs
@@ -1,24 +1,28 @@
-//! Writes messages as RFC 5424 has them, into a buffer that is used again and again.
+//! Encodes messages in RFC 5424 format into a reused buffer.
 //!
-//! Control characters never stand in a line as they are: a receiver that frames by line ends would take half a message
-//! for a whole one. They become Unicode's pictures of them (U+2400 and on), and C1 controls U+FFFD; `shown` does the
-//! same to a text. All else comes out of a strict parser as it went in, but for what a bound cuts off.
+//! Control characters are replaced, because a receiver that splits messages at line ends would take half a message for
+//! a whole one. C0 controls and DEL become Unicode control pictures (from U+2400), and C1 controls become U+FFFD;
+//! `shown` applies the same replacement to a text. A strict parser returns all other characters unchanged, except those
+//! that a length limit cuts off.
 
 use super::Severity;
 use std::fmt::{self, Write};
 
-/// Facility 3, system daemons.
-const FACILITY: u8 = 3;
+/// Facility code of system daemons.
+const FACILITY_DAEMON: u8 = 3;
+/// Byte order mark, which marks the MSG part as UTF-8.
 const BOM: &str = "\u{feff}";
-/// What a line keeps free for the ends of its elements and the count of what was cut.
-const RESERVE: usize = 64;
-/// A sequence id's most: RFC 5424 has it begin at 1 again after that.
+/// Bytes that a line keeps free for closing brackets and the count of cut values.
+const RESERVED_BYTES: usize = 64;
+/// Largest sequence id. RFC 5424 requires that the next one is 1.
 pub const MOST_SEQUENCE: u32 = 2_147_483_647;
 
+/// Length limits of an encoded line.
 #[derive(Clone, Copy, Debug)]
 pub struct Limits {
-    /// Bytes of a whole line, and of one value before it is escaped.
+    /// Most bytes of a whole line.
     pub line: usize,
+    /// Most bytes of one value, before it is escaped.
     pub value: usize,
 }
 
@@ -28,58 +32,68 @@
     }
 }
 
-/// What stands at a line's beginning.
+/// The header of a line.
 #[derive(Clone, Copy)]
 pub struct Head<'a> {
+    /// Severity, from which the priority is computed.
     pub severity: Severity,
-    /// RFC 3339, UTC, with six digits of a second at most.
+    /// Time in RFC 3339 format, in UTC, with at most six fractional digits.
     pub timestamp: &'a dyn fmt::Display,
+    /// HOSTNAME, cut at 255 characters.
     pub host: &'a str,
+    /// APP-NAME, cut at 48 characters.
     pub app: &'a str,
+    /// PROCID.
     pub process: u32,
+    /// MSGID, cut at 32 characters.
     pub id: &'a str,
 }
 
-/// A line in the making. Elements are begun and ended one after the other.
+/// A line being encoded. Beginning an element ends the previous one.
 #[derive(Debug)]
 pub struct Line<'a> {
     buffer: &'a mut String,
     limits: Limits,
+    /// An element has begun and is not closed.
     open: bool,
-    any: bool,
+    /// The line has at least one element.
+    has_elements: bool,
+    /// Parameters of the open element that were cut or left out.
     cut: usize,
 }
 
 impl<'a> Line<'a> {
+    /// Clears the buffer and encodes the header.
     pub fn begin(buffer: &'a mut String, limits: Limits, head: &Head) -> Line<'a> {
         buffer.clear();
-        let priority = FACILITY * 8 + head.severity.code();
+        let priority = FACILITY_DAEMON * 8 + head.severity.code();
         // Writing to a String cannot fail.
         let _ = write!(buffer, "<{priority}>1 {} ", head.timestamp);
         for (text, most) in [(head.host, 255), (head.app, 48)] {
-            name(buffer, text, most);
+            push_name(buffer, text, most);
             buffer.push(' ');
         }
         let _ = write!(buffer, "{} ", head.process);
-        name(buffer, head.id, 32);
+        push_name(buffer, head.id, 32);
         buffer.push(' ');
-        Line { buffer, limits, open: false, any: false, cut: 0 }
+        Line { buffer, limits, open: false, has_elements: false, cut: 0 }
     }
 
+    /// Begins a structured data element.
     pub fn element(&mut self, id: &str) {
         self.close();
         self.buffer.push('[');
-        name(self.buffer, id, 32);
-        (self.open, self.any) = (true, true);
+        push_name(self.buffer, id, 32);
+        (self.open, self.has_elements) = (true, true);
     }
 
-    /// A value is cut at its bound, never inside a character or an escape. A parameter for which the line has no room
-    /// is left out.
+    /// Adds a parameter to the open element. A value that exceeds a limit is cut, never inside a character or an
+    /// escape. A parameter that does not fit into the line is left out.
     pub fn parameter(&mut self, key: &str, value: &dyn fmt::Display) {
-        let room = self.limits.line.saturating_sub(self.buffer.len() + RESERVE);
+        let room = self.limits.line.saturating_sub(self.buffer.len() + RESERVED_BYTES);
         let before = self.buffer.len();
         self.buffer.push(' ');
-        name(self.buffer, key, 32);
+        push_name(self.buffer, key, 32);
         self.buffer.push_str("=\"");
         let taken = self.buffer.len() - before;
         let Some(room) = room.checked_sub(taken + 1) else {
@@ -87,8 +101,8 @@
             self.cut += 1;
             return;
         };
-        let mut escaped = Escaped { buffer: self.buffer, room, value: self.limits.value, full: false };
-        let _ = write!(escaped, "{value}"); // an error is the end of its room
+        let mut escaped = ValueWriter { buffer: self.buffer, room, value: self.limits.value, full: false };
+        let _ = write!(escaped, "{value}"); // an error means that the value was cut
         self.cut += usize::from(escaped.full);
         self.buffer.push('"');
     }
@@ -103,10 +117,10 @@
         }
     }
 
-    /// The whole line; `text` may be empty, and then there is no MSG.
+    /// Completes the line. If `text` is empty, the line has no MSG part.
     pub fn end(mut self, text: &dyn fmt::Display) {
         self.close();
-        if !self.any {
+        if !self.has_elements {
             self.buffer.push('-');
         }
         let before = self.buffer.len();
@@ -114,16 +128,17 @@
         self.buffer.push_str(BOM);
         let begins = self.buffer.len();
         let room = self.limits.line.saturating_sub(begins);
-        let mut shown = Shown { buffer: self.buffer, room };
-        let _ = write!(shown, "{text}"); // likewise
+        let mut shown = TextWriter { buffer: self.buffer, room };
+        let _ = write!(shown, "{text}"); // an error means that the text was cut
         if self.buffer.len() == begins {
             self.buffer.truncate(before);
         }
     }
 }
 
-/// A header field or name: printable ASCII without what ends one, never empty.
-fn name(buffer: &mut String, text: &str, most: usize) {
+/// Appends a header field or name: the printable ASCII characters of `text` without `=`, `]` and `"`, at most `most` of
+/// them, or `-` if there are none.
+fn push_name(buffer: &mut String, text: &str, most: usize) {
     let before = buffer.len();
     buffer.extend(text.chars().filter(|c| c.is_ascii_graphic() && !matches!(c, '=' | ']' | '"')).take(most));
     if buffer.len() == before {
@@ -131,8 +146,8 @@
     }
 }
 
-/// What stands for a character in a line.
-fn picture(character: char) -> char {
+/// Returns the character that is written for `character`: a replacement for a control, otherwise itself.
+fn replacement(character: char) -> char {
     match character {
         '\0'..='\x1f' => char::from_u32(0x2400 + character as u32).unwrap_or(char::REPLACEMENT_CHARACTER),
         '\x7f' => '\u{2421}',
@@ -141,22 +156,23 @@
     }
 }
 
-/// A text as it comes out of a line again.
+/// Returns `text` as a parser reads it from a line: with control characters replaced.
 pub fn shown(text: &str) -> String {
-    text.chars().map(picture).collect()
+    text.chars().map(replacement).collect()
 }
 
-struct Escaped<'a> {
+/// Writes a parameter value with escapes, until the line or the value reaches its limit.
+struct ValueWriter<'a> {
     buffer: &'a mut String,
     room: usize,
     value: usize,
     full: bool,
 }
 
-impl Write for Escaped<'_> {
+impl Write for ValueWriter<'_> {
     fn write_str(&mut self, text: &str) -> fmt::Result {
         for character in text.chars() {
-            let shown = picture(character);
+            let shown = replacement(character);
             let escapes = matches!(shown, '"' | '\\' | ']');
             let length = shown.len_utf8() + usize::from(escapes);
             if length > self.room || shown.len_utf8() > self.value {
@@ -174,14 +190,15 @@
     }
 }
 
-struct Shown<'a> {
+/// Writes the MSG part, until the line reaches its limit.
+struct TextWriter<'a> {
     buffer: &'a mut String,
     room: usize,
 }
 
-impl Write for Shown<'_> {
+impl Write for TextWriter<'_> {
     fn write_str(&mut self, text: &str) -> fmt::Result {
-        for shown in text.chars().map(picture) {
+        for shown in text.chars().map(replacement) {
             self.room = self.room.checked_sub(shown.len_utf8()).ok_or(fmt::Error)?;
             self.buffer.push(shown);
         }
@@ -189,10 +206,10 @@
     }
 }
 
-/// Octet counting, as RFC 6587 and RFC 5425 have it: the length in bytes, a space, the message.
+/// Appends a line with octet counting (RFC 6587 and RFC 5425): the length in bytes, a space and the line.
 pub fn frame(frame: &mut Vec<u8>, line: &[u8]) {
     use std::io::Write as _;
-    let _ = write!(frame, "{} ", line.len()); // a Vec takes all
+    let _ = write!(frame, "{} ", line.len()); // writing to a Vec cannot fail
     frame.extend_from_slice(line);
 }
 
--- a/src/syslog/encode/tests.rs
+++ b/src/syslog/encode/tests.rs
@@ -18,7 +18,7 @@
 }
 
 #[test]
-fn lines_are_as_the_specification_has_them() {
+fn lines_follow_rfc_5424() {
     let limits = Limits::default();
     let start = "<28>1 2026-12-01T03:04:05.000006Z n3 pathbank 7 ID ";
     for (values, text, wanted) in [
@@ -35,7 +35,7 @@
 }
 
 #[test]
-fn bounds_cut_neither_characters_nor_escapes() {
+fn limits_never_cut_inside_a_character_or_an_escape() {
     for value in 0..12 {
         let line = line(Limits { line: 2048, value }, &[("x", "\u{e9}\"\u{20ac}]\u{1f3cf}\\")], "");
         let message = parse(line.as_bytes()).unwrap();
--- a/src/syslog/parse/tests.rs
+++ b/src/syslog/parse/tests.rs
@@ -1,7 +1,7 @@
 use super::*;
 
 #[test]
-fn the_specifications_own_examples_are_read() {
+fn the_examples_of_rfc_5424_are_parsed() {
     let with_text =
         "<34>1 2003-10-11T22:14:15.003Z mymachine.example.com su - ID47 - \u{feff}'su root' failed";
     let message = parse(with_text.as_bytes()).unwrap();
@@ -21,7 +21,7 @@
 }
 
 #[test]
-fn what_is_no_message_is_told_with_the_byte_at_fault() {
+fn malformed_messages_are_rejected_with_the_byte_at_fault() {
     let long = "x".repeat(33);
     for (line, at) in [
         ("", 0),
--- a/src/syslog/queue.rs
+++ b/src/syslog/queue.rs
@@ -1,80 +1,97 @@
-//! Lines that wait: a ring bounded in bytes. What does not fit is dropped by severity, the least first and of those
-//! the oldest, and counted so that it can be told.
+//! A queue of lines, bounded in bytes. When it is full, it drops the least severe lines, oldest first, and counts them.
 //!
-//! One ring of bytes for each severity, so that a line goes without a search and no line is an allocation of its own
-//! in the steady state: O(1) for push, pop and each drop. A plain list of lines would search for the least severe.
+//! Each severity has its own ring of bytes. Push, pop and each drop are O(1), and no line needs an allocation of its
+//! own in the steady state. A single list of lines would have to be searched for the least severe one.
 
 use super::Severity;
 use crate::interface::Micros;
 use std::collections::VecDeque;
 
-/// What each line costs besides its bytes.
-const OVERHEAD: usize = size_of::<Mark>();
+/// Bytes that each line takes in addition to its own.
+const LINE_OVERHEAD_BYTES: usize = size_of::<LineMark>();
 
+/// Position, time, length and message id of a queued line.
 #[derive(Clone, Copy, Debug)]
-struct Mark {
+struct LineMark {
     serial: u64,
     at: Micros,
     length: u32,
     id: &'static str,
 }
 
+/// Lines of one severity, oldest first.
 #[derive(Debug, Default)]
 struct Ring {
     bytes: VecDeque<u8>,
-    marks: VecDeque<Mark>,
+    marks: VecDeque<LineMark>,
 }
 
-/// Lines of one MSGID that were dropped.
+/// Count of dropped lines with one MSGID.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Dropped {
+    /// MSGID of the lines.
     pub id: &'static str,
+    /// Number of lines.
     pub count: u64,
+    /// Earliest time of a dropped line.
     pub from: Micros,
+    /// Latest time of a dropped line.
     pub until: Micros,
 }
 
+/// A queue of lines, bounded in bytes.
 #[derive(Debug)]
 pub struct Queue {
     rings: [Ring; 8],
-    most: usize,
-    held: usize,
+    max_bytes: usize,
+    held_bytes: usize,
     lines: usize,
     serial: u64,
     dropped: Vec<Dropped>,
 }
 
 impl Queue {
-    /// `most`: in bytes, with what each line costs besides.
-    pub fn new(most: usize) -> Queue {
-        Queue { rings: Default::default(), most, held: 0, lines: 0, serial: 0, dropped: Vec::new() }
+    /// Creates an empty queue that holds at most `max_bytes` bytes, including the overhead of each line.
+    pub fn new(max_bytes: usize) -> Queue {
+        Queue {
+            rings: Default::default(),
+            max_bytes,
+            held_bytes: 0,
+            lines: 0,
+            serial: 0,
+            dropped: Vec::new(),
+        }
     }
 
+    /// Number of queued lines.
     pub fn lines(&self) -> usize {
         self.lines
     }
 
+    /// Bytes of the queued lines, including the overhead of each line.
     pub fn bytes(&self) -> usize {
-        self.held
+        self.held_bytes
     }
 
+    /// Whether no line is queued.
     pub fn is_empty(&self) -> bool {
         self.lines == 0
     }
 
-    /// False: it was dropped itself, for nothing of less weight was left.
+    /// Queues a line and drops others of the same or lower severity if there is no room. Returns false if the line
+    /// itself was dropped because all queued lines are more severe or the line exceeds the limit.
     pub fn push(&mut self, now: Micros, severity: Severity, id: &'static str, line: &[u8]) -> bool {
-        let cost = line.len() + OVERHEAD;
-        while self.held + cost > self.most {
+        let cost = line.len() + LINE_OVERHEAD_BYTES;
+        while self.held_bytes + cost > self.max_bytes {
             let least = Severity::ALL.into_iter().rev().find(|s| !self.rings[*s as usize].marks.is_empty());
             match least.filter(|least| *least >= severity) {
                 Some(least) => {
                     if let Some(mark) = self.take(least, |_, _| {}) {
-                        self.note(mark.id, mark.at);
+                        self.count_dropped(mark.id, mark.at);
                     }
                 }
                 None => {
-                    self.note(id, now);
+                    self.count_dropped(id, now);
                     return false;
                 }
             }
@@ -82,13 +99,13 @@
         self.serial += 1;
         let ring = &mut self.rings[severity as usize];
         ring.bytes.extend(line);
-        ring.marks.push_back(Mark { serial: self.serial, at: now, length: line.len() as u32, id });
-        self.held += cost;
+        ring.marks.push_back(LineMark { serial: self.serial, at: now, length: line.len() as u32, id });
+        self.held_bytes += cost;
         self.lines += 1;
         true
     }
 
-    /// The oldest line goes into the buffer. `None`: there is none.
+    /// Moves the oldest line into `line`. Returns its severity and MSGID, or `None` if the queue is empty.
     pub fn pop(&mut self, line: &mut Vec<u8>) -> Option<(Severity, &'static str)> {
         let oldest = Severity::ALL
             .into_iter()
@@ -96,7 +113,7 @@
             .min()?;
         line.clear();
         let mark = self.take(oldest.1, |bytes, length| {
-            // Two runs of bytes at most, each copied as a whole.
+            // The ring holds its bytes in at most two slices.
             let (first, second) = bytes.as_slices();
             line.extend_from_slice(&first[..length.min(first.len())]);
             line.extend_from_slice(&second[..length - line.len()]);
@@ -104,17 +121,19 @@
         Some((oldest.1, mark.id))
     }
 
-    fn take(&mut self, severity: Severity, with: impl FnOnce(&VecDeque<u8>, usize)) -> Option<Mark> {
+    /// Removes the oldest line of a severity after passing its bytes and length to `with`.
+    fn take(&mut self, severity: Severity, with: impl FnOnce(&VecDeque<u8>, usize)) -> Option<LineMark> {
         let ring = &mut self.rings[severity as usize];
         let mark = ring.marks.pop_front()?;
         with(&ring.bytes, mark.length as usize);
         ring.bytes.drain(..mark.length as usize);
-        self.held -= mark.length as usize + OVERHEAD;
+        self.held_bytes -= mark.length as usize + LINE_OVERHEAD_BYTES;
         self.lines -= 1;
         Some(mark)
     }
 
-    fn note(&mut self, id: &'static str, at: Micros) {
+    /// Counts a dropped line.
+    fn count_dropped(&mut self, id: &'static str, at: Micros) {
         match self.dropped.iter_mut().find(|dropped| dropped.id == id) {
             Some(known) => {
                 known.count += 1;
@@ -124,7 +143,7 @@
         }
     }
 
-    /// What was dropped since this was asked last.
+    /// Takes the counts of the lines dropped since the last call.
     pub fn dropped(&mut self) -> Vec<Dropped> {
         std::mem::take(&mut self.dropped)
     }
--- a/src/syslog/queue/tests.rs
+++ b/src/syslog/queue/tests.rs
@@ -9,7 +9,7 @@
 }
 
 #[test]
-fn lines_come_out_in_the_order_in_which_they_went_in() {
+fn lines_are_popped_in_the_order_of_their_push() {
     let mut queue = Queue::new(10_000);
     for (i, severity) in [6, 3, 6, 4, 3, 7].into_iter().enumerate() {
         assert!(queue.push(i as u64, Severity::ALL[severity], "X", format!("l{i}").as_bytes()));
@@ -20,18 +20,18 @@
 }
 
 #[test]
-fn the_least_severe_and_oldest_go_first_and_are_told() {
-    let mut queue = Queue::new(4 * (2 + OVERHEAD));
+fn the_least_severe_and_oldest_lines_are_dropped_first_and_counted() {
+    let mut queue = Queue::new(4 * (2 + LINE_OVERHEAD_BYTES));
     let info = Severity::Informational;
     queue.push(1, info, "A", b"a1");
     queue.push(2, Severity::Error, "E", b"e1");
     queue.push(3, info, "B", b"b1");
     queue.push(4, Severity::Warning, "W", b"w1");
     assert!(queue.push(5, Severity::Error, "E", b"e2"));
-    assert!(queue.push(6, info, "A", b"a2"), "of the same weight, the older one goes");
+    assert!(queue.push(6, info, "A", b"a2"), "of the same severity, the older line is dropped");
     assert!(queue.push(7, Severity::Error, "E", b"e3"));
     assert!(queue.push(8, Severity::Error, "E", b"e4"));
-    assert!(!queue.push(9, info, "A", b"a3"), "all that is held weighs more");
+    assert!(!queue.push(9, info, "A", b"a3"), "all queued lines are more severe");
     assert!(queue.push(10, Severity::Error, "E", b"e5"));
     assert_eq!(popped(&mut queue), ["e2", "e3", "e4", "e5"]);
     let dropped = |id, count, from, until| Dropped { id, count, from, until };
@@ -41,8 +41,8 @@
 }
 
 #[test]
-fn a_clock_that_is_set_back_changes_no_order_and_is_told_as_it_was() {
-    let mut queue = Queue::new(2 * (2 + OVERHEAD));
+fn a_clock_set_back_keeps_the_order_and_the_times_of_dropped_lines() {
+    let mut queue = Queue::new(2 * (2 + LINE_OVERHEAD_BYTES));
     for (i, at) in [50, 20, 30, 10].into_iter().enumerate() {
         queue.push(at, Severity::Notice, "N", format!("n{i}").as_bytes());
     }
@@ -51,7 +51,7 @@
 }
 
 #[test]
-fn a_line_longer_than_the_bound_is_dropped_and_the_bound_always_holds() {
+fn a_line_longer_than_the_limit_is_dropped_and_the_limit_always_holds() {
     let mut queue = Queue::new(500);
     assert!(!queue.push(0, Severity::Emergency, "L", &[b'x'; 500]));
     let mut random = fastrand::Rng::with_seed(3);
