--- a/src/logging/mod.rs
+++ b/src/logging/mod.rs
@@ -284,7 +284,7 @@
         let until = Instant::now() + most;
         loop {
             let collected = match &self.to_collectors {
-                Some((pipe, _, out)) => pipe.idle() && out.load(Ordering::Acquire),
+                Some((pipe, _, all_delivered)) => pipe.idle() && all_delivered.load(Ordering::Acquire),
                 None => true,
             };
             if self.to_stderr.idle() && collected {
@@ -324,18 +324,18 @@
         None => None,
         Some(pipe) => {
             let (sender, watched) = watch::channel(setup.clone());
-            let out = Arc::new(AtomicBool::new(true));
+            let all_delivered = Arc::new(AtomicBool::new(true));
             let spool = setup.spool.as_ref().map(|limits| Arc::new(Spool::open(limits)));
             if let Some(spool) = &spool {
                 let (pipe, spool) = (pipe.clone(), spool.clone());
                 thread::Builder::new().name("spool".into()).spawn(move || fill_spool(&pipe, &spool))?;
             }
-            let sending = Sending::new(pipe.clone(), spool, watched, out.clone());
+            let sending = Sending::new(pipe.clone(), spool, watched, all_delivered.clone());
             let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build()?;
             thread::Builder::new()
                 .name("collectors".into())
                 .spawn(move || runtime.block_on(sending.run()))?;
-            Some((pipe, sender, out))
+            Some((pipe, sender, all_delivered))
         }
     };
     Ok(Logging { to_stderr, to_collectors })
--- a/src/logging/send.rs
+++ b/src/logging/send.rs
@@ -32,41 +32,41 @@
     watched: watch::Receiver<LogSettings>,
     setup: LogSettings,
     /// Set while no line is waiting to be sent or to count as delivered.
-    out: Arc<AtomicBool>,
+    all_delivered: Arc<AtomicBool>,
     start: Instant,
     delivery: Delivery,
     unsettled: Unsettled,
     connection: Option<Connection>,
     batch: Batch,
     /// Lines read but not sent yet, with their keys.
-    read: VecDeque<(u64, Vec<u8>)>,
+    unsent: VecDeque<(u64, Vec<u8>)>,
     /// Greatest key read.
-    last: u64,
+    last_key: u64,
     /// For each collector, whether its current failure has been logged.
     failure_logged: Vec<bool>,
 }
 
 impl Sending {
-    /// Creates a sender. `out` is set while no line is waiting to be sent or to count as delivered.
+    /// Creates a sender. `all_delivered` is set while no line is waiting to be sent or to count as delivered.
     pub fn new(
         pipe: Arc<Pipe>,
         spool: Option<Arc<Spool>>,
         watched: watch::Receiver<LogSettings>,
-        out: Arc<AtomicBool>,
+        all_delivered: Arc<AtomicBool>,
     ) -> Sending {
         let setup = watched.borrow().clone();
         let seed = u64::from(std::process::id());
         Sending {
             pipe,
             spool,
-            out,
+            all_delivered,
             start: Instant::now(),
             delivery: Delivery::new(setup.collectors.len(), setup.delivery, seed),
             unsettled: Unsettled::default(),
             connection: None,
             batch: Batch::default(),
-            read: VecDeque::new(),
-            last: 0,
+            unsent: VecDeque::new(),
+            last_key: 0,
             failure_logged: vec![false; setup.collectors.len()],
             watched,
             setup,
@@ -88,7 +88,7 @@
             match self.delivery.step(now) {
                 Step::Connect(collector) => self.connect(collector).await,
                 Step::Rest(until) => {
-                    self.out.store(false, Ordering::Release);
+                    self.all_delivered.store(false, Ordering::Release);
                     sleep(Duration::from_micros(until.saturating_sub(now)).min(MAX_IDLE_WAIT)).await;
                 }
                 Step::Send => self.send().await,
@@ -122,6 +122,7 @@
         }
     }
 
+    /// Connects to a collector, which replaces the connection in use if that succeeds.
     async fn connect(&mut self, collector: usize) {
         let Some(wanted) = self.setup.collectors.get(collector).cloned() else { return };
         match Connection::open(&wanted).await {
@@ -149,6 +150,7 @@
         }
     }
 
+    /// Releases delivered lines, up to this key, from the spool.
     fn settled(&mut self, key: Option<u64>) {
         if let Some(key) = key {
             self.delivery.settled();
@@ -158,6 +160,7 @@
         }
     }
 
+    /// Records that the connection in use has ended, and logs it.
     fn ended(&mut self, orderly: bool, reason: &str) {
         let now = self.now();
         self.connection = None;
@@ -181,22 +184,23 @@
         if let Some((key, line)) = self.unsettled.next_again() {
             return Some((key, line, true));
         }
-        if self.read.is_empty() {
+        if self.unsent.is_empty() {
             match &self.spool {
-                Some(spool) => self.read = spool.read(self.last, LINES_PER_READ).into(),
+                Some(spool) => self.unsent = spool.read(self.last_key, LINES_PER_READ).into(),
                 None => {
                     let mut line = Vec::new();
                     if self.pipe.pop(&mut line).is_some() {
-                        self.read.push_back((self.last + 1, line));
+                        self.unsent.push_back((self.last_key + 1, line));
                     }
                 }
             }
-            self.last = self.read.back().map_or(self.last, |(key, _)| *key);
+            self.last_key = self.unsent.back().map_or(self.last_key, |(key, _)| *key);
         }
-        let (key, line) = self.read.pop_front()?;
+        let (key, line) = self.unsent.pop_front()?;
         Some((key, line, false))
     }
 
+    /// Writes the next batch of lines, or waits if there is none.
     async fn send(&mut self) {
         let now = self.now();
         let settled = self.unsettled.settle(now, &self.setup.delivery);
@@ -205,9 +209,9 @@
             return self.ended(false, "there is no connection");
         };
         self.batch.clear();
-        let most = if self.delivery.careful() { 1 } else { BATCH_BYTES };
+        let max_bytes = if self.delivery.careful() { 1 } else { BATCH_BYTES };
         let mut next_allowed = None;
-        while self.batch.len() < most {
+        while self.batch.len() < max_bytes {
             next_allowed = self.delivery.pace(now);
             if next_allowed.is_some() {
                 break;
@@ -220,7 +224,7 @@
         if self.batch.is_empty() {
             return self.idle(connection, now, next_allowed).await;
         }
-        self.out.store(false, Ordering::Release);
+        self.all_delivered.store(false, Ordering::Release);
         let written = timeout(self.setup.stall, connection.write(&self.batch)).await;
         let stream = connection.is_stream();
         match written {
@@ -248,11 +252,11 @@
     /// Waits until a line can be sent, the connection ends or the settings change.
     async fn idle(&mut self, mut connection: Connection, now: Micros, next_allowed: Option<Micros>) {
         let waits = next_allowed.is_some() || !self.unsettled.is_empty();
-        self.out
+        self.all_delivered
             .store(!waits && self.spool.as_ref().is_none_or(|spool| spool.lines() == 0), Ordering::Release);
         let settles = self.unsettled.next_settles(&self.setup.delivery);
         let until = next_allowed.into_iter().chain(settles).min();
-        let turn = until.map_or(MAX_IDLE_WAIT, |until| {
+        let wait = until.map_or(MAX_IDLE_WAIT, |until| {
             Duration::from_micros(until.saturating_sub(now)).min(MAX_IDLE_WAIT)
         });
         let filled = async {
@@ -266,7 +270,7 @@
             biased;
             orderly = connection.ended() => Some(orderly),
             () = filled => None,
-            () = sleep(turn) => None,
+            () = sleep(wait) => None,
             _ = self.watched.changed() => {
                 self.watched.mark_changed();
                 None
