--- a/src/logging/send.rs
+++ b/src/logging/send.rs
@@ -206,7 +206,7 @@
         let settled = self.unsettled.settle(now, &self.setup.delivery);
         self.settled(settled);
         let Some(mut connection) = self.connection.take() else {
-            return self.ended(false, "there is no connection");
+            return self.ended(false, "gone");
         };
         self.batch.clear();
         let max_bytes = if self.delivery.careful() { 1 } else { BATCH_BYTES };
@@ -239,12 +239,12 @@
                 let settle = Duration::from_micros(self.setup.delivery.settle);
                 let close_wait = if self.unsettled.last_is_again() { settle } else { CLOSE_WAIT };
                 if let Ok(orderly) = timeout(close_wait, connection.ended()).await {
-                    return self.ended(orderly, "the collector closed the connection");
+                    return self.ended(orderly, "it closed the connection");
                 }
             }
             Ok(Ok(())) => {}
             Ok(Err(problem)) => return self.ended(false, &problem.to_string()),
-            Err(_) => return self.ended(false, "the collector accepted no data in time"),
+            Err(_) => return self.ended(false, "it takes nothing"),
         }
         self.connection = Some(connection);
     }
@@ -277,7 +277,7 @@
             }
         };
         match ended {
-            Some(orderly) => self.ended(orderly, "the collector closed the connection"),
+            Some(orderly) => self.ended(orderly, "it closed the connection"),
             None => self.connection = Some(connection),
         }
     }
