--- a/src/agree/document.rs
+++ b/src/agree/document.rs
@@ -60,8 +60,8 @@
         }
     }
 
-    /// The laxest value that neither of the two forbids. For values of different kinds, it is the value on which a
-    /// process without a lease may act.
+    /// The stricter of two values of one kind: acting on it violates neither. For values of different kinds,
+    /// it is the value on which a process without a lease may act.
     pub fn strictest(&self, other: &Value) -> Value {
         match (self, other) {
             (Value::Limit { rate: a, least: c }, Value::Limit { rate: b, least: d }) => {
@@ -104,8 +104,8 @@
         }
     }
 
-    /// Whether a process that knows only this value could violate the other on its long lease. Only such a change waits
-    /// for the long leases to expire.
+    /// Whether a process that knows only this value could violate the other on its long lease. Such a change
+    /// has to wait until the long leases have expired; other changes do not.
     fn needs_long_lease(&self, other: &Value) -> bool {
         !self.at_level(LeaseLevel::LongLease).satisfies(other)
     }
@@ -164,7 +164,7 @@
 const FIELD_OVERHEAD_BYTES: usize = 48;
 
 impl Edit {
-    /// The edit's estimated size in bytes.
+    /// The edit's estimated size in bytes, without the text of plain values.
     pub fn weight(&self) -> usize {
         let part = |(name, part): (&String, &DocumentChange)| {
             name.len()
@@ -233,7 +233,7 @@
 }
 
 impl Document {
-    /// The document's estimated size in bytes.
+    /// The document's estimated size in bytes, without the text of plain values.
     pub fn weight(&self) -> usize {
         self.fields.keys().map(|name| name.len() + FIELD_OVERHEAD_BYTES).sum()
     }
--- a/src/agree/document_state.rs
+++ b/src/agree/document_state.rs
@@ -12,7 +12,8 @@
 /// Results of edits that are kept, so that an edit that is sent again is applied once. An edit whose result was dropped
 /// conflicts with its own change when it is sent again.
 const MAX_RESULTS: usize = 4_096;
-/// Limit on the estimated size of all documents together, so that one message can carry them.
+/// Limit on the estimated size of all documents together, so that one message can carry them. The estimate
+/// does not count the text of plain values.
 const MAX_DOCUMENTS_BYTES: usize = 4 * 1024 * 1024;
 
 /// A digest over an entry and all entries before it.
@@ -36,7 +37,7 @@
     after: BTreeMap<String, Arc<Document>>,
     /// Whether the edit changes the membership, by which processes count grants.
     voters: bool,
-    /// Whether processes that hold only the long lease could violate the edit.
+    /// Whether processes that hold only the long lease could violate the edit. Stored as `long`.
     #[serde(rename = "long")]
     needs_long_lease: bool,
 }
@@ -44,7 +45,7 @@
 /// The replicated state machine: applying the same entries gives the same state.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct DocumentState {
-    /// The last entry that was applied.
+    /// The last entry that was applied. Stored as `read`.
     #[serde(rename = "read")]
     applied: Index,
     digest: Digest,
@@ -54,7 +55,7 @@
     pending: VecDeque<Pending>,
     /// Results of the last edits, by their ids.
     results: BTreeMap<u64, Result<Index, EditRejection>>,
-    /// Ids of edits in `results`, the oldest first.
+    /// Ids of edits in `results`, the oldest first. Stored as `order`.
     #[serde(rename = "order")]
     result_order: VecDeque<u64>,
     /// Estimated size of all documents, in bytes.
--- a/src/agree/lease_holder.rs
+++ b/src/agree/lease_holder.rs
@@ -25,7 +25,9 @@
     /// The voters of the configuration, which count until the log sets a membership.
     initial_voters: Voters,
     view: LeaseView,
-    /// When the last request that each voter granted was sent, by this process's clock.
+    /// When the last request that each voter granted was sent, by this process's clock. The voter granted it
+    /// later, so a lease counted from the sending ends here no later than at the voter, apart from the drift
+    /// of clocks, for which the voter waits longer.
     granted_at: BTreeMap<VoterId, Micros>,
 }
 
--- a/src/grpc/frames.rs
+++ b/src/grpc/frames.rs
@@ -1,13 +1,15 @@
 //! Finds the HTTP/2 frames in the bytes of a connection, however the bytes are split. The frames show which
 //! streams have begun, which are complete, and what the peer announces for the connection. Of a payload, only
-//! the first bytes are kept, which hold the last stream of a GOAWAY frame.
+//! the first bytes are kept, which hold the last stream of a GOAWAY frame or the error code of an RST_STREAM
+//! frame.
 
 /// The length in bytes of the connection preface, which a client sends before its first frame (RFC 9113,
 /// section 3.4).
 pub const PREFACE_BYTES: usize = 24;
 /// The length of a frame header, in bytes.
 const HEADER_BYTES: usize = 9;
-/// How many bytes of a payload are kept: the last stream and the error code of a GOAWAY frame.
+/// How many bytes of a payload are kept: the last stream of a GOAWAY frame, or the error code of an
+/// RST_STREAM frame.
 const PAYLOAD_START_BYTES: usize = 8;
 
 /// The type of a frame.
--- a/src/grpc/guard.rs
+++ b/src/grpc/guard.rs
@@ -1,6 +1,7 @@
-//! Limits on what a client's connection may cost. Each limit is a token bucket from which a frame takes a
-//! token. The front closes the connection of a client that exceeds a limit; no other client is affected.
-//! Legitimate clients stay far below all limits.
+//! Limits on what a client's connection may cost. Most limits are token buckets from which a frame, or a
+//! request that was not complete in time, takes a token; a header block has fixed limits instead. The front
+//! closes the connection of a client that exceeds a limit; no other client is affected. Legitimate
+//! clients stay far below all limits.
 
 use super::frames::{Frame, FrameEvent, FrameKind};
 use crate::interface::Micros;
@@ -31,9 +32,9 @@
     RapidReset,
     /// Too many SETTINGS frames.
     SettingsFlood,
-    /// Too many PING frames.
+    /// Too many PING frames. Those with ACK count towards the limit of frames without effect.
     PingFlood,
-    /// Too many frames without effect.
+    /// Too many frames without effect. If a PING frame with ACK exceeds the limit, it is a `PingFlood`.
     EmptyFlood,
     /// Too many WINDOW_UPDATE frames.
     UpdateFlood,
--- a/src/grpc/status.rs
+++ b/src/grpc/status.rs
@@ -1,5 +1,6 @@
-//! The mapping from gRPC status codes to ends of attempts, and from ends of calls to status codes. `ending`
-//! says what an end means to the module; `docs/operators/grpc.md` describes the mapping for operators.
+//! The mapping from gRPC status codes to ends of attempts, and from ends of calls to status codes. The
+//! module `attempt_end` says what an end means to the policy; `docs/operators/grpc.md` describes the mapping
+//! for operators.
 
 use crate::attempt_end::AttemptEnd;
 use std::time::Duration;
--- a/src/grpc/timeout.rs
+++ b/src/grpc/timeout.rs
@@ -25,8 +25,8 @@
     })
 }
 
-/// Formats a value in the finest unit that fits into eight digits. The value is rounded down, so that a node
-/// never assumes a later deadline, but not below one nanosecond.
+/// Formats a value in the finest unit that fits into eight digits; minutes are not used. The value
+/// is rounded down, so that a node never assumes a later deadline, but not below one nanosecond.
 pub fn format(timeout: Duration) -> String {
     let nanos = timeout.as_nanos().max(1);
     for (unit, nanos_each) in [("n", 1), ("u", 1_000), ("m", 1_000_000), ("S", 1_000_000_000)] {
--- a/src/lifecycle_state.rs
+++ b/src/lifecycle_state.rs
@@ -103,7 +103,7 @@
         Ok(())
     }
 
-    /// AlreadyStopping a drain at any stage; without one it does nothing.
+    /// Ends a drain at any stage; without one it does nothing.
     ///
     /// # Errors
     /// The process is stopping.
--- a/src/logging/send.rs
+++ b/src/logging/send.rs
@@ -132,7 +132,8 @@
                 }
                 let now = self.now();
                 self.delivery.connected(now, collector);
-                // In careful mode each line has its own connection, so only the first one after a failure is logged.
+                // In careful mode a collector may close after each line, so only the first connection after a
+                // failure is logged.
                 if !self.delivery.careful() || self.failure_logged[collector] {
                     let (reason, given_up) = ("", 0);
                     event!(COLLECTOR, collector, address:% = wanted.address, state = "up", reason, given_up);
--- a/src/net/back.rs
+++ b/src/net/back.rs
@@ -40,7 +40,8 @@
 use tokio::sync::{OwnedSemaphorePermit, mpsc, oneshot};
 use tokio::time::{Duration, Instant, sleep_until, timeout, timeout_at};
 
-/// The most bytes of a body, of a request or an answer, that is held whole; a longer body is streamed.
+/// The most bytes of a body, of a request or an answer, that is held whole. A longer answer is streamed; of a
+/// longer request body, the HTTP front holds up to 1 MiB before it forwards the request.
 pub const MAX_HELD_BODY_BYTES: usize = 64 * 1024;
 /// The most bytes of any body.
 pub const MAX_BODY_BYTES: u64 = 32 * 1024 * 1024;
@@ -65,11 +66,13 @@
 /// The longest pause within an answer that is held. After it, the declared length is taken to be wrong, or
 /// the answer to have no end.
 const ANSWER_STALL_LIMIT: Duration = Duration::from_millis(600);
-/// The longest time without progress, by the node or the client, in a body that is streamed.
+/// The longest time without progress, by the node or the client, in a body that is streamed or in the writing
+/// of any request.
 const STREAM_STALL_LIMIT: Duration = Duration::from_secs(10);
 /// The pieces buffered between a node and its client. Beyond them, the client's pace limits the node's.
 const STREAM_BUFFER_PIECES: usize = 2;
-/// How long a connection rests after its answer before reuse, once any node has sent unsolicited bytes.
+/// How long a connection rests after its answer before reuse. Rested connections are preferred; the rest is
+/// required once any node has sent unsolicited bytes. Also how often `connect` looks into the pool.
 /// HTTP/1.1 answers carry no request id, and a node may send a second answer some milliseconds late.
 const CONNECTION_REST: Duration = Duration::from_millis(25);
 /// A connection established within this time after its attempt gave it up is kept for other attempts.
@@ -440,7 +443,8 @@
     }
 }
 
-/// Parses `X-Server-Load: inflight=7,queue=2`. A value that is not a plausible number of requests is ignored.
+/// Parses `X-Server-Load: inflight=7,queue=2`. The name `backlog` is accepted for `queue`. A value that is
+/// not a plausible number of requests is ignored.
 pub(super) fn load(headers: &HeaderMap) -> Load {
     read_load(headers.get(LOAD).and_then(|value| value.to_str().ok()).unwrap_or(""))
 }
--- a/src/net/discovery.rs
+++ b/src/net/discovery.rs
@@ -32,9 +32,10 @@
 const CONNECT_TIMEOUT: Duration = Duration::from_secs(2);
 /// Limit on the bytes of a list. A host has little memory, and 1,024 nodes take 300 kB of indented JSON.
 const MAX_LIST_BYTES: usize = 1024 * 1024;
-/// Where lists are pushed, a change counts as told as soon as the agent has it, and the agent answers at
-/// once. A failed watch is therefore reopened after this fraction (one tenth) of the time within which sends
-/// to a node must end.
+/// Where lists are pushed, an agent (the local program that pushes them) answers at once. A change counts as
+/// told, which means that the platform expects the host to know it, as soon as the agent has it. A failed
+/// watch is therefore reopened after this fraction (one tenth) of the time within which sends to a node must
+/// end.
 const RECONNECT_DIVISOR: u32 = 10;
 /// Where lists are pushed, a request waits this many reconnect delays for its first list.
 const FIRST_LIST_RECONNECT_DELAYS: u32 = 4;
--- a/src/net/fleet/mod.rs
+++ b/src/net/fleet/mod.rs
@@ -46,6 +46,7 @@
         if heads >= usize::from(NodeId::MAX) {
             return None;
         }
+        // The time of this start, in seconds since 1970; it is the first part of the incarnation.
         let day = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default().as_secs();
         let node = GossipNode::new(own, heads, config.timing, 0, day, seed);
         // The key depends on the number of hosts, so hosts configured with different numbers reject each
@@ -106,6 +107,8 @@
     fn apply(&self, out: Output) -> Sends {
         for Change { node: member, before, after, cause } in out.changes {
             let (state, was) = (after.state.name(), before.state.name());
+            // The low 16 bits of an incarnation count how often the node has refuted a suspicion or a
+            // declaration of death since its start.
             let (start, spoke_up) = (after.incarnation.start(), after.incarnation.bits() & 0xffff);
             let why = why(cause);
             match after.state {
--- a/src/net/front.rs
+++ b/src/net/front.rs
@@ -75,7 +75,7 @@
     pub answer_margin: Duration,
     /// The process's phase.
     pub phase: watch::Receiver<Phase>,
-    /// The memory for bodies up to 64 KiB, in bytes.
+    /// The memory for bodies of a declared length, in bytes. Each takes its length, but 64 KiB at most.
     pub bodies: Arc<Semaphore>,
     /// The memory for bodies beyond 64 KiB and bodies of no declared length, in bytes.
     pub uploads: Arc<Semaphore>,
@@ -200,8 +200,10 @@
     client.linger(&slot).await;
 }
 
-/// Reports whether a request is open on the connection or has arrived unread. A graceful shutdown of hyper
-/// would discard such a request; instead, its answer carries `Connection: close`.
+/// Reports whether the connection awaits its first request, a request's head or body is being read, or bytes
+/// have arrived unread. Returns false while a complete request awaits its answer. A graceful shutdown of
+/// hyper would discard a request that is being read or unread; instead, its answer carries
+/// `Connection: close`.
 fn has_request_under_way(slot: &Slot, client: &Presence) -> bool {
     slot.is_asking() || client.has_unread()
 }
--- a/src/net/grpc/back.rs
+++ b/src/net/grpc/back.rs
@@ -47,7 +47,7 @@
     /// Wakes the calls that wait for a stream, since one may be available now.
     changed: Notify,
     connect_timeout: Duration,
-    /// How long a node may take to send its first SETTINGS frame.
+    /// How long a node may take to send its first SETTINGS frame: the limits' `ping_timeout`.
     settings_timeout: Duration,
     /// The port of all nodes; `None`: the port that discovery gives.
     node_port: Option<u16>,
--- a/src/net/grpc/front.rs
+++ b/src/net/grpc/front.rs
@@ -46,11 +46,12 @@
 const NO_ROOM_RETRY_AFTER: Duration = Duration::from_secs(1);
 /// How long after the call's deadline a client may take to receive the rest of a response that is complete.
 const LAST_BYTES_TIMEOUT: Duration = Duration::from_millis(100);
-/// The most parts of a response between its attempt and its call's task. There must be room for headers, one
-/// message and trailers, which are then sent together.
+/// The capacity of the channel that carries the parts of a response from its attempt to its call's task. A
+/// response with one message has three parts (headers, message, trailers), which are sent together only if
+/// all of them fit.
 const RESPONSE_PARTS: usize = 4;
-/// The most streams that a client may have reset before they are accepted, and that h2 has reset for their
-/// errors.
+/// The value of two limits of h2: on streams that the client has reset before the front accepted them, and on
+/// streams that this side has reset and h2 still remembers.
 const PENDING_RESETS: usize = 200;
 
 /// The gRPC front. Clones share its state.
@@ -96,7 +97,8 @@
     }
 }
 
-/// Accepts and serves clients until the process drains.
+/// Accepts and serves clients until the phase no longer accepts connections, which happens only while the
+/// process stops: a draining process still accepts.
 pub async fn serve(listener: TcpListener, front: Front, slots: Slots) {
     let phase = front.phase.clone();
     accept_all(listener, slots, phase, |stream, slot, _| serve_client(stream, slot, front.clone())).await;
@@ -259,7 +261,8 @@
     };
     slot.mark_answered();
     let mut phase = front.phase.clone();
-    // `asked_to_leave`: another client wants the slot. `draining`: the process accepts no more calls.
+    // `asked_to_leave`: the slot is wanted for another client, or a time limit has passed. `draining`: this
+    // connection is shutting down, because the process drains or no longer accepts connections.
     let (mut calls, mut asked_to_leave, mut draining) = (JoinSet::new(), false, false);
     let mut stall_check = tokio::time::interval(STALL_CHECK_INTERVAL);
     let mut client_left = pin!(client.left());
--- a/src/net/hot_restart.rs
+++ b/src/net/hot_restart.rs
@@ -16,12 +16,14 @@
 pub const STARTUP_CHECK_INTERVAL: Duration = Duration::from_millis(10);
 /// How long to wait before trying a lock again: a check by the other process holds the lock for a moment.
 const LOCK_RETRY_INTERVAL: Duration = Duration::from_millis(5);
-/// How often the locks are tried.
+/// How many times the locks are tried.
 const LOCK_ATTEMPTS: usize = 20;
 
 /// The files of one of the two processes.
 struct ProcessFiles {
+    /// The lock file `lives`: locked for as long as the process runs.
     lives: File,
+    /// The lock file `halved`: locked while the process keeps to half of the limits.
     halved: File,
     /// The ids that the process accepted (`idlog`).
     ids: Arc<File>,
--- a/src/net/ops.rs
+++ b/src/net/ops.rs
@@ -208,7 +208,7 @@
     }
 }
 
-/// Reads the line; `None` if the caller left without sending a byte.
+/// Reads the line; `None` if the caller left without sending a byte, or a read failed.
 async fn line(stream: &mut TcpStream) -> Option<Result<Command, BadLine>> {
     let (mut bytes, mut used) = ([0; MAX_LINE_BYTES], 0);
     loop {
--- a/src/net/passed.rs
+++ b/src/net/passed.rs
@@ -16,9 +16,9 @@
 pub enum Unusable {
     /// The descriptor is not open.
     NotOpen(String),
-    /// The descriptor is not a TCP socket.
+    /// A property of the socket could not be read, as for a descriptor that is not a socket.
     NoSocket(io::Error),
-    /// The socket does not listen.
+    /// The socket is not a stream socket (it is a UDP socket, for example), or does not listen.
     NotListening,
     /// The socket listens at another address than the configured one.
     Elsewhere {
--- a/src/net/pool.rs
+++ b/src/net/pool.rs
@@ -69,7 +69,8 @@
     /// The limits of all connections to nodes.
     pub limits: NodeLimits,
     capacity_share: CapacityShare,
-    /// How long a connection rests before reuse, once any node has sent unsolicited bytes.
+    /// How long a connection rests before reuse. Rested connections are preferred; the rest is required once
+    /// any node has sent unsolicited bytes.
     rest: Duration,
     talked: Arc<AtomicBool>,
 }
@@ -100,8 +101,9 @@
     }
 
     /// Sets the rest between two uses of a connection, for protocols whose answers carry no request id: a
-    /// late second answer would be taken for the answer to the next request. The rest applies only once a
-    /// node has sent unsolicited bytes, so that other nodes need no extra connections.
+    /// late second answer would be taken for the answer to the next request. Rested connections are
+    /// preferred, but the rest is required only once a node has sent unsolicited bytes, so that other nodes
+    /// need no extra connections.
     pub fn resting(self, rest: Duration) -> Pool<C> {
         Pool { rest, ..self }
     }
--- a/src/net/sftp/front.rs
+++ b/src/net/sftp/front.rs
@@ -61,7 +61,8 @@
 type CommandResult = (u32, Result<Bytes, Reply>, Option<File>);
 type InFlight = Pin<Box<dyn Future<Output = CommandResult> + Send>>;
 
-/// Accepts and serves clients until the process drains.
+/// Accepts and serves clients until the phase no longer accepts connections, which happens only while the
+/// process stops: a draining process still accepts.
 pub async fn serve(listener: TcpListener, front: Front, slots: Slots) {
     let phase = front.phase.clone();
     accept_all(listener, slots, phase, |stream, slot, _| serve_client(stream, slot, front.clone())).await;
@@ -115,7 +116,7 @@
             return "the connection broke";
         }
         let mut phase = self.front.phase.clone();
-        // Another client wants the slot.
+        // The slot is wanted for another client, or a time limit has passed.
         let mut asked_to_leave = false;
         let client = self.client.clone();
         let mut client_left = pin!(client.left());
--- a/src/net/slots.rs
+++ b/src/net/slots.rs
@@ -35,7 +35,8 @@
 struct State {
     activity: Activity,
     since: Instant,
-    /// Whether the connection has had an answer before.
+    /// Whether `mark_answered` was called before. HTTP calls it with an answer; gRPC also after the
+    /// handshake, and SFTP whenever the client has no command in flight.
     answered_before: bool,
     asked_at: Option<Instant>,
     leave: Arc<Notify>,
@@ -114,11 +115,11 @@
         self.taken().slots.values().filter(|state| state.activity == Activity::Idle).count()
     }
 
-    /// Takes a slot for an accepted connection. If none is free, a connection without an open request is
-    /// asked to leave: first one that lingers, then the oldest that never had an answer, so that a flood of
-    /// those displaces nobody else, then the longest idle. Meanwhile the new connection takes a spare slot:
-    /// waiting for the other to leave before the next accept would keep clients, whose timeouts run already,
-    /// in the kernel's queue.
+    /// Takes a slot for an accepted connection. If none is free, another connection is asked to leave, unless
+    /// its request awaits its answer. Chosen is first one that lingers, then the oldest that was never idle,
+    /// so that a flood of those displaces nobody else, then the longest idle, and at last one in the middle
+    /// of a request's head or body. Meanwhile the new connection takes a spare slot: waiting for the other to
+    /// leave before the next accept would keep clients, whose timeouts run already, in the kernel's queue.
     pub async fn take(&self) -> Slot {
         let slot = self.insert();
         if self.held() > self.capacity_share.of(self.limits.most) {
@@ -271,7 +272,7 @@
         self.set(Activity::Reading);
     }
 
-    /// Marks that a request has begun.
+    /// Sets the activity to `Asking`: a request has begun.
     pub fn mark_awaiting_request(&self) {
         self.set(Activity::Asking);
     }
@@ -281,9 +282,9 @@
         self.set(Activity::Waiting);
     }
 
-    /// Marks that the request has its answer. Returns true if the connection should close after it because
-    /// many are idle: clients, whose descriptors are limited too, would have few left for requests. A
-    /// connection that has had an answer before is kept for longer.
+    /// Sets the activity to `Idle` and `answered_before` to true. Returns true if the connection should close
+    /// after its answer because many are idle: clients, whose descriptors are limited too, would have few
+    /// left for requests. A connection for which this was called before is kept for longer.
     pub fn mark_answered(&self) -> bool {
         self.set(Activity::Idle);
         let answered_before =
@@ -315,7 +316,8 @@
         self.with(|slot| slot.asked_at.is_some()).unwrap_or(true)
     }
 
-    /// Returns whether a request is awaited or being read.
+    /// Returns whether the activity is `Asking` or `Reading`: the first request is awaited, or a request's
+    /// head or body is being read.
     pub fn is_asking(&self) -> bool {
         matches!(self.with(|state| state.activity), Some(Activity::Asking | Activity::Reading))
     }
--- a/src/syslog/delivery.rs
+++ b/src/syslog/delivery.rs
@@ -3,9 +3,10 @@
 //! Syslog has no acknowledgement: when a connection breaks, the lines written to it last may be lost. A line therefore
 //! counts as delivered (settled) only if its connection is still open some time after the write; later lines are sent
 //! once more on the next connection. A collector may receive a line twice, with the same sequence id, but loses no line
-//! that one repeat can save. If connections end after a few lines, the sender becomes careful: it sends one line at a
-//! time and waits briefly for the collector to close, because an orderly end means that the line was read. A line sent
-//! for the second time is sent alone until it is settled, so that no line before it costs its last attempt.
+//! that one repeat can save. If a connection ends after a few lines, or before any line settled, the sender
+//! becomes careful: it sends one line at a time and waits briefly for the collector to close, because an
+//! orderly end means that the line was read. In careful mode a line sent for the second time is sent alone
+//! until it is settled, so that no line before it costs its last attempt.
 
 use crate::interface::Micros;
 use std::collections::VecDeque;
@@ -261,7 +262,7 @@
         self.again.pop_front()
     }
 
-    /// Returns a line from [`Unsettled::next_again`] to the front.
+    /// Puts a line from [`Unsettled::next_again`] back at the front, so that it is sent next.
     pub fn put_back(&mut self, key: u64, line: Vec<u8>) {
         self.again.push_front((key, line));
     }
--- a/src/syslog/queue.rs
+++ b/src/syslog/queue.rs
@@ -29,13 +29,14 @@
 /// Count of dropped lines with one MSGID.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Dropped {
-    /// MSGID of the lines.
+    /// MSGID of the lines. The spool gives the MSGID of the arriving line for lines dropped from memory, and
+    /// `any` for lines removed from disk.
     pub id: &'static str,
     /// Number of lines.
     pub count: u64,
     /// Earliest time of a dropped line.
     pub from: Micros,
-    /// Latest time of a dropped line.
+    /// Latest time of a dropped line; for lines removed from the spool's disk, the time of their removal.
     pub until: Micros,
 }
 
